--- a/Makefile
+++ b/Makefile
@@ -6,11 +6,11 @@
 .PHONY: build test demo lint run install-packages clean
 
 build:
-	cmake -B build -DCMAKE_BUILD_TYPE=Release -DPOPPYSCALE_LAB=ON
+	cmake -B build -DCMAKE_BUILD_TYPE=Release -DPOPPYSCALE_TESTBED=ON
 	cmake --build build -j8
 
 demo: install-packages build
-	build/poppylab run scenarios/demo.toml --program build/poppyscale --out demo-report
+	build/poppyscale_testbed run scenarios/demo.toml --program build/poppyscale --out demo-report
 	@echo "the report: demo-report/report.html"
 
 test: install-packages
--- a/src/operator/plan.cpp
+++ b/src/config/operator_config.cpp
@@ -1,4 +1,4 @@
-#include "operator/plan.hpp"
+#include "config/operator_config.hpp"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -9,27 +9,27 @@
 #include <iterator>
 #include <set>
 
+#include "discovery/source_selector.hpp"
 #include "protocol/number.hpp"
-#include "sources/selector.hpp"
 
-namespace poppyscale::op {
+namespace poppyscale::config {
 namespace {
 
-using text::Table;
+using config::Table;
 
-const text::Words<Level>& levels() {
-    static const text::Words<Level> words{{"debug", Level::debug},
-                                          {"info", Level::info},
-                                          {"warning", Level::warning},
-                                          {"error", Level::error},
-                                          {"off", Level::off}};
+const config::Words<Level>& levels() {
+    static const config::Words<Level> words{{"debug", Level::debug},
+                                            {"info", Level::info},
+                                            {"warning", Level::warning},
+                                            {"error", Level::error},
+                                            {"off", Level::off}};
     return words;
 }
 
-const text::Words<Effect> kEffects{
+const config::Words<Effect> kEffects{
     {"pure", Effect::pure}, {"receipted", Effect::receipted}, {"effectful", Effect::effectful}};
-const text::Words<Group> kGroups{{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}};
-const text::Words<Presence> kPresences{
+const config::Words<Group> kGroups{{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}};
+const config::Words<Presence> kPresences{
     {"ready", Presence::ready}, {"draining", Presence::draining}, {"gone", Presence::gone}};
 
 bool isAddress(const std::string& text) {
@@ -87,8 +87,8 @@
 std::vector<std::string> readDistributors(Table& t) {
     const auto addresses = t.texts("addresses");
     if (addresses.empty() && t.has("addresses")) t.problem("addresses", "names none");
-    if (addresses.size() > sources::kMostSources)
-        t.problem("addresses", fmt::format("names more than {}", sources::kMostSources));
+    if (addresses.size() > discovery::kMostSources)
+        t.problem("addresses", fmt::format("names more than {}", discovery::kMostSources));
     std::set<std::string> named;
     for (const auto& one : addresses) {
         if (!isAddress(one))
@@ -200,9 +200,9 @@
     return parts;
 }
 
-Plan readPlan(std::string_view said, const std::string& file, bool platform, text::Problems& problems) {
+Plan readPlan(std::string_view said, const std::string& file, bool platform, config::Problems& problems) {
     Plan plan;
-    const auto table = text::parseToml(said, file, problems);
+    const auto table = config::parseToml(said, file, problems);
     if (!table) return plan;
     Table t(*table, problems);
     t.one("admin", false, [&](Table& a) {
@@ -243,7 +243,7 @@
     std::ifstream stream(file, std::ios::binary);
     const std::string said{std::istreambuf_iterator<char>(stream), {}};
     if (!stream) throw protocol::Malformed(file + ":1: can't be read");
-    text::Problems problems(file);
+    config::Problems problems(file);
     Plan plan = readPlan(said, file, platform, problems);
     if (!problems.none()) throw protocol::Malformed(problems.text());
     return plan;
@@ -335,4 +335,4 @@
     return out;
 }
 
-}  // namespace poppyscale::op
+}  // namespace poppyscale::config
--- a/src/operator/plan.hpp
+++ b/src/config/operator_config.hpp
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/discovery.hpp"
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
+#include "protocol/endpoint_list.hpp"
 
-namespace poppyscale::op {
+namespace poppyscale::config {
 
 enum class Level : std::uint8_t { debug, info, warning, error, off };
 
@@ -35,7 +35,7 @@
 
 // Reads all of it; what can't be used is noted in `problems`, and the plan is of no use then. `platform` says
 // that the platform's configuration is there: then the file may not describe the deployment a second time.
-Plan readPlan(std::string_view text, const std::string& file, bool platform, text::Problems& problems);
+Plan readPlan(std::string_view text, const std::string& file, bool platform, config::Problems& problems);
 
 // Throws protocol::Malformed with all problems, a line each.
 Plan loadPlan(const std::string& file, bool platform);
@@ -53,4 +53,4 @@
 // Everything that is in force, as TOML-like lines for people.
 std::string described(const protocol::Start& start, const Plan& plan, bool platform);
 
-}  // namespace poppyscale::op
+}  // namespace poppyscale::config
--- a/src/text/table.cpp
+++ b/src/config/toml_table.cpp
@@ -1,11 +1,11 @@
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace poppyscale::text {
+namespace poppyscale::config {
 
 void Problems::add(std::uint32_t line, std::string_view key, std::string_view what) {
     all_.emplace_back(line, fmt::format("{}:{}: {}{}{}", file_, std::max<std::uint32_t>(line, 1), key,
@@ -147,4 +147,4 @@
     }
 }
 
-}  // namespace poppyscale::text
+}  // namespace poppyscale::config
--- a/src/text/table.hpp
+++ b/src/config/toml_table.hpp
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::text {
+namespace poppyscale::config {
 
 class Problems {
   public:
@@ -109,4 +109,4 @@
 // Null, with the problem noted, when it is not TOML.
 std::optional<toml::table> parseToml(std::string_view text, const std::string& file, Problems& problems);
 
-}  // namespace poppyscale::text
+}  // namespace poppyscale::config
--- a/src/console/call.cpp
+++ b/src/control/console_command.cpp
@@ -1,10 +1,10 @@
-#include "console/call.hpp"
+#include "control/console_command.hpp"
 
 #include <algorithm>
 #include <array>
 #include <vector>
 
-namespace poppyscale::console {
+namespace poppyscale::control {
 namespace {
 
 struct Entry {
@@ -54,4 +54,4 @@
     return Call{entry->kind, entry->named ? std::string(words[1]) : ""};
 }
 
-}  // namespace poppyscale::console
+}  // namespace poppyscale::control
--- a/src/console/call.hpp
+++ b/src/control/console_command.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace poppyscale::console {
+namespace poppyscale::control {
 
 struct Call {
     enum class Kind : std::uint8_t { status, ban, lift, standby, active };
@@ -26,4 +26,4 @@
 // A line without its LF; a CR before that is no part of it. Without a call, `wrong` says why.
 std::optional<Call> readCall(std::string_view line, std::string& wrong);
 
-}  // namespace poppyscale::console
+}  // namespace poppyscale::control
--- a/src/console/door.cpp
+++ b/src/control/console_listener.cpp
@@ -1,8 +1,8 @@
-#include "console/door.hpp"
+#include "control/console_listener.hpp"
 
 #include <algorithm>
 
-namespace poppyscale::console {
+namespace poppyscale::control {
 namespace {
 
 constexpr Nanos kSilent = 8'000 * kMillisecond;  // a caller who has not finished its line by then
@@ -73,4 +73,4 @@
     callers_.remove_if([&](const auto& c) { return c.get() == &caller; });
 }
 
-}  // namespace poppyscale::console
+}  // namespace poppyscale::control
--- a/src/console/door.hpp
+++ b/src/control/console_listener.hpp
@@ -6,10 +6,10 @@
 #include <memory>
 #include <string>
 
-#include "console/call.hpp"
+#include "control/console_command.hpp"
 #include "transport/listener.hpp"
 
-namespace poppyscale::console {
+namespace poppyscale::control {
 
 class Caller;
 
@@ -37,4 +37,4 @@
     std::list<std::unique_ptr<Caller>> callers_;  // the oldest first
 };
 
-}  // namespace poppyscale::console
+}  // namespace poppyscale::control
--- a/src/admin/server.cpp
+++ b/src/control/operator_socket.cpp
@@ -1,4 +1,4 @@
-#include "admin/server.hpp"
+#include "control/operator_socket.hpp"
 
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <utility>
 
-namespace poppyscale::admin {
+namespace poppyscale::control {
 namespace {
 
 constexpr std::size_t kLongestLine = 64 * 1024;
@@ -124,4 +124,4 @@
     if (tell) tell();
 }
 
-}  // namespace poppyscale::admin
+}  // namespace poppyscale::control
--- a/src/admin/server.hpp
+++ b/src/control/operator_socket.hpp
@@ -11,7 +11,7 @@
 #include "transport/connection.hpp"
 #include "transport/listener.hpp"
 
-namespace poppyscale::admin {
+namespace poppyscale::control {
 
 class Session;
 
@@ -70,4 +70,4 @@
     std::vector<int> toPass_;  // descriptors that wait until all that was said is with the kernel
 };
 
-}  // namespace poppyscale::admin
+}  // namespace poppyscale::control
--- a/src/ctl/instance.cpp
+++ b/src/ctl/control_client.cpp
@@ -1,4 +1,4 @@
-#include "ctl/instance.hpp"
+#include "ctl/control_client.hpp"
 
 #include <fmt/format.h>
 #include <poll.h>
--- a/src/ctl/door.cpp
+++ b/src/ctl/control_listener.cpp
@@ -1,4 +1,4 @@
-#include "ctl/door.hpp"
+#include "ctl/control_listener.hpp"
 
 #include <fmt/format.h>
 #include <sys/socket.h>
--- a/src/ctl/distributor.cpp
+++ b/src/ctl/distributor_status.cpp
@@ -1,4 +1,4 @@
-#include "ctl/distributor.hpp"
+#include "ctl/distributor_status.hpp"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -12,8 +12,8 @@
 #include <cstring>
 #include <optional>
 
-#include "ctl/instance.hpp"
-#include "protocol/http.hpp"
+#include "ctl/control_client.hpp"
+#include "protocol/http_response.hpp"
 #include "protocol/number.hpp"
 
 namespace poppyscale::ctl {
--- a/src/ctl/fleet.cpp
+++ b/src/ctl/fleet_command.cpp
@@ -1,4 +1,4 @@
-#include "ctl/fleet.hpp"
+#include "ctl/fleet_command.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -25,12 +25,12 @@
 #include <random>
 #include <stdexcept>
 
-#include "ctl/door.hpp"
-#include "ctl/files.hpp"
-#include "ctl/instance.hpp"
-#include "log/log.hpp"
-#include "operator/plan.hpp"
-#include "rollout/agent.hpp"
+#include "config/operator_config.hpp"
+#include "ctl/control_client.hpp"
+#include "ctl/control_listener.hpp"
+#include "ctl/version_store.hpp"
+#include "logging/logger.hpp"
+#include "rollout/rollout_agent.hpp"
 
 namespace poppyscale::ctl {
 namespace {
@@ -90,11 +90,11 @@
     bool held_ = false;
 };
 
-class Fleet : private fleet::Hands, private rollout::AgentHands {
+class Fleet : private supervisor::Hands, private rollout::AgentHands {
   public:
     explicit Fleet(const Description& d)
         : d_(d),
-          log_("poppyctl fleet", log::Form::text),
+          log_("poppyctl fleet", logging::Form::text),
           versions_(d.folder + "/versions"),
           keeper_(d.terms, std::random_device{}(), *this),
           agent_(d.terms.count, keptNow(), *this),
@@ -124,8 +124,8 @@
             while (::read(signals, &info, sizeof info) == sizeof info) {
                 if (info.ssi_signo == SIGQUIT) return 0;  // they live on, and are found by the next
                 if (info.ssi_signo == SIGTERM || info.ssi_signo == SIGINT) keeper_.stopAll();
-                if (info.ssi_signo == SIGHUP) begin(fleet::Keeper::Roll::restart);
-                if (info.ssi_signo == SIGUSR2) begin(fleet::Keeper::Roll::upgrade);
+                if (info.ssi_signo == SIGHUP) begin(supervisor::Keeper::Roll::restart);
+                if (info.ssi_signo == SIGUSR2) begin(supervisor::Keeper::Roll::upgrade);
             }
             for (int i = 0; i < d_.terms.count; ++i) look(i);
             hearDisk();
@@ -170,8 +170,8 @@
         }
     }
 
-    void begin(fleet::Keeper::Roll kind) {
-        const char* const name = kind == fleet::Keeper::Roll::restart ? "restart" : "upgrade";
+    void begin(supervisor::Keeper::Roll kind) {
+        const char* const name = kind == supervisor::Keeper::Roll::restart ? "restart" : "upgrade";
         // By what the files say now: a roll of what was read at the start would change nothing.
         try {
             Description fresh = readDescription(d_.file);
@@ -273,7 +273,7 @@
         std::erase_if(leaving_, [](pid_t p) { return ::waitpid(p, nullptr, WNOHANG) == p; });
     }
 
-    // ---- keeping: fleet::Hands
+    // ---- keeping: supervisor::Hands
 
     // One that serves by this name already is the instance: an heir whose predecessor died before it could
     // say who took over, say. Another one would only find the address taken.
@@ -568,15 +568,16 @@
             try {
                 if (!form.empty()) {
                     const auto read = [&](const std::string& of) {
-                        text::Problems problems("the form");
+                        config::Problems problems("the form");
                         const auto plan =
-                            op::readPlan(operatorFileOf(d_, of, i), "the form", false, problems);
+                            config::readPlan(operatorFileOf(d_, of, i), "the form", false, problems);
                         if (!problems.none() || !plan.start) throw std::runtime_error(problems.text());
                         return *plan.start;
                     };
                     const auto is = read(versions_.form(runs.form)), wanted = read(form);
-                    const auto difference = op::differenceOf(is, wanted);
-                    if (op::described(is, {}, false) != op::described(wanted, {}, false)) way = "reload";
+                    const auto difference = config::differenceOf(is, wanted);
+                    if (config::described(is, {}, false) != config::described(wanted, {}, false))
+                        way = "reload";
                     if (!difference.waits.empty()) way = "restart";
                 }
                 if (!program.empty() && program != runs.program && way != "restart")
@@ -648,9 +649,9 @@
     };
 
     Description d_;
-    log::Log log_;
+    logging::Log log_;
     Versions versions_;
-    fleet::Keeper keeper_;
+    supervisor::Keeper keeper_;
     rollout::Agent agent_;
     Version described_;  // by the description
     std::vector<Instance> instances_;
--- a/src/ctl/fleet.hpp
+++ b/src/ctl/fleet_command.hpp
@@ -2,7 +2,7 @@
 // this machine's agent in a staged change (docs/rolling.md).
 #pragma once
 
-#include "ctl/description.hpp"
+#include "ctl/fleet_description.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/ctl/description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -1,4 +1,4 @@
-#include "ctl/description.hpp"
+#include "ctl/fleet_description.hpp"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -9,7 +9,7 @@
 #include <optional>
 #include <stdexcept>
 
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
 
 namespace poppyscale::ctl {
 namespace {
@@ -39,11 +39,11 @@
     std::ifstream stream(file, std::ios::binary);
     const std::string said{std::istreambuf_iterator<char>(stream), {}};
     if (!stream) throw std::runtime_error(file + ":1: can't be read");
-    text::Problems problems(file);
+    config::Problems problems(file);
     Description d;
     d.file = file;
-    if (const auto table = text::parseToml(said, file, problems)) {
-        text::Table t(*table, problems);
+    if (const auto table = config::parseToml(said, file, problems)) {
+        config::Table t(*table, problems);
         d.terms.count = t.whole("count", std::nullopt, 1, kMostInstances);
         d.terms.batch = t.whole("batch", 1, 1, kMostInstances);
         d.terms.readyWithin = t.millis("ready_ms", 10'000.0);
--- a/src/ctl/description.hpp
+++ b/src/ctl/fleet_description.hpp
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "fleet/keeper.hpp"
+#include "supervisor/instance_supervisor.hpp"
 
 namespace poppyscale::ctl {
 
 struct Description {
-    fleet::Terms terms;
+    supervisor::Terms terms;
     std::string file;
     std::string program;
     std::string folder;         // of sockets, files and logs
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -6,10 +6,10 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "ctl/distributor.hpp"
-#include "ctl/fleet.hpp"
-#include "ctl/instance.hpp"
-#include "ctl/roll.hpp"
+#include "ctl/control_client.hpp"
+#include "ctl/distributor_status.hpp"
+#include "ctl/fleet_command.hpp"
+#include "ctl/rollout_command.hpp"
 
 namespace {
 
--- a/src/ctl/roll.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -1,4 +1,4 @@
-#include "ctl/roll.hpp"
+#include "ctl/rollout_command.hpp"
 
 #include <fmt/format.h>
 #include <poll.h>
@@ -10,10 +10,10 @@
 #include <optional>
 #include <vector>
 
-#include "ctl/files.hpp"
-#include "ctl/instance.hpp"
-#include "log/log.hpp"
-#include "rollout/roll.hpp"
+#include "ctl/control_client.hpp"
+#include "ctl/version_store.hpp"
+#include "logging/logger.hpp"
+#include "rollout/rollout_controller.hpp"
 
 namespace poppyscale::ctl {
 namespace {
@@ -42,7 +42,7 @@
         : plan_(plan),
           call_(call),
           programDigest_(program),
-          log_("poppyctl roll", call.json ? log::Form::json : log::Form::text),
+          log_("poppyctl roll", call.json ? logging::Form::json : logging::Form::text),
           roll_(plan, digestOf(program + "\n" + plan.formText), static_cast<rollout::RollHands&>(*this)) {}
 
     int run() {
@@ -130,7 +130,7 @@
     const rollout::Plan& plan_;
     const RollCall& call_;
     std::string programDigest_;
-    log::Log log_;
+    logging::Log log_;
     rollout::Roll roll_;
 };
 
--- a/src/ctl/files.cpp
+++ b/src/ctl/version_store.cpp
@@ -1,4 +1,4 @@
-#include "ctl/files.hpp"
+#include "ctl/version_store.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
--- a/src/routing/list_call.cpp
+++ b/src/discovery/endpoint_poll.cpp
@@ -1,13 +1,13 @@
-#include "routing/list_call.hpp"
+#include "discovery/endpoint_poll.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <array>
 
-#include "sources/call_pacing.hpp"
+#include "discovery/poll_pacing.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 ListCall::ListCall(transport::Loop& loop, transport::Pool& pool, Owner& owner, DiscoveryAddress source,
                    std::size_t longestList)
@@ -29,7 +29,7 @@
     begunAt_ = transport::Loop::now();
     bytes_ = 0;
     answer_.clear();
-    limit_.set(begunAt_ + request_.wait + sources::kLongestSilence);
+    limit_.set(begunAt_ + request_.wait + kLongestSilence);
     if (connection_) return write();
     phase_ = Phase::connecting;
     transport::Connection::Owner& self = *this;
@@ -64,8 +64,8 @@
 
 // What has come is worth keeping: each byte moves the limit on, up to a bound.
 void ListCall::extend() {
-    const Nanos longest = begunAt_ + request_.wait + sources::kLongestAnswer;
-    limit_.set(std::min(transport::Loop::now() + sources::kLongestStall, longest));
+    const Nanos longest = begunAt_ + request_.wait + kLongestAnswer;
+    limit_.set(std::min(transport::Loop::now() + kLongestStall, longest));
 }
 
 void ListCall::ended() {
@@ -82,4 +82,4 @@
                        kPhases[static_cast<std::size_t>(phase_)], bytes_);
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/list_call.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <string_view>
 
-#include "logic.hpp"
-#include "protocol/http.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/http_response.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 // A source of the list: discovery itself, or a distributor that speaks its protocol.
 struct DiscoveryAddress {
@@ -82,4 +82,4 @@
     std::unique_ptr<transport::Connection> connection_;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/watch.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -1,11 +1,11 @@
-#include "routing/watch.hpp"
+#include "discovery/endpoint_watcher.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 namespace {
 
 // Among several sources a silent one is noticed by the end of a call's wait: kept short, as there are others.
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-Watch::Watch(transport::Loop& loop, transport::Pool& pool, Core& core, Settings settings, Log log)
+Watch::Watch(transport::Loop& loop, transport::Pool& pool, proxy::Core& core, Settings settings,
+             proxy::Log log)
     : loop_(loop),
       pool_(pool),
       core_(core),
@@ -42,7 +43,7 @@
     several_.reset();
     std::size_t first = 0;
     if (sources.size() > 1) {
-        sources::SourceSelector selector(sources.size(), sourceSeed_);
+        SourceSelector selector(sources.size(), sourceSeed_);
         first = selector.current();
         several_.reset(new Several{sources, std::move(selector), 0, 0, 0});
     }
@@ -97,7 +98,7 @@
 
 void Watch::beginCall() {
     // None of those that are out is given up for another one.
-    if (calls_.size() >= sources::kMostCalls) return next_.set(transport::Loop::now() + kPauseAtMostCalls);
+    if (calls_.size() >= kMostCalls) return next_.set(transport::Loop::now() + kPauseAtMostCalls);
     calls_.push_back(std::make_unique<ListCall>(loop_, pool_, static_cast<ListCall::Owner&>(*this), source_,
                                                 longestList_));
     ListCall& call = *calls_.back();
@@ -122,7 +123,7 @@
     if (isProbing())
         next_.set(now + several_->selector.attemptTimeout());
     else if (request.wait > 0)
-        next_.set(now + request.wait + sources::kWatchGrace);
+        next_.set(now + request.wait + kWatchGrace);
     else
         next_.set(now + pacing_.intervalWithoutAnswer());
 }
@@ -172,8 +173,8 @@
 // Leaves a crowded source to the others for a while.
 void Watch::pollLater(ListCall& call) {
     const Nanos now = transport::Loop::now();
-    const bool prompt = call.tookBesideWait() <= sources::kPromptAnswer;
-    const Nanos due = prompt ? now + sources::kPromptPause : call.begunAt() + sources::kCrowdedPeriod;
+    const bool prompt = call.tookBesideWait() <= kPromptAnswer;
+    const Nanos due = prompt ? now + kPromptPause : call.begunAt() + kCrowdedPeriod;
     drop(call);
     next_.set(std::max(due, now));
 }
@@ -236,7 +237,7 @@
 
 bool Watch::takesOlder(ListCall& call, const protocol::Roster& roster) {
     const auto offered = fmt::format("version {} after version {}", roster.version, version_);
-    if (several_->selector.judge(roster.version, version_) == sources::ListVerdict::older) {
+    if (several_->selector.judge(roster.version, version_) == ListVerdict::older) {
         failed(call, offered);
         return false;
     }
@@ -262,7 +263,7 @@
 
 void Watch::moveToNextSource(std::string_view why) {
     const std::string failed = fmt::format("{}: {}", source_.host, why);
-    const sources::Attempt next = several_->selector.failed(transport::Loop::now());
+    const Attempt next = several_->selector.failed(transport::Loop::now());
     source_ = several_->addresses[next.source];
     next_.set(next.at);
     logMove(failed);
@@ -285,4 +286,4 @@
                      (now - heardAt_) / kMillisecond, unlogged));
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/watch.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -8,12 +8,12 @@
 #include <string_view>
 #include <vector>
 
-#include "routing/core.hpp"
-#include "routing/list_call.hpp"
-#include "sources/call_pacing.hpp"
-#include "sources/selector.hpp"
+#include "discovery/endpoint_poll.hpp"
+#include "discovery/poll_pacing.hpp"
+#include "discovery/source_selector.hpp"
+#include "proxy/request_dispatcher.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 class Watch : private ListCall::Owner {
   public:
@@ -28,7 +28,7 @@
         bool pushed = false;          // what the source has counts as told at once
     };
 
-    Watch(transport::Loop& loop, transport::Pool& pool, Core& core, Settings settings, Log log);
+    Watch(transport::Loop& loop, transport::Pool& pool, proxy::Core& core, Settings settings, proxy::Log log);
 
     // Nothing is asked before the first call of this; from then on the watch asks by itself.
     void want();
@@ -49,7 +49,7 @@
     // What is needed to choose among several sources; a single one is asked without it.
     struct Several {
         std::vector<DiscoveryAddress> addresses;
-        sources::SourceSelector selector;
+        SourceSelector selector;
         Nanos logWindowBegan = 0;    // of the bound on logged moves
         int logged = 0;              // moves within that window
         std::uint64_t unlogged = 0;  // moves since the last logged one
@@ -83,17 +83,17 @@
 
     transport::Loop& loop_;
     transport::Pool& pool_;
-    Core& core_;
+    proxy::Core& core_;
     const Nanos longestWait_;
     const std::uint64_t sourceSeed_;
     const std::size_t longestList_;
-    Log log_;
+    proxy::Log log_;
     DiscoveryAddress source_;
     std::unique_ptr<Several> several_;  // null with a single source
     std::int64_t version_;
     bool wholeWanted_ = false;  // the whole list, and no waiting for a change
     const bool pushed_;
-    sources::CallPacing pacing_;
+    CallPacing pacing_;
     transport::Alarm next_;                         // rings when another call is due
     std::vector<std::unique_ptr<ListCall>> calls_;  // the oldest first
     ListCall* watch_ = nullptr;                     // the one that waits for changes, until it is overdue
@@ -103,4 +103,4 @@
     Nanos heardAt_;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/sources/call_pacing.cpp
+++ b/src/discovery/poll_pacing.cpp
@@ -1,8 +1,8 @@
-#include "sources/call_pacing.hpp"
+#include "discovery/poll_pacing.hpp"
 
 #include <algorithm>
 
-namespace poppyscale::sources {
+namespace poppyscale::discovery {
 
 CallPacing::CallPacing(std::int64_t routers, std::uint64_t seed, bool mayBeCrowded)
     : routers_(routers),
@@ -46,4 +46,4 @@
     return std::uniform_int_distribution<Nanos>(least, most)(random_);
 }
 
-}  // namespace poppyscale::sources
+}  // namespace poppyscale::discovery
--- a/src/sources/call_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -21,9 +21,9 @@
 #include <cstdint>
 #include <random>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::sources {
+namespace poppyscale::discovery {
 
 constexpr std::size_t kMostCalls = 4;
 // Past its wait at the source, a call that has brought nothing is ended by then, its connection included.
@@ -95,4 +95,4 @@
     std::mt19937 random_;
 };
 
-}  // namespace poppyscale::sources
+}  // namespace poppyscale::discovery
--- a/src/routing/known_servers.cpp
+++ b/src/discovery/removed_endpoints.cpp
@@ -1,8 +1,8 @@
-#include "routing/known_servers.hpp"
+#include "discovery/removed_endpoints.hpp"
 
 #include <iterator>
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 namespace {
 
 // What one id costs beside its characters: a list node, a hash node and its bucket, each with the allocator's
@@ -31,4 +31,4 @@
     byAge_.erase(position);
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/known_servers.hpp
+++ b/src/discovery/removed_endpoints.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <unordered_map>
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 // Holds as many ids as fit into its bytes; the one that went first is forgotten first.
 class KnownServers {
@@ -29,4 +29,4 @@
     std::unordered_map<std::string_view, Position> positions_;  // keys are the strings in `byAge_`
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/start_times.cpp
+++ b/src/discovery/server_start_times.cpp
@@ -1,9 +1,9 @@
-#include "routing/start_times.hpp"
+#include "discovery/server_start_times.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 void StartTimes::noteClock(Nanos now, Nanos lead) {
     std::erase_if(leads_, [&](const Lead& one) { return now - one.lastSeen > kLeadKept; });
@@ -39,4 +39,4 @@
     return latest > 0 ? std::min(latest, now) : now;
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/routing/start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -16,9 +16,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::discovery {
 
 class StartTimes {
   public:
@@ -50,4 +50,4 @@
     std::unordered_map<std::string, Start> starts_;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::discovery
--- a/src/sources/selector.cpp
+++ b/src/discovery/source_selector.cpp
@@ -1,11 +1,11 @@
-#include "sources/selector.hpp"
+#include "discovery/source_selector.hpp"
 
 #include <algorithm>
 #include <cassert>
 #include <numeric>
 #include <utility>
 
-namespace poppyscale::sources {
+namespace poppyscale::discovery {
 
 SourceSelector::SourceSelector(std::size_t count, std::uint64_t seed, std::set<Safeguard> without)
     : without_(std::move(without)), random_(seed), sources_(count), order_(count) {
@@ -88,4 +88,4 @@
     position_ = static_cast<std::size_t>(next - order_.begin());
 }
 
-}  // namespace poppyscale::sources
+}  // namespace poppyscale::discovery
--- a/src/sources/selector.hpp
+++ b/src/discovery/source_selector.hpp
@@ -23,9 +23,9 @@
 #include <set>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::sources {
+namespace poppyscale::discovery {
 
 constexpr std::size_t kMostSources = 8;  // with more, the first round's timeouts would be too short
 constexpr Nanos kRecoveryBound = 2'000 * kMillisecond;
@@ -95,4 +95,4 @@
     bool confirmed_ = false;
 };
 
-}  // namespace poppyscale::sources
+}  // namespace poppyscale::discovery
--- a/src/distribution/distributor.cpp
+++ b/src/endpoint_distribution/distributor.cpp
@@ -1,9 +1,9 @@
-#include "distribution/distributor.hpp"
+#include "endpoint_distribution/distributor.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 namespace {
 
 const std::string kNoListBody = R"({"error":"there is no list yet"})";
@@ -427,4 +427,4 @@
     return status;
 }
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distribution/distributor.hpp
+++ b/src/endpoint_distribution/distributor.hpp
@@ -54,10 +54,10 @@
 #include <utility>
 #include <vector>
 
-#include "distribution/list_state.hpp"
-#include "logic.hpp"
+#include "endpoint_distribution/list_state.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 
 using ReaderId = std::uint64_t;
 
@@ -270,4 +270,4 @@
     Status counts_;
 };
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distribution/list_state.cpp
+++ b/src/endpoint_distribution/list_state.cpp
@@ -1,11 +1,11 @@
-#include "distribution/list_state.hpp"
+#include "endpoint_distribution/list_state.hpp"
 
 #include <algorithm>
 #include <iterator>
 #include <unordered_set>
 #include <utility>
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 namespace {
 
 // Readers are nearly always one or a few versions behind; more kinds of answers than that are not worth
@@ -169,4 +169,4 @@
     return std::make_shared<const std::string>(head(version, false) + "]}");
 }
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -15,9 +15,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "distribution/server_list.hpp"
+#include "endpoint_distribution/list_update.hpp"
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 
 using SharedBytes = std::shared_ptr<const std::string>;
 
@@ -89,4 +89,4 @@
     std::size_t sinceCacheBytes_ = 0;
 };
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distribution/server_list.cpp
+++ b/src/endpoint_distribution/list_update.cpp
@@ -1,11 +1,11 @@
-#include "distribution/server_list.hpp"
+#include "endpoint_distribution/list_update.hpp"
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 namespace {
 
 // Finds the texts of the objects in the array `servers` of a JSON object that is known to be well formed.
@@ -90,4 +90,4 @@
     return {last.id, true, entry.dump()};
 }
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distribution/server_list.hpp
+++ b/src/endpoint_distribution/list_update.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace poppyscale::distribution {
+namespace poppyscale::endpoint_distribution {
 
 using Version = std::int64_t;
 
@@ -29,4 +29,4 @@
 // The entry of a server that a whole list does not name any more.
 ServerEntry goneEntry(const ServerEntry& last);
 
-}  // namespace poppyscale::distribution
+}  // namespace poppyscale::endpoint_distribution
--- a/src/distributor/main.cpp
+++ b/src/endpoint_distributor/main.cpp
@@ -5,8 +5,8 @@
 #include <exception>
 #include <string>
 
-#include "distributor/program.hpp"
-#include "distributor/settings.hpp"
+#include "endpoint_distributor/program.hpp"
+#include "endpoint_distributor/settings.hpp"
 
 namespace {
 
@@ -16,7 +16,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"poppyscale_distributor: passes the list of servers on from discovery to many routers"};
+    CLI::App app{
+        "poppyscale_endpoint_distributor: passes the list of servers on from discovery to many routers"};
     std::string path;
     app.add_option("--config", path, "the settings, a TOML file")->required();
     try {
@@ -26,7 +27,8 @@
     }
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        poppyscale::distributor::Program program(poppyscale::distributor::readSettings(path));
+        poppyscale::endpoint_distributor::Program program(
+            poppyscale::endpoint_distributor::readSettings(path));
         program.run();
     } catch (const std::exception& problem) {
         fmt::print(stderr, "{}\n", problem.what());
--- a/src/distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -1,4 +1,4 @@
-#include "distributor/program.hpp"
+#include "endpoint_distributor/program.hpp"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 namespace {
 
 // Connections beyond the readers: those that are told that there is no room, and who asks for the status.
@@ -19,8 +19,8 @@
 constexpr std::size_t kBuffersOfReader = 2;  // a piece of an answer that its kernel has not taken
 constexpr Nanos kEndWithin = 1'000 * kMillisecond;
 
-distribution::Options optionsOf(const Settings& settings) {
-    distribution::Options options = settings.options;
+endpoint_distribution::Options optionsOf(const Settings& settings) {
+    endpoint_distribution::Options options = settings.options;
     options.seed = std::random_device{}() ^ static_cast<std::uint64_t>(::getpid()) << 32;
     return options;
 }
@@ -29,7 +29,7 @@
 
 Program::Program(const Settings& settings)
     : settings_(settings),
-      logger_(settings.name, log::Form::text),
+      logger_(settings.name, logging::Form::text),
       pool_((settings.options.maxReaders + kSpareConnections) * kBuffersOfReader + kSpareBuffers),
       wake_(loop_, [] {}),  // what is to be done is done at the end of each turn
       endBy_(loop_, [this] { loop_.stop(); }),
@@ -75,16 +75,19 @@
     endBy_.set(transport::Loop::now() + kEndWithin);
 }
 
-std::size_t Program::answer(distribution::ReaderId reader, const distribution::Answer& answer) {
+std::size_t Program::answer(endpoint_distribution::ReaderId reader,
+                            const endpoint_distribution::Answer& answer) {
     return readers_.answer(reader, answer);
 }
 
-void Program::askUpstream(std::size_t index, std::optional<distribution::Version> after, Nanos wait) {
+void Program::askUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
+                          Nanos wait) {
     upstreams_.ask(index, after, wait);
 }
 
-void Program::closeReader(distribution::ReaderId reader, distribution::CloseReason reason) {
-    if (reason == distribution::CloseReason::slow) log("a reader that does not take its answer is closed");
+void Program::closeReader(endpoint_distribution::ReaderId reader, endpoint_distribution::CloseReason reason) {
+    if (reason == endpoint_distribution::CloseReason::slow)
+        log("a reader that does not take its answer is closed");
     readers_.close(reader);
 }
 
@@ -98,7 +101,7 @@
 void Program::log(std::string_view text) { logger_.info(text); }
 
 std::string Program::statusJson() const {
-    const distribution::Status status = distributor_.status(transport::Loop::now());
+    const endpoint_distribution::Status status = distributor_.status(transport::Loop::now());
     const nlohmann::json json{{"name", settings_.name},
                               {"version", status.version},
                               {"entries", status.entries},
@@ -119,4 +122,4 @@
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/reader_server.cpp
+++ b/src/endpoint_distributor/reader_server.cpp
@@ -1,4 +1,4 @@
-#include "distributor/reader_server.hpp"
+#include "endpoint_distributor/reader_server.hpp"
 
 #include <fmt/format.h>
 
@@ -7,11 +7,11 @@
 
 #include "protocol/number.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 namespace {
 
-using distribution::ReaderId;
-using distribution::SharedBytes;
+using endpoint_distribution::ReaderId;
+using endpoint_distribution::SharedBytes;
 
 constexpr std::size_t kMaxPending = 16 * 1024;  // bytes of requests ahead of their turn
 constexpr std::size_t kPiece = 32 * 1024;       // of an answer that is handed to the connection at once
@@ -53,7 +53,7 @@
     distributor_->readerConnected(transport::Loop::now(), id);
 }
 
-std::size_t ReaderServer::answer(ReaderId id, const distribution::Answer& answer) {
+std::size_t ReaderServer::answer(ReaderId id, const endpoint_distribution::Answer& answer) {
     const auto found = connections_.find(id);
     return found == connections_.end() ? 0 : found->second->send(answer);
 }
@@ -123,22 +123,22 @@
         return respond(404, "", std::make_shared<const std::string>("{\"error\":\"not found\"}"));
     if (request_.path() == "/status")
         return respond(200, "", std::make_shared<const std::string>(server_.status_()));
-    distribution::ReaderRequest asked;
+    endpoint_distribution::ReaderRequest asked;
     const auto after = request_.query("after");
     if (!after.empty()) {
-        asked.after = protocol::parse<distribution::Version>(after);
+        asked.after = protocol::parse<endpoint_distribution::Version>(after);
         if (!asked.after)
             return respond(400, "",
                            std::make_shared<const std::string>("{\"error\":\"after is not a version\"}"));
     }
     const auto waitMs = protocol::parse<std::int64_t>(request_.query("wait_ms")).value_or(0);
-    asked.wait =
-        std::clamp<std::int64_t>(waitMs, 0, distribution::kMaxReaderWait / kMillisecond) * kMillisecond;
+    asked.wait = std::clamp<std::int64_t>(waitMs, 0, endpoint_distribution::kMaxReaderWait / kMillisecond) *
+                 kMillisecond;
     isAsking_ = true;
     server_.distributor_->readerAsks(transport::Loop::now(), id_, asked);
 }
 
-std::size_t ReaderConnection::send(const distribution::Answer& answer) {
+std::size_t ReaderConnection::send(const endpoint_distribution::Answer& answer) {
     isAsking_ = false;
     closes_ = closes_ || answer.close;
     std::string headers = fmt::format("X-List-Age-Ms: {}\r\n", answer.listAgeMs);
@@ -186,4 +186,4 @@
     server_.distributor_->readerSent(transport::Loop::now(), id_, unsent());
 }
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/reader_server.hpp
+++ b/src/endpoint_distributor/reader_server.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "distribution/distributor.hpp"
+#include "endpoint_distribution/distributor.hpp"
 #include "protocol/http_request.hpp"
 #include "transport/connection.hpp"
 #include "transport/listener.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 
 class ReaderConnection;
 
@@ -26,14 +26,14 @@
                  std::function<std::string()> status);
     ~ReaderServer();
 
-    void attach(distribution::Distributor& distributor) { distributor_ = &distributor; }
+    void attach(endpoint_distribution::Distributor& distributor) { distributor_ = &distributor; }
     // Empty when it listens, else what is wrong.
     std::string listen(const transport::Address& at);
     void stopListening() { listener_.reset(); }
 
     // What the decisions ask for.
-    std::size_t answer(distribution::ReaderId id, const distribution::Answer& answer);
-    void close(distribution::ReaderId id);
+    std::size_t answer(endpoint_distribution::ReaderId id, const endpoint_distribution::Answer& answer);
+    void close(endpoint_distribution::ReaderId id);
     // Once a turn, before the decisions: connections that broke while they were written to, and requests that
     // came behind one that has been answered since.
     void turn();
@@ -49,20 +49,20 @@
     transport::Pool& pool_;
     std::size_t maxConnections_;
     std::function<std::string()> status_;
-    distribution::Distributor* distributor_ = nullptr;
+    endpoint_distribution::Distributor* distributor_ = nullptr;
     std::unique_ptr<transport::Listener> listener_;
-    std::map<distribution::ReaderId, std::unique_ptr<ReaderConnection>> connections_;
-    distribution::ReaderId lastId_ = 0;
-    std::vector<distribution::ReaderId> toVisit_;  // in the next turn
+    std::map<endpoint_distribution::ReaderId, std::unique_ptr<ReaderConnection>> connections_;
+    endpoint_distribution::ReaderId lastId_ = 0;
+    std::vector<endpoint_distribution::ReaderId> toVisit_;  // in the next turn
     std::uint64_t bytesSent_ = 0;
 };
 
 class ReaderConnection : private transport::Connection::Owner {
   public:
-    ReaderConnection(ReaderServer& server, distribution::ReaderId id);
+    ReaderConnection(ReaderServer& server, endpoint_distribution::ReaderId id);
 
     bool start(const std::function<bool(transport::Connection&)>& finish);
-    std::size_t send(const distribution::Answer& answer);
+    std::size_t send(const endpoint_distribution::Answer& answer);
     std::size_t unsent() const;
     // What is left to do outside of the decisions; false when the connection is of no further use.
     bool visit();
@@ -74,12 +74,12 @@
 
     bool readRequests();
     void request();
-    void respond(int status, std::string_view extraHeaders, distribution::SharedBytes body);
+    void respond(int status, std::string_view extraHeaders, endpoint_distribution::SharedBytes body);
     void pump();
     void visitLater();
 
     ReaderServer& server_;
-    distribution::ReaderId id_;
+    endpoint_distribution::ReaderId id_;
     transport::Connection connection_;
     protocol::HttpRequest request_;
     std::string pending_;    // came behind a request that is not answered yet
@@ -87,9 +87,9 @@
     bool closes_ = false;    // once everything is sent
     bool isFinishing_ = false;
     bool isBroken_ = false;
-    std::deque<distribution::SharedBytes> outgoing_;
+    std::deque<endpoint_distribution::SharedBytes> outgoing_;
     std::size_t sentOfFirst_ = 0;
     std::size_t outgoingBytes_ = 0;  // beside what the connection holds
 };
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/settings.cpp
+++ b/src/endpoint_distributor/settings.cpp
@@ -1,11 +1,11 @@
-#include "distributor/settings.hpp"
+#include "endpoint_distributor/settings.hpp"
 
 #include <fstream>
 #include <iterator>
 
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 namespace {
 
 constexpr int kMaxUpstreams = 16;
@@ -13,13 +13,13 @@
 // answer.
 constexpr int kDefaultWaitMs = 3'000;
 
-transport::Address readAddress(text::Table& table, std::string_view key, const std::string& written) {
+transport::Address readAddress(config::Table& table, std::string_view key, const std::string& written) {
     if (const auto address = transport::parseAddress(written)) return *address;
     table.problem(key, "'" + written + "' is not an address and port");
     return {};
 }
 
-void readUpstreams(text::Table& table, Settings& settings) {
+void readUpstreams(config::Table& table, Settings& settings) {
     const auto written = table.texts("upstreams");
     if (table.has("upstreams") && (written.empty() || written.size() > kMaxUpstreams))
         table.problem("upstreams", "does not name 1 to " + std::to_string(kMaxUpstreams) + " addresses");
@@ -28,8 +28,8 @@
     settings.options.upstreams = std::max<std::size_t>(settings.upstreams.size(), 1);
 }
 
-void readDistributor(text::Table& table, Settings& settings) {
-    distribution::Options& options = settings.options;
+void readDistributor(config::Table& table, Settings& settings) {
+    endpoint_distribution::Options& options = settings.options;
     settings.name = table.text("name", std::nullopt);
     settings.listen = table.text("listen", std::nullopt);
     if (table.has("listen")) settings.listenAddress = readAddress(table, "listen", settings.listen);
@@ -38,8 +38,9 @@
     options.batch = table.whole("batch_ms", 50, 1, 5'000) * kMillisecond;
     options.maxReaders = static_cast<std::size_t>(table.whole("max_readers", 4096, 1, 1'000'000));
     options.maxUnsent = static_cast<std::size_t>(table.whole("max_unsent_kib", 1024, 16, 1024 * 1024)) * 1024;
-    options.maxTombstones = static_cast<std::size_t>(table.whole(
-        "tombstones", static_cast<int>(distribution::ListState::kDefaultTombstones), 1024, 10'000'000));
+    options.maxTombstones = static_cast<std::size_t>(
+        table.whole("tombstones", static_cast<int>(endpoint_distribution::ListState::kDefaultTombstones),
+                    1024, 10'000'000));
     settings.maxListBytes =
         static_cast<std::size_t>(table.whole("max_list_kib", 64 * 1024, 64, 1024 * 1024)) * 1024;
 }
@@ -50,16 +51,16 @@
     std::ifstream file(path, std::ios::binary);
     const std::string written{std::istreambuf_iterator<char>(file), {}};
     if (!file) throw SettingsError("can't read " + path);
-    text::Problems problems(path);
+    config::Problems problems(path);
     Settings settings;
-    const auto parsed = text::parseToml(written, path, problems);
+    const auto parsed = config::parseToml(written, path, problems);
     if (parsed) {
-        text::Table root(*parsed, problems);
-        root.one("distributor", true, [&](text::Table& table) { readDistributor(table, settings); });
+        config::Table root(*parsed, problems);
+        root.one("distributor", true, [&](config::Table& table) { readDistributor(table, settings); });
         root.finish();
     }
     if (!problems.none()) throw SettingsError(problems.text());
     return settings;
 }
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/settings.hpp
+++ b/src/endpoint_distributor/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of the program `poppyscale_distributor`: one TOML file with one table.
+// The settings of the program `poppyscale_endpoint_distributor`: one TOML file with one table.
 #pragma once
 
 #include <cstddef>
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "distribution/distributor.hpp"
+#include "endpoint_distribution/distributor.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 
 // All that is wrong with a file, a line each: "FILE:LINE: KEY: what is wrong".
 struct SettingsError : std::runtime_error {
@@ -27,10 +27,10 @@
     transport::Address listenAddress{};
     std::vector<Upstream> upstreams;
     std::size_t maxListBytes = 0;  // of an upstream's answer
-    distribution::Options options;
+    endpoint_distribution::Options options;
 };
 
 // Throws SettingsError.
 Settings readSettings(const std::string& path);
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/upstream_client.cpp
+++ b/src/endpoint_distributor/upstream_client.cpp
@@ -1,22 +1,22 @@
-#include "distributor/upstream_client.hpp"
+#include "endpoint_distributor/upstream_client.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 namespace {
 
-using distribution::Distributor;
+using endpoint_distribution::Distributor;
 
 // All upstreams together must be tried within the time in which a change has to be told.
 constexpr Nanos kConnectWithin = 1'000 * kMillisecond;
 constexpr Nanos kConnectAllWithin = 3'000 * kMillisecond;
 
-std::string targetOf(std::optional<distribution::Version> after, Nanos wait) {
+std::string targetOf(std::optional<endpoint_distribution::Version> after, Nanos wait) {
     if (!after) return "/api/targets";
     return fmt::format("/api/targets?after={}&wait_ms={}", *after, wait / kMillisecond);
 }
@@ -32,7 +32,7 @@
       answer_(maxListBytes),
       connectBy_(loop, [this] { fail(Distributor::Failure::unreachable, "can't connect in time"); }) {}
 
-void UpstreamClient::ask(std::size_t index, std::optional<distribution::Version> after, Nanos wait) {
+void UpstreamClient::ask(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait) {
     const bool canReuse = connection_ && index == index_ && state_ == State::idle;
     if (!canReuse) connection_.reset();
     index_ = index;
@@ -96,7 +96,7 @@
         return fail(Distributor::Failure::unreachable, fmt::format("answered {}", answer_.status()));
     const Nanos now = transport::Loop::now();
     try {
-        auto update = distribution::readListUpdate(answer_.body());
+        auto update = endpoint_distribution::readListUpdate(answer_.body());
         distributor_.upstreamAnswered(now, std::move(update), answer_.listAgeMs() * kMillisecond);
     } catch (const protocol::Malformed& problem) {
         fail(Distributor::Failure::spoilt, problem.what());
@@ -108,4 +108,4 @@
     distributor_.upstreamFailed(transport::Loop::now(), failure, reason);
 }
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/distributor/upstream_client.hpp
+++ b/src/endpoint_distributor/upstream_client.hpp
@@ -6,20 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "distribution/distributor.hpp"
-#include "distributor/settings.hpp"
-#include "protocol/http.hpp"
+#include "endpoint_distribution/distributor.hpp"
+#include "endpoint_distributor/settings.hpp"
+#include "protocol/http_response.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::distributor {
+namespace poppyscale::endpoint_distributor {
 
 class UpstreamClient : private transport::Connection::Owner {
   public:
-    UpstreamClient(transport::Loop& loop, transport::Pool& pool, distribution::Distributor& distributor,
-                   std::vector<Upstream> upstreams, std::size_t maxListBytes);
+    UpstreamClient(transport::Loop& loop, transport::Pool& pool,
+                   endpoint_distribution::Distributor& distributor, std::vector<Upstream> upstreams,
+                   std::size_t maxListBytes);
 
     // A call that is out is given up.
-    void ask(std::size_t index, std::optional<distribution::Version> after, Nanos wait);
+    void ask(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait);
     void stop();
 
   private:
@@ -32,11 +33,11 @@
     void connect();
     void write();
     void answered();
-    void fail(distribution::Distributor::Failure failure, const std::string& reason);
+    void fail(endpoint_distribution::Distributor::Failure failure, const std::string& reason);
 
     transport::Loop& loop_;
     transport::Pool& pool_;
-    distribution::Distributor& distributor_;
+    endpoint_distribution::Distributor& distributor_;
     std::vector<Upstream> upstreams_;
     State state_ = State::idle;
     std::size_t index_ = 0;
@@ -46,4 +47,4 @@
     std::unique_ptr<transport::Connection> connection_;
 };
 
-}  // namespace poppyscale::distributor
+}  // namespace poppyscale::endpoint_distributor
--- a/src/lease/voter.cpp
+++ b/src/lease/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
--- a/src/lease/holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -1,4 +1,4 @@
-#include "lease/holder.hpp"
+#include "lease/lease_holder.hpp"
 
 #include <fmt/format.h>
 
--- a/src/lease/holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "lease/words.hpp"
+#include "lease/messages.hpp"
 
 namespace poppyscale::lease {
 
--- a/src/lease/words.cpp
+++ b/src/lease/messages.cpp
@@ -1,4 +1,4 @@
-#include "lease/words.hpp"
+#include "lease/messages.hpp"
 
 #include <fmt/format.h>
 
--- a/src/lease/words.hpp
+++ b/src/lease/messages.hpp
@@ -25,7 +25,7 @@
 #include <utility>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::lease {
 
--- a/src/log/log.cpp
+++ b/src/logging/logger.cpp
@@ -1,4 +1,4 @@
-#include "log/log.hpp"
+#include "logging/logger.hpp"
 
 #include <poll.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -8,7 +8,7 @@
 #include <chrono>
 #include <utility>
 
-namespace poppyscale::log {
+namespace poppyscale::logging {
 namespace {
 
 std::int64_t nowIs() {
@@ -72,4 +72,4 @@
     write(level, text, std::move(all));
 }
 
-}  // namespace poppyscale::log
+}  // namespace poppyscale::logging
--- a/src/log/log.hpp
+++ b/src/logging/logger.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace poppyscale::log {
+namespace poppyscale::logging {
 
 enum class Form : std::uint8_t { text, json };
 
@@ -39,4 +39,4 @@
     std::shared_ptr<spdlog::logger> logger_;
 };
 
-}  // namespace poppyscale::log
+}  // namespace poppyscale::logging
--- a/src/counts/counts.cpp
+++ b/src/metrics/router_metrics.cpp
@@ -1,8 +1,8 @@
-#include "counts/counts.hpp"
+#include "metrics/router_metrics.hpp"
 
 #include <algorithm>
 
-namespace poppyscale::counts {
+namespace poppyscale::metrics {
 
 Counts::Counts(const std::vector<Verb>& verbs) { changed(verbs); }
 
@@ -87,4 +87,4 @@
             {"longest_turn_us", longestTurn_ / 1000}};
 }
 
-}  // namespace poppyscale::counts
+}  // namespace poppyscale::metrics
--- a/src/counts/counts.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::counts {
+namespace poppyscale::metrics {
 
 // The form of `json`; a reader that does not know it takes all of it for unknown.
 constexpr int kFormat = 1;
@@ -64,4 +64,4 @@
     Nanos longestTurn_ = 0;
 };
 
-}  // namespace poppyscale::counts
+}  // namespace poppyscale::metrics
--- a/src/logic.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,6 +1,6 @@
 // All decisions of a router: report each event as it comes, then call settle() once for the moment, the one
 // place that turns the wanted state into relays, declines, terminations and timers.
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/program/start.cpp
+++ b/src/process/command_line.cpp
@@ -1,4 +1,4 @@
-#include "program/start.hpp"
+#include "process/command_line.hpp"
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <iterator>
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
 using protocol::Malformed;
@@ -39,7 +39,7 @@
         problems = problem.what();
     }
     try {
-        if (!operatorFile.empty()) told.plan = op::loadPlan(operatorFile, told.platform);
+        if (!operatorFile.empty()) told.plan = config::loadPlan(operatorFile, told.platform);
     } catch (const Malformed& problem) {
         problems += (problems.empty() ? "" : "\n") + std::string(problem.what());
     }
@@ -78,7 +78,7 @@
     try {
         if (*check) {
             const Told told = readAll(file);
-            std::cout << op::described(told.start, told.plan, told.platform);
+            std::cout << config::described(told.start, told.plan, told.platform);
             return 0;
         }
         std::vector<std::string> newcomer{argv[0], "serve", "--take-over"};
@@ -97,4 +97,4 @@
     }
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/start.hpp
+++ b/src/process/command_line.hpp
@@ -1,11 +1,11 @@
 // The program by its command line, as `main` and the lab's harmful versions start it.
 #pragma once
 
-#include "program/program.hpp"
+#include "process/router_process.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 
 // The exit code: 0, 1 for what can't be used, 2 for a command line that is none.
 int start(int argc, char** argv, const MakeCore& makeCore = {});
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/hand_over.cpp
+++ b/src/process/hot_restart/inherited_sockets.cpp
@@ -1,4 +1,4 @@
-#include "program/hand_over.hpp"
+#include "process/hot_restart/inherited_sockets.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -20,7 +20,7 @@
 
 #include "protocol/number.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
 constexpr Nanos kPatience = 5'000 * kMillisecond;  // with the other process, for each of its answers
@@ -231,4 +231,4 @@
     ::close(socket);
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/hand_over.hpp
+++ b/src/process/hot_restart/inherited_sockets.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 
 // No word in time, or none any more.
 struct Silent : std::runtime_error {
@@ -98,4 +98,4 @@
 // A line to the service manager, by sd_notify's protocol, if one listens.
 void notify(const std::string& words);
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/succession.cpp
+++ b/src/process/hot_restart/peer_processes.cpp
@@ -1,4 +1,4 @@
-#include "program/succession.hpp"
+#include "process/hot_restart/peer_processes.hpp"
 
 #include <fmt/format.h>
 
@@ -6,12 +6,12 @@
 #include <cctype>
 #include <stdexcept>
 
-#include "program/hand_over.hpp"
+#include "process/hot_restart/inherited_sockets.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
-using op::Level;
+using config::Level;
 
 constexpr Nanos kAskWithin = 500 * kMillisecond;
 constexpr std::size_t kWorthTelling = 8;  // clients more or less
@@ -93,7 +93,7 @@
     tell({{"do", "holds"}, {"clients", clients}});
 }
 
-nlohmann::json Succession::answer(admin::Session& session, const nlohmann::json& asked) {
+nlohmann::json Succession::answer(control::Session& session, const nlohmann::json& asked) {
     const auto what = asked.value("do", "");
     if (what == "succeed") {
         join(session, true);
@@ -122,7 +122,7 @@
     return nullptr;
 }
 
-void Succession::join(admin::Session& session, bool heir) {
+void Succession::join(control::Session& session, bool heir) {
     kin_.push_back({&session, heir});
     told_ = 0;
     session.gone = [this, at = &session] {
@@ -136,7 +136,7 @@
     owner_.othersChanged();
 }
 
-void Succession::tell(const nlohmann::json& what, const admin::Session* but) {
+void Succession::tell(const nlohmann::json& what, const control::Session* but) {
     for (const Kin& k : kin_)
         if (k.session != but) k.session->say(what);
 }
@@ -150,4 +150,4 @@
     applied_ = words_;
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/succession.hpp
+++ b/src/process/hot_restart/peer_processes.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "admin/server.hpp"
-#include "operator/plan.hpp"
-#include "program/words.hpp"
+#include "config/operator_config.hpp"
+#include "control/operator_socket.hpp"
+#include "process/operator_state.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 
 class Succession {
   public:
@@ -24,7 +24,7 @@
         // A process beside this one has come or gone, or holds another number of clients.
         virtual void othersChanged() = 0;
     };
-    using Say = std::function<void(op::Level level, std::string_view text)>;
+    using Say = std::function<void(config::Level level, std::string_view text)>;
     // `folder` is where processes that come later look, or empty.
     Succession(transport::Loop& loop, transport::Pool& pool, const std::string& folder,
                const std::string& name, Owner& owner, Say say);
@@ -47,24 +47,24 @@
 
   private:
     struct Kin {
-        admin::Session* session;
+        control::Session* session;
         bool heir;
         std::size_t clients = 0;
     };
-    nlohmann::json answer(admin::Session& session, const nlohmann::json& asked);
-    void join(admin::Session& session, bool heir);
-    void tell(const nlohmann::json& what, const admin::Session* but = nullptr);
+    nlohmann::json answer(control::Session& session, const nlohmann::json& asked);
+    void join(control::Session& session, bool heir);
+    void tell(const nlohmann::json& what, const control::Session* but = nullptr);
     void settle();
 
     Owner& owner_;
     Say say_;
     std::string path_;  // of the socket
     std::optional<WordsFile> file_;
-    std::optional<admin::Server> server_;
+    std::optional<control::Server> server_;
     std::vector<Kin> kin_;
     Words words_, applied_;
     std::size_t told_ = 0;  // clients
     bool leaves_ = false;
 };
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/words.cpp
+++ b/src/process/operator_state.cpp
@@ -1,4 +1,4 @@
-#include "program/words.hpp"
+#include "process/operator_state.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <utility>
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
 constexpr std::string_view kHead = "poppyscale words 1";
@@ -91,4 +91,4 @@
     return words.read(text);
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/words.hpp
+++ b/src/process/operator_state.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 
 struct Words {
     std::set<std::string> out;  // caches that nothing may go to
@@ -33,4 +33,4 @@
     std::string path_;
 };
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/logger.cpp
+++ b/src/process/process_logger.cpp
@@ -1,19 +1,19 @@
-#include "program/logger.hpp"
+#include "process/process_logger.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
-spdlog::level::level_enum levelOf(op::Level level) {
+spdlog::level::level_enum levelOf(config::Level level) {
     switch (level) {
-        case op::Level::debug:
+        case config::Level::debug:
             return spdlog::level::debug;
-        case op::Level::info:
+        case config::Level::info:
             return spdlog::level::info;
-        case op::Level::warning:
+        case config::Level::warning:
             return spdlog::level::warn;
-        case op::Level::error:
+        case config::Level::error:
             return spdlog::level::err;
-        case op::Level::off:
+        case config::Level::off:
             break;
     }
     return spdlog::level::off;
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-void Logger::plan(const op::LogPlan& plan) {
+void Logger::plan(const config::LogPlan& plan) {
     plan_ = plan;
-    log_.plan(plan.json ? log::Form::json : log::Form::text, plan.perSecond);
+    log_.plan(plan.json ? logging::Form::json : logging::Form::text, plan.perSecond);
 }
 
-void Logger::line(std::string_view part, op::Level level, std::string_view text) {
+void Logger::line(std::string_view part, config::Level level, std::string_view text) {
     const auto own = plan_.parts.find(std::string(part));
     if (level < (own == plan_.parts.end() ? plan_.level : own->second)) return;
     nlohmann::json fields;
@@ -34,4 +34,4 @@
     log_.write(levelOf(level), text, std::move(fields));
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/program.cpp
+++ b/src/process/router_process.cpp
@@ -1,4 +1,4 @@
-#include "program/program.hpp"
+#include "process/router_process.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -11,11 +11,11 @@
 #include <iterator>
 #include <map>
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 namespace {
 
-using op::Level;
-using routing::Clients;
+using config::Level;
+using proxy::Clients;
 
 // Clients go on connecting for up to 0.4 s after the signal.
 constexpr Nanos kLeaving = 480 * kMillisecond;
@@ -74,7 +74,7 @@
     const auto log = [this](const char* part, Level level) {
         return [this, part, level](std::string_view text) { say(part, level, text); };
     };
-    asTold_ = op::described(start, told_.plan, told_.platform);
+    asTold_ = config::described(start, told_.plan, told_.platform);
     // A descriptor more than the system gives would end in refused clients.
     rlimit files{};
     if (getrlimit(RLIMIT_NOFILE, &files) == 0) {
@@ -88,7 +88,7 @@
     const auto decisions = log("decisions", Level::info);
     core_ = wanted_.makeCore
                 ? wanted_.makeCore(loop_, pool_, start, mostLinks(start), decisions)
-                : std::make_unique<routing::Core>(loop_, pool_, start, mostLinks(start), decisions);
+                : std::make_unique<proxy::Core>(loop_, pool_, start, mostLinks(start), decisions);
     clients_.emplace(loop_, pool_, *core_, mostClients(start), start.memory / 16, 2 * start.idle);
     clients_->tellExhausted = [this](std::string_view why) {
         say("life", Level::warning, fmt::format("new connections have to wait: {}", why));
@@ -96,7 +96,7 @@
     if (auto sources = sourcesOf(told_); !sources.empty()) {
         // What discovery holds back for a call that waits counts as told soon after; the shorter the wait,
         // the sooner a silent discovery is noticed.
-        routing::Watch::Settings settings;
+        discovery::Watch::Settings settings;
         settings.sources = std::move(sources);
         settings.longestWait = std::clamp(start.watchFor, kLeastWait, kMostWait);
         // Routers may share a seed where nobody sets one; they may not share their choice of a source.
@@ -154,7 +154,7 @@
     const auto& at = told_.start.console;
     if (!at.empty()) {
         door_.emplace(loop_, pool_, mostCallers(told_.start),
-                      [this](const console::Call& call) { return answer(call); });
+                      [this](const control::Call& call) { return answer(call); });
         const int taken = taken_ ? taken_->takeConsole() : -1;
         const auto denied = taken >= 0 ? door_->listenOn(taken) : door_->listen(addressOf(at, "console"));
         if (!denied.empty())
@@ -165,8 +165,8 @@
         say("life", Level::error, fmt::format("a later process won't find this one: {}", denied));
 }
 
-std::vector<routing::DiscoveryAddress> Program::sourcesOf(const Told& told) const {
-    std::vector<routing::DiscoveryAddress> sources;
+std::vector<discovery::DiscoveryAddress> Program::sourcesOf(const Told& told) const {
+    std::vector<discovery::DiscoveryAddress> sources;
     for (const std::string& one : told.plan.distributors)
         sources.push_back({addressOf(one, "distributor"), one});
     if (sources.empty() && !told.start.discovery.empty())
@@ -216,7 +216,7 @@
         Told fresh = wanted_.read();
         if (watch_.has_value() == sourcesOf(fresh).empty())
             throw protocol::Malformed("whether there is a discovery waits for a start");
-        auto difference = op::differenceOf(told_.start, fresh.start);
+        auto difference = config::differenceOf(told_.start, fresh.start);
         const auto& before = told_.plan.distributors;
         const auto& after = fresh.plan.distributors;
         if (before != after)
@@ -241,7 +241,7 @@
 // Nothing in here can fail: all of it has been checked.
 void Program::apply(Told fresh) {
     ++reloads_;
-    asTold_ = op::described(fresh.start, fresh.plan, fresh.platform);
+    asTold_ = config::described(fresh.start, fresh.plan, fresh.platform);
     protocol::Start& is = told_.start;
     protocol::Start& next = fresh.start;
     // What waits for a start stays as it is, also in what is shown.
@@ -342,11 +342,11 @@
 
 // ---- the console
 
-console::Reply Program::answer(const console::Call& call) {
-    using Kind = console::Call::Kind;
+control::Reply Program::answer(const control::Call& call) {
+    using Kind = control::Call::Kind;
     switch (call.kind) {
         case Kind::status:
-            return state_ == State::starting ? console::Reply{false, "starting"} : took("");
+            return state_ == State::starting ? control::Reply{false, "starting"} : took("");
         case Kind::standby:
             return took("standby");
         case Kind::active:
@@ -360,7 +360,7 @@
 }
 
 // A word that can be taken, or none, and how things stand then.
-console::Reply Program::took(const std::string& word) {
+control::Reply Program::took(const std::string& word) {
     if (!word.empty())
         if (const auto problem = succession_->say(word); !problem.empty()) return {false, problem};
     return {true, fmt::format("{}{}; {} clients, {} commands open{}", stateName(),
@@ -404,7 +404,7 @@
 
 // ---- the operator
 
-nlohmann::json Program::answer(admin::Session& session, const nlohmann::json& asked) {
+nlohmann::json Program::answer(control::Session& session, const nlohmann::json& asked) {
     const auto what = asked.value("do", "");
     if (what == "status") return status();
     if (what == "figures") return figures();
@@ -458,7 +458,7 @@
             {"links", core_->links()},
             {"reloads", reloads_},
             {"upgrading", upgrade_.has_value()},
-            {"described", op::described(told_.start, told_.plan, told_.platform)}};
+            {"described", config::described(told_.start, told_.plan, told_.platform)}};
 }
 
 nlohmann::json Program::figures() {
@@ -540,7 +540,7 @@
 
 // ---- the upgrade
 
-nlohmann::json Program::upgrade(admin::Session& session, const nlohmann::json& asked) {
+nlohmann::json Program::upgrade(control::Session& session, const nlohmann::json& asked) {
     if (upgrade_) return {{"error", "an upgrade is under way"}};
     if (state_ != State::serving) return {{"error", "it leaves already"}};
     auto line = wanted_.newcomer;
@@ -562,7 +562,7 @@
     return nullptr;  // the answer comes when it is known
 }
 
-nlohmann::json Program::giveSockets(admin::Session& session) {
+nlohmann::json Program::giveSockets(control::Session& session) {
     if (state_ != State::serving) return {{"error", "it leaves already"}};
     if (upgrade_ && upgrade_->heir) return {{"error", "another process is taking over"}};
     if (!upgrade_) {
@@ -582,7 +582,7 @@
     return nullptr;
 }
 
-nlohmann::json Program::successorReady(admin::Session& session, const nlohmann::json& asked) {
+nlohmann::json Program::successorReady(control::Session& session, const nlohmann::json& asked) {
     if (!upgrade_ || upgrade_->heir != &session) return {{"error", "nothing was taken over"}};
     // It may have said so long ago, and gone since: told with what ends its connection.
     if (session.left()) return nullptr;
@@ -615,4 +615,4 @@
     }
 }
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/program.hpp
+++ b/src/process/router_process.hpp
@@ -9,31 +9,31 @@
 #include <string>
 #include <vector>
 
-#include "admin/server.hpp"
-#include "console/door.hpp"
-#include "operator/plan.hpp"
-#include "program/hand_over.hpp"
-#include "program/logger.hpp"
-#include "program/succession.hpp"
-#include "protocol/discovery.hpp"
-#include "routing/clients.hpp"
-#include "routing/core.hpp"
-#include "routing/watch.hpp"
-#include "transport/loop.hpp"
-#include "transport/pool.hpp"
+#include "config/operator_config.hpp"
+#include "control/console_listener.hpp"
+#include "control/operator_socket.hpp"
+#include "discovery/endpoint_watcher.hpp"
+#include "process/hot_restart/inherited_sockets.hpp"
+#include "process/hot_restart/peer_processes.hpp"
+#include "process/process_logger.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "proxy/client_listener.hpp"
+#include "proxy/request_dispatcher.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
 
-namespace poppyscale::program {
+namespace poppyscale::process {
 
 // All that an instance is told: by the platform's configuration, the operator's file, or both.
 struct Told {
     protocol::Start start;
-    op::Plan plan;
+    config::Plan plan;
     bool platform = true;  // the deployment is described by the platform's configuration
 };
 
-using MakeCore = std::function<std::unique_ptr<routing::Core>(transport::Loop& loop, transport::Pool& pool,
-                                                              const protocol::Start& start,
-                                                              std::size_t mostLinks, routing::Log log)>;
+using MakeCore = std::function<std::unique_ptr<proxy::Core>(transport::Loop& loop, transport::Pool& pool,
+                                                            const protocol::Start& start,
+                                                            std::size_t mostLinks, proxy::Log log)>;
 
 struct Wanted {
     std::function<Told()> read;         // throws protocol::Malformed
@@ -65,15 +65,15 @@
     nlohmann::json reload();
     nlohmann::json readAnew();
     void apply(Told fresh);
-    void say(std::string_view part, op::Level level, std::string_view text) {
+    void say(std::string_view part, config::Level level, std::string_view text) {
         logger_.line(part, level, text);
     }
     // Whom to ask for the list: the distributors where these are set, else discovery, if there is one.
-    std::vector<routing::DiscoveryAddress> sourcesOf(const Told& told) const;
+    std::vector<discovery::DiscoveryAddress> sourcesOf(const Told& told) const;
     Nanos lastFor() const;
 
-    console::Reply answer(const console::Call& call);
-    console::Reply took(const std::string& word);
+    control::Reply answer(const control::Call& call);
+    control::Reply took(const std::string& word);
     std::string outWords() const;  // which caches are
     void ban(const std::string& server, bool on) override;
     void standBy(bool on) override;
@@ -81,15 +81,15 @@
     void listenForOperators();
     const char* stateName() const;
 
-    nlohmann::json answer(admin::Session& session, const nlohmann::json& asked);
+    nlohmann::json answer(control::Session& session, const nlohmann::json& asked);
     nlohmann::json status();
     nlohmann::json figures();
     nlohmann::json commands();
     nlohmann::json caches();
     // Hand-over to a successor: it has until an alarm to be ready, and till then all goes on as before.
-    nlohmann::json upgrade(admin::Session& session, const nlohmann::json& asked);
-    nlohmann::json giveSockets(admin::Session& session);
-    nlohmann::json successorReady(admin::Session& session, const nlohmann::json& asked);
+    nlohmann::json upgrade(control::Session& session, const nlohmann::json& asked);
+    nlohmann::json giveSockets(control::Session& session);
+    nlohmann::json successorReady(control::Session& session, const nlohmann::json& asked);
     void upgradeEnds(const std::string& problem);
 
     Wanted wanted_;
@@ -104,21 +104,21 @@
     // The loop goes first: its handles close as it does, and give their buffers back.
     transport::Pool pool_;
     transport::Loop loop_;
-    std::unique_ptr<routing::Core> core_;
-    std::optional<routing::Clients> clients_;
-    std::optional<routing::Watch> watch_;
+    std::unique_ptr<proxy::Core> core_;
+    std::optional<proxy::Clients> clients_;
+    std::optional<discovery::Watch> watch_;
     std::optional<transport::Alarm> next_;
     std::optional<TakenOver> taken_;
     struct Upgrade {
-        admin::Session* asked = nullptr;  // who waits for how it goes
-        admin::Session* heir = nullptr;   // the successor, once it has come
+        control::Session* asked = nullptr;  // who waits for how it goes
+        control::Session* heir = nullptr;   // the successor, once it has come
         std::unique_ptr<Successor> process;
     };
     std::optional<Upgrade> upgrade_;
     std::optional<transport::Alarm> upgradeBy_;
     std::optional<Succession> succession_;
-    std::optional<console::Door> door_;
-    std::optional<admin::Server> admin_;
+    std::optional<control::Door> door_;
+    std::optional<control::Server> admin_;
     transport::Signal terminate_{loop_, SIGTERM, [this] { leave(); }};
     transport::Signal interrupt_{loop_, SIGINT, [this] { leave(); }};
     transport::Signal hangUp_{loop_, SIGHUP, [this] { reload(); }};
@@ -128,4 +128,4 @@
                              }};
 };
 
-}  // namespace poppyscale::program
+}  // namespace poppyscale::process
--- a/src/program/main.cpp
+++ /dev/null
@@ -1,3 +0,0 @@
-#include "program/start.hpp"
-
-int main(int argc, char** argv) { return poppyscale::program::start(argc, argv); }
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/protocol/discovery.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -6,8 +6,8 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
-#include "protocol/terms.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/policy_settings.hpp"
 
 namespace poppyscale::protocol {
 
--- a/src/protocol/http.cpp
+++ b/src/protocol/http_response.cpp
@@ -1,4 +1,4 @@
-#include "protocol/http.hpp"
+#include "protocol/http_response.hpp"
 
 #include <strings.h>
 
--- a/src/protocol/terms.cpp
+++ b/src/protocol/policy_settings.cpp
@@ -1,4 +1,4 @@
-#include "protocol/terms.hpp"
+#include "protocol/policy_settings.hpp"
 
 #include <array>
 #include <cmath>
--- a/src/protocol/terms.hpp
+++ b/src/protocol/policy_settings.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::protocol {
 
--- a/src/protocol/command.cpp
+++ b/src/protocol/request.cpp
@@ -1,4 +1,4 @@
-#include "protocol/command.hpp"
+#include "protocol/request.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/src/protocol/command.hpp
+++ b/src/protocol/request.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <variant>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 #include "protocol/resp.hpp"
 
 namespace poppyscale::protocol {
--- a/src/routing/flow.hpp
+++ b/src/proxy/body_stream.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 
 enum class Room : std::uint8_t { more, full, gone };
 
@@ -30,4 +30,4 @@
     virtual void begin(Taker& taker) = 0;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/clients.cpp
+++ b/src/proxy/client_listener.cpp
@@ -1,8 +1,8 @@
-#include "routing/clients.hpp"
+#include "proxy/client_listener.hpp"
 
 #include <algorithm>
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 namespace {
 
 constexpr Nanos kLinger = 1'000 * kMillisecond;  // for the last answer to be read before the end
@@ -617,4 +617,4 @@
     return true;
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/clients.hpp
+++ b/src/proxy/client_listener.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "protocol/resp.hpp"
-#include "routing/core.hpp"
+#include "proxy/request_dispatcher.hpp"
 #include "transport/listener.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 
 class Client;
 
@@ -99,4 +99,4 @@
     std::uint64_t turn_ = 1;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/upstream.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -1,12 +1,12 @@
-#include "routing/upstream.hpp"
+#include "proxy/connection_pool.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "protocol/http.hpp"
+#include "protocol/http_response.hpp"
 #include "protocol/resp.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 namespace {
 
 constexpr std::size_t kLongestKept = 64 * 1024;         // of values that are taken whole and checked
@@ -415,4 +415,4 @@
     shared_.freed = true;
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/upstream.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
-#include "protocol/command.hpp"
-#include "routing/flow.hpp"
-#include "routing/guard.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/request.hpp"
+#include "proxy/body_stream.hpp"
+#include "proxy/invariant_guard.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 
 class Link;
 class Upstream;
@@ -119,4 +119,4 @@
     std::uint64_t relays_ = 0;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -1,10 +1,10 @@
-#include "routing/guard.hpp"
+#include "proxy/invariant_guard.hpp"
 
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 namespace {
 
 constexpr std::array<std::string_view, static_cast<std::size_t>(Invariant::count)> kInvariants{
@@ -27,4 +27,4 @@
     return {{"refused", std::move(refused)}, {"violated", std::move(violated)}};
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -20,7 +20,7 @@
 #include <string>
 #include <string_view>
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 
 enum class Invariant : std::uint8_t { sending, repeating, closing, starting, count };
 
@@ -53,4 +53,4 @@
     std::array<std::uint64_t, static_cast<std::size_t>(Invariant::count)> violated_{};
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/core.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -1,11 +1,11 @@
-#include "routing/core.hpp"
+#include "proxy/request_dispatcher.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <chrono>
 
-namespace poppyscale::routing {
+namespace poppyscale::proxy {
 namespace {
 
 // Of the monotonic clock over the machines' wall clock.
@@ -72,7 +72,7 @@
     // Caches and origin tell commands apart by their ids: under one id, one could get what is another's.
     if (ids_.contains(said.id)) return {nullptr, "id of an open command"};
     if (commands_.size() >= mostOpen_ || held_ >= mostHeld_) {
-        if (counts_) counts_->declined(said.verb, counts::Declined::full);
+        if (counts_) counts_->declined(said.verb, metrics::Declined::full);
         return {};
     }
     if (counts_) counts_->taken(said.verb);
@@ -100,7 +100,7 @@
     return all;
 }
 
-void Core::count(const std::vector<Verb>& verbs) { counts_ = std::make_unique<counts::Counts>(verbs); }
+void Core::count(const std::vector<Verb>& verbs) { counts_ = std::make_unique<metrics::Counts>(verbs); }
 
 void Core::changed(const protocol::Start& start) {
     if (counts_) counts_->changed(start.terms.verbs);
@@ -362,7 +362,7 @@
         if (final.kind == Kind::answered) counts_->answered(verb, loop_.arrivedBy() - command.takenAt);
         if (final.kind == Kind::terminated) counts_->terminated(verb);
         if (final.kind == Kind::declined)
-            counts_->declined(verb, command.relays ? counts::Declined::after : counts::Declined::unsent);
+            counts_->declined(verb, command.relays ? metrics::Declined::after : metrics::Declined::unsent);
     }
     asker->tell(std::move(final));
 }
@@ -375,4 +375,4 @@
     commands_.erase(it);
 }
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/routing/core.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -14,18 +14,18 @@
 #include <variant>
 #include <vector>
 
-#include "counts/counts.hpp"
-#include "logic.hpp"
-#include "protocol/command.hpp"
-#include "protocol/discovery.hpp"
-#include "routing/guard.hpp"
-#include "routing/known_servers.hpp"
-#include "routing/start_times.hpp"
-#include "routing/upstream.hpp"
-#include "transport/loop.hpp"
-#include "transport/pool.hpp"
-
-namespace poppyscale::routing {
+#include "discovery/removed_endpoints.hpp"
+#include "discovery/server_start_times.hpp"
+#include "metrics/router_metrics.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "protocol/request.hpp"
+#include "proxy/connection_pool.hpp"
+#include "proxy/invariant_guard.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
+
+namespace poppyscale::proxy {
 
 // The one final answer of a command.
 struct Final {
@@ -105,7 +105,7 @@
     std::map<std::string, Given> given() const;
     // From now on what is done is counted; null until then.
     void count(const std::vector<Verb>& verbs);
-    counts::Counts* counts() { return counts_.get(); }
+    metrics::Counts* counts() { return counts_.get(); }
     // The oldest first.
     std::vector<Standing> standing() const;
     std::vector<Belief> beliefs() { return router_.beliefs(transport::Loop::now()); }
@@ -196,7 +196,7 @@
     std::size_t mostOpen_;
     std::size_t mostHeld_;  // bytes of what clients sent
     std::size_t held_ = 0;
-    StartTimes startTimes_;
+    discovery::StartTimes startTimes_;
     Nanos clockLookedAt_ = 0;
     std::string originShape_;
     bool aside_;
@@ -204,16 +204,16 @@
     bool subscribe_ = false;
     CommandId lastId_ = 0;
     std::unordered_map<std::string, Verb> verbs_;
-    std::unique_ptr<counts::Counts> counts_;
+    std::unique_ptr<metrics::Counts> counts_;
     std::unordered_map<CommandId, std::unique_ptr<Command>> commands_;
     std::unordered_set<std::string_view> ids_;  // that clients gave the commands
     std::unordered_map<std::string, std::unique_ptr<Upstream>> upstreams_;
     std::set<std::string> bans_;
-    KnownServers known_;  // that were listed and are gone
+    discovery::KnownServers known_;  // that were listed and are gone
     std::vector<Event> events_;
     std::vector<Action> actions_;
     transport::Alarm wakeUp_;
     Router router_;
 };
 
-}  // namespace poppyscale::routing
+}  // namespace poppyscale::proxy
--- a/src/rollout/evidence.hpp
+++ b/src/rollout/evidence.hpp
@@ -22,7 +22,7 @@
 #include <map>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/figures.cpp
+++ b/src/rollout/instance_metrics.cpp
@@ -1,4 +1,4 @@
-#include "rollout/figures.hpp"
+#include "rollout/instance_metrics.hpp"
 
 #include <algorithm>
 
--- a/src/rollout/figures.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/words.cpp
+++ b/src/rollout/messages.cpp
@@ -1,4 +1,4 @@
-#include "rollout/words.hpp"
+#include "rollout/messages.hpp"
 
 #include <fmt/format.h>
 
--- a/src/rollout/words.hpp
+++ b/src/rollout/messages.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "rollout/figures.hpp"
+#include "rollout/instance_metrics.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -1,4 +1,4 @@
-#include "rollout/agent.hpp"
+#include "rollout/rollout_agent.hpp"
 
 #include <fmt/format.h>
 
--- a/src/rollout/agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rollout/words.hpp"
+#include "rollout/messages.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/roll.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -1,4 +1,4 @@
-#include "rollout/roll.hpp"
+#include "rollout/rollout_controller.hpp"
 
 #include <fmt/format.h>
 
--- a/src/rollout/roll.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "rollout/evidence.hpp"
-#include "rollout/plan.hpp"
-#include "rollout/words.hpp"
+#include "rollout/messages.hpp"
+#include "rollout/rollout_plan.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -1,4 +1,4 @@
-#include "rollout/plan.hpp"
+#include "rollout/rollout_plan.hpp"
 
 #include <fmt/format.h>
 #include <sys/stat.h>
@@ -14,7 +14,7 @@
 namespace poppyscale::rollout {
 namespace {
 
-using text::Table;
+using config::Table;
 
 constexpr int kMostInstances = 10'000'000;  // of all machines: a form's largest whole number
 
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-Plan readPlan(std::string_view said, const std::string& file, text::Problems& problems) {
+Plan readPlan(std::string_view said, const std::string& file, config::Problems& problems) {
     Plan plan;
-    const auto table = text::parseToml(said, file, problems);
+    const auto table = config::parseToml(said, file, problems);
     if (!table) return plan;
     Table t(*table, problems);
     plan.name = t.text("name", "roll");
@@ -116,7 +116,7 @@
     std::ifstream stream(file, std::ios::binary);
     const std::string said{std::istreambuf_iterator<char>(stream), {}};
     if (!stream) throw std::runtime_error(file + ":1: can't be read");
-    text::Problems problems(file);
+    config::Problems problems(file);
     Plan plan = readPlan(said, file, problems);
     if (!problems.none()) throw std::runtime_error(problems.text());
     return plan;
--- a/src/rollout/plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::rollout {
 
@@ -50,7 +50,7 @@
 };
 
 // Reads it whole; what is wrong is noted in `problems`. Paths are checked here, agents when they are asked.
-Plan readPlan(std::string_view text, const std::string& file, text::Problems& problems);
+Plan readPlan(std::string_view text, const std::string& file, config::Problems& problems);
 // Throws std::runtime_error with all problems, a line each.
 Plan loadPlan(const std::string& file);
 
--- a/src/wire/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "wire/codec.hpp"
+#include "simulator_adapter/codec.hpp"
 
 #include <array>
 #include <charconv>
@@ -7,7 +7,7 @@
 
 #include "protocol/number.hpp"
 
-namespace poppyscale::wire {
+namespace poppyscale::simulator_adapter {
 namespace {
 
 using protocol::parse;
@@ -236,4 +236,4 @@
     reply_.append("\tmessage=").append(text).push_back('\n');
 }
 
-}  // namespace poppyscale::wire
+}  // namespace poppyscale::simulator_adapter
--- a/src/wire/codec.hpp
+++ b/src/simulator_adapter/codec.hpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "logic.hpp"
-#include "protocol/terms.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/policy_settings.hpp"
 
-namespace poppyscale::wire {
+namespace poppyscale::simulator_adapter {
 
 using protocol::Malformed;
 
@@ -66,4 +66,4 @@
     std::string who_;
 };
 
-}  // namespace poppyscale::wire
+}  // namespace poppyscale::simulator_adapter
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -7,19 +7,19 @@
 #include <string>
 #include <vector>
 
-#include "wire/codec.hpp"
+#include "simulator_adapter/codec.hpp"
 
 namespace {
 
 using namespace poppyscale;
-using wire::Kind;
-using wire::Line;
-using wire::Malformed;
+using simulator_adapter::Kind;
+using simulator_adapter::Line;
+using simulator_adapter::Malformed;
 
 struct Instance {
     Instance(Terms terms, std::string& reply, std::int64_t who, Nanos now)
         : writer(reply, who), router(std::move(terms), writer, now) {}
-    wire::Writer writer;
+    simulator_adapter::Writer writer;
     Router router;
 };
 
@@ -62,7 +62,8 @@
             return;
         }
         if (line_.kind() == Kind::configure) {
-            instances_[who] = std::make_unique<Instance>(wire::readTerms(line_), reply, who, now_);
+            instances_[who] =
+                std::make_unique<Instance>(simulator_adapter::readTerms(line_), reply, who, now_);
             touch(who);
             return;
         }
@@ -76,11 +77,11 @@
             case Kind::announce:
                 return announce(router);
             case Kind::accept:
-                return router.arrival(now_, wire::readArrival(line_));
+                return router.arrival(now_, simulator_adapter::readArrival(line_));
             case Kind::aborted:
                 return router.left(now_, line_.command());
             case Kind::verdict:
-                return router.ended(now_, wire::readRelayEnd(line_));
+                return router.ended(now_, simulator_adapter::readRelayEnd(line_));
             default:
                 return;
         }
@@ -96,13 +97,13 @@
         for (; count > 0; --count) {
             next(in);
             if (line_.word() != "ENTRY") throw Malformed("TABLE has fewer entries than it says");
-            entries.push_back(wire::readEntry(line_));
+            entries.push_back(simulator_adapter::readEntry(line_));
         }
         tables_[number] = std::move(entries);
     }
 
     void announce(Router& router) {
-        const auto kind = wire::readNewsKind(line_);
+        const auto kind = simulator_adapter::readNewsKind(line_);
         if (kind == NewsKind::failed) return router.news(now_, kind, {});
         const auto number = line_.whole("list");
         if (number < 0 || number >= static_cast<std::int64_t>(tables_.size()) || !tables_[number])
@@ -138,7 +139,7 @@
             reply.clear();
         }
     } catch (const Malformed& problem) {
-        std::cerr << "poppyscale_simhost: " << problem.what() << '\n';
+        std::cerr << "poppyscale_simulator_adapter: " << problem.what() << '\n';
         return 1;
     }
     return 0;
--- a/src/fleet/keeper.cpp
+++ b/src/supervisor/instance_supervisor.cpp
@@ -1,9 +1,9 @@
-#include "fleet/keeper.hpp"
+#include "supervisor/instance_supervisor.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace poppyscale::fleet {
+namespace poppyscale::supervisor {
 
 Keeper::Keeper(const Terms& terms, std::uint64_t seed, Hands& hands)
     : terms_(terms), hands_(hands), chance_(static_cast<std::mt19937::result_type>(seed)) {
@@ -165,4 +165,4 @@
                                     [](const Instance& i) { return i.phase == Phase::pausing; });
 }
 
-}  // namespace poppyscale::fleet
+}  // namespace poppyscale::supervisor
--- a/src/fleet/keeper.hpp
+++ b/src/supervisor/instance_supervisor.hpp
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::fleet {
+namespace poppyscale::supervisor {
 
 struct Terms {
     int count = 1;
@@ -98,4 +98,4 @@
     std::string rollProblem_;
 };
 
-}  // namespace poppyscale::fleet
+}  // namespace poppyscale::supervisor
--- a/src/lab/report/audit.cpp
+++ b/src/testbed/audit/audit.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/audit.hpp"
+#include "testbed/audit/audit.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <optional>
 #include <tuple>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr Nanos kHeirBeside = 600 * kMillisecond;
@@ -361,4 +361,4 @@
     return breaches_;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/audit.hpp
+++ b/src/testbed/audit/audit.hpp
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/model/ledger.hpp"
+#include "testbed/emulator/event_log.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct Breach {
     std::string rule;  // lost, twice, foreign, drain, cold, time, crash or roll
@@ -113,4 +113,4 @@
     std::vector<Breach> breaches_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/cold_load.cpp
+++ b/src/testbed/audit/slow_start_load.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/cold_load.hpp"
+#include "testbed/audit/slow_start_load.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 double ColdLoad::Span::excess() const { return (sent - allowed) / (2 * std::sqrt(allowed) + 2); }
 
@@ -97,4 +97,4 @@
     if (span.sent / span.allowed > largestShare()) largest_ = span;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/cold_load.hpp
+++ b/src/testbed/audit/slow_start_load.hpp
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "lab/model/ledger.hpp"
+#include "testbed/emulator/event_log.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // Told of the log's entries in their order. A cache server is cold from its start until its ramp is over.
 // Each attempt that is written to one by a router that was told of its start is judged with those of the span
@@ -70,4 +70,4 @@
     std::int64_t judged_ = 0, untold_ = 0;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/harmful/harm.cpp
+++ b/src/testbed/defective_variants/defect.cpp
@@ -1,4 +1,4 @@
-#include "lab/harmful/harm.hpp"
+#include "testbed/defective_variants/defect.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -12,22 +12,22 @@
 #include <utility>
 #include <vector>
 
-#include "program/start.hpp"
-#include "routing/core.hpp"
+#include "process/command_line.hpp"
+#include "proxy/request_dispatcher.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
-using routing::Command;
+using proxy::Command;
 using Kind = Harmful::Kind;
 
 constexpr double kEndsAfter = 3;               // s
 constexpr Nanos kKeptIdle = 5 * kMillisecond;  // for the relay that a connection was opened for, and no other
 
-class HarmfulCore : public routing::Core {
+class HarmfulCore : public proxy::Core {
   public:
     HarmfulCore(transport::Loop& loop, transport::Pool& pool, const protocol::Start& start,
-                std::size_t mostLinks, routing::Log log, const Harmful& harm)
+                std::size_t mostLinks, proxy::Log log, const Harmful& harm)
         : Core(loop, pool, start, mostLinks, std::move(log)),
           harm_(harm),
           chance_(static_cast<std::mt19937::result_type>(start.terms.seed +
@@ -38,12 +38,12 @@
         if (harm.kind == Kind::ends) end_.set(transport::Loop::now() + static_cast<Nanos>(after * 1e9));
     }
 
-    Taken take(routing::Asker& asker, protocol::Command said, Nanos now, routing::Body* body) override {
+    Taken take(proxy::Asker& asker, protocol::Command said, Nanos now, proxy::Body* body) override {
         if (harm_.kind == Kind::leaks) leaked_.emplace_back(static_cast<std::size_t>(harm_.size * 1024), 'x');
         if (harm_.kind == Kind::connections) keepIdle(kKeptIdle);
         if (strikes(Kind::declines) && counts()) {
             counts()->taken(said.verb);
-            counts()->declined(said.verb, counts::Declined::unsent);
+            counts()->declined(said.verb, metrics::Declined::unsent);
             return {};
         }
         if (body || !strikes(Kind::lossy)) return Core::take(asker, std::move(said), now, body);
@@ -70,13 +70,13 @@
 
   private:
     struct Late {
-        routing::Relay* relay;
+        proxy::Relay* relay;
         protocol::Outcome outcome;
     };
     bool strikes(Kind kind) {
         return harm_.kind == kind && std::generate_canonical<double, 32>(chance_) < harm_.size;
     }
-    void relayEnded(routing::Relay& relay, protocol::Outcome outcome) override {
+    void relayEnded(proxy::Relay& relay, protocol::Outcome outcome) override {
         if (harm_.kind != Kind::slower || outcome.ending != Ending::answered || relay.answeredAt)
             return Core::relayEnded(relay, std::move(outcome));
         // Its connection is free by now; the relay stays out until it is passed on.
@@ -121,10 +121,10 @@
 int serveHarmful(int argc, char** argv, const Harmful& harm) {
     if (harm.kind == Kind::stillborn) return 1;
     while (harm.kind == Kind::hangs) ::pause();
-    return program::start(
+    return process::start(
         argc, argv, [harm](auto& loop, auto& pool, const auto& start, std::size_t links, auto log) {
             return std::make_unique<HarmfulCore>(loop, pool, start, links, std::move(log), harm);
         });
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/harmful/harm.hpp
+++ b/src/testbed/defective_variants/defect.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // What a harmful version does, to a share `size` of what it takes where that says something.
 struct Harmful {
@@ -29,4 +29,4 @@
 // As the program is started, by its command line. The exit code.
 int serveHarmful(int argc, char** argv, const Harmful& harm);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/proxy.cpp
+++ b/src/testbed/drivers/live/baseline_proxy.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/proxy.hpp"
+#include "testbed/drivers/live/baseline_proxy.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -16,16 +16,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/model/scenario.hpp"
-#include "protocol/command.hpp"
-#include "protocol/discovery.hpp"
-#include "protocol/http.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "protocol/http_response.hpp"
+#include "protocol/request.hpp"
 #include "protocol/resp.hpp"
+#include "testbed/emulator/scenario.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using transport::Address;
@@ -353,7 +353,7 @@
     const auto at = transport::parseAddress(start.listen);
     const std::string problem = at ? listener_->listen(*at) : "not an address";
     if (!problem.empty()) {
-        fmt::print(stderr, "poppylab: can't listen on {}: {}\n", start.listen, problem);
+        fmt::print(stderr, "poppyscale_testbed: can't listen on {}: {}\n", start.listen, problem);
         return 1;
     }
     watch_ = std::make_unique<ListWatch>(*this);
@@ -530,4 +530,4 @@
     return proxy.run();
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/proxy.hpp
+++ b/src/testbed/drivers/live/baseline_proxy.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 enum class Policy : std::uint8_t {
     random,       // any cache that is ready
@@ -27,4 +27,4 @@
 // Serves until SIGTERM, told by $ROUTER_CONFIG as the router is. The exit code.
 int serveProxy(Policy policy, Defect defect);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/process.cpp
+++ b/src/testbed/drivers/live/child_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/process.hpp"
+#include "testbed/drivers/live/child_process.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 Process::Process(const std::string& command,
                  const std::vector<std::pair<std::string, std::string>>& variables, const std::string& log) {
@@ -104,4 +104,4 @@
     return ended_ ? 0 : resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/process.hpp
+++ b/src/testbed/drivers/live/child_process.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Process {
   public:
@@ -39,4 +39,4 @@
     int exitCode_ = 0;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/host.cpp
+++ b/src/testbed/drivers/live/host_environment.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/host.hpp"
+#include "testbed/drivers/live/host_environment.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -10,14 +10,15 @@
 #include <filesystem>
 #include <new>
 
-#include "lab/live/live.hpp"
+#include "testbed/drivers/live/live_run.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 // What the processes load stands beside the lab's own program.
 std::string libraryPath() {
-    return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "libpoppylab_host.so").string();
+    return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "libpoppyscale_host_emulation.so")
+        .string();
 }
 
 // A value that several processes read is changed whole.
@@ -108,4 +109,4 @@
     return p.trueAt + static_cast<Nanos>(static_cast<double>(shown - p.shownAt) / p.rate);
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/host.hpp
+++ b/src/testbed/drivers/live/host_environment.hpp
@@ -5,10 +5,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/host/state.hpp"
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
+#include "testbed/host_emulation/host_state.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // One for each machine whose clock or disk is to ail; others need none, and their processes see the true
 // ones.
@@ -51,4 +51,4 @@
     std::vector<Piece> pieces_;  // the earliest first
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/http_call.cpp
+++ b/src/testbed/drivers/live/http_request.cpp
@@ -1,9 +1,9 @@
-#include "lab/live/http_call.hpp"
+#include "testbed/drivers/live/http_request.hpp"
 
 #include <fmt/format.h>
 #include <strings.h>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr std::size_t kLongest = 256 * 1024;  // of a call with its body
@@ -82,4 +82,4 @@
                        status == 200 ? "OK" : "No", extra, body.size(), body);
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/http_call.hpp
+++ b/src/testbed/drivers/live/http_request.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class HttpCall {
   public:
@@ -40,4 +40,4 @@
 
 std::string httpAnswer(int status, std::string_view extra, std::string_view body);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/serve.cpp
+++ b/src/testbed/drivers/live/interactive.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/serve.hpp"
+#include "testbed/drivers/live/interactive.hpp"
 
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -9,12 +9,12 @@
 #include <random>
 #include <unordered_map>
 
-#include "lab/live/live.hpp"
-#include "lab/model/ledger.hpp"
 #include "protocol/resp.hpp"
+#include "testbed/drivers/live/live_run.hpp"
+#include "testbed/emulator/event_log.hpp"
 #include "transport/connection.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 void serveByHand(const Scenario& scenario, const std::string& program) {
     Ledger ledger;
@@ -30,8 +30,8 @@
     LiveWanted wanted;
     wanted.program = program;
     wanted.serve = [](const std::string& router) {
-        fmt::print("serving; routers from {} on. Try: poppylab ask {} get plum\nCtrl-C ends it.\n", router,
-                   router);
+        fmt::print("serving; routers from {} on. Try: poppyscale_testbed ask {} get plum\nCtrl-C ends it.\n",
+                   router, router);
         std::fflush(stdout);
     };
     playLive(scenario, 1, ledger, wanted);
@@ -70,4 +70,4 @@
     throw CannotRun(problem);
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/serve.hpp
+++ b/src/testbed/drivers/live/interactive.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // Plays the scenario's servers round its routers, without load or faults, until interrupted; says what comes.
 void serveByHand(const Scenario& scenario, const std::string& program);
@@ -15,4 +15,4 @@
 std::string askByHand(const std::string& address, const std::vector<std::string>& words,
                       const std::string& verb);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/live.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/live.hpp"
+#include "testbed/drivers/live/live_run.hpp"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -22,18 +22,18 @@
 #include <set>
 #include <unordered_map>
 
-#include "lab/live/http_call.hpp"
-#include "lab/live/machines.hpp"
-#include "lab/live/process.hpp"
-#include "lab/live/process_faults.hpp"
-#include "lab/model/world.hpp"
 #include "protocol/number.hpp"
 #include "protocol/resp.hpp"
+#include "testbed/drivers/live/child_process.hpp"
+#include "testbed/drivers/live/http_request.hpp"
+#include "testbed/drivers/live/machines.hpp"
+#include "testbed/drivers/live/process_faults.hpp"
+#include "testbed/emulator/emulated_deployment.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using transport::Address;
@@ -564,7 +564,8 @@
     claimNet();
     folder_ = wanted.folder;
     if (folder_.empty()) {
-        folder_ = (std::filesystem::temp_directory_path() / fmt::format("poppylab-{}", ::getpid())).string();
+        folder_ = (std::filesystem::temp_directory_path() / fmt::format("poppyscale_testbed-{}", ::getpid()))
+                      .string();
         ownFolder_ = true;
     }
     std::filesystem::create_directories(folder_);
@@ -966,4 +967,4 @@
     return live.run();
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/live.hpp
+++ b/src/testbed/drivers/live/live_run.hpp
@@ -7,10 +7,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "lab/model/ledger.hpp"
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/event_log.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // The lab or the program that it plays could not be brought to run.
 struct CannotRun : std::runtime_error {
@@ -33,7 +33,8 @@
     std::string changed;    // the program that a roll of `same` changes to; a copy of `program` if empty
     bool operated = false;  // the program takes --operator, so that it can be asked to upgrade
     std::string folder;     // for configurations and the routers' own logs
-    // Without clients of its own, until interrupted: `poppylab serve`. Called once all routers are up.
+    // Without clients of its own, until interrupted: `poppyscale_testbed serve`. Called once all routers are
+    // up.
     std::function<void(const std::string& firstRouter)> serve;
     std::function<void(Nanos)> progress;
 };
@@ -43,4 +44,4 @@
 // By how much what two sockets tell may be read in the wrong order, for the audit.
 constexpr Nanos kLiveTolerance = 25 * kMillisecond;
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/machines.cpp
+++ b/src/testbed/drivers/live/machines.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/machines.hpp"
+#include "testbed/drivers/live/machines.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -19,11 +19,11 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "ctl/instance.hpp"
-#include "lab/live/live.hpp"
-#include "transport/loop.hpp"
+#include "ctl/control_client.hpp"
+#include "testbed/drivers/live/live_run.hpp"
+#include "transport/event_loop.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using nlohmann::json;
@@ -76,7 +76,7 @@
         try {
             code = play();
         } catch (const std::exception& problem) {
-            fmt::print(stderr, "poppylab: {}\n", problem.what());
+            fmt::print(stderr, "poppyscale_testbed: {}\n", problem.what());
             code = 2;
         }
         std::fflush(nullptr);
@@ -184,7 +184,8 @@
     const RollPlan& roll = scenario_.roll;
     std::vector<std::pair<std::string, std::string>> variables;
     if (roll.harmful() && !roll.bySettings())
-        variables = {{"POPPYLAB_HARM", roll.change}, {"POPPYLAB_HARM_SIZE", fmt::format("{}", roll.size)}};
+        variables = {{"POPPYSCALE_TESTBED_PROGRAM_HARM", roll.change},
+                     {"POPPYSCALE_TESTBED_PROGRAM_HARM_SIZE", fmt::format("{}", roll.size)}};
     if (one.host)
         for (auto& variable : one.host->variables()) variables.push_back(std::move(variable));
     one.agent = std::make_unique<Process>(fmt::format("{} fleet {}", wanted_.ctl, one.file), variables,
@@ -200,7 +201,7 @@
     // The same program with another digest, or a harmful version, which stands beside the lab's own program.
     const std::string path = wanted_.folder + "/change";
     const std::string same = wanted_.changed.empty() ? wordFor(wanted_.program) : wanted_.changed;
-    std::filesystem::copy_file(roll.harmful() ? beside("poppyscale_harmful") : same, path,
+    std::filesystem::copy_file(roll.harmful() ? beside("poppyscale_defective_variant") : same, path,
                                std::filesystem::copy_options::overwrite_existing);
     std::ofstream(path, std::ios::binary | std::ios::app) << '\0';
     return fmt::format("program = \"{}\"\n", path);
@@ -521,4 +522,4 @@
     }
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/live/host.hpp"
-#include "lab/live/process.hpp"
-#include "lab/live/way.hpp"
-#include "lab/model/scenario.hpp"
+#include "testbed/drivers/live/child_process.hpp"
+#include "testbed/drivers/live/host_environment.hpp"
+#include "testbed/drivers/live/network_path.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // What machines tell of their routers, at the time at which it was so.
 class MachineHost {
@@ -129,4 +129,4 @@
 // Plays in a process of its own, and ends what that leaves behind, however it ended.
 int guarded(const std::function<int()>& play);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/way.cpp
+++ b/src/testbed/drivers/live/network_path.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/way.hpp"
+#include "testbed/drivers/live/network_path.hpp"
 
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -9,9 +9,9 @@
 #include <cerrno>
 #include <cstring>
 
-#include "lab/live/live.hpp"
+#include "testbed/drivers/live/live_run.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr long kStallsAfter = 64;  // bytes of a stream
@@ -107,4 +107,4 @@
     });
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/way.hpp
+++ b/src/testbed/drivers/live/network_path.hpp
@@ -5,10 +5,10 @@
 #include <list>
 #include <string>
 
-#include "lab/model/chance.hpp"
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
+#include "testbed/emulator/random.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Way {
   public:
@@ -51,4 +51,4 @@
     std::list<Pipe> pipes_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/process_faults.cpp
+++ b/src/testbed/drivers/live/process_faults.cpp
@@ -1,4 +1,4 @@
-#include "lab/live/process_faults.hpp"
+#include "testbed/drivers/live/process_faults.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -11,13 +11,15 @@
 #include <new>
 #include <stdexcept>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
-constexpr std::uint32_t kHeldUpTurns = faults::kOne / 50;
+constexpr std::uint32_t kHeldUpTurns = fault_injection::kOne / 50;
 
 std::string libraryPath() {
-    return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "libpoppylab_faults.so").string();
+    return (std::filesystem::read_symlink("/proc/self/exe").parent_path() /
+            "libpoppyscale_fault_injection.so")
+        .string();
 }
 
 }  // namespace
@@ -25,19 +27,20 @@
 ProcessFaults::ProcessFaults(const std::string& folder, std::uint64_t seed)
     : file_(std::filesystem::absolute(folder + "/process-faults").string()) {
     const int fd = ::open(file_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-    if (fd < 0 || ::ftruncate(fd, sizeof(faults::Plan)) != 0)
+    if (fd < 0 || ::ftruncate(fd, sizeof(fault_injection::Plan)) != 0)
         throw std::runtime_error(fmt::format("{}: {}", file_, std::strerror(errno)));
-    void* const at = ::mmap(nullptr, sizeof(faults::Plan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void* const at =
+        ::mmap(nullptr, sizeof(fault_injection::Plan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
     if (at == MAP_FAILED) throw std::runtime_error(fmt::format("{}: {}", file_, std::strerror(errno)));
-    plan_ = new (at) faults::Plan;
+    plan_ = new (at) fault_injection::Plan;
     plan_->seed = static_cast<std::uint32_t>(seed);
 }
 
-ProcessFaults::~ProcessFaults() { ::munmap(plan_, sizeof(faults::Plan)); }
+ProcessFaults::~ProcessFaults() { ::munmap(plan_, sizeof(fault_injection::Plan)); }
 
 std::vector<std::pair<std::string, std::string>> ProcessFaults::variables() const {
-    return {{faults::kVariable, file_},
+    return {{fault_injection::kVariable, file_},
             {"LD_PRELOAD", libraryPath()},
             {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
@@ -50,19 +53,20 @@
         plan_->holdUpShare = begins ? kHeldUpTurns : 0;
     }
     if (fault.kind != FaultKind::callsFail) return;
-    const auto call = static_cast<std::size_t>(*faults::callNamed(fault.call));
-    const auto way = static_cast<std::size_t>(*faults::wayNamed(fault.way));
-    plan_->share[call][way] = begins ? static_cast<std::uint32_t>(fault.by * faults::kOne) : 0;
+    const auto call = static_cast<std::size_t>(*fault_injection::callNamed(fault.call));
+    const auto way = static_cast<std::size_t>(*fault_injection::wayNamed(fault.way));
+    plan_->share[call][way] = begins ? static_cast<std::uint32_t>(fault.by * fault_injection::kOne) : 0;
 }
 
 std::map<std::string, std::uint64_t> ProcessFaults::counts() const {
     std::map<std::string, std::uint64_t> all;
-    for (std::size_t c = 0; c < faults::kCalls; ++c)
-        for (std::size_t w = 0; w < faults::kWays; ++w)
+    for (std::size_t c = 0; c < fault_injection::kCalls; ++c)
+        for (std::size_t w = 0; w < fault_injection::kWays; ++w)
             if (const std::uint64_t count = plan_->happened[c][w]; count > 0)
-                all[fmt::format("{} {}", faults::kCallNames[c], faults::kWayNames[w])] = count;
+                all[fmt::format("{} {}", fault_injection::kCallNames[c], fault_injection::kWayNames[w])] =
+                    count;
     if (const std::uint64_t count = plan_->heldUp; count > 0) all["held up"] = count;
     return all;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/live/process_faults.hpp
+++ b/src/testbed/drivers/live/process_faults.hpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/faults/plan.hpp"
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/scenario.hpp"
+#include "testbed/fault_injection/fault_plan.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class ProcessFaults {
   public:
@@ -28,7 +28,7 @@
 
   private:
     std::string file_;
-    faults::Plan* plan_ = nullptr;
+    fault_injection::Plan* plan_ = nullptr;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/leases.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/sim/leases.hpp"
+#include "testbed/drivers/simulated/lease_run.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -12,12 +12,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/model/agenda.hpp"
-#include "lab/model/chance.hpp"
-#include "lease/holder.hpp"
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
+#include "lease/lease_holder.hpp"
+#include "testbed/emulator/event_queue.hpp"
+#include "testbed/emulator/random.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using namespace lease;
@@ -409,4 +409,4 @@
 
 LeasePlayed playLeases(const LeasePlay& play) { return Play(play).play(); }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/leases.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -7,9 +7,9 @@
 #include <set>
 #include <string>
 
-#include "lease/words.hpp"
+#include "lease/messages.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct LeasePlay {
     std::uint64_t seed = 1;
@@ -40,4 +40,4 @@
 
 LeasePlayed playLeases(const LeasePlay& play);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/roll.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/sim/roll.hpp"
+#include "testbed/drivers/simulated/rollout_run.hpp"
 
 #include <fmt/format.h>
 
@@ -6,11 +6,11 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "lab/model/chance.hpp"
-#include "rollout/agent.hpp"
-#include "rollout/roll.hpp"
+#include "rollout/rollout_agent.hpp"
+#include "rollout/rollout_controller.hpp"
+#include "testbed/emulator/random.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using namespace rollout;
@@ -312,4 +312,4 @@
     return played;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/roll.hpp
+++ b/src/testbed/drivers/simulated/rollout_run.hpp
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <string>
 
-#include "lab/sim/sim.hpp"
+#include "testbed/drivers/simulated/simulated_run.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct RollWanted {
     std::uint64_t seed = 1;
@@ -35,4 +35,4 @@
 // Throws BadScenario for an unknown name.
 Harm::Kind harmNamed(const std::string& name);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/sim.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/sim/sim.hpp"
+#include "testbed/drivers/simulated/simulated_run.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -10,11 +10,11 @@
 #include <variant>
 #include <vector>
 
-#include "counts/counts.hpp"
-#include "lab/model/world.hpp"
-#include "logic.hpp"
+#include "metrics/router_metrics.hpp"
+#include "policy/routing_policy.hpp"
+#include "testbed/emulator/emulated_deployment.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 // The module reads 0 as long ago, so its clock starts far from it.
@@ -108,7 +108,7 @@
     int slot_;  // of the play: a router that was changed has had several
     Nanos startedAt_;
     Harm harm_;
-    std::unique_ptr<counts::Counts> counts_;
+    std::unique_ptr<metrics::Counts> counts_;
     std::uint64_t opened_ = 0;
     std::unordered_map<ConnId, Call> presses_;  // on connections that are on their way, or out
     Chance chance_;
@@ -327,7 +327,7 @@
       chance_(seed * 7 + 1),
       router_(play.termsFor(index, seed), *this, kBase + now) {
     if (!play.counted()) return;
-    counts_ = std::make_unique<counts::Counts>(play.termsFor(index, seed).verbs);
+    counts_ = std::make_unique<metrics::Counts>(play.termsFor(index, seed).verbs);
 }
 
 bool SimRouter::strikes(Harm::Kind kind) {
@@ -369,7 +369,7 @@
     const Scenario& s = play_.world.scenario();
     const auto& verb = s.verbs[static_cast<std::size_t>(ask.verb)].verb.name;
     if (commands_.size() >= s.routers.open || strikes(Harm::Kind::declines)) {
-        if (counts_) counts_->declined(verb, counts::Declined::full);
+        if (counts_) counts_->declined(verb, metrics::Declined::full);
         play_.world.at(play_.now, [&play = play_, id = ask.id](Nanos t) {
             play.world.told(t, id, World::Told::declined, "", 0);
         });
@@ -440,8 +440,8 @@
             if (const auto* tell = std::get_if<Tell>(&action.what)) {
                 const bool told = it->second.told;
                 if (counts_ && !told && tell->how == World::Told::declined)
-                    counts_->declined(verbOf(it->second),
-                                      it->second.relays ? counts::Declined::after : counts::Declined::unsent);
+                    counts_->declined(verbOf(it->second), it->second.relays ? metrics::Declined::after
+                                                                            : metrics::Declined::unsent);
                 if (counts_ && !told && tell->how == World::Told::terminated)
                     counts_->terminated(verbOf(it->second));
                 commands_.erase(it);
@@ -652,4 +652,4 @@
     return {play.now, wall.count()};
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/sim/sim.hpp
+++ b/src/testbed/drivers/simulated/simulated_run.hpp
@@ -5,10 +5,10 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 
-#include "lab/model/ledger.hpp"
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/event_log.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct SimResult {
     Nanos length = 0;        // of the scenario's time
@@ -57,4 +57,4 @@
 SimResult simulate(const Scenario& scenario, std::uint64_t seed, Ledger& ledger,
                    const SimWanted& wanted = {});
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/world.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -1,4 +1,4 @@
-#include "lab/model/world.hpp"
+#include "testbed/emulator/emulated_deployment.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <numeric>
 #include <set>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr int kRefusalPart = 30;    // of a turn of discovery's, that a refused call takes where it is crowded
@@ -1063,4 +1063,4 @@
     if (fault.kind == K::load) now_.load = 1;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/world.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -11,13 +11,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/model/agenda.hpp"
-#include "lab/model/chance.hpp"
-#include "lab/model/ledger.hpp"
-#include "lab/model/machine.hpp"
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/event_log.hpp"
+#include "testbed/emulator/event_queue.hpp"
+#include "testbed/emulator/random.hpp"
+#include "testbed/emulator/scenario.hpp"
+#include "testbed/emulator/server_model.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 using ConnId = std::uint64_t;
 
@@ -287,4 +287,4 @@
     Nanos loadUntil_ = 0;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/ledger.cpp
+++ b/src/testbed/emulator/event_log.cpp
@@ -1,4 +1,4 @@
-#include "lab/model/ledger.hpp"
+#include "testbed/emulator/event_log.hpp"
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr std::size_t kFlushAt = 1 << 16;
@@ -101,4 +101,4 @@
     }
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/ledger.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <string_view>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct BadLedger : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -86,4 +86,4 @@
 void readLedger(const std::string& path, const std::function<void(const nlohmann::json&)>& head,
                 const std::function<void(const Entry&)>& visit);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/agenda.hpp
+++ b/src/testbed/emulator/event_queue.hpp
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Agenda {
   public:
@@ -43,4 +43,4 @@
     Nanos reached_ = 0;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/chance.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Chance {
   public:
@@ -64,4 +64,4 @@
     std::vector<double> sums_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/scenario.cpp
+++ b/src/testbed/emulator/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/scenario.hpp"
 
 #include <fmt/format.h>
 
@@ -7,66 +7,66 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "lab/faults/plan.hpp"
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
+#include "testbed/fault_injection/fault_plan.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
-using text::Table;
+using config::Table;
 
-const text::Words<FaultKind>& faultNames() {
-    static const text::Words<FaultKind> names{{"crash", FaultKind::crash},
-                                              {"hang", FaultKind::hang},
-                                              {"slow", FaultKind::slow},
-                                              {"errors", FaultKind::errors},
-                                              {"replace", FaultKind::replace},
-                                              {"drain", FaultKind::drain},
-                                              {"cut", FaultKind::cut},
-                                              {"refuse", FaultKind::refuse},
-                                              {"late", FaultKind::late},
-                                              {"leave", FaultKind::leave},
-                                              {"reset", FaultKind::reset},
-                                              {"slow_reader", FaultKind::slowReader},
-                                              {"deaf", FaultKind::deaf},
-                                              {"spoil", FaultKind::spoil},
-                                              {"origin_stop", FaultKind::originStop},
-                                              {"origin_slow", FaultKind::originSlow},
-                                              {"discovery_down", FaultKind::discoveryDown},
-                                              {"discovery_silent", FaultKind::discoverySilent},
-                                              {"discovery_slow", FaultKind::discoverySlow},
-                                              {"discovery_refuse", FaultKind::discoveryRefuse},
-                                              {"discovery_move", FaultKind::discoveryMove},
-                                              {"hot_key", FaultKind::hotKey},
-                                              {"heavy", FaultKind::heavy},
-                                              {"scan", FaultKind::scan},
-                                              {"load", FaultKind::load},
-                                              {"router_kill", FaultKind::routerKill},
-                                              {"router_restart", FaultKind::routerRestart},
-                                              {"router_upgrade", FaultKind::routerUpgrade},
-                                              {"reload", FaultKind::reload},
-                                              {"calls_fail", FaultKind::callsFail},
-                                              {"wall_step", FaultKind::wallStep},
-                                              {"hold_up", FaultKind::holdUp},
-                                              {"machine_kill", FaultKind::machineKill},
-                                              {"machine_lost", FaultKind::machineLost},
-                                              {"machine_stop", FaultKind::machineStop},
-                                              {"machine_cut", FaultKind::machineCut},
-                                              {"agent_kill", FaultKind::agentKill},
-                                              {"agent_stop", FaultKind::agentStop},
-                                              {"machine_sleep", FaultKind::machineSleep},
-                                              {"disk_full", FaultKind::diskFull},
-                                              {"disk_read_only", FaultKind::diskReadOnly},
-                                              {"disk_slow", FaultKind::diskSlow},
-                                              {"sync_fails", FaultKind::syncFails},
-                                              {"program_gone", FaultKind::programGone},
-                                              {"clock_rate", FaultKind::clockRate},
-                                              {"clock_jump", FaultKind::clockJump},
-                                              {"way_delay", FaultKind::wayDelay},
-                                              {"way_stall", FaultKind::wayStall},
-                                              {"way_drop", FaultKind::wayDrop},
-                                              {"coordinator_kill", FaultKind::coordinatorKill},
-                                              {"coordinator_twice", FaultKind::coordinatorTwice}};
+const config::Words<FaultKind>& faultNames() {
+    static const config::Words<FaultKind> names{{"crash", FaultKind::crash},
+                                                {"hang", FaultKind::hang},
+                                                {"slow", FaultKind::slow},
+                                                {"errors", FaultKind::errors},
+                                                {"replace", FaultKind::replace},
+                                                {"drain", FaultKind::drain},
+                                                {"cut", FaultKind::cut},
+                                                {"refuse", FaultKind::refuse},
+                                                {"late", FaultKind::late},
+                                                {"leave", FaultKind::leave},
+                                                {"reset", FaultKind::reset},
+                                                {"slow_reader", FaultKind::slowReader},
+                                                {"deaf", FaultKind::deaf},
+                                                {"spoil", FaultKind::spoil},
+                                                {"origin_stop", FaultKind::originStop},
+                                                {"origin_slow", FaultKind::originSlow},
+                                                {"discovery_down", FaultKind::discoveryDown},
+                                                {"discovery_silent", FaultKind::discoverySilent},
+                                                {"discovery_slow", FaultKind::discoverySlow},
+                                                {"discovery_refuse", FaultKind::discoveryRefuse},
+                                                {"discovery_move", FaultKind::discoveryMove},
+                                                {"hot_key", FaultKind::hotKey},
+                                                {"heavy", FaultKind::heavy},
+                                                {"scan", FaultKind::scan},
+                                                {"load", FaultKind::load},
+                                                {"router_kill", FaultKind::routerKill},
+                                                {"router_restart", FaultKind::routerRestart},
+                                                {"router_upgrade", FaultKind::routerUpgrade},
+                                                {"reload", FaultKind::reload},
+                                                {"calls_fail", FaultKind::callsFail},
+                                                {"wall_step", FaultKind::wallStep},
+                                                {"hold_up", FaultKind::holdUp},
+                                                {"machine_kill", FaultKind::machineKill},
+                                                {"machine_lost", FaultKind::machineLost},
+                                                {"machine_stop", FaultKind::machineStop},
+                                                {"machine_cut", FaultKind::machineCut},
+                                                {"agent_kill", FaultKind::agentKill},
+                                                {"agent_stop", FaultKind::agentStop},
+                                                {"machine_sleep", FaultKind::machineSleep},
+                                                {"disk_full", FaultKind::diskFull},
+                                                {"disk_read_only", FaultKind::diskReadOnly},
+                                                {"disk_slow", FaultKind::diskSlow},
+                                                {"sync_fails", FaultKind::syncFails},
+                                                {"program_gone", FaultKind::programGone},
+                                                {"clock_rate", FaultKind::clockRate},
+                                                {"clock_jump", FaultKind::clockJump},
+                                                {"way_delay", FaultKind::wayDelay},
+                                                {"way_stall", FaultKind::wayStall},
+                                                {"way_drop", FaultKind::wayDrop},
+                                                {"coordinator_kill", FaultKind::coordinatorKill},
+                                                {"coordinator_twice", FaultKind::coordinatorTwice}};
     return names;
 }
 
@@ -158,9 +158,10 @@
             f.by = t.part("by", std::nullopt);
             f.call = t.text("call", std::nullopt);
             f.way = t.text("way", std::nullopt);
-            if (!faults::callNamed(f.call))
+            if (!fault_injection::callNamed(f.call))
                 t.problem("call", "is not a system call that can be made to fail");
-            if (!faults::wayNamed(f.way)) t.problem("way", "is not a way in which a system call fails");
+            if (!fault_injection::wayNamed(f.way))
+                t.problem("way", "is not a way in which a system call fails");
             break;
         case FaultKind::holdUp:
             f.by = t.real("by", std::nullopt, 1, 1000);
@@ -383,9 +384,9 @@
 }
 
 Scenario parseScenario(std::string_view said, const std::string& path) {
-    text::Problems problems(path);
+    config::Problems problems(path);
     Scenario scenario;
-    if (const auto table = text::parseToml(said, path, problems)) {
+    if (const auto table = config::parseToml(said, path, problems)) {
         Table top(*table, problems);
         scenario = scenarioOf(top);
     }
@@ -529,4 +530,4 @@
         {"settings", std::move(settings)}};
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // What can't be played; its text is "FILE:LINE: KEY: what is wrong".
 struct BadScenario : std::runtime_error {
@@ -278,4 +278,4 @@
 nlohmann::json configurationOf(const Scenario& scenario, const RouterPlace& place, std::uint64_t seed,
                                const nlohmann::json& known);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/machine.cpp
+++ b/src/testbed/emulator/server_model.cpp
@@ -1,9 +1,9 @@
-#include "lab/model/machine.hpp"
+#include "testbed/emulator/server_model.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 bool Machine::withdraw(std::uint64_t job) {
     return std::erase_if(waiting_, [&](const Job& j) { return j.id == job; }) > 0;
@@ -84,4 +84,4 @@
     return std::clamp(share + (1 - share) * part, share, 1.0);
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/model/machine.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Machine {
   public:
@@ -107,4 +107,4 @@
 // The share of its capacity that a machine has that came up cold.
 double paceOf(Nanos now, Nanos startedAt, double share, Nanos ramp);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/faults/plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -9,9 +9,9 @@
 #include <optional>
 #include <string_view>
 
-namespace poppyscale::lab::faults {
+namespace poppyscale::testbed::fault_injection {
 
-constexpr const char* kVariable = "POPPYLAB_FAULTS";  // the file's path, to the process
+constexpr const char* kVariable = "POPPYSCALE_FAULT_INJECTION";  // the file's path, to the process
 constexpr std::uint32_t kFormat = 1;
 
 enum class Call : std::uint32_t {
@@ -88,4 +88,4 @@
     std::atomic<std::uint64_t> heldUp{0};
 };
 
-}  // namespace poppyscale::lab::faults
+}  // namespace poppyscale::testbed::fault_injection
--- a/src/lab/faults/preload.cpp
+++ b/src/testbed/fault_injection/preload.cpp
@@ -19,11 +19,11 @@
 
 #include <algorithm>
 
-#include "lab/faults/plan.hpp"
+#include "testbed/fault_injection/fault_plan.hpp"
 
 namespace {
 
-using namespace poppyscale::lab::faults;
+using namespace poppyscale::testbed::fault_injection;
 
 Plan* plan() {
     // Without a guard: two threads at once map it twice, which does no harm.
--- a/src/lab/host/state.hpp
+++ b/src/testbed/host_emulation/host_state.hpp
@@ -5,11 +5,11 @@
 #include <atomic>
 #include <cstdint>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 constexpr std::uint32_t kHostFormat = 1;
 constexpr int kLongestFolder = 512;
-constexpr const char* kHostVariable = "POPPYLAB_HOST";
+constexpr const char* kHostVariable = "POPPYSCALE_TESTBED_PROGRAM_HOST";
 
 struct HostState {
     std::uint32_t format;
@@ -26,4 +26,4 @@
     std::atomic<std::uint32_t> syncsFail;  // so many of the next ones, with EIO
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/host/seen.cpp
+++ b/src/testbed/host_emulation/preload.cpp
@@ -18,11 +18,11 @@
 #include <cstdlib>
 #include <cstring>
 
-#include "lab/host/state.hpp"
+#include "testbed/host_emulation/host_state.hpp"
 
 namespace {
 
-using poppyscale::lab::HostState;
+using poppyscale::testbed::HostState;
 
 constexpr std::int64_t kSecond = 1'000'000'000;
 
@@ -31,7 +31,7 @@
     static std::atomic<HostState*> state{nullptr};
     static std::atomic<bool> looked{false};
     if (looked.load(std::memory_order_acquire)) return state.load(std::memory_order_acquire);
-    const char* const path = std::getenv(poppyscale::lab::kHostVariable);
+    const char* const path = std::getenv(poppyscale::testbed::kHostVariable);
     HostState* made = nullptr;
     if (path) {
         const long fd = ::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC);
@@ -40,7 +40,7 @@
                                          static_cast<int>(fd), 0);
         if (fd >= 0) ::syscall(SYS_close, fd);
         if (at != MAP_FAILED) made = static_cast<HostState*>(at);
-        if (made && made->format != poppyscale::lab::kHostFormat) made = nullptr;
+        if (made && made->format != poppyscale::testbed::kHostFormat) made = nullptr;
     }
     state.store(made, std::memory_order_release);
     looked.store(true, std::memory_order_release);
--- a/src/lab/main.cpp
+++ b/src/testbed/main.cpp
@@ -1,4 +1,4 @@
-// poppylab: a stand-in deployment with load, faults and an audit of every command.
+// poppyscale_testbed: a stand-in deployment with load, faults and an audit of every command.
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -14,30 +14,30 @@
 #include <string>
 #include <vector>
 
-#include "lab/explore/command.hpp"
-#include "lab/live/live.hpp"
-#include "lab/live/machines.hpp"
-#include "lab/live/proxy.hpp"
-#include "lab/live/serve.hpp"
-#include "lab/model/ledger.hpp"
-#include "lab/model/scenario.hpp"
-#include "lab/report/audit.hpp"
-#include "lab/report/experiment.hpp"
-#include "lab/report/figures.hpp"
-#include "lab/report/judge.hpp"
-#include "lab/scale/capacity.hpp"
-#include "lab/scale/command.hpp"
-#include "lab/scale/measure.hpp"
-#include "lab/scale/slopes.hpp"
-#include "lab/sim/leases.hpp"
-#include "lab/sim/roll.hpp"
-#include "lab/sim/sim.hpp"
-#include "lab/soak/command.hpp"
+#include "testbed/audit/audit.hpp"
+#include "testbed/drivers/live/baseline_proxy.hpp"
+#include "testbed/drivers/live/interactive.hpp"
+#include "testbed/drivers/live/live_run.hpp"
+#include "testbed/drivers/live/machines.hpp"
+#include "testbed/drivers/simulated/lease_run.hpp"
+#include "testbed/drivers/simulated/rollout_run.hpp"
+#include "testbed/drivers/simulated/simulated_run.hpp"
+#include "testbed/emulator/event_log.hpp"
+#include "testbed/emulator/scenario.hpp"
+#include "testbed/model_checker/command.hpp"
+#include "testbed/report/experiment.hpp"
+#include "testbed/report/figures.hpp"
+#include "testbed/report/verdict.hpp"
+#include "testbed/scale/capacity.hpp"
+#include "testbed/scale/command.hpp"
+#include "testbed/scale/measure.hpp"
+#include "testbed/scale/slopes.hpp"
+#include "testbed/soak/command.hpp"
 
 namespace {
 
 using namespace poppyscale;
-using namespace poppyscale::lab;
+using namespace poppyscale::testbed;
 
 constexpr int kKept = 0;
 constexpr int kBroken = 1;
@@ -170,7 +170,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"poppylab: a stand-in deployment with load, faults and an audit of every command"};
+    CLI::App app{"poppyscale_testbed: a stand-in deployment with load, faults and an audit of every command"};
     app.require_subcommand(1);
     Wanted wanted;
     const auto plays = [&](CLI::App* command) {
@@ -380,7 +380,7 @@
         if (*exploring) return explore(look) ? kKept : kBroken;
         if (*audit) return judgeAgain(dir) ? kKept : kBroken;
     } catch (const std::exception& problem) {
-        fmt::print(stderr, "poppylab: {}\n", problem.what());
+        fmt::print(stderr, "poppyscale_testbed: {}\n", problem.what());
         return kUsage;
     }
     return kUsage;
--- a/src/lab/explore/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -1,13 +1,13 @@
-#include "lab/explore/command.hpp"
+#include "testbed/model_checker/command.hpp"
 
 #include <fmt/format.h>
 
 #include <stdexcept>
 
-#include "lab/explore/explorer.hpp"
-#include "lab/explore/leases.hpp"
+#include "testbed/model_checker/lease_model.hpp"
+#include "testbed/model_checker/state_explorer.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 template <class Model>
@@ -90,4 +90,4 @@
     throw std::runtime_error(fmt::format("'{}' is none of: leases", call.what));
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/explore/command.hpp
+++ b/src/testbed/model_checker/command.hpp
@@ -1,10 +1,11 @@
-// `poppylab explore`: every order of events, up to stated bounds, and whether a known mistake is found.
+// `poppyscale_testbed explore`: every order of events, up to stated bounds, and whether a known mistake is
+// found.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct ExploreCall {
     std::string what;     // leases
@@ -17,4 +18,4 @@
 // std::runtime_error for names that nobody knows.
 bool explore(const ExploreCall& call);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/explore/leases.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -1,10 +1,10 @@
-#include "lab/explore/leases.hpp"
+#include "testbed/model_checker/lease_model.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 using lease::Answer;
@@ -477,4 +477,4 @@
     return "";
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/explore/leases.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -10,10 +10,10 @@
 #include <variant>
 #include <vector>
 
-#include "lease/holder.hpp"
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
+#include "lease/lease_holder.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct LeasesWanted {
     std::set<lease::Guard> without;
@@ -131,4 +131,4 @@
     std::string broken_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/explore/explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -27,7 +27,7 @@
 #include <utility>
 #include <vector>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 struct ExploreWanted {
     double seconds = 40;
@@ -184,4 +184,4 @@
     std::unordered_set<XXH128_hash_t, Hash, Same> seen_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/experiment.hpp"
+#include "testbed/report/experiment.hpp"
 
 #include <fmt/format.h>
 
@@ -6,10 +6,10 @@
 #include <cmath>
 #include <cstdio>
 
-#include "lab/live/live.hpp"
-#include "lab/report/judge.hpp"
+#include "testbed/drivers/live/live_run.hpp"
+#include "testbed/report/verdict.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr double kLevel = 0.05;  // of a wrong "differs" over all scenarios of a comparison together
@@ -125,4 +125,4 @@
                router.of("cpu_us"), proxy.of("cpu_us"), ratio, router.of("relays"), proxy.of("relays"));
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/experiment.hpp
+++ b/src/testbed/report/experiment.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/model/scenario.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // How likely pairs that differ by nothing but chance would differ this much: all 2^n ways to turn them round.
 double chanceOf(const std::vector<double>& differences);
@@ -30,4 +30,4 @@
 // CPU a command of `program` beside the pass-through proxy's, from one run of both.
 void cost(const Scenario& scenario, std::uint64_t seed, const std::string& program, const std::string& lab);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -1,9 +1,9 @@
-#include "lab/report/figures.hpp"
+#include "testbed/report/figures.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr double kNanos = 1e9;
@@ -232,4 +232,4 @@
     return out;
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/model/ledger.hpp"
-#include "lab/report/cold_load.hpp"
+#include "testbed/audit/slow_start_load.hpp"
+#include "testbed/emulator/event_log.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // Exact: a run's times are few enough to keep, so nothing has to be put in classes.
 class Times {
@@ -92,4 +92,4 @@
     std::vector<std::pair<std::string, double>> all_;
 };
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/page.cpp
+++ b/src/testbed/report/page.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/page.hpp"
+#include "testbed/report/page.hpp"
 
 #include <fmt/format.h>
 #include <sys/wait.h>
@@ -10,7 +10,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr std::size_t kMostBreaches = 50;
@@ -116,7 +116,8 @@
 void writePage(const std::string& folder, Figures& figures, const nlohmann::json& report) {
     const bool drawn = draw(folder, figures);
     std::string page =
-        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>poppylab report</title><style>"
+        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>poppyscale_testbed "
+        "report</title><style>"
         "body{font:15px/1.5 sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}"
         "table{border-collapse:collapse}td{padding:2px 14px 2px 0}td+td{text-align:right;"
         "font-variant-numeric:tabular-nums}.kept{color:#1d6b2f}.broken{color:#a02020}"
@@ -156,4 +157,4 @@
         if (drawn) std::filesystem::remove(folder + "/" + name, ignored);
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/page.hpp
+++ b/src/testbed/report/page.hpp
@@ -4,11 +4,11 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-#include "lab/report/figures.hpp"
+#include "testbed/report/figures.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 // Writes FOLDER/report.html. Its plots are drawn by gnuplot; where that is not there, the page says so.
 void writePage(const std::string& folder, Figures& figures, const nlohmann::json& report);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/judge.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -1,13 +1,13 @@
-#include "lab/report/judge.hpp"
+#include "testbed/report/verdict.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <fstream>
 
-#include "lab/report/page.hpp"
+#include "testbed/report/page.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 namespace {
 
 constexpr std::size_t kShown = 10;  // breaches in full
@@ -77,4 +77,4 @@
     return judge.close("");
 }
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/report/judge.hpp
+++ b/src/testbed/report/verdict.hpp
@@ -6,11 +6,11 @@
 #include <utility>
 #include <vector>
 
-#include "lab/model/ledger.hpp"
-#include "lab/report/audit.hpp"
-#include "lab/report/figures.hpp"
+#include "testbed/audit/audit.hpp"
+#include "testbed/emulator/event_log.hpp"
+#include "testbed/report/figures.hpp"
 
-namespace poppyscale::lab {
+namespace poppyscale::testbed {
 
 class Judge {
   public:
@@ -38,7 +38,7 @@
     bool finished_ = false;
 };
 
-// `poppylab audit DIR`.
+// `poppyscale_testbed audit DIR`.
 bool judgeAgain(const std::string& dir);
 
-}  // namespace poppyscale::lab
+}  // namespace poppyscale::testbed
--- a/src/lab/scale/capacity.cpp
+++ b/src/testbed/scale/capacity.cpp
@@ -1,9 +1,9 @@
-#include "lab/scale/capacity.hpp"
+#include "testbed/scale/capacity.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr double kSecondsOfHour = 3600;
@@ -451,4 +451,4 @@
     return all;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/capacity.hpp
+++ b/src/testbed/scale/capacity.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/capacity_input.hpp"
+#include "testbed/scale/capacity_input.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 // A figure and what it rests on.
 struct Estimate {
@@ -77,4 +77,4 @@
 // Reads both files and prints the table; throws BadInput with the problems of both.
 std::string capacityOfFiles(const std::string& targetFile, const std::string& slopesFile);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -1,12 +1,12 @@
-#include "lab/scale/capacity_input.hpp"
+#include "testbed/scale/capacity_input.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr double kSecondsOfDay = 86'400;
@@ -14,15 +14,15 @@
 constexpr double kMostCount = 1e12;
 constexpr double kMostSize = 1e12;
 
-double count(text::Table& table, std::string_view key) {
+double count(config::Table& table, std::string_view key) {
     return table.real(key, std::nullopt, kLeastCount, kMostCount);
 }
 
 // `{ value = 32, unit = "MB" }`: a bound in another unit is an error and not silently a thousand times as
 // large.
-double bounded(text::Table& table, std::string_view key, std::string_view unit) {
+double bounded(config::Table& table, std::string_view key, std::string_view unit) {
     double value = 0;
-    table.one(key, true, [&](text::Table& bound) {
+    table.one(key, true, [&](config::Table& bound) {
         value = bound.real("value", std::nullopt, 1e-9, kMostSize);
         const std::string told = bound.text("unit", std::nullopt);
         if (!told.empty() && told != unit)
@@ -31,29 +31,29 @@
     return value;
 }
 
-Target readTargetTable(text::Table& root) {
+Target readTargetTable(config::Table& root) {
     Target t;
     t.name = root.text("name", std::nullopt);
-    root.one("fleet", true, [&](text::Table& fleet) {
+    root.one("fleet", true, [&](config::Table& fleet) {
         t.routers = count(fleet, "routers");
         t.sites = count(fleet, "sites");
         t.caches = count(fleet, "caches");
         t.regions = count(fleet, "regions");
         t.zones = count(fleet, "zones");
     });
-    root.one("load", true, [&](text::Table& load) {
+    root.one("load", true, [&](config::Table& load) {
         t.requestsPerSecond = count(load, "requests_per_second");
         t.terabitsPerSecond = load.real("terabits_per_second", std::nullopt, 1e-6, 1e6);
         t.objects = count(load, "objects");
         t.purgesPerSecond = load.real("purges_per_second", std::nullopt);
         t.changesPerDay = load.real("changes_per_day", std::nullopt);
     });
-    root.one("failures", true, [&](text::Table& failures) {
+    root.one("failures", true, [&](config::Table& failures) {
         t.failuresPerDay = failures.real("machines_per_day", std::nullopt);
         t.restartsPerDay = failures.real("restarts_per_day", std::nullopt);
         t.partitionHours = failures.real("partition_hours", std::nullopt, 0, 1000);
     });
-    root.one("bounds", true, [&](text::Table& bounds) {
+    root.one("bounds", true, [&](config::Table& bounds) {
         t.purgeSeconds = bounded(bounds, "purge", "s");
         t.inForceSeconds = bounded(bounds, "in_force", "s");
         t.routerProcessorPercent = bounded(bounds, "router_processor", "% of a core");
@@ -61,7 +61,7 @@
         t.routerKilobytesPerSecond = bounded(bounds, "router_bytes", "KB/s");
         t.controlMachines = bounded(bounds, "control", "machines");
     });
-    root.one("assumed", true, [&](text::Table& assumed) {
+    root.one("assumed", true, [&](config::Table& assumed) {
         t.controlProcessorPercent = bounded(assumed, "control_processor", "% of a core");
         t.descriptors = count(assumed, "descriptors");
         t.connectionBytes = count(assumed, "connection_bytes");
@@ -79,18 +79,18 @@
     return it == all.end() ? nullptr : &*it;
 }
 
-std::string nonEmpty(text::Table& table, std::string_view key) {
+std::string nonEmpty(config::Table& table, std::string_view key) {
     const std::string value = table.text(key, std::nullopt);
     if (table.has(key) && value.empty()) table.problem(key, "is empty");
     return value;
 }
 
-void mustBe(text::Table& table, std::string_view key, std::string_view told, std::string_view expected) {
+void mustBe(config::Table& table, std::string_view key, std::string_view told, std::string_view expected) {
     if (told.empty() || told == expected) return;
     table.problem(key, fmt::format("is '{}' where '{}' is expected", told, expected));
 }
 
-Slope readSlope(text::Table& table) {
+Slope readSlope(config::Table& table) {
     Slope s;
     s.name = nonEmpty(table, "name");
     s.unit = nonEmpty(table, "unit");
@@ -113,11 +113,11 @@
 
 template <class Read>
 auto readFile(std::string_view toml, const std::string& file, Read read) {
-    text::Problems problems(file);
-    const auto parsed = text::parseToml(toml, file, problems);
-    decltype(read(std::declval<text::Table&>())) result;
+    config::Problems problems(file);
+    const auto parsed = config::parseToml(toml, file, problems);
+    decltype(read(std::declval<config::Table&>())) result;
     if (parsed) {
-        text::Table root(*parsed, problems);
+        config::Table root(*parsed, problems);
         result = read(root);
         root.finish();
     }
@@ -149,13 +149,13 @@
 }
 
 Target readTarget(std::string_view toml, const std::string& file) {
-    return readFile(toml, file, [](text::Table& root) { return readTargetTable(root); });
+    return readFile(toml, file, [](config::Table& root) { return readTargetTable(root); });
 }
 
 Slopes readSlopes(std::string_view toml, const std::string& file) {
-    return readFile(toml, file, [](text::Table& root) {
+    return readFile(toml, file, [](config::Table& root) {
         Slopes slopes;
-        root.each("slope", true, [&](text::Table& table) {
+        root.each("slope", true, [&](config::Table& table) {
             const Slope slope = readSlope(table);
             const bool added = slopes.emplace(slope.name, slope).second;
             if (!added && !slope.name.empty()) table.problem("name", "'" + slope.name + "' is there twice");
@@ -164,4 +164,4 @@
     });
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/capacity_input.hpp
+++ b/src/testbed/scale/capacity_input.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 // All problems of a file, one "FILE:LINE: KEY: what is wrong" a line.
 struct BadInput : std::runtime_error {
@@ -64,4 +64,4 @@
 // Throws BadInput: also for a slope without a run, in a unit of its own or of an unknown name.
 Slopes readSlopes(std::string_view toml, const std::string& file);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/capacity_page.cpp
+++ b/src/testbed/scale/capacity_page.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "lab/scale/capacity.hpp"
+#include "testbed/scale/capacity.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 // Three digits and commas, as a person reads them.
@@ -123,4 +123,4 @@
     return capacityMarkdown(target, slopes);
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/command.cpp
+++ b/src/testbed/scale/command.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/command.hpp"
+#include "testbed/scale/command.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -8,10 +8,10 @@
 #include <cstdio>
 #include <string_view>
 
-#include "lab/model/scenario.hpp"
-#include "lab/scale/scenario.hpp"
+#include "testbed/emulator/scenario.hpp"
+#include "testbed/scale/scenario.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr int kKept = 0;
@@ -79,7 +79,7 @@
 
 int Command::runScale() {
     if (purgesPerSecond_ != 0) {
-        fmt::print(stderr, "poppylab: --purges-per-second {}: no mechanism carries purges yet\n",
+        fmt::print(stderr, "poppyscale_testbed: --purges-per-second {}: no mechanism carries purges yet\n",
                    purgesPerSecond_);
         return kUsage;
     }
@@ -135,4 +135,4 @@
     return near && real.day.broken.empty() && hollow.day.broken.empty() ? kKept : kBroken;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/command.hpp
+++ b/src/testbed/scale/command.hpp
@@ -1,14 +1,14 @@
-// `poppylab scale` and `poppylab scale-discovery` on the command line.
+// `poppyscale_testbed scale` and `poppyscale_testbed scale-discovery` on the command line.
 #pragma once
 
 #include <CLI/CLI.hpp>
 #include <optional>
 #include <string>
 
-#include "lab/scale/discovery.hpp"
-#include "lab/scale/scale.hpp"
+#include "testbed/scale/discovery.hpp"
+#include "testbed/scale/scale.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 class Command {
   public:
@@ -32,4 +32,4 @@
     DiscoveryOptions discoveryOptions_;
 };
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/discovery.cpp
+++ b/src/testbed/scale/discovery.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/discovery.hpp"
+#include "testbed/scale/discovery.hpp"
 
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -18,16 +18,16 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/live/http_call.hpp"
-#include "lab/model/chance.hpp"
-#include "lab/scale/record.hpp"
-#include "lab/scale/server_list.hpp"
-#include "lab/scale/usage.hpp"
+#include "testbed/drivers/live/http_request.hpp"
+#include "testbed/emulator/random.hpp"
+#include "testbed/scale/record.hpp"
+#include "testbed/scale/server_list.hpp"
+#include "testbed/scale/usage.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 using transport::Loop;
@@ -439,4 +439,4 @@
     return Discovery(options).run();
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/discovery.hpp
+++ b/src/testbed/scale/discovery.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct SlowPeriod {
     Nanos at = 0;  // since the measured time began
@@ -38,4 +38,4 @@
 // Runs until SIGTERM; returns the exit code.
 int serveDiscovery(const DiscoveryOptions& options);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/fit.cpp
+++ b/src/testbed/scale/fit.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/fit.hpp"
+#include "testbed/scale/fit.hpp"
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 // The 1% points of F with 1 and n degrees of freedom, for n = 1, 2 ...; past the table the last one is used,
@@ -160,4 +160,4 @@
                        p.used ? "used" : "not used");
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/fit.hpp
+++ b/src/testbed/scale/fit.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct Sample {
     double size = 0;  // of what was varied: caches, routers, changes a second
@@ -47,4 +47,4 @@
 std::string describe(const std::string& name, const LineFit& fit, const std::string& unit);
 std::string describe(const std::string& name, const Prediction& prediction, const std::string& unit);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/in_force.cpp
+++ b/src/testbed/scale/in_force.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/in_force.hpp"
+#include "testbed/scale/in_force.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 std::vector<Change> readChanges(const std::string& path) {
     std::ifstream file(path);
@@ -78,4 +78,4 @@
     return static_cast<double>(all[index]);
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/in_force.hpp
+++ b/src/testbed/scale/in_force.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/record.hpp"
+#include "testbed/scale/record.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct Change {
     std::int64_t version = 0;
@@ -51,4 +51,4 @@
     std::uint64_t stale_ = 0;
 };
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/limits.cpp
+++ b/src/testbed/scale/limits.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/limits.hpp"
+#include "testbed/scale/limits.hpp"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -8,10 +8,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "lab/scale/processes.hpp"
-#include "lab/scale/scenario.hpp"
+#include "testbed/scale/processes.hpp"
+#include "testbed/scale/scenario.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 // Somewhat more than what was measured of each role, in KiB.
@@ -69,9 +69,9 @@
             "real routers behind distributors: not built, since what is in force there is read from their "
             "calls to discovery");
     for (const Event& event : options.events) refuseEvent(options, event);
-    if (options.hollowRouters > 0) programPath("poppyscale_hollow");
+    if (options.hollowRouters > 0) programPath("poppyscale_stub_routers");
     if (options.realRouters > 0) programPath("poppyscale");
-    if (options.distributors > 0) programPath("poppyscale_distributor");
+    if (options.distributors > 0) programPath("poppyscale_endpoint_distributor");
     const Demand demand = demandOf(options);
     const double machineKib =
         static_cast<double>(::sysconf(_SC_PHYS_PAGES)) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1024;
@@ -86,4 +86,4 @@
                                              demand.descriptors, files.rlim_max));
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/limits.hpp
+++ b/src/testbed/scale/limits.hpp
@@ -1,9 +1,9 @@
 // What a scale run would take of the machine, reckoned before anything is started.
 #pragma once
 
-#include "lab/scale/scale.hpp"
+#include "testbed/scale/scale.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct Demand {
     double memoryKib = 0;
@@ -16,4 +16,4 @@
 // take over half of the machine's memory or more descriptors than a process may have.
 void refuseWhatCantBe(const Options& options);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/measure.hpp"
+#include "testbed/scale/measure.hpp"
 
 #include <fmt/format.h>
 #include <malloc.h>
@@ -10,11 +10,11 @@
 #include <random>
 #include <stdexcept>
 
-#include "lab/scale/series.hpp"
-#include "logic.hpp"
-#include "protocol/discovery.hpp"
+#include "policy/routing_policy.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "testbed/scale/series.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
@@ -242,4 +242,4 @@
                                  std::vector<Column>(columns.begin(), columns.end()), measure);
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/measure.hpp
+++ b/src/testbed/scale/measure.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/fit.hpp"
+#include "testbed/scale/fit.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct ModuleOptions {
     int caches = 100;
@@ -45,4 +45,4 @@
 // prediction held.
 bool measureSeries(const ModuleSeries& series);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/processes.cpp
+++ b/src/testbed/scale/processes.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/processes.hpp"
+#include "testbed/scale/processes.hpp"
 
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr int kRouterMemoryMb = 256;  // of which 1/128 is the longest list that a router takes
@@ -88,8 +88,8 @@
     std::string command = fmt::format(
         "'{}' scale-discovery --folder '{}' --caches {} --zones {} --changes-per-second {} "
         "--real {} --seed {}",
-        programPath("poppylab"), options.folder, options.caches, options.zones, options.changesPerSecond,
-        options.realRouters, options.seed);
+        programPath("poppyscale_testbed"), options.folder, options.caches, options.zones,
+        options.changesPerSecond, options.realRouters, options.seed);
     for (const Event& event : options.events)
         if (event.kind == EventKind::slowDiscovery)
             command +=
@@ -113,8 +113,8 @@
         const int routers = std::min(kRoutersPerProcess, options.hollowRouters - first);
         const auto index = all.size();
         const std::string command =
-            fmt::format("'{}'{} --index {} --first {} --routers {}", programPath("poppyscale_hollow"), shared,
-                        index, first, routers);
+            fmt::format("'{}'{} --index {} --first {} --routers {}", programPath("poppyscale_stub_routers"),
+                        shared, index, first, routers);
         all.push_back({std::make_unique<Process>(command, std::vector<std::pair<std::string, std::string>>{},
                                                  fmt::format("{}/hollow-{}.log", options.folder, index)),
                        first, routers});
@@ -143,7 +143,7 @@
         index, port, discoveryPort, kDistributorWaitMs, kDistributorBatchMs,
         options.hollowRouters + options.realRouters + 16);
     return std::make_unique<Process>(
-        fmt::format("'{}' --config '{}'", programPath("poppyscale_distributor"), path),
+        fmt::format("'{}' --config '{}'", programPath("poppyscale_endpoint_distributor"), path),
         std::vector<std::pair<std::string, std::string>>{},
         fmt::format("{}/distributor-{}.log", options.folder, index));
 }
@@ -167,4 +167,4 @@
     return open;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/processes.hpp
+++ b/src/testbed/scale/processes.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/live/process.hpp"
-#include "lab/scale/scale.hpp"
+#include "testbed/drivers/live/child_process.hpp"
+#include "testbed/scale/scale.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 // One process holds that many hollow routers at most: each turn of its loop looks at all of them.
 constexpr int kRoutersPerProcess = 250;
@@ -43,4 +43,4 @@
 // Whether something accepts connections there.
 bool isListening(int port);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/record.hpp
+++ b/src/testbed/scale/record.hpp
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 // A list that a router decides by from `at` on. Written by the hollow routers, and by discovery for real
 // ones, as it stands in memory: writer and reader are of one build on one machine.
@@ -41,4 +41,4 @@
     return number;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/report.cpp
+++ b/src/testbed/scale/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/report.hpp"
+#include "testbed/scale/report.hpp"
 
 #include <fmt/format.h>
 #include <sys/wait.h>
@@ -10,9 +10,9 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "lab/scale/scenario.hpp"
+#include "testbed/scale/scenario.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 double secondsOf(std::int64_t nanos) { return static_cast<double>(nanos) / 1e9; }
@@ -72,7 +72,8 @@
                       std::int64_t beganAt) {
     const bool drawn = draw(options, judged, beganAt);
     std::string page =
-        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>poppylab scale</title><style>"
+        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>poppyscale_testbed "
+        "scale</title><style>"
         "body{font:15px/1.5 sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}"
         "table{border-collapse:collapse}td{padding:2px 14px 2px 0}td+td{text-align:right}"
         ".broken{color:#a02020}svg{width:100%;height:auto}</style></head><body>";
@@ -94,4 +95,4 @@
     std::ofstream(options.folder + "/report.html") << page << "</table></body></html>\n";
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/scale.hpp"
+#include "testbed/scale/scale.hpp"
 
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -16,13 +16,13 @@
 #include <stdexcept>
 #include <thread>
 
-#include "lab/scale/in_force.hpp"
-#include "lab/scale/limits.hpp"
-#include "lab/scale/processes.hpp"
-#include "lab/scale/report.hpp"
-#include "lab/scale/usage.hpp"
+#include "testbed/scale/in_force.hpp"
+#include "testbed/scale/limits.hpp"
+#include "testbed/scale/processes.hpp"
+#include "testbed/scale/report.hpp"
+#include "testbed/scale/usage.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
@@ -482,4 +482,4 @@
     return json.dump();
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 enum class EventKind : std::uint8_t {
     killDistributor,  // SIGKILL, started again after `length`
@@ -85,12 +85,12 @@
 };
 
 // Throws std::runtime_error, before anything is started, for what the machine can't hold and for what is not
-// built. Starts poppylab, poppyscale_hollow, poppyscale and poppyscale_distributor of the caller's own
-// folder.
+// built. Starts poppyscale_testbed, poppyscale_stub_routers, poppyscale and poppyscale_endpoint_distributor
+// of the caller's own folder.
 Result play(const Options& options);
 
 // `name=value ...`, the last line of a run.
 std::string lineOf(const Result& result);
 std::string jsonOf(const Result& result);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/scenario.cpp
+++ b/src/testbed/scale/scenario.cpp
@@ -1,24 +1,24 @@
-#include "lab/scale/scenario.hpp"
+#include "testbed/scale/scenario.hpp"
 
 #include <fstream>
 #include <iterator>
 
-#include "lab/model/scenario.hpp"
-#include "text/table.hpp"
+#include "config/toml_table.hpp"
+#include "testbed/emulator/scenario.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
-using text::Table;
+using config::Table;
 
-const text::Words<EventKind>& eventNames() {
-    static const text::Words<EventKind> names{{"kill_distributor", EventKind::killDistributor},
-                                              {"stop_distributor", EventKind::stopDistributor},
-                                              {"restart_routers", EventKind::restartRouters},
-                                              {"cut_zone", EventKind::cutZone},
-                                              {"slow_discovery", EventKind::slowDiscovery},
-                                              {"lose_rack", EventKind::loseRack},
-                                              {"slow_reader", EventKind::slowReader}};
+const config::Words<EventKind>& eventNames() {
+    static const config::Words<EventKind> names{{"kill_distributor", EventKind::killDistributor},
+                                                {"stop_distributor", EventKind::stopDistributor},
+                                                {"restart_routers", EventKind::restartRouters},
+                                                {"cut_zone", EventKind::cutZone},
+                                                {"slow_discovery", EventKind::slowDiscovery},
+                                                {"lose_rack", EventKind::loseRack},
+                                                {"slow_reader", EventKind::slowReader}};
     return names;
 }
 
@@ -47,9 +47,9 @@
     std::ifstream file(path, std::ios::binary);
     if (!file) throw BadScenario(path + ": can't be read");
     const std::string content{std::istreambuf_iterator<char>(file), {}};
-    text::Problems problems(path);
+    config::Problems problems(path);
     ScaleScenario scenario;
-    const auto parsed = text::parseToml(content, path, problems);
+    const auto parsed = config::parseToml(content, path, problems);
     if (parsed) {
         Table table(*parsed, problems);
         table.one("bounds", false, [&](Table& bounds) { readBounds(bounds, scenario.bounds); });
@@ -66,4 +66,4 @@
     return "";
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/scenario.hpp
+++ b/src/testbed/scale/scenario.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/scale.hpp"
+#include "testbed/scale/scale.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 struct ScaleScenario {
     std::vector<Event> events;
@@ -18,4 +18,4 @@
 
 std::string_view nameOf(EventKind kind);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/fit.hpp"
+#include "testbed/scale/fit.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 template <class Cost>
 struct Quantity {
@@ -77,4 +77,4 @@
     return all;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -1,12 +1,12 @@
-#include "lab/scale/server_list.hpp"
+#include "testbed/scale/server_list.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "lab/scale/record.hpp"
+#include "testbed/scale/record.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 // Of all changes: the part of each kind. Drains and ends take turns, so that as many end as are drained.
@@ -130,4 +130,4 @@
     return json;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/server_list.hpp
+++ b/src/testbed/scale/server_list.hpp
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/model/chance.hpp"
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
+#include "testbed/emulator/random.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 class ServerList {
   public:
@@ -55,4 +55,4 @@
     std::size_t present_ = 0;
 };
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/slopes.cpp
+++ b/src/testbed/scale/slopes.cpp
@@ -1,10 +1,10 @@
-#include "lab/scale/slopes.hpp"
+#include "testbed/scale/slopes.hpp"
 
 #include <cmath>
 
-#include "lab/scale/series.hpp"
+#include "testbed/scale/series.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 namespace {
 
 // Processor shares as percent, so that they read as the bounds do.
@@ -83,4 +83,4 @@
     return runSeries<Figures>(nameOf(series.varied), sizes, series.seeds, series.factor, quantities, measure);
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/slopes.hpp
+++ b/src/testbed/scale/slopes.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/scale.hpp"
+#include "testbed/scale/scale.hpp"
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 enum class Varied { routers, caches, rate };
 
@@ -30,4 +30,4 @@
 // Prints samples, fits and predictions; true where every prediction held.
 bool playSlopes(const SlopeSeries& series, const Play& play);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/usage.cpp
+++ b/src/testbed/scale/usage.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/usage.hpp"
+#include "testbed/scale/usage.hpp"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <string>
 #include <system_error>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 double ownProcessorSeconds() {
     rusage used{};
@@ -42,4 +42,4 @@
     return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1024;
 }
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/scale/usage.hpp
+++ b/src/testbed/scale/usage.hpp
@@ -3,7 +3,7 @@
 
 #include <sys/types.h>
 
-namespace poppyscale::lab::scale {
+namespace poppyscale::testbed::scale {
 
 // User and system time of this process so far, in seconds.
 double ownProcessorSeconds();
@@ -12,4 +12,4 @@
 // Resident memory of a process in KiB; 0 once it has ended.
 double residentKibOf(pid_t pid);
 
-}  // namespace poppyscale::lab::scale
+}  // namespace poppyscale::testbed::scale
--- a/src/lab/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/command.hpp"
+#include "testbed/soak/command.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -8,11 +8,11 @@
 #include <map>
 #include <string_view>
 
-#include "lab/live/live.hpp"
-#include "lab/report/judge.hpp"
-#include "lab/soak/draw.hpp"
+#include "testbed/drivers/live/live_run.hpp"
+#include "testbed/report/verdict.hpp"
+#include "testbed/soak/draw.hpp"
 
-namespace poppyscale::lab::soak {
+namespace poppyscale::testbed::soak {
 namespace {
 
 constexpr int kKept = 0;
@@ -87,10 +87,10 @@
     for (int i = 0; i < wanted.seeds; ++i) {
         const std::uint64_t seed = wanted.first + static_cast<std::uint64_t>(i);
         const bool kept = !wanted.out.empty();
-        const std::string folder =
-            kept ? fmt::format("{}/{}", wanted.out, seed)
-                 : (std::filesystem::temp_directory_path() / fmt::format("poppylab-soak-{}", ::getpid()))
-                       .string();
+        const std::string folder = kept ? fmt::format("{}/{}", wanted.out, seed)
+                                        : (std::filesystem::temp_directory_path() /
+                                           fmt::format("poppyscale_testbed-soak-{}", ::getpid()))
+                                              .string();
         std::filesystem::create_directories(folder);
         const Played played = play(wanted, drawDay(base, seed), seed, folder);
         if (!kept) std::filesystem::remove_all(folder);
@@ -108,4 +108,4 @@
     return late > 0 ? kVoid : kKept;
 }
 
-}  // namespace poppyscale::lab::soak
+}  // namespace poppyscale::testbed::soak
--- a/src/lab/soak/command.hpp
+++ b/src/testbed/soak/command.hpp
@@ -1,10 +1,10 @@
-// `poppylab soak`: drawn days of overlapping faults round real routers, one seed after the other.
+// `poppyscale_testbed soak`: drawn days of overlapping faults round real routers, one seed after the other.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
-namespace poppyscale::lab::soak {
+namespace poppyscale::testbed::soak {
 
 struct Wanted {
     std::string file = "scenarios/soak.toml";
@@ -21,4 +21,4 @@
 // broken, 3 when one was void and none broken.
 int run(const Wanted& wanted);
 
-}  // namespace poppyscale::lab::soak
+}  // namespace poppyscale::testbed::soak
--- a/src/lab/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/draw.hpp"
+#include "testbed/soak/draw.hpp"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <array>
 #include <iterator>
 
-#include "lab/model/chance.hpp"
+#include "testbed/emulator/random.hpp"
 
-namespace poppyscale::lab::soak {
+namespace poppyscale::testbed::soak {
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
@@ -190,4 +190,4 @@
 
 Scenario drawDay(const Scenario& base, std::uint64_t seed) { return Draw(base, seed).day(); }
 
-}  // namespace poppyscale::lab::soak
+}  // namespace poppyscale::testbed::soak
--- a/src/lab/hollow/list_image.hpp
+++ b/src/testbed/stub_routers/list_image.hpp
@@ -6,10 +6,10 @@
 #include <cstdint>
 #include <vector>
 
-#include "lab/scale/record.hpp"
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "testbed/scale/record.hpp"
 
-namespace poppyscale::lab::hollow {
+namespace poppyscale::testbed::stub_routers {
 
 class ListImage {
   public:
@@ -54,4 +54,4 @@
     std::uint64_t digest_ = 0;
 };
 
-}  // namespace poppyscale::lab::hollow
+}  // namespace poppyscale::testbed::stub_routers
--- a/src/lab/hollow/main.cpp
+++ b/src/testbed/stub_routers/main.cpp
@@ -1,4 +1,4 @@
-// poppyscale_hollow: hundreds of hollow routers on one loop, for `poppylab scale`.
+// poppyscale_stub_routers: hundreds of hollow routers on one loop, for `poppyscale_testbed scale`.
 //
 // Writes hollow-K.records (lists in force), hollow-K.ready once every router has a list, and on SIGTERM its
 // totals, hollow-K.json. SIGUSR1 begins the measured time, SIGUSR2 ends it.
@@ -18,14 +18,14 @@
 #include <string>
 #include <vector>
 
-#include "lab/hollow/hollow_router.hpp"
-#include "lab/hollow/socket_meter.hpp"
-#include "lab/scale/usage.hpp"
+#include "testbed/scale/usage.hpp"
+#include "testbed/stub_routers/socket_meter.hpp"
+#include "testbed/stub_routers/stub_router.hpp"
 
 namespace {
 
 using namespace poppyscale;
-using lab::hollow::HollowRouter;
+using testbed::stub_routers::HollowRouter;
 using transport::Loop;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
@@ -87,7 +87,7 @@
     std::vector<Restart> restarts_;  // the next one last
     std::mt19937 chance_;
     std::ofstream records_;
-    lab::hollow::SocketMeter meter_;
+    testbed::stub_routers::SocketMeter meter_;
     bool ready_ = false;
     bool measuring_ = false;
     Nanos beganAt_ = 0;
@@ -120,7 +120,7 @@
     std::sort(restarts_.begin(), restarts_.end(),
               [](const Restart& a, const Restart& b) { return a.at > b.at; });
     const int loseEveryList = options.without == "apply" ? kLoseEveryList : 0;
-    memoryBefore_ = lab::scale::residentKibOf(::getpid());
+    memoryBefore_ = testbed::scale::residentKibOf(::getpid());
     for (int i = 0; i < options.routers; ++i) {
         const int router = options.first + i;
         routers_.push_back(std::make_unique<HollowRouter>(loop_, pool_, static_cast<std::uint32_t>(router),
@@ -168,7 +168,7 @@
     measuring_ = true;
     callsAtBegin_ = calls();
     meter_.begin(beganAt_);
-    processorAtBegin_ = lab::scale::ownProcessorSeconds();
+    processorAtBegin_ = testbed::scale::ownProcessorSeconds();
     secondAlarm_.set(beganAt_ + kSecond);
     setRestartAlarm();
 }
@@ -196,7 +196,7 @@
     if (!measuring_) return;
     measuring_ = false;
     const Nanos now = Loop::now();
-    processorUsed_ = lab::scale::ownProcessorSeconds() - processorAtBegin_;
+    processorUsed_ = testbed::scale::ownProcessorSeconds() - processorAtBegin_;
     measured_ = now - beganAt_;
     meter_.look(now);
     callsMeasured_ = calls() - callsAtBegin_;
@@ -216,7 +216,7 @@
     const nlohmann::json totals{{"routers", routers_.size()},
                                 {"seconds", static_cast<double>(measured_) / 1e9},
                                 {"processor_seconds", processorUsed_},
-                                {"memory_kib", lab::scale::residentKibOf(::getpid())},
+                                {"memory_kib", testbed::scale::residentKibOf(::getpid())},
                                 {"memory_before_kib", memoryBefore_},
                                 {"bytes_in", meter_.bytesIn()},
                                 {"bytes_out", meter_.bytesOut()},
@@ -231,7 +231,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"poppyscale_hollow: routers without clients, for poppylab scale"};
+    CLI::App app{"poppyscale_stub_routers: routers without clients, for poppyscale_testbed scale"};
     Options options;
     app.add_option("--config", options.configuration, "of a router, as poppyscale reads it")->required();
     app.add_option("--folder", options.folder, "for what is written")->required();
@@ -248,7 +248,7 @@
     try {
         Hollow(options).run();
     } catch (const std::exception& problem) {
-        fmt::print(stderr, "poppyscale_hollow: {}\n", problem.what());
+        fmt::print(stderr, "poppyscale_stub_routers: {}\n", problem.what());
         return 1;
     }
     return 0;
--- a/src/lab/hollow/socket_meter.cpp
+++ b/src/testbed/stub_routers/socket_meter.cpp
@@ -1,4 +1,4 @@
-#include "lab/hollow/socket_meter.hpp"
+#include "testbed/stub_routers/socket_meter.hpp"
 
 // The kernel's header: the C library's tcp_info ends before the counts of bytes.
 #include <linux/tcp.h>
@@ -10,7 +10,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-namespace poppyscale::lab::hollow {
+namespace poppyscale::testbed::stub_routers {
 
 void SocketMeter::begin(Nanos now) {
     last_ = carried();
@@ -50,4 +50,4 @@
     return all;
 }
 
-}  // namespace poppyscale::lab::hollow
+}  // namespace poppyscale::testbed::stub_routers
--- a/src/lab/hollow/socket_meter.hpp
+++ b/src/testbed/stub_routers/socket_meter.hpp
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <map>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
-namespace poppyscale::lab::hollow {
+namespace poppyscale::testbed::stub_routers {
 
 // Looks at all connections from time to time. What one that is closed carried since the last look is missed.
 class SocketMeter {
@@ -35,4 +35,4 @@
     double peak_ = 0;
 };
 
-}  // namespace poppyscale::lab::hollow
+}  // namespace poppyscale::testbed::stub_routers
