--- a/src/lab/hollow/hollow_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -1,4 +1,4 @@
-#include "lab/hollow/hollow_router.hpp"
+#include "testbed/stub_routers/stub_router.hpp"
 
 #include <uv.h>
 
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace poppyscale::lab::hollow {
+namespace poppyscale::testbed::stub_routers {
 namespace {
 
 // As `poppyscale` bounds a call's wait, its connections and the longest list (src/program/program.cpp).
@@ -22,7 +22,7 @@
 
 ObservedCore::ObservedCore(transport::Loop& loop, transport::Pool& pool, const protocol::Start& start,
                            int loseEveryList, std::uint64_t listsBefore)
-    : routing::Core(loop, pool, start, mostConnections(start), ignoreLog),
+    : proxy::Core(loop, pool, start, mostConnections(start), ignoreLog),
       loseEveryList_(loseEveryList),
       lists_(listsBefore) {}
 
@@ -49,13 +49,13 @@
 
 void HollowRouter::start() {
     core_ = std::make_unique<ObservedCore>(loop_, pool_, start_, loseEveryList_, number_);
-    routing::Watch::Settings settings;
+    discovery::Watch::Settings settings;
     settings.sources = sources_;
     settings.sourceSeed = settings.seed = start_.terms.seed;
     settings.longestWait = std::clamp(start_.watchFor, kLeastWait, kMostWait);
     settings.routers = start_.terms.routers;
     settings.longestList = start_.memory / kListPart;
-    watch_ = std::make_unique<routing::Watch>(loop_, pool_, *core_, std::move(settings), ignoreLog);
+    watch_ = std::make_unique<discovery::Watch>(loop_, pool_, *core_, std::move(settings), ignoreLog);
     core_->askForList = [this] { watch_->want(); };
 }
 
@@ -76,4 +76,4 @@
     return scale::ForceRecord{number_, 0, inForce_, core_->digest(), static_cast<std::int64_t>(uv_hrtime())};
 }
 
-}  // namespace poppyscale::lab::hollow
+}  // namespace poppyscale::testbed::stub_routers
--- a/src/lab/hollow/hollow_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -7,18 +7,18 @@
 #include <string>
 #include <vector>
 
-#include "lab/hollow/list_image.hpp"
-#include "lab/scale/record.hpp"
-#include "protocol/discovery.hpp"
-#include "routing/core.hpp"
-#include "routing/watch.hpp"
-#include "transport/loop.hpp"
-#include "transport/pool.hpp"
+#include "discovery/endpoint_watcher.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "proxy/request_dispatcher.hpp"
+#include "testbed/scale/record.hpp"
+#include "testbed/stub_routers/list_image.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
 
-namespace poppyscale::lab::hollow {
+namespace poppyscale::testbed::stub_routers {
 
 // The core itself, and what it was handed.
-class ObservedCore : public routing::Core {
+class ObservedCore : public proxy::Core {
   public:
     // By a known mistake every `loseEveryList`th list of changes is lost, 0 for none. `listsBefore` of them
     // are taken as counted, so that not all routers lose the same.
@@ -63,14 +63,14 @@
     transport::Pool& pool_;
     std::uint32_t number_;
     protocol::Start start_;
-    std::vector<routing::DiscoveryAddress> sources_;
+    std::vector<discovery::DiscoveryAddress> sources_;
     int loseEveryList_;
     std::unique_ptr<ObservedCore> core_;
-    std::unique_ptr<routing::Watch> watch_;
+    std::unique_ptr<discovery::Watch> watch_;
     std::int64_t inForce_ = 0;  // version
     std::int64_t highest_ = 0;
     std::uint64_t fallen_ = 0;
     std::uint64_t callsBefore_ = 0;
 };
 
-}  // namespace poppyscale::lab::hollow
+}  // namespace poppyscale::testbed::stub_routers
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <string_view>
 
-#include "transport/loop.hpp"
-#include "transport/pool.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
 
 namespace poppyscale::transport {
 
--- a/src/transport/loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 #include <algorithm>
 #include <new>
--- a/src/transport/loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-#include "logic.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace poppyscale::transport {
 
--- a/tests/time_told_test.cpp
+++ b/tests/attempt_deadline_test.cpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <optional>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,6 +1,6 @@
 // Slopes, predictions and the capacity table: arithmetic that is worked out by hand here.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "lab/scale/capacity.hpp"
+#include "testbed/scale/capacity.hpp"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -14,12 +14,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/fit.hpp"
-#include "lab/scale/measure.hpp"
-#include "lab/scale/slopes.hpp"
+#include "testbed/scale/fit.hpp"
+#include "testbed/scale/measure.hpp"
+#include "testbed/scale/slopes.hpp"
 
 using namespace poppyscale;
-using namespace poppyscale::lab;
+using namespace poppyscale::testbed;
 using doctest::Approx;
 
 TEST_CASE("a line is found with its slope, and nothing is left over") {
--- a/tests/client_left_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <thread>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
--- a/tests/distribution_test.cpp
+++ b/tests/endpoint_distribution_test.cpp
@@ -11,17 +11,17 @@
 #include <string>
 #include <vector>
 
-#include "distribution/distributor.hpp"
-#include "distribution/list_state.hpp"
-#include "distribution/server_list.hpp"
-#include "protocol/discovery.hpp"
+#include "endpoint_distribution/distributor.hpp"
+#include "endpoint_distribution/list_state.hpp"
+#include "endpoint_distribution/list_update.hpp"
+#include "protocol/endpoint_list.hpp"
 
 using poppyscale::kMillisecond;
 using poppyscale::kNever;
 using poppyscale::Nanos;
 namespace protocol = poppyscale::protocol;
-namespace distribution = poppyscale::distribution;
-using namespace poppyscale::distribution;
+namespace endpoint_distribution = poppyscale::endpoint_distribution;
+using namespace poppyscale::endpoint_distribution;
 
 namespace {
 
@@ -68,7 +68,7 @@
 using Ids = std::set<std::string>;
 
 // Writes down what it is asked for. Readers take their answers at once, unless they are made slow.
-struct ScriptedHost : distribution::Host {
+struct ScriptedHost : endpoint_distribution::Host {
     struct Told {
         ReaderId reader;
         Answer answer;
--- a/tests/distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -14,7 +14,7 @@
 #include <set>
 #include <thread>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -223,7 +223,8 @@
         pid_ = fork();
         if (pid_ != 0) return;
         if (!freopen(log.c_str(), "a", stderr)) _exit(126);
-        execl(POPPYSCALE_DISTRIBUTOR, POPPYSCALE_DISTRIBUTOR, "--config", settings.c_str(), nullptr);
+        execl(POPPYSCALE_ENDPOINT_DISTRIBUTOR, POPPYSCALE_ENDPOINT_DISTRIBUTOR, "--config", settings.c_str(),
+              nullptr);
         _exit(127);
     }
     // Until it has a list.
@@ -591,7 +592,7 @@
     char path[] = "/tmp/poppyscale-settings-XXXXXX";
     close(mkstemp(path));
     const std::string file = path;
-    const std::string command = std::string(POPPYSCALE_DISTRIBUTOR) + " --config " + file;
+    const std::string command = std::string(POPPYSCALE_ENDPOINT_DISTRIBUTOR) + " --config " + file;
     std::ofstream(file)
         << "[distributor]\nname = 3\nlisten = \"nowhere\"\nupstreams = []\nwait = 5\nbatch_ms = 0\n";
     const auto [code, text] = run(command);
--- a/tests/list_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -15,8 +15,8 @@
 #include <set>
 #include <thread>
 
-#include "helper.hpp"
-#include "operator/plan.hpp"
+#include "config/operator_config.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -300,8 +300,8 @@
 };
 
 std::string problemsOf(const std::string& text, bool platform) {
-    text::Problems problems("op.toml");
-    op::readPlan(text, "op.toml", platform, problems);
+    config::Problems problems("op.toml");
+    config::readPlan(text, "op.toml", platform, problems);
     return problems.text();
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/instance_supervisor_test.cpp
@@ -1,16 +1,16 @@
 // Stories of the fleet's decisions, against hands that only write down what they are asked.
-#include <doctest/doctest.h>
+#include "supervisor/instance_supervisor.hpp"
 
-#include "fleet/keeper.hpp"
+#include <doctest/doctest.h>
 
 using namespace poppyscale;
-using fleet::Keeper;
+using supervisor::Keeper;
 
 namespace {
 
 constexpr Nanos ms = kMillisecond;
 
-struct Fleet : fleet::Hands {
+struct Fleet : supervisor::Hands {
     explicit Fleet(int count, int batch = 1)
         : keeper({count, batch, 1'000 * ms, 500 * ms, 100 * ms, 1'600 * ms, 10'000 * ms, 3'000 * ms}, 7,
                  *this) {
@@ -146,7 +146,7 @@
 TEST_CASE("a keeper that comes anew finds its instances and starts only what is not there") {
     Fleet unused(1);
     std::string asked;
-    struct Hands : fleet::Hands {
+    struct Hands : supervisor::Hands {
         explicit Hands(std::string& asked) : asked(asked) {}
         void start(int i) override { asked += "+" + std::to_string(i); }
         void stop(int) override {}
--- a/tests/large_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -4,13 +4,13 @@
 #include <functional>
 #include <set>
 
-#include "ctl/description.hpp"
-#include "ctl/instance.hpp"
-#include "helper.hpp"
-#include "program/words.hpp"
-#include "protocol/discovery.hpp"
-#include "rollout/plan.hpp"
-#include "routing/known_servers.hpp"
+#include "ctl/control_client.hpp"
+#include "ctl/fleet_description.hpp"
+#include "discovery/removed_endpoints.hpp"
+#include "fixtures.hpp"
+#include "process/operator_state.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "rollout/rollout_plan.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -121,8 +121,8 @@
 }
 
 // Operators' words with so many servers out, each id of that length.
-program::Words wordsOut(int count, std::size_t idLength) {
-    program::Words words;
+process::Words wordsOut(int count, std::size_t idLength) {
+    process::Words words;
     for (int i = 0; i < count; ++i) {
         std::string id = serverId("out", i);
         id.resize(idLength, 'x');
@@ -162,13 +162,13 @@
 }
 
 TEST_CASE("1,500 servers with the longest ids are out, on file and in the process that comes next") {
-    const program::Words words = wordsOut(kServers, 256);
+    const process::Words words = wordsOut(kServers, 256);
     REQUIRE(words.out.size() == kServers);
     Folder folder;
     const std::string path = folder.path + "/poppyscale-n0.words";
-    REQUIRE(program::WordsFile(path).write(words).empty());
-    program::Words read;
-    CHECK(program::WordsFile(path).read(read).empty());
+    REQUIRE(process::WordsFile(path).write(words).empty());
+    process::Words read;
+    CHECK(process::WordsFile(path).read(read).empty());
     CHECK(read == words);
 
     Door discovery, origin, listening;
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("what operators say is refused where there is no room for it, instead of passed over") {
-    program::Words words;
+    process::Words words;
     int taken = 0;
     while (words.take("out " + serverId("out", taken))) ++taken;
     CHECK(taken > 4'000);
@@ -238,7 +238,7 @@
 
 TEST_CASE("servers that are gone are remembered up to a number of bytes, the latest the longest") {
     constexpr std::size_t kCapacity = 16'000'000 / 32;  // with the least memory
-    routing::KnownServers known(kCapacity);
+    discovery::KnownServers known(kCapacity);
     const auto longId = [](int number) { return serverId("gone", number) + std::string(237, 'x'); };
     REQUIRE(longId(0).size() >= 256);
     for (int i = 0; i < 1'024; ++i) known.add(longId(i));
@@ -289,7 +289,7 @@
     for (int i = 0; i < kServers; ++i)
         plan +=
             "[[agents]]\nname = \"" + serverId("m", i) + "\"\nsocket = \"/run/" + serverId("m", i) + "\"\n";
-    text::Problems problems("plan.toml");
+    config::Problems problems("plan.toml");
     const rollout::Plan read = rollout::readPlan(plan, "plan.toml", problems);
     CHECK(problems.none());
     CHECK(read.agents.size() == kServers);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -2,13 +2,13 @@
 // time.
 #include <doctest/doctest.h>
 
-#include "lab/explore/explorer.hpp"
-#include "lab/explore/leases.hpp"
-#include "lab/sim/leases.hpp"
-#include "lease/holder.hpp"
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
+#include "lease/lease_holder.hpp"
+#include "testbed/drivers/simulated/lease_run.hpp"
+#include "testbed/model_checker/lease_model.hpp"
+#include "testbed/model_checker/state_explorer.hpp"
 
-namespace lab = poppyscale::lab;
+namespace testbed = poppyscale::testbed;
 using poppyscale::Nanos;
 using namespace poppyscale::lease;
 
@@ -171,13 +171,13 @@
 TEST_CASE(
     "in every order of events looked at nobody acts beside another, and each guard is missed when left out") {
     const auto explored = [](std::set<Guard> without, double seconds) {
-        lab::LeasesWanted wanted;
+        testbed::LeasesWanted wanted;
         wanted.without = std::move(without);
         wanted.clocks = 0b00111;
-        lab::ExploreWanted how;
+        testbed::ExploreWanted how;
         how.seconds = seconds;
         how.mostStates = 2'000;  // the long runs are what finds them soon
-        return lab::Explorer(lab::LeaseModel(wanted), how).explore();
+        return testbed::Explorer(testbed::LeaseModel(wanted), how).explore();
     };
     const auto whole = explored({}, 3);
     CHECK_MESSAGE(whole.broken.empty(), whole.broken);
@@ -187,10 +187,10 @@
         const auto found = explored({guard}, 20);
         CHECK(!found.broken.empty());
         // What it prints is what breaks it.
-        lab::LeasesWanted wanted;
+        testbed::LeasesWanted wanted;
         wanted.without = {guard};
         wanted.clocks = 0b00111;
-        lab::LeaseModel again(wanted);
+        testbed::LeaseModel again(wanted);
         for (const auto& action : found.run) again.apply(action);
         if (found.healed) again.heal();
         CHECK(again.broken() == found.broken);
@@ -199,20 +199,20 @@
 
 TEST_CASE(
     "a fleet in virtual time, all faults: no overlap, no fence falls, and the same seed plays the same") {
-    lab::LeasePlay play;
+    testbed::LeasePlay play;
     play.seconds = 40;
     play.seed = 5;
     play.routers = 100;
     play.leases = 300;
-    const auto one = lab::playLeases(play), two = lab::playLeases(play);
+    const auto one = testbed::playLeases(play), two = testbed::playLeases(play);
     CHECK_MESSAGE(one.overlaps + one.fell == 0, one.first);
     CHECK(one.changes > 300);
     CHECK(one.digest == two.digest);
     play.faults = "none";
-    const auto calm = lab::playLeases(play);
+    const auto calm = testbed::playLeases(play);
     CHECK(calm.changes == 300);  // each is taken once and stays
     play.without = {Guard::fence};
-    CHECK(lab::playLeases(play).fell == 0);  // nobody changes, so none falls
+    CHECK(testbed::playLeases(play).fell == 0);  // nobody changes, so none falls
     play.faults = "all";
-    CHECK(lab::playLeases(play).fell > 0);
+    CHECK(testbed::playLeases(play).fell > 0);
 }
--- a/tests/long_test.cpp
+++ b/tests/long_value_test.cpp
@@ -5,8 +5,8 @@
 #include <random>
 #include <thread>
 
-#include "helper.hpp"
-#include "protocol/http.hpp"
+#include "fixtures.hpp"
+#include "protocol/http_response.hpp"
 #include "protocol/resp.hpp"
 
 using namespace poppyscale;
--- a/tests/operators_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -4,9 +4,9 @@
 #include <atomic>
 #include <thread>
 
-#include "console/call.hpp"
-#include "helper.hpp"
-#include "program/words.hpp"
+#include "control/console_command.hpp"
+#include "fixtures.hpp"
+#include "process/operator_state.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -101,17 +101,17 @@
 }  // namespace
 
 TEST_CASE("a line at the console is a call or words why it is none") {
-    using Kind = console::Call::Kind;
+    using Kind = control::Call::Kind;
     std::string wrong;
-    CHECK(console::readCall("status\r", wrong)->kind == Kind::status);
-    CHECK(console::readCall("maint-on  s-5be2a07c ", wrong)->server == "s-5be2a07c");
-    CHECK(console::readCall("maint-off c0", wrong)->kind == Kind::lift);
-    CHECK(console::readCall("standby", wrong)->kind == Kind::standby);
-    CHECK(console::readCall("active", wrong)->kind == Kind::active);
+    CHECK(control::readCall("status\r", wrong)->kind == Kind::status);
+    CHECK(control::readCall("maint-on  s-5be2a07c ", wrong)->server == "s-5be2a07c");
+    CHECK(control::readCall("maint-off c0", wrong)->kind == Kind::lift);
+    CHECK(control::readCall("standby", wrong)->kind == Kind::standby);
+    CHECK(control::readCall("active", wrong)->kind == Kind::active);
     for (const char* line :
          {"", " ", "dance", "STATUS", "maint-on", "maint-on a b", "status now", "\xff\x01", "*1"}) {
         wrong.clear();
-        CHECK(!console::readCall(line, wrong));
+        CHECK(!control::readCall(line, wrong));
         CHECK(!wrong.empty());
     }
 }
@@ -238,22 +238,22 @@
 
 TEST_CASE("operators' words on file: what can be read holds, whatever is wrong with the rest") {
     const auto read = [](const std::string& text, const std::string& problem) {
-        program::Words words;
+        process::Words words;
         CHECK(words.read(text).find(problem) != std::string::npos);
         CHECK(words.read(text).empty() == problem.empty());
         return words;
     };
-    program::Words words{{"c0", "s-5be2a07c"}, true};
+    process::Words words{{"c0", "s-5be2a07c"}, true};
     CHECK(read(words.text(), "") == words);
-    CHECK(read("", "") == program::Words{});
+    CHECK(read("", "") == process::Words{});
     CHECK(read("poppyscale words 1\nout c0\nout s-5b", "cut short").out == std::set<std::string>{"c0"});
     CHECK(read("poppyscale words 2\nout c0\nfrobnicate 7\nstandby\n", "another version").out.contains("c0"));
     CHECK(read("poppyscale words 1\nout \nout a b\nout \x01\nout c1\n", "can't be read").out.size() == 1);
-    CHECK(read(std::string(2'000'000, '\n'), "too long") == program::Words{});
-    CHECK(read(std::string("\0\xff\x80\n", 4), "nonsense") == program::Words{});
+    CHECK(read(std::string(2'000'000, '\n'), "too long") == process::Words{});
+    CHECK(read(std::string("\0\xff\x80\n", 4), "nonsense") == process::Words{});
     CHECK(words.take("in c0"));
     CHECK(words.take("active"));
-    CHECK(words == program::Words{{"s-5be2a07c"}, false});
+    CHECK(words == process::Words{{"s-5be2a07c"}, false});
     CHECK(!words.take("in"));
     CHECK(!words.take("out"));
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -2,10 +2,10 @@
 
 #include <random>
 
-#include "helper.hpp"
-#include "protocol/command.hpp"
-#include "protocol/discovery.hpp"
-#include "protocol/http.hpp"
+#include "fixtures.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "protocol/http_response.hpp"
+#include "protocol/request.hpp"
 #include "protocol/resp.hpp"
 
 using namespace poppyscale;
--- a/tests/agents_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -11,8 +11,8 @@
 #include <memory>
 #include <thread>
 
-#include "ctl/door.hpp"
-#include "rollout/words.hpp"
+#include "ctl/control_listener.hpp"
+#include "rollout/messages.hpp"
 
 using namespace poppyscale;
 using nlohmann::json;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <random>
 
-#include "rollout/agent.hpp"
 #include "rollout/evidence.hpp"
-#include "rollout/roll.hpp"
+#include "rollout/rollout_agent.hpp"
+#include "rollout/rollout_controller.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::rollout;
@@ -251,7 +251,7 @@
 }
 
 TEST_CASE("a plan's problems are told all at once, each with its line and key") {
-    text::Problems problems("p.toml");
+    config::Problems problems("p.toml");
     readPlan(
         "[[agents]]\nname = \"a\"\nsocket = \"x\"\n[[agents]]\nname = \"a\"\nsocket = "
         "\"/b\"\n[change]\nprogram = "
--- a/tests/daemon_test.cpp
+++ b/tests/router_process_test.cpp
@@ -11,8 +11,8 @@
 #include <fstream>
 #include <thread>
 
-#include "helper.hpp"
-#include "operator/plan.hpp"
+#include "config/operator_config.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -120,8 +120,8 @@
     "[[verbs]]\nname = \"pay\"\neffect = \"effectful\"\ngoal_ms = 500\nlimit_ms = 2000\n";
 
 std::string problemsOf(const std::string& text, bool platform) {
-    text::Problems problems("op.toml");
-    op::readPlan(text, "op.toml", platform, problems);
+    config::Problems problems("op.toml");
+    config::readPlan(text, "op.toml", platform, problems);
     return problems.text();
 }
 
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -4,8 +4,8 @@
 #include <chrono>
 #include <random>
 
-#include "helper.hpp"
-#include "routing/upstream.hpp"
+#include "fixtures.hpp"
+#include "proxy/connection_pool.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -41,20 +41,20 @@
 
 // One cache's connections without a program round them. Notes how relays end, and stops the loop for the
 // story to go on.
-struct Bare : routing::RelayOwner {
+struct Bare : proxy::RelayOwner {
     explicit Bare(std::size_t mostHeld)
         : links{loop, pool, *this, guard, 8, 1'000 * ms, 200 * ms, {}, mostHeld} {
         loop.eachTurn([this] { links.tend(); });
         cache.listed(Presence::ready, transport::parseAddress(door.address()), door.address());
     }
-    routing::Taker* relayGives(routing::Relay&, std::size_t, routing::Giver&) override { return nullptr; }
-    bool awaited(routing::Relay&) override { return true; }
-    void relayEnded(routing::Relay&, protocol::Outcome outcome) override {
+    proxy::Taker* relayGives(proxy::Relay&, std::size_t, proxy::Giver&) override { return nullptr; }
+    bool awaited(proxy::Relay&) override { return true; }
+    void relayEnded(proxy::Relay&, protocol::Outcome outcome) override {
         endings.push_back(outcome.ending);
         loop.stop();
     }
     // Sends the relay and lets the loop run for a moment.
-    void send(routing::Relay& relay) {
+    void send(proxy::Relay& relay) {
         relay.giveUpAt = transport::Loop::now() + 5'000 * ms;
         transport::Alarm pause(loop, [this] { loop.stop(); });
         pause.set(transport::Loop::now() + 100 * ms);
@@ -64,11 +64,11 @@
 
     transport::Pool pool{64};
     transport::Loop loop;
-    routing::Guard guard{[this](std::string_view text) { violations.emplace_back(text); }};
+    proxy::Guard guard{[this](std::string_view text) { violations.emplace_back(text); }};
     std::vector<std::string> violations;
-    routing::Links links;
+    proxy::Links links;
     Door door;
-    routing::Upstream cache{links, false};
+    proxy::Upstream cache{links, false};
     protocol::Command said;
     std::vector<Ending> endings;
 };
@@ -163,7 +163,7 @@
 TEST_CASE("a kept connection found broken before the command is written leaves it unrun") {
     Bare bare(64 * 1024);
     bare.said.info = "c=pay,d=900";
-    routing::Relay first(bare.loop, bare.said, bare.cache), second(bare.loop, bare.said, bare.cache);
+    proxy::Relay first(bare.loop, bare.said, bare.cache), second(bare.loop, bare.said, bare.cache);
     bare.send(first);
     Socket served = bare.door.accept();
     CHECK(served.command().size() == 4);
@@ -178,7 +178,7 @@
 
 TEST_CASE("a half-read answer past what all of them may hold fails its relay, as one that may have run") {
     Bare bare(16 * 1024);
-    routing::Relay relay(bare.loop, bare.said, bare.cache);
+    proxy::Relay relay(bare.loop, bare.said, bare.cache);
     bare.send(relay);
     Socket half = bare.door.accept();
     half.say(std::string_view(hit(std::string(40 * 1024, 'x'))).substr(0, 30 * 1024));
--- a/tests/logic_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <set>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
--- a/tests/start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -1,12 +1,12 @@
 // Start times of servers, told on a wall clock that is stepped, read on a monotonic one.
-#include "routing/start_times.hpp"
+#include "discovery/server_start_times.hpp"
 
 #include <doctest/doctest.h>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
-using routing::StartTimes;
+using discovery::StartTimes;
 
 namespace {
 
--- a/tests/ends_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -7,8 +7,8 @@
 #include <chrono>
 #include <optional>
 
-#include "helper.hpp"
-#include "routing/upstream.hpp"
+#include "fixtures.hpp"
+#include "proxy/connection_pool.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -260,19 +260,19 @@
 }
 
 TEST_CASE("a command whose last byte the kernel has taken may have run, though nobody was called back yet") {
-    struct Owner : routing::RelayOwner {
-        routing::Taker* relayGives(routing::Relay&, std::size_t, routing::Giver&) override { return nullptr; }
-        bool awaited(routing::Relay&) override { return true; }
-        void relayEnded(routing::Relay&, protocol::Outcome outcome) override { ended = outcome.ending; }
+    struct Owner : proxy::RelayOwner {
+        proxy::Taker* relayGives(proxy::Relay&, std::size_t, proxy::Giver&) override { return nullptr; }
+        bool awaited(proxy::Relay&) override { return true; }
+        void relayEnded(proxy::Relay&, protocol::Outcome outcome) override { ended = outcome.ending; }
         std::optional<Ending> ended;
     };
     transport::Pool pool{64};
     transport::Loop loop;
     Owner owner;
-    routing::Guard guard{[](std::string_view) {}};
-    routing::Links links{loop, pool, owner, guard, 8, 60'000 * ms, 2'000 * ms, {}, 64 * 1024};
+    proxy::Guard guard{[](std::string_view) {}};
+    proxy::Links links{loop, pool, owner, guard, 8, 60'000 * ms, 2'000 * ms, {}, 64 * 1024};
     Door door;
-    routing::Upstream cache{links, false};
+    proxy::Upstream cache{links, false};
     cache.listed(Presence::ready, transport::parseAddress(door.address()), door.address());
     const auto bound = [](int socket, int which, int bytes) {
         setsockopt(socket, SOL_SOCKET, which, &bytes, sizeof bytes);
@@ -287,7 +287,7 @@
     heavy.write = true;
     heavy.value = std::string(180'000, 'x');
     const std::size_t all = protocol::cacheCommand(heavy, 14'000 * ms).size();
-    routing::Relay opens(loop, first, cache), relay(loop, heavy, cache);
+    proxy::Relay opens(loop, first, cache), relay(loop, heavy, cache);
     opens.giveUpAt = relay.giveUpAt = transport::Loop::now() + 15'000 * ms;
     transport::Alarm late(loop, [&] { loop.stop(); });
     late.set(transport::Loop::now() + 10'000 * ms);
--- a/tests/wire_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -2,10 +2,10 @@
 
 #include <string>
 
-#include "wire/codec.hpp"
+#include "simulator_adapter/codec.hpp"
 
 using namespace poppyscale;
-using namespace poppyscale::wire;
+using namespace poppyscale::simulator_adapter;
 
 namespace {
 Line lineOf(std::string_view text) {
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -14,7 +14,7 @@
 #include <random>
 #include <thread>
 
-#include "helper.hpp"
+#include "fixtures.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
--- a/tests/sources_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -1,6 +1,8 @@
 // The selector of sources: its promises, checked over seeded random outages, and each safeguard left out in
 // turn, which the check of its promise must find.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include "discovery/source_selector.hpp"
+
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,10 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "sources/selector.hpp"
-
 using namespace poppyscale;
-using namespace poppyscale::sources;
+using namespace poppyscale::discovery;
 
 namespace {
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -9,13 +9,13 @@
 #include <memory>
 #include <thread>
 
-#include "helper.hpp"
-#include "lab/faults/plan.hpp"
+#include "fixtures.hpp"
+#include "testbed/fault_injection/fault_plan.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
 using namespace std::chrono_literals;
-namespace faults = poppyscale::lab::faults;
+namespace fault_injection = poppyscale::testbed::fault_injection;
 
 namespace {
 
@@ -26,37 +26,38 @@
         char path[] = "/tmp/poppyscale-faults-XXXXXX";
         const int fd = mkstemp(path);
         file_ = path;
-        if (fd < 0 || ftruncate(fd, sizeof(faults::Plan)) != 0)
+        if (fd < 0 || ftruncate(fd, sizeof(fault_injection::Plan)) != 0)
             throw std::runtime_error("no file for a plan");
-        void* const at = mmap(nullptr, sizeof(faults::Plan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+        void* const at =
+            mmap(nullptr, sizeof(fault_injection::Plan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         close(fd);
         if (at == MAP_FAILED) throw std::runtime_error("no memory for a plan");
-        plan_ = new (at) faults::Plan;
-        setenv(faults::kVariable, path, 1);
-        setenv("LD_PRELOAD", POPPYLAB_FAULTS, 1);
+        plan_ = new (at) fault_injection::Plan;
+        setenv(fault_injection::kVariable, path, 1);
+        setenv("LD_PRELOAD", POPPYSCALE_FAULT_INJECTION, 1);
         setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     }
     ~FaultPlan() {
-        unsetenv(faults::kVariable);
+        unsetenv(fault_injection::kVariable);
         unsetenv("LD_PRELOAD");
         unsetenv("ASAN_OPTIONS");
-        munmap(plan_, sizeof(faults::Plan));
+        munmap(plan_, sizeof(fault_injection::Plan));
         unlink(file_.c_str());
     }
     FaultPlan(const FaultPlan&) = delete;
     FaultPlan& operator=(const FaultPlan&) = delete;
 
-    void fail(faults::Call call, faults::Way way, double share) {
+    void fail(fault_injection::Call call, fault_injection::Way way, double share) {
         plan_->share[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)] =
-            static_cast<std::uint32_t>(share * faults::kOne);
+            static_cast<std::uint32_t>(share * fault_injection::kOne);
     }
-    std::uint64_t happened(faults::Call call, faults::Way way) const {
+    std::uint64_t happened(fault_injection::Call call, fault_injection::Way way) const {
         return plan_->happened[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)];
     }
 
   private:
     std::string file_;
-    faults::Plan* plan_ = nullptr;
+    fault_injection::Plan* plan_ = nullptr;
 };
 
 // A cache server that has every key.
@@ -112,8 +113,8 @@
 }
 
 struct Case {
-    faults::Call call;
-    faults::Way way;
+    fault_injection::Call call;
+    fault_injection::Way way;
     double share;
 };
 
@@ -136,8 +137,8 @@
     CHECK(counted.answered + counted.rejected == requests);
     CHECK(counted.answered > requests / 2);
     for (const Case& one : cases) {
-        CAPTURE(faults::kCallNames[static_cast<std::size_t>(one.call)]);
-        CAPTURE(faults::kWayNames[static_cast<std::size_t>(one.way)]);
+        CAPTURE(fault_injection::kCallNames[static_cast<std::size_t>(one.call)]);
+        CAPTURE(fault_injection::kWayNames[static_cast<std::size_t>(one.way)]);
         CHECK(plan.happened(one.call, one.way) > 0);
     }
     CHECK(program.running());
@@ -147,17 +148,17 @@
 }  // namespace
 
 TEST_CASE("a client that connects while accepting fails for a moment has its answer") {
-    using faults::Call;
-    using faults::Way;
+    using fault_injection::Call;
+    using fault_injection::Way;
     for (const Way way : {Way::noFiles, Way::noBuffers, Way::noMemory, Way::aborted, Way::interrupted}) {
-        CAPTURE(faults::kWayNames[static_cast<std::size_t>(way)]);
+        CAPTURE(fault_injection::kWayNames[static_cast<std::size_t>(way)]);
         checkCases({{Call::accept, way, 0.1}}, 200);
     }
 }
 
 TEST_CASE("connections to servers that can't be made for a moment cost no request its answer") {
-    using faults::Call;
-    using faults::Way;
+    using fault_injection::Call;
+    using fault_injection::Way;
     checkCases({{Call::socket, Way::noFiles, 0.1},
                 {Call::connect, Way::noAddress, 0.1},
                 {Call::connect, Way::unreachable, 0.1},
@@ -167,8 +168,8 @@
 }
 
 TEST_CASE("short and interrupted reads, writes and polls change nothing") {
-    using faults::Call;
-    using faults::Way;
+    using fault_injection::Call;
+    using fault_injection::Way;
     checkCases({{Call::read, Way::partial, 0.6},
                 {Call::read, Way::interrupted, 0.1},
                 {Call::read, Way::tryAgain, 0.1},
@@ -180,8 +181,8 @@
 }
 
 TEST_CASE("all of these together") {
-    using faults::Call;
-    using faults::Way;
+    using fault_injection::Call;
+    using fault_injection::Way;
     checkCases({{Call::accept, Way::noFiles, 0.05},
                 {Call::accept, Way::aborted, 0.05},
                 {Call::socket, Way::noBuffers, 0.5},
--- a/tests/lab_world_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -7,15 +7,15 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "lab/model/machine.hpp"
-#include "lab/model/scenario.hpp"
-#include "lab/report/cold_load.hpp"
-#include "lab/report/judge.hpp"
-#include "lab/sim/sim.hpp"
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "testbed/audit/slow_start_load.hpp"
+#include "testbed/drivers/simulated/simulated_run.hpp"
+#include "testbed/emulator/scenario.hpp"
+#include "testbed/emulator/server_model.hpp"
+#include "testbed/report/verdict.hpp"
 
 using namespace poppyscale;
-using namespace poppyscale::lab;
+using namespace poppyscale::testbed;
 
 namespace {
 
@@ -222,10 +222,10 @@
         std::filesystem::remove(path);
         return text;
     };
-    const std::string once = play(5, "poppylab-a.tsv");
+    const std::string once = play(5, "poppyscale_testbed-a.tsv");
     CHECK(once.size() > 10'000);
-    CHECK(once == play(5, "poppylab-b.tsv"));
-    CHECK(once != play(6, "poppylab-c.tsv"));
+    CHECK(once == play(5, "poppyscale_testbed-b.tsv"));
+    CHECK(once != play(6, "poppyscale_testbed-c.tsv"));
 }
 
 TEST_CASE("no false alarm on twenty seeds of calm and of crash") {
--- a/tests/lab_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -16,8 +16,8 @@
 #include <thread>
 #include <vector>
 
-#include "lab/live/http_call.hpp"
-#include "lab/report/experiment.hpp"
+#include "testbed/drivers/live/http_request.hpp"
+#include "testbed/report/experiment.hpp"
 
 namespace {
 
@@ -29,7 +29,8 @@
 
 Said call(const std::string& arguments) {
     Said said;
-    FILE* const pipe = popen((std::string(POPPYLAB " ") + arguments + " 2>&1").c_str(), "r");
+    FILE* const pipe =
+        popen((std::string(POPPYSCALE_TESTBED_PROGRAM " ") + arguments + " 2>&1").c_str(), "r");
     std::array<char, 4096> buffer{};
     while (const std::size_t got = std::fread(buffer.data(), 1, buffer.size(), pipe))
         said.text.append(buffer.data(), got);
@@ -69,10 +70,10 @@
             dup2(ends[1], 2);
             close(ends[0]);
             close(ends[1]);
-            std::vector<char*> arguments{const_cast<char*>(POPPYLAB)};
+            std::vector<char*> arguments{const_cast<char*>(POPPYSCALE_TESTBED_PROGRAM)};
             for (const auto& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
             arguments.push_back(nullptr);
-            execv(POPPYLAB, arguments.data());
+            execv(POPPYSCALE_TESTBED_PROGRAM, arguments.data());
             _exit(127);
         }
         close(ends[1]);
@@ -100,7 +101,8 @@
 // A folder of its own, gone with the story.
 struct Folder {
     Folder() {
-        std::string name = (std::filesystem::temp_directory_path() / "poppylab-story-XXXXXX").string();
+        std::string name =
+            (std::filesystem::temp_directory_path() / "poppyscale_testbed-story-XXXXXX").string();
         path = mkdtemp(name.data());
     }
     ~Folder() { std::filesystem::remove_all(path); }
@@ -196,7 +198,8 @@
     const std::string slow = "[[faults]]\nkind = \"slow\"\nat_ms = 300\nfor_ms = 3500\ncount = 6\nby = 12\n";
     std::vector<std::pair<std::string, On>> days;
     const auto playDefect = [&](const std::string& defect, const std::string& rule, const std::string& file) {
-        days.emplace_back(rule, "run " + file + " --program '" POPPYLAB " fault-router " + defect + "'");
+        days.emplace_back(
+            rule, "run " + file + " --program '" POPPYSCALE_TESTBED_PROGRAM " fault-router " + defect + "'");
     };
     const auto play = [&](const std::string& rule, const std::string& file) { playDefect(rule, rule, file); };
     for (const char* rule : {"none", "twice", "lost", "foreign", "crash"}) play(rule, calm);
@@ -223,9 +226,9 @@
     const std::string bad = day(f, "bad", 3000, {{"zipf = 1.0", "zpif = 1.0"}}, "");
     const Said said = call("sim " + bad);
     CHECK(said.code == 2);
-    CHECK(said.last == "poppylab: " + bad + ":32: load.zpif: is not a key that is known here");
+    CHECK(said.last == "poppyscale_testbed: " + bad + ":32: load.zpif: is not a key that is known here");
     CHECK(call("sim").code == 2);
-    CHECK(call("sim /nowhere.toml").last == "poppylab: /nowhere.toml:1: can't be read");
+    CHECK(call("sim /nowhere.toml").last == "poppyscale_testbed: /nowhere.toml:1: can't be read");
     const Said gone = call("run " SCENARIOS "/calm.toml --program /nowhere/router");
     CHECK(gone.code == 2);
     CHECK(gone.last.find("ended before it was ready") != std::string::npos);
@@ -260,7 +263,7 @@
 }
 
 TEST_CASE("pairs that differ by chance are told from those that don't") {
-    using poppyscale::lab::chanceOf;
+    using poppyscale::testbed::chanceOf;
     CHECK(chanceOf({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
     CHECK(chanceOf({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
     CHECK(chanceOf({0, 0, 0, 0}) == doctest::Approx(1));
@@ -268,8 +271,8 @@
 }
 
 TEST_CASE("calls to the origin and to discovery are taken in pieces, one after the other") {
-    poppyscale::lab::HttpCall call;
-    using State = poppyscale::lab::HttpCall::State;
+    poppyscale::testbed::HttpCall call;
+    using State = poppyscale::testbed::HttpCall::State;
     const std::string text =
         "PUT /k1 HTTP/1.1\r\nHost: o\r\nx-call-id: 9b\r\nX-Call-Info: c=put,k=7\r\nContent-Length: "
         "3\r\n\r\nabc"
--- a/tests/lab_roll_test.cpp
+++ b/tests/testbed_rollout_test.cpp
@@ -113,8 +113,8 @@
         const std::string path = folder_ + "/" + name + ".toml", out = folder_ + "/" + name;
         std::ofstream(path) << text;
         Played played{name, -1, "", "", ""};
-        FILE* const pipe = popen((std::string(POPPYLAB " run ") + path + " --program " POPPYSCALE_PROGRAM +
-                                  words + " --out " + out + " 2>&1")
+        FILE* const pipe = popen((std::string(POPPYSCALE_TESTBED_PROGRAM " run ") + path +
+                                  " --program " POPPYSCALE_PROGRAM + words + " --out " + out + " 2>&1")
                                      .c_str(),
                                  "r");
         std::array<char, 4096> buffer{};
--- a/tests/lab_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -15,15 +15,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/scale/in_force.hpp"
-#include "lab/scale/record.hpp"
-#include "lab/scale/server_list.hpp"
-#include "protocol/discovery.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "testbed/scale/in_force.hpp"
+#include "testbed/scale/record.hpp"
+#include "testbed/scale/server_list.hpp"
 
 namespace {
 
 using namespace poppyscale;
-using namespace poppyscale::lab::scale;
+using namespace poppyscale::testbed::scale;
 
 struct Output {
     int code = -1;
@@ -67,7 +67,8 @@
 };
 
 std::string scaleCommand(const std::string& file, const std::string& folder, const std::string& more) {
-    return std::string(POPPYLAB) + " scale " + file + " --zones 3 --caches 100 --out " + folder + " " + more;
+    return std::string(POPPYSCALE_TESTBED_PROGRAM) + " scale " + file + " --zones 3 --caches 100 --out " +
+           folder + " " + more;
 }
 
 nlohmann::json resultIn(const std::string& folder) {
@@ -282,7 +283,7 @@
     };
     refused(plain, "--routers 2 --purges-per-second 3", "no mechanism carries purges yet");
     refused(plain, "--routers 0", "a run needs a router");
-    isRefused(std::string(POPPYLAB) + " scale " + plain +
+    isRefused(std::string(POPPYSCALE_TESTBED_PROGRAM) + " scale " + plain +
                   " --routers 100000 --caches 100000 --seconds 1 --out " + (folder / "out"),
               "over half of the machine's");
     refused(plain, "--routers 2 --without sense", "no known mistake is called 'sense'");
