--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -7,12 +7,12 @@
 
 namespace poppyscale::config {
 
-void Problems::add(std::uint32_t line, std::string_view key, std::string_view what) {
+void ConfigProblems::add(std::uint32_t line, std::string_view key, std::string_view what) {
     all_.emplace_back(line, fmt::format("{}:{}: {}{}{}", file_, std::max<std::uint32_t>(line, 1), key,
                                         key.empty() ? "" : ": ", what));
 }
 
-std::string Problems::text() const {
+std::string ConfigProblems::text() const {
     auto sorted = all_;
     std::stable_sort(sorted.begin(), sorted.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -21,23 +21,23 @@
     return out;
 }
 
-std::string Table::below(std::string_view key) const {
+std::string TomlTable::below(std::string_view key) const {
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-void Table::problem(std::string_view key, std::string_view what) {
+void TomlTable::problem(std::string_view key, std::string_view what) {
     const toml::node* const node = table_.get(key);
     problems_.add((node ? node->source() : table_.source()).begin.line, below(key), what);
 }
 
-const toml::node* Table::find(std::string_view key, bool must) {
+const toml::node* TomlTable::find(std::string_view key, bool must) {
     asked_.emplace(key);
     const toml::node* const node = table_.get(key);
     if (!node && must) problem(key, "is missing");
     return node;
 }
 
-double Table::real(std::string_view key, std::optional<double> otherwise, double least, double most) {
+double TomlTable::number(std::string_view key, std::optional<double> otherwise, double least, double most) {
     const toml::node* const node = find(key, !otherwise);
     if (!node) return otherwise.value_or(least);
     const auto value = node->value<double>();
@@ -52,7 +52,7 @@
     return *value;
 }
 
-int Table::whole(std::string_view key, std::optional<int> otherwise, int least, int most) {
+int TomlTable::integer(std::string_view key, std::optional<int> otherwise, int least, int most) {
     const toml::node* const node = find(key, !otherwise);
     if (!node) return otherwise.value_or(least);
     if (!node->is_integer()) {
@@ -67,15 +67,15 @@
     return static_cast<int>(value);
 }
 
-Nanos Table::millis(std::string_view key, std::optional<double> otherwise) {
-    return static_cast<Nanos>(real(key, otherwise, 0, 1e8) * 1e6);
+Nanos TomlTable::millis(std::string_view key, std::optional<double> otherwise) {
+    return static_cast<Nanos>(number(key, otherwise, 0, 1e8) * 1e6);
 }
 
-Nanos Table::micros(std::string_view key, std::optional<double> otherwise) {
-    return static_cast<Nanos>(real(key, otherwise, 0, 1e9) * 1e3);
+Nanos TomlTable::micros(std::string_view key, std::optional<double> otherwise) {
+    return static_cast<Nanos>(number(key, otherwise, 0, 1e9) * 1e3);
 }
 
-bool Table::yes(std::string_view key, bool otherwise) {
+bool TomlTable::boolean(std::string_view key, bool otherwise) {
     const toml::node* const node = find(key, false);
     if (!node) return otherwise;
     if (!node->is_boolean()) {
@@ -85,18 +85,18 @@
     return node->as_boolean()->get();
 }
 
-std::string Table::textOf(std::string_view key, const toml::node& node) {
+std::string TomlTable::textOf(std::string_view key, const toml::node& node) {
     if (node.is_string()) return node.as_string()->get();
     problem(key, "is not a text");
     return "";
 }
 
-std::string Table::text(std::string_view key, std::optional<std::string> otherwise) {
+std::string TomlTable::string(std::string_view key, std::optional<std::string> otherwise) {
     const toml::node* const node = find(key, !otherwise);
     return node ? textOf(key, *node) : otherwise.value_or("");
 }
 
-std::vector<std::string> Table::texts(std::string_view key) {
+std::vector<std::string> TomlTable::strings(std::string_view key) {
     std::vector<std::string> all;
     const toml::node* const node = find(key, true);
     if (!node) return all;
@@ -114,7 +114,7 @@
     return all;
 }
 
-std::vector<int> Table::wholes(std::string_view key, int least, int most) {
+std::vector<int> TomlTable::integers(std::string_view key, int least, int most) {
     std::vector<int> all;
     const toml::node* const node = find(key, false);
     if (!node) return all;
@@ -133,12 +133,13 @@
     return all;
 }
 
-void Table::finish() {
+void TomlTable::finish() {
     for (const auto& [key, node] : table_)
         if (!asked_.contains(std::string(key.str()))) problem(key.str(), "is not a key that is known here");
 }
 
-std::optional<toml::table> parseToml(std::string_view text, const std::string& file, Problems& problems) {
+std::optional<toml::table> parseToml(std::string_view text, const std::string& file,
+                                     ConfigProblems& problems) {
     try {
         return toml::parse(text, file);
     } catch (const toml::parse_error& problem) {
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -16,9 +16,9 @@
 
 namespace poppyscale::config {
 
-class Problems {
+class ConfigProblems {
   public:
-    explicit Problems(std::string file) : file_(std::move(file)) {}
+    explicit ConfigProblems(std::string file) : file_(std::move(file)) {}
     void add(std::uint32_t line, std::string_view key, std::string_view what);
     bool none() const { return all_.empty(); }
     std::size_t count() const { return all_.size(); }
@@ -34,23 +34,26 @@
 using Words = std::vector<std::pair<std::string_view, T>>;
 
 // One table of a file. Where a key can't be read its problem is noted and a harmless value comes back.
-class Table {
+class TomlTable {
   public:
-    Table(const toml::table& table, Problems& problems, std::string path = "")
+    TomlTable(const toml::table& table, ConfigProblems& problems, std::string path = "")
         : table_(table), problems_(problems), path_(std::move(path)) {}
 
     void problem(std::string_view key, std::string_view what);
 
-    double real(std::string_view key, std::optional<double> otherwise, double least = 0, double most = 1e12);
-    double part(std::string_view key, std::optional<double> otherwise) { return real(key, otherwise, 0, 1); }
-    int whole(std::string_view key, std::optional<int> otherwise, int least = 0, int most = 10'000'000);
+    double number(std::string_view key, std::optional<double> otherwise, double least = 0,
+                  double most = 1e12);
+    double fraction(std::string_view key, std::optional<double> otherwise) {
+        return number(key, otherwise, 0, 1);
+    }
+    int integer(std::string_view key, std::optional<int> otherwise, int least = 0, int most = 10'000'000);
     Nanos millis(std::string_view key, std::optional<double> otherwise);
     Nanos micros(std::string_view key, std::optional<double> otherwise);
-    bool yes(std::string_view key, bool otherwise);
-    std::string text(std::string_view key, std::optional<std::string> otherwise);
-    std::vector<std::string> texts(std::string_view key);
+    bool boolean(std::string_view key, bool otherwise);
+    std::string string(std::string_view key, std::optional<std::string> otherwise);
+    std::vector<std::string> strings(std::string_view key);
     // A list that may be left out.
-    std::vector<int> wholes(std::string_view key, int least, int most);
+    std::vector<int> integers(std::string_view key, int least, int most);
     bool has(std::string_view key) const { return table_.contains(key); }
     void skip(std::string_view key) { asked_.emplace(key); }  // known, but read elsewhere
 
@@ -75,8 +78,9 @@
         if (node && !node->is_table()) problem(key, "is not a table");
         const bool there = node && node->is_table();
         // What an absent table lacks was told by its own absence.
-        Problems unheard("");
-        Table inner(there ? *node->as_table() : nothing, there || !must ? problems_ : unheard, below(key));
+        ConfigProblems unheard("");
+        TomlTable inner(there ? *node->as_table() : nothing, there || !must ? problems_ : unheard,
+                        below(key));
         read(inner);
         inner.finish();
     }
@@ -87,7 +91,7 @@
         if (!node->is_array_of_tables()) return problem(key, "is not a list of tables");
         int at = 0;
         for (const toml::node& item : *node->as_array()) {
-            Table inner(*item.as_table(), problems_, below(key) + "[" + std::to_string(at++) + "]");
+            TomlTable inner(*item.as_table(), problems_, below(key) + "[" + std::to_string(at++) + "]");
             read(inner);
             inner.finish();
         }
@@ -101,12 +105,13 @@
     std::string textOf(std::string_view key, const toml::node& node);
 
     const toml::table& table_;
-    Problems& problems_;
+    ConfigProblems& problems_;
     std::string path_;
     std::set<std::string, std::less<>> asked_;
 };
 
 // Null, with the problem noted, when it is not TOML.
-std::optional<toml::table> parseToml(std::string_view text, const std::string& file, Problems& problems);
+std::optional<toml::table> parseToml(std::string_view text, const std::string& file,
+                                     ConfigProblems& problems);
 
 }  // namespace poppyscale::config
--- a/src/control/console_command.cpp
+++ b/src/control/console_command.cpp
@@ -9,14 +9,14 @@
 
 struct Entry {
     std::string_view word;
-    Call::Kind kind;
+    ConsoleCommand::Kind kind;
     bool named;  // a server's id follows
 };
-constexpr std::array<Entry, 5> kCalls{{{"status", Call::Kind::status, false},
-                                       {"maint-on", Call::Kind::ban, true},
-                                       {"maint-off", Call::Kind::lift, true},
-                                       {"standby", Call::Kind::standby, false},
-                                       {"active", Call::Kind::active, false}}};
+constexpr std::array<Entry, 5> kCalls{{{"status", ConsoleCommand::Kind::status, false},
+                                       {"maint-on", ConsoleCommand::Kind::eject, true},
+                                       {"maint-off", ConsoleCommand::Kind::restore, true},
+                                       {"standby", ConsoleCommand::Kind::standby, false},
+                                       {"active", ConsoleCommand::Kind::active, false}}};
 
 std::vector<std::string_view> wordsOf(std::string_view line) {
     std::vector<std::string_view> words;
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-std::string Reply::line() const { return (yes ? "ACK " : "NAK ") + words + "\n"; }
+std::string ConsoleReply::line() const { return (isAccepted ? "ACK " : "NAK ") + text + "\n"; }
 
-std::optional<Call> readCall(std::string_view line, std::string& wrong) {
+std::optional<ConsoleCommand> readConsoleCommand(std::string_view line, std::string& wrong) {
     if (line.ends_with('\r')) line.remove_suffix(1);
     const bool plain = std::all_of(line.begin(), line.end(),
                                    [](unsigned char c) { return c == '\t' || (c >= ' ' && c < 0x7f); });
@@ -51,7 +51,7 @@
         wrong = std::string(words[0]) + (entry->named ? " takes one id" : " takes nothing more");
         return std::nullopt;
     }
-    return Call{entry->kind, entry->named ? std::string(words[1]) : ""};
+    return ConsoleCommand{entry->kind, entry->named ? std::string(words[1]) : ""};
 }
 
 }  // namespace poppyscale::control
--- a/src/control/console_command.hpp
+++ b/src/control/console_command.hpp
@@ -8,22 +8,22 @@
 
 namespace poppyscale::control {
 
-struct Call {
-    enum class Kind : std::uint8_t { status, ban, lift, standby, active };
+struct ConsoleCommand {
+    enum class Kind : std::uint8_t { status, eject, restore, standby, active };
     Kind kind = Kind::status;
     std::string server;  // of `ban` and `lift`
 };
 
 // What is said back: a yes or a no, and why.
-struct Reply {
-    bool yes = false;
-    std::string words;
+struct ConsoleReply {
+    bool isAccepted = false;
+    std::string text;
     std::string line() const;
 };
 
-constexpr std::size_t kLongestLine = 256;  // with its end
+constexpr std::size_t kMaxConsoleLine = 256;  // with its end
 
 // A line without its LF; a CR before that is no part of it. Without a call, `wrong` says why.
-std::optional<Call> readCall(std::string_view line, std::string& wrong);
+std::optional<ConsoleCommand> readConsoleCommand(std::string_view line, std::string& wrong);
 
 }  // namespace poppyscale::control
--- a/src/control/console_listener.hpp
+++ b/src/control/console_listener.hpp
@@ -11,30 +11,31 @@
 
 namespace poppyscale::control {
 
-class Caller;
+class ConsoleConnection;
 
-class Door {
+class ConsoleListener {
   public:
-    using Answer = std::function<Reply(const Call&)>;
-    Door(transport::Loop& loop, transport::Pool& pool, std::size_t mostCallers, Answer answer);
-    ~Door();
+    using CommandHandler = std::function<ConsoleReply(const ConsoleCommand&)>;
+    ConsoleListener(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t mostCallers,
+                    CommandHandler answer);
+    ~ConsoleListener();
 
     // Empty when it listens, else what is wrong.
     std::string listen(const transport::Address& at) { return listener_.listen(at); }
-    std::string listenOn(int descriptor) { return listener_.listenOn(descriptor); }
+    std::string listenOn(int descriptor) { return listener_.adopt(descriptor); }
     int descriptor() const { return listener_.descriptor(); }
 
   private:
-    friend class Caller;
+    friend class ConsoleConnection;
     void admit(const std::function<bool(transport::Connection&)>& finish);
-    void drop(Caller& caller);  // which is gone after this
+    void drop(ConsoleConnection& caller);  // which is gone after this
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
     std::size_t mostCallers_;
-    Answer answer_;
+    CommandHandler answer_;
     transport::Listener listener_;
-    std::list<std::unique_ptr<Caller>> callers_;  // the oldest first
+    std::list<std::unique_ptr<ConsoleConnection>> callers_;  // the oldest first
 };
 
 }  // namespace poppyscale::control
--- a/src/control/operator_socket.cpp
+++ b/src/control/operator_socket.cpp
@@ -22,20 +22,20 @@
 
 }  // namespace
 
-Server::Server(transport::Loop& loop, transport::Pool& pool, Answer answer)
+OperatorSocket::OperatorSocket(transport::EventLoop& loop, transport::BufferPool& pool, RequestHandler answer)
     : loop_(loop), pool_(pool), answer_(std::move(answer)) {}
 
-Server::~Server() {
+OperatorSocket::~OperatorSocket() {
     if (ours_) ::unlink(path_.c_str());
 }
 
-std::string Server::listen(const std::string& path) {
+std::string OperatorSocket::listen(const std::string& path) {
     listener_ = std::make_unique<transport::Listener>(
         loop_,
         [this](const auto& finish) {
-            auto session = std::make_unique<Session>(*this);
+            auto session = std::make_unique<OperatorSession>(*this);
             if (!finish(session->connection_) || sessions_.size() >= kMostSessions) return;
-            session->connection_.read(true);
+            session->connection_.setReading(true);
             sessions_.push_back(std::move(session));
         },
         transport::Connection::Kind::local);
@@ -43,44 +43,44 @@
     struct stat at {};
     if (before.second && ::lstat(path.c_str(), &at) == 0 && !S_ISSOCK(at.st_mode))
         return "there is a file that is no socket";
-    const std::string problem = listener_->listenAt(path);
+    const std::string problem = listener_->listenAtPath(path);
     if (!problem.empty()) return problem;
     path_ = path;
     ours_ = true;
     return "";
 }
 
-Session& Server::join(int descriptor) {
-    Session& session = *sessions_.emplace_back(std::make_unique<Session>(*this));
-    if (session.connection_.adopt(descriptor)) session.connection_.read(true);
+OperatorSession& OperatorSocket::adopt(int descriptor) {
+    OperatorSession& session = *sessions_.emplace_back(std::make_unique<OperatorSession>(*this));
+    if (session.connection_.adopt(descriptor)) session.connection_.setReading(true);
     return session;
 }
 
-void Server::drop(Session& session) {
+void OperatorSocket::remove(OperatorSession& session) {
     sessions_.remove_if([&](const auto& s) { return s.get() == &session; });
 }
 
-Session::Session(Server& server)
+OperatorSession::OperatorSession(OperatorSocket& server)
     : server_(server), connection_(server.loop_, server.pool_, *this, transport::Connection::Kind::local) {}
 
-Session::~Session() = default;
+OperatorSession::~OperatorSession() = default;
 
-void Session::say(const nlohmann::json& answer) {
+void OperatorSession::send(const nlohmann::json& answer) {
     connection_.write(answer.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n");
 }
 
-bool Session::pass(int descriptor) {
-    if (toPass_.empty() && connection_.unsent() == 0) return send(descriptor);
+bool OperatorSession::passDescriptor(int descriptor) {
+    if (toPass_.empty() && connection_.unsentBytes() == 0) return sendDescriptor(descriptor);
     toPass_.push_back(descriptor);
     return true;
 }
 
-void Session::emptied() {
+void OperatorSession::onDrained() {
     for (const int descriptor : std::exchange(toPass_, {}))
-        if (!send(descriptor)) return ended();
+        if (!sendDescriptor(descriptor)) return onClosed();
 }
 
-bool Session::send(int descriptor) {
+bool OperatorSession::sendDescriptor(int descriptor) {
     char byte = '+';
     iovec piece{&byte, 1};
     alignas(cmsghdr) char room[CMSG_SPACE(sizeof descriptor)] = {};
@@ -97,11 +97,11 @@
     return ::sendmsg(connection_.descriptor(), &message, MSG_NOSIGNAL | MSG_DONTWAIT) == 1;
 }
 
-void Session::received(std::string_view bytes) {
+void OperatorSession::onData(std::string_view bytes) {
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         line_ += bytes.substr(0, end);
-        if (line_.size() > kLongestLine) return ended();
+        if (line_.size() > kLongestLine) return onClosed();
         if (end == std::string_view::npos) return;
         bytes.remove_prefix(end + 1);
         const auto asked = nlohmann::json::parse(std::exchange(line_, {}), nullptr, false);
@@ -114,13 +114,13 @@
         } catch (const nlohmann::json::exception& problem) {
             answer = {{"error", problem.what()}};
         }
-        if (!answer.is_null()) say(answer);
+        if (!answer.is_null()) send(answer);
     }
 }
 
-void Session::ended() {
-    const auto tell = std::exchange(gone, {});
-    server_.drop(*this);
+void OperatorSession::onClosed() {
+    const auto tell = std::exchange(onPeerClosed, {});
+    server_.remove(*this);
     if (tell) tell();
 }
 
--- a/src/control/operator_socket.hpp
+++ b/src/control/operator_socket.hpp
@@ -13,58 +13,59 @@
 
 namespace poppyscale::control {
 
-class Session;
+class OperatorSession;
 
-class Server {
+class OperatorSocket {
   public:
     // Answers what was asked. `session` is for calls that go on: a hand-over.
-    using Answer = std::function<nlohmann::json(Session& session, const nlohmann::json& asked)>;
-    Server(transport::Loop& loop, transport::Pool& pool, Answer answer);
-    ~Server();
+    using RequestHandler =
+        std::function<nlohmann::json(OperatorSession& session, const nlohmann::json& asked)>;
+    OperatorSocket(transport::EventLoop& loop, transport::BufferPool& pool, RequestHandler answer);
+    ~OperatorSocket();
 
     // Empty when it listens at that path, else what is wrong.
     std::string listen(const std::string& path);
     const std::string& path() const { return path_; }
     // A connection that was made by hand; its other side asks and answers as any does.
-    Session& join(int descriptor);
+    OperatorSession& adopt(int descriptor);
     // Another process has its own socket at that path by now, or will.
-    void leavePath() { ours_ = false; }
-    std::size_t count() const { return sessions_.size(); }
+    void releasePath() { ours_ = false; }
+    std::size_t sessionCount() const { return sessions_.size(); }
 
   private:
-    friend class Session;
-    void drop(Session& session);  // which is gone after this
+    friend class OperatorSession;
+    void remove(OperatorSession& session);  // which is gone after this
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
-    Answer answer_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
+    RequestHandler answer_;
     std::string path_;
     bool ours_ = false;
     std::unique_ptr<transport::Listener> listener_;
-    std::list<std::unique_ptr<Session>> sessions_;
+    std::list<std::unique_ptr<OperatorSession>> sessions_;
 };
 
-class Session : private transport::Connection::Owner {
+class OperatorSession : private transport::Connection::Handler {
   public:
-    explicit Session(Server& server);
-    ~Session() override;
+    explicit OperatorSession(OperatorSocket& server);
+    ~OperatorSession() override;
 
-    void say(const nlohmann::json& answer);
+    void send(const nlohmann::json& answer);
     // Sends a descriptor beside one byte, after all that was said; false when the other side can't take it.
-    bool pass(int descriptor);
+    bool passDescriptor(int descriptor);
     // The other side has gone, which may not have been read yet.
-    bool left() const { return connection_.left(); }
+    bool hasPeerClosed() const { return connection_.hasPeerClosed(); }
     // Called once, when the other side has gone; not when this one is dropped by its server.
-    std::function<void()> gone;
+    std::function<void()> onPeerClosed;
 
   private:
-    friend class Server;
-    void received(std::string_view bytes) override;
-    void ended() override;
-    void emptied() override;
-    bool send(int descriptor);
+    friend class OperatorSocket;
+    void onData(std::string_view bytes) override;
+    void onClosed() override;
+    void onDrained() override;
+    bool sendDescriptor(int descriptor);
 
-    Server& server_;
+    OperatorSocket& server_;
     transport::Connection connection_;
     std::string line_;
     std::vector<int> toPass_;  // descriptors that wait until all that was said is with the kernel
--- a/src/ctl/control_listener.cpp
+++ b/src/ctl/control_listener.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-Door::Door(std::string path, Asked asked) : path_(std::move(path)), asked_(std::move(asked)) {
+ControlListener::ControlListener(std::string path, RequestHandler asked)
+    : path_(std::move(path)), asked_(std::move(asked)) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
     if (path_.size() >= sizeof at.sun_path)
@@ -35,26 +36,26 @@
     throw std::runtime_error(fmt::format("can't listen at {}: {}", path_, std::strerror(failed)));
 }
 
-Door::~Door() {
-    for (const Caller& c : callers_) ::close(c.fd);
+ControlListener::~ControlListener() {
+    for (const Client& c : callers_) ::close(c.fd);
     ::close(fd_);
     ::unlink(path_.c_str());
 }
 
-void Door::waitFor(std::vector<pollfd>& all) const {
+void ControlListener::addPollDescriptors(std::vector<pollfd>& all) const {
     all.push_back({fd_, POLLIN, 0});
-    for (const Caller& c : callers_)
+    for (const Client& c : callers_)
         all.push_back({c.fd, static_cast<short>(c.out.empty() ? POLLIN : POLLIN | POLLOUT), 0});
 }
 
-void Door::turn() {
+void ControlListener::runIteration() {
     for (int fd; (fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;) {
         if (callers_.size() >= kMostCallers)
             ::close(fd);
         else
             callers_.push_back({++last_, fd, {}, {}, false});
     }
-    for (Caller& c : callers_) {
+    for (Client& c : callers_) {
         char buffer[65536];
         ssize_t got = 0;
         while ((got = ::recv(c.fd, buffer, sizeof buffer, 0)) > 0) {
@@ -73,13 +74,13 @@
         }
         flush(c);
     }
-    callers_.remove_if([](const Caller& c) {
+    callers_.remove_if([](const Client& c) {
         if (c.gone) ::close(c.fd);
         return c.gone;
     });
 }
 
-void Door::flush(Caller& c) {
+void ControlListener::flush(Client& c) {
     while (!c.out.empty() && !c.gone) {
         const ssize_t sent = ::send(c.fd, c.out.data(), c.out.size(), MSG_NOSIGNAL);
         if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
@@ -88,8 +89,8 @@
     }
 }
 
-void Door::answer(std::uint64_t who, const nlohmann::json& what) {
-    for (Caller& c : callers_) {
+void ControlListener::answer(std::uint64_t who, const nlohmann::json& what) {
+    for (Client& c : callers_) {
         if (c.id != who) continue;
         c.out += what.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         flush(c);
--- a/src/ctl/control_listener.hpp
+++ b/src/ctl/control_listener.hpp
@@ -13,36 +13,36 @@
 
 namespace poppyscale::ctl {
 
-class Door {
+class ControlListener {
   public:
     // What was asked by whom; answered with `answer`, now or later.
-    using Asked = std::function<void(std::uint64_t who, const nlohmann::json& what)>;
+    using RequestHandler = std::function<void(std::uint64_t who, const nlohmann::json& what)>;
     // Throws std::runtime_error when it can't listen at that path.
-    Door(std::string path, Asked asked);
-    ~Door();
-    Door(const Door&) = delete;
-    Door& operator=(const Door&) = delete;
+    ControlListener(std::string path, RequestHandler asked);
+    ~ControlListener();
+    ControlListener(const ControlListener&) = delete;
+    ControlListener& operator=(const ControlListener&) = delete;
 
     // What to wait for, beside what else the program waits for.
-    void waitFor(std::vector<pollfd>& all) const;
+    void addPollDescriptors(std::vector<pollfd>& all) const;
     // Takes what came, whatever the poll said.
-    void turn();
+    void runIteration();
     void answer(std::uint64_t who, const nlohmann::json& what);
 
   private:
-    struct Caller {
+    struct Client {
         std::uint64_t id;
         int fd;
         std::string in, out;
         bool gone = false;
     };
-    void flush(Caller& caller);
+    void flush(Client& caller);
 
     std::string path_;
-    Asked asked_;
+    RequestHandler asked_;
     int fd_ = -1;
     std::uint64_t last_ = 0;
-    std::list<Caller> callers_;
+    std::list<Client> callers_;
 };
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/distributor_status.cpp
+++ b/src/ctl/distributor_status.cpp
@@ -49,7 +49,7 @@
 
 nlohmann::json distributorStatus(const std::string& address, int withinMs) {
     const auto to = readAddress(address);
-    if (!to) throw Unreached(fmt::format("'{}' is not an address and port", address));
+    if (!to) throw Unreachable(fmt::format("'{}' is not an address and port", address));
     const auto until = Clock::now() + std::chrono::milliseconds(withinMs);
     const Descriptor socket{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0)};
     const int connected = ::connect(socket.value, reinterpret_cast<const sockaddr*>(&*to), sizeof *to);
@@ -59,19 +59,19 @@
     const bool isSent = isComing && waitFor(socket.value, POLLOUT, until) &&
                         ::send(socket.value, request.data(), request.size(), MSG_NOSIGNAL) ==
                             static_cast<ssize_t>(request.size());
-    if (!isSent) throw Unreached(fmt::format("no distributor at {}", address));
-    protocol::HttpAnswer answer(kMaxStatus);
-    auto state = protocol::HttpAnswer::State::more;
-    while (state == protocol::HttpAnswer::State::more) {
-        if (!waitFor(socket.value, POLLIN, until)) throw Unreached("no answer in time from " + address);
+    if (!isSent) throw Unreachable(fmt::format("no distributor at {}", address));
+    protocol::HttpResponse answer(kMaxStatus);
+    auto state = protocol::HttpResponse::State::more;
+    while (state == protocol::HttpResponse::State::more) {
+        if (!waitFor(socket.value, POLLIN, until)) throw Unreachable("no answer in time from " + address);
         char buffer[16 * 1024];
         const ssize_t got = ::recv(socket.value, buffer, sizeof buffer, 0);
-        if (got <= 0) throw Unreached("no whole answer from " + address);
+        if (got <= 0) throw Unreachable("no whole answer from " + address);
         state = answer.feed({buffer, static_cast<std::size_t>(got)});
     }
-    const bool isGood = state == protocol::HttpAnswer::State::whole && answer.status() == 200;
+    const bool isGood = state == protocol::HttpResponse::State::complete && answer.status() == 200;
     auto status = nlohmann::json::parse(isGood ? answer.body() : "", nullptr, false);
-    if (!status.is_object()) throw Unreached("no answer in form from " + address);
+    if (!status.is_object()) throw Unreachable("no answer in form from " + address);
     return status;
 }
 
--- a/src/ctl/fleet_command.cpp
+++ b/src/ctl/fleet_command.cpp
@@ -36,17 +36,17 @@
 namespace {
 
 using nlohmann::json;
-using rollout::Stand;
+using rollout::InstanceState;
 using rollout::Version;
 
-constexpr int kLook = 50;           // ms between two looks at who lives
+constexpr int kPollInterval = 50;   // ms between two looks at who lives
 constexpr int kAsk = 200;           // ms for an instance's answer
 constexpr int kAskFigures = 350;    // of all instances together
 constexpr int kUpgradeAsk = 15000;  // the instance gives its successor up before that
 constexpr int kFound = 4;
 constexpr std::size_t kMostEvents = 4096;
 
-Nanos nowIs() {
+Nanos monotonicNow() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
@@ -90,16 +90,16 @@
     bool held_ = false;
 };
 
-class Fleet : private supervisor::Hands, private rollout::AgentHands {
+class FleetHost : private supervisor::SupervisorHost, private rollout::AgentHost {
   public:
-    explicit Fleet(const Description& d)
+    explicit FleetHost(const FleetDescription& d)
         : d_(d),
-          log_("poppyctl fleet", logging::Form::text),
+          log_("poppyctl fleet", logging::Format::text),
           versions_(d.folder + "/versions"),
-          keeper_(d.terms, std::random_device{}(), *this),
-          agent_(d.terms.count, keptNow(), *this),
-          instances_(static_cast<std::size_t>(d.terms.count)),
-          door_(agentSocketOf(d), [this](auto who, const auto& what) { asked(who, what); }) {
+          supervisor_(d.supervisor, std::random_device{}(), *this),
+          agent_(d.supervisor.instanceCount, keptNow(), *this),
+          instances_(static_cast<std::size_t>(d.supervisor.instanceCount)),
+          listener_(agentSocketOf(d), [this](auto who, const auto& what) { asked(who, what); }) {
         recall();
     }
 
@@ -109,40 +109,42 @@
         for (const int s : {SIGTERM, SIGINT, SIGHUP, SIGUSR2, SIGQUIT, SIGCHLD}) sigaddset(&heard, s);
         sigprocmask(SIG_BLOCK, &heard, nullptr);
         const int signals = ::signalfd(-1, &heard, SFD_CLOEXEC | SFD_NONBLOCK);
-        for (int i = 0; i < d_.terms.count; ++i) find(i);
+        for (int i = 0; i < d_.supervisor.instanceCount; ++i) find(i);
         bool wasReady = false;
         for (;;) {
-            agent_.settle(nowIs());
-            keeper_.settle(nowIs());
-            if (keeper_.allStopped()) return 0;
-            if (!wasReady && keeper_.allReady()) log("all instances are ready");
-            wasReady = keeper_.allReady();
+            agent_.reconcile(monotonicNow());
+            supervisor_.reconcile(monotonicNow());
+            if (supervisor_.allStopped()) return 0;
+            if (!wasReady && supervisor_.allReady()) log("all instances are ready");
+            wasReady = supervisor_.allReady();
             std::vector<pollfd> waits{{signals, POLLIN, 0}};
-            door_.waitFor(waits);
-            ::poll(waits.data(), waits.size(), kLook);
+            listener_.addPollDescriptors(waits);
+            ::poll(waits.data(), waits.size(), kPollInterval);
             signalfd_siginfo info{};
             while (::read(signals, &info, sizeof info) == sizeof info) {
                 if (info.ssi_signo == SIGQUIT) return 0;  // they live on, and are found by the next
-                if (info.ssi_signo == SIGTERM || info.ssi_signo == SIGINT) keeper_.stopAll();
-                if (info.ssi_signo == SIGHUP) begin(supervisor::Keeper::Roll::restart);
-                if (info.ssi_signo == SIGUSR2) begin(supervisor::Keeper::Roll::upgrade);
+                if (info.ssi_signo == SIGTERM || info.ssi_signo == SIGINT) supervisor_.stopAll();
+                if (info.ssi_signo == SIGHUP)
+                    begin(supervisor::InstanceSupervisor::RollingOperation::restart);
+                if (info.ssi_signo == SIGUSR2)
+                    begin(supervisor::InstanceSupervisor::RollingOperation::upgrade);
             }
-            for (int i = 0; i < d_.terms.count; ++i) look(i);
+            for (int i = 0; i < d_.supervisor.instanceCount; ++i) look(i);
             hearDisk();
-            door_.turn();
+            listener_.runIteration();
             answerWaiting();
         }
     }
 
   private:
-    struct Brought {
+    struct InstalledVersion {
         std::string problem;
         bool restart = false;  // it can't be had without
         pid_t heir = 0;        // that has taken over
     };
-    struct Bringing {
+    struct PendingInstall {
         Version to;
-        std::future<Brought> how;
+        std::future<InstalledVersion> how;
         bool restarting = false;
         int endsBefore = 0;
         Nanos until = 0;
@@ -151,8 +153,8 @@
         pid_t pid = -1;
         bool child = false;
         bool ready = false;
-        std::future<Brought> upgrade;      // of a roll by signal
-        std::optional<Bringing> bringing;  // of a staged change
+        std::future<InstalledVersion> upgrade;   // of a roll by signal
+        std::optional<PendingInstall> bringing;  // of a staged change
     };
     struct Waiting {
         std::uint64_t who;
@@ -163,31 +165,33 @@
     // What runs before any staged change, kept by its content so that there is a way back.
     Version keptNow() {
         try {
-            return {versions_.keepProgram(d_.program), versions_.keepForm(d_.templateText)};
+            return {versions_.storeProgram(d_.program), versions_.storeTemplate(d_.templateText)};
         } catch (const std::exception& problem) {
             log_.info(fmt::format("no way back can be kept: {}", problem.what()));
             return {};
         }
     }
 
-    void begin(supervisor::Keeper::Roll kind) {
-        const char* const name = kind == supervisor::Keeper::Roll::restart ? "restart" : "upgrade";
+    void begin(supervisor::InstanceSupervisor::RollingOperation kind) {
+        const char* const name =
+            kind == supervisor::InstanceSupervisor::RollingOperation::restart ? "restart" : "upgrade";
         // By what the files say now: a roll of what was read at the start would change nothing.
         try {
-            Description fresh = readDescription(d_.file);
-            if (fresh.terms.count != d_.terms.count || fresh.folder != d_.folder || fresh.name != d_.name ||
-                fresh.address != d_.address || fresh.firstPort != d_.firstPort ||
+            FleetDescription fresh = readFleetDescription(d_.file);
+            if (fresh.supervisor.instanceCount != d_.supervisor.instanceCount || fresh.folder != d_.folder ||
+                fresh.name != d_.name || fresh.address != d_.address || fresh.firstPort != d_.firstPort ||
                 fresh.ownAddresses != d_.ownAddresses)
                 throw std::runtime_error("other instances than those that run: stop this keeper first");
             d_.program = fresh.program;
             d_.templateText = fresh.templateText;
             d_.zone = fresh.zone;
-            if (!agent_.rebase(keptNow())) throw std::runtime_error("a staged change is under way");
-            described_ = agent_.held().before;
+            if (!agent_.setOriginalVersion(keptNow()))
+                throw std::runtime_error("a staged change is under way");
+            described_ = agent_.state().before;
         } catch (const std::exception& problem) {
             return log(fmt::format("no {} now: {}", name, problem.what()));
         }
-        log(keeper_.roll(nowIs(), kind)
+        log(supervisor_.startRolling(monotonicNow(), kind)
                 ? fmt::format("rolls a {} through all instances", name)
                 : fmt::format("no {} now: not all are ready, or a roll is under way", name));
     }
@@ -195,20 +199,20 @@
     // An instance that an earlier keeper has left is taken as it is, but for what it runs.
     void find(int i) {
         try {
-            const auto status = ask(socketOf(d_, i), {{"do", "status"}}, kAsk);
+            const auto status = sendRequest(socketOf(d_, i), {{"do", "status"}}, kAsk);
             at(i).pid = status.at("pid").get<pid_t>();
             at(i).ready = status.at("state") == "serving";
             log(fmt::format("found {} as process {}", nameOf(d_, i), at(i).pid));
-            keeper_.found(nowIs(), i, at(i).ready);
+            supervisor_.onFound(monotonicNow(), i, at(i).ready);
             event(i, "found");
             const Version& is = agent_.versionOf(i);
             const std::string runs = versions_.digestIn(programOf(at(i).pid));
             if (!at(i).bringing && !is.none() && !runs.empty() && runs != is.program)
-                agent_.astray(nowIs(), i);
+                agent_.onVersionMismatch(monotonicNow(), i);
         } catch (const std::exception&) {
             at(i).pid = -1;
         }
-        agent_.ready(i, at(i).ready);
+        agent_.onReadyChanged(i, at(i).ready);
     }
 
     bool lives(Instance& one) {
@@ -221,9 +225,9 @@
         reap();
         if (one.upgrade.valid()) {
             if (!done(one.upgrade)) return;
-            const Brought how = one.upgrade.get();
+            const InstalledVersion how = one.upgrade.get();
             if (how.problem.empty()) adopt(i, how.heir);
-            keeper_.upgraded(nowIs(), i, how.problem);
+            supervisor_.onUpgraded(monotonicNow(), i, how.problem);
             return;
         }
         if (one.bringing && one.bringing->how.valid()) {
@@ -231,27 +235,27 @@
             broughtSoFar(i, one.bringing->how.get());
         }
         if (one.pid >= 0 && !lives(one)) {
-            const bool asked = keeper_.isLeaving(i);
+            const bool asked = supervisor_.isStopping(i);
             auto bringing = std::move(one.bringing);
             one = {};
             one.bringing = std::move(bringing);
-            keeper_.ended(nowIs(), i);
+            supervisor_.onExited(monotonicNow(), i);
             event(i, asked ? "ended" : "ended by itself");
-            if (!asked) agent_.ended(nowIs(), i);
-        } else if (one.pid >= 0 && !one.ready && !keeper_.isLeaving(i)) {
+            if (!asked) agent_.onExited(monotonicNow(), i);
+        } else if (one.pid >= 0 && !one.ready && !supervisor_.isStopping(i)) {
             // One that was told to stop may still say that it serves: it is not to be counted on any more.
             try {
-                const auto status = ask(socketOf(d_, i), {{"do", "status"}}, kAsk);
+                const auto status = sendRequest(socketOf(d_, i), {{"do", "status"}}, kAsk);
                 if (status.at("state") == "serving" && status.at("pid").get<pid_t>() == one.pid) {
                     one.ready = true;
-                    keeper_.ready(nowIs(), i);
+                    supervisor_.onReady(monotonicNow(), i);
                     event(i, "ready");
                 }
             } catch (const std::exception&) {
                 // Not up yet.
             }
         }
-        agent_.ready(i, one.ready && keeper_.isReady(i));
+        agent_.onReadyChanged(i, one.ready && supervisor_.isReady(i));
         if (one.bringing && one.bringing->restarting) restarted(i);
     }
 
@@ -265,7 +269,7 @@
         one.child = false;
     }
 
-    static Brought broughtBy(const json& said) {
+    static InstalledVersion broughtBy(const json& said) {
         return {said.value("error", ""), false, said.value("taken_over_by", pid_t{0})};
     }
 
@@ -279,7 +283,7 @@
     // say who took over, say. Another one would only find the address taken.
     bool isThere(int i) {
         try {
-            const auto status = ask(socketOf(d_, i), {{"do", "status"}}, kAsk);
+            const auto status = sendRequest(socketOf(d_, i), {{"do", "status"}}, kAsk);
             if (status.at("state") != "serving") return false;
             at(i).pid = status.at("pid").get<pid_t>();
         } catch (const std::exception&) {
@@ -299,7 +303,7 @@
         std::string program = d_.program, form = d_.templateText;
         try {
             if (!version.none()) {
-                form = versions_.form(version.form);
+                form = versions_.templateText(version.templateDigest);
                 versions_.checkProgram(version.program);
                 program = versions_.programPath(version.program);
             }
@@ -308,7 +312,7 @@
         }
         // Whole or not at all: with a full disk the file before stays, and this start is one that failed.
         try {
-            writeWhole(file, operatorFileOf(d_, form, i));
+            writeAtomically(file, operatorFileOf(d_, form, i));
         } catch (const std::exception& problem) {
             log(fmt::format("{}; goes by what is there", problem.what()));
         }
@@ -335,8 +339,8 @@
         if (failed) {
             log(fmt::format("can't start {}: {}", program, std::strerror(failed)));
             one.pid = -1;
-            agent_.ended(nowIs(), i);
-            return keeper_.ended(nowIs(), i);
+            agent_.onExited(monotonicNow(), i);
+            return supervisor_.onExited(monotonicNow(), i);
         }
         one.child = true;
         one.ready = false;
@@ -346,23 +350,25 @@
         event(i, "told to stop");
         signal(i, SIGTERM);
     }
-    void end(int i) override { signal(i, SIGKILL); }
+    void kill(int i) override { signal(i, SIGKILL); }
     void signal(int i, int number) {
         at(i).ready = false;
-        agent_.ready(i, false);
+        agent_.onReadyChanged(i, false);
         if (at(i).pid > 0)
             ::kill(at(i).pid, number);
         else
-            keeper_.ended(nowIs(), i);
+            supervisor_.onExited(monotonicNow(), i);
     }
     void upgrade(int i) override {
         const Version& version = agent_.versionOf(i);
         at(i).upgrade = std::async(
             std::launch::async,
             [path = socketOf(d_, i),
-             program = version.none() ? d_.program : versions_.programPath(version.program)]() -> Brought {
+             program =
+                 version.none() ? d_.program : versions_.programPath(version.program)]() -> InstalledVersion {
                 try {
-                    return broughtBy(ask(path, {{"do", "upgrade"}, {"program", program}}, kUpgradeAsk));
+                    return broughtBy(
+                        sendRequest(path, {{"do", "upgrade"}, {"program", program}}, kUpgradeAsk));
                 } catch (const std::exception& problem) {
                     return {problem.what()};
                 }
@@ -372,18 +378,18 @@
 
     // ---- the staged change: rollout::AgentHands
 
-    void keep(const rollout::Held& held) override {
+    void persist(const rollout::AgentState& held) override {
         const json said{{"format", rollout::kFormat},
                         {"number", held.number},
                         {"digest", held.digest},
-                        {"before", {held.before.program, held.before.form}},
-                        {"change", {held.change.program, held.change.form}},
-                        {"described", {described_.program, described_.form}},
+                        {"before", {held.before.program, held.before.templateDigest}},
+                        {"change", {held.change.program, held.change.templateDigest}},
+                        {"described", {described_.program, described_.templateDigest}},
                         {"changed", held.changed},
                         {"held", held.held},
-                        {"keep_ms", held.keep / kMillisecond},
+                        {"keep_ms", held.holdDuration / kMillisecond},
                         {"batch", held.batch},
-                        {"over", held.over}};
+                        {"over", held.isFinished}};
         disk_ = std::async(std::launch::async, [path = heldFile(), text = said.dump(1)]() -> std::string {
             try {
                 writeChecked(path, text);
@@ -396,7 +402,7 @@
     std::string heldFile() const { return d_.folder + "/roll"; }
 
     void recall() {
-        described_ = agent_.held().before;
+        described_ = agent_.state().before;
         try {
             const auto text = readChecked(heldFile());
             if (!text) return;
@@ -407,25 +413,25 @@
             const auto version = [&](const char* key) -> Version {
                 return {said.at(key)[0], said.at(key)[1]};
             };
-            rollout::Held held;
+            rollout::AgentState held;
             held.number = said.at("number");
             held.digest = said.at("digest");
             held.before = version("before");
             held.change = version("change");
             held.changed = said.at("changed").get<std::set<int>>();
             held.held = said.at("held").get<std::set<int>>();
-            held.keep = said.at("keep_ms").get<std::int64_t>() * kMillisecond;
+            held.holdDuration = said.at("keep_ms").get<std::int64_t>() * kMillisecond;
             held.batch = said.at("batch");
-            held.over = said.at("over");
+            held.isFinished = said.at("over");
             const bool same = version("described") == described_;
             if (!same && held.changed.empty()) {
                 // The operator has written another description since: it holds.
                 log_.info("the description has changed since the last roll: it holds");
                 held.before = described_;
                 held.digest.clear();
-                held.over = false;
+                held.isFinished = false;
             }
-            agent_.restore(nowIs(), held);
+            agent_.restore(monotonicNow(), held);
             log_.info(
                 fmt::format("goes on from roll {}, {} instances changed", held.number, held.changed.size()));
         } catch (const std::exception& problem) {
@@ -439,44 +445,46 @@
             heed(p.who, p.order, p.version, p.problem);
         }
         if (!disk_.valid() || !done(disk_)) return;
-        agent_.kept(nowIs(), disk_.get());
-        if (!agent_.keeping())
+        agent_.onPersisted(monotonicNow(), disk_.get());
+        if (!agent_.isPersisting())
             for (Waiting& w : waiting_) w.kept = true;
     }
 
-    void bring(int i, const Version& to) override {
+    void install(int i, const Version& to) override {
         Instance& one = at(i);
         one.bringing.emplace();
         one.bringing->to = to;
         event(i, at(i).ready ? "changes" : "changes, not ready");
-        keeper_.changing(i);
+        supervisor_.beginExternalUpgrade(i);
         one.bringing->how = std::async(
-            std::launch::async, [versions = versions_, to, d = d_, i, path = socketOf(d_, i)]() -> Brought {
+            std::launch::async,
+            [versions = versions_, to, d = d_, i, path = socketOf(d_, i)]() -> InstalledVersion {
                 try {
                     versions.checkProgram(to.program);
-                    writeWhole(fmt::format("{}/{}.toml", d.folder, nameOf(d, i)),
-                               operatorFileOf(d, versions.form(to.form), i));
+                    writeAtomically(fmt::format("{}/{}.toml", d.folder, nameOf(d, i)),
+                                    operatorFileOf(d, versions.templateText(to.templateDigest), i));
                 } catch (const std::exception& problem) {
                     return {problem.what(), false};
                 }
                 try {
-                    const auto status = ask(path, {{"do", "status"}}, kAsk * kFound);
+                    const auto status = sendRequest(path, {{"do", "status"}}, kAsk * kFound);
                     const auto pid = status.at("pid").get<pid_t>();
-                    const auto read = ask(path, {{"do", "reload"}}, kAsk * kFound * 5);
+                    const auto read = sendRequest(path, {{"do", "reload"}}, kAsk * kFound * 5);
                     if (read.contains("error") || !read.at("waits").empty()) return {"", true};
                     if (versions.digestIn(programOf(pid)) == to.program) return {};
-                    return broughtBy(ask(path,
-                                         {{"do", "upgrade"}, {"program", versions.programPath(to.program)}},
-                                         kUpgradeAsk));
+                    return broughtBy(
+                        sendRequest(path, {{"do", "upgrade"}, {"program", versions.programPath(to.program)}},
+                                    kUpgradeAsk));
                 } catch (const std::exception&) {
                     return {"", true};  // it is not there, or does not speak this
                 }
             });
     }
 
-    void broughtSoFar(int i, const Brought& how) {
+    void broughtSoFar(int i, const InstalledVersion& how) {
         Instance& one = at(i);
-        const bool back = agent_.report(nowIs()).instances[static_cast<std::size_t>(i)].stand == Stand::back;
+        const bool back = agent_.report(monotonicNow()).instances[static_cast<std::size_t>(i)].state ==
+                          InstanceState::rollingBack;
         // What can't hand its sockets over goes back by a restart: better away for a moment than bad for
         // good.
         const bool missing = !how.problem.empty() &&
@@ -484,28 +492,28 @@
         if (how.restart ||
             (back && !how.problem.empty() && !missing && one.pid >= 0 && !diskIsFull(how.problem))) {
             one.bringing->restarting = true;
-            one.bringing->endsBefore = keeper_.restarts(i);
-            one.bringing->until = nowIs() + d_.terms.readyWithin + d_.terms.stopWithin;
-            return keeper_.again(nowIs(), i);
+            one.bringing->endsBefore = supervisor_.restarts(i);
+            one.bringing->until = monotonicNow() + d_.supervisor.readyTimeout + d_.supervisor.stopTimeout;
+            return supervisor_.restart(monotonicNow(), i);
         }
         adopt(i, how.heir);
-        keeper_.upgraded(nowIs(), i, "");
+        supervisor_.onUpgraded(monotonicNow(), i, "");
         one.bringing.reset();
         event(i, how.problem.empty() ? "changed" : "not changed");
-        agent_.brought(nowIs(), i, how.problem);
+        agent_.onInstalled(monotonicNow(), i, how.problem);
     }
     // Its files could not be written: a restart would go by the old ones.
     static bool diskIsFull(const std::string& problem) { return problem.starts_with("can't "); }
 
     void restarted(int i) {
         Instance& one = at(i);
-        const bool there = one.ready && keeper_.isReady(i);
+        const bool there = one.ready && supervisor_.isReady(i);
         const bool right = there && versions_.digestIn(programOf(one.pid)) == one.bringing->to.program;
         std::string problem;
         if (!there) {
-            if (keeper_.restarts(i) > one.bringing->endsBefore)
+            if (supervisor_.restarts(i) > one.bringing->endsBefore)
                 problem = "it ends at its start";
-            else if (nowIs() >= one.bringing->until)
+            else if (monotonicNow() >= one.bringing->until)
                 problem = "it is not ready in time";
             else
                 return;
@@ -514,7 +522,7 @@
         }
         one.bringing.reset();
         event(i, problem.empty() ? "changed" : "not changed");
-        agent_.brought(nowIs(), i, problem);
+        agent_.onInstalled(monotonicNow(), i, problem);
     }
 
     // ---- the agent's door
@@ -527,25 +535,26 @@
             const auto after = what.value("after", std::uint64_t{0});
             for (const auto& [number, one] : events_)
                 if (number > after) all.push_back(one);
-            return door_.answer(who, {{"format", rollout::kFormat}, {"events", std::move(all)}});
+            return listener_.answer(who, {{"format", rollout::kFormat}, {"events", std::move(all)}});
         }
-        if (word == "way") return door_.answer(who, wayOf(what));
+        if (word == "way") return listener_.answer(who, wayOf(what));
         if (word != "roll") {
-            return door_.answer(who, {{"error", fmt::format("'{}' is not known here", word.substr(0, 40))}});
+            return listener_.answer(who,
+                                    {{"error", fmt::format("'{}' is not known here", word.substr(0, 40))}});
         }
         try {
             const rollout::Order order = rollout::readOrder(what);
-            const rollout::Held& held = agent_.held();
+            const rollout::AgentState& held = agent_.state();
             // Content that is here already is not read again with each order.
             if (order.digest == held.digest && !held.change.none()) return heed(who, order, held.change, "");
             if (preparing_.valid())
-                return door_.answer(who, {{"error", "busy with an order before"}, {"busy", true}});
+                return listener_.answer(who, {{"error", "busy with an order before"}, {"busy", true}});
             preparing_ = std::async(std::launch::async, [this, who, order, before = held.before] {
                 Prepared p{who, order, before, ""};
                 try {
                     if (before.none()) throw std::runtime_error("what runs now could not be kept");
-                    if (!order.program.empty()) p.version.program = versions_.keepProgram(order.program);
-                    if (!order.form.empty()) p.version.form = versions_.keepForm(order.form);
+                    if (!order.program.empty()) p.version.program = versions_.storeProgram(order.program);
+                    if (!order.form.empty()) p.version.templateDigest = versions_.storeTemplate(order.form);
                     if (!order.programDigest.empty() && order.programDigest != p.version.program)
                         throw std::runtime_error(order.program + " is another program here");
                 } catch (const std::exception& problem) {
@@ -554,7 +563,7 @@
                 return p;
             });
         } catch (const std::exception& problem) {
-            door_.answer(who, {{"error", problem.what()}});
+            listener_.answer(who, {{"error", problem.what()}});
         }
     }
 
@@ -562,23 +571,23 @@
     json wayOf(const json& what) const {
         auto ways = json::array();
         const auto form = what.value("form", ""), program = what.value("program_digest", "");
-        for (int i = 0; i < d_.terms.count; ++i) {
+        for (int i = 0; i < d_.supervisor.instanceCount; ++i) {
             const Version& runs = agent_.versionOf(i);
             std::string way;
             try {
                 if (!form.empty()) {
                     const auto read = [&](const std::string& of) {
-                        config::Problems problems("the form");
-                        const auto plan =
-                            config::readPlan(operatorFileOf(d_, of, i), "the form", false, problems);
-                        if (!problems.none() || !plan.start) throw std::runtime_error(problems.text());
-                        return *plan.start;
+                        config::ConfigProblems problems("the form");
+                        const auto plan = config::readOperatorConfig(operatorFileOf(d_, of, i), "the form",
+                                                                     false, problems);
+                        if (!problems.none() || !plan.startup) throw std::runtime_error(problems.text());
+                        return *plan.startup;
                     };
-                    const auto is = read(versions_.form(runs.form)), wanted = read(form);
-                    const auto difference = config::differenceOf(is, wanted);
-                    if (config::described(is, {}, false) != config::described(wanted, {}, false))
+                    const auto is = read(versions_.templateText(runs.templateDigest)), wanted = read(form);
+                    const auto difference = config::compareConfigs(is, wanted);
+                    if (config::describeConfig(is, {}, false) != config::describeConfig(wanted, {}, false))
                         way = "reload";
-                    if (!difference.waits.empty()) way = "restart";
+                    if (!difference.needsRestart.empty()) way = "restart";
                 }
                 if (!program.empty() && program != runs.program && way != "restart")
                     way += way.empty() ? "upgrade" : ", then upgrade";
@@ -593,24 +602,25 @@
 
     void heed(std::uint64_t who, const rollout::Order& order, const Version& change,
               const std::string& problem) {
-        if (!problem.empty()) return door_.answer(who, {{"error", problem}});
-        const std::string refused = agent_.hear(nowIs(), order, change);
+        if (!problem.empty()) return listener_.answer(who, {{"error", problem}});
+        const std::string refused = agent_.onOrder(monotonicNow(), order, change);
         if (!refused.empty())
-            return door_.answer(who, {{"error", refused}, {"overtaken", refused.starts_with("overtaken")}});
+            return listener_.answer(who,
+                                    {{"error", refused}, {"overtaken", refused.starts_with("overtaken")}});
         // Said once it is on disk.
-        waiting_.push_back({who, !agent_.keeping()});
+        waiting_.push_back({who, !agent_.isPersisting()});
     }
 
     void answerWaiting() {
         if (gathering_.valid() && done(gathering_)) {
             const auto figures = gathering_.get();
-            rollout::Report report = agent_.report(nowIs());
-            for (int i = 0; i < d_.terms.count; ++i) {
+            rollout::Report report = agent_.report(monotonicNow());
+            for (int i = 0; i < d_.supervisor.instanceCount; ++i) {
                 report.instances[static_cast<std::size_t>(i)].name = nameOf(d_, i);
                 report.instances[static_cast<std::size_t>(i)].zone = d_.zone;
             }
             const json said = rollout::toJson(report, figures);
-            for (const std::uint64_t who : gatheredFor_) door_.answer(who, said);
+            for (const std::uint64_t who : gatheredFor_) listener_.answer(who, said);
             gatheredFor_.clear();
         }
         if (gathering_.valid()) return;
@@ -624,20 +634,20 @@
         }
         if (gatheredFor_.empty()) return;
         std::vector<std::string> paths;
-        for (int i = 0; i < d_.terms.count; ++i) paths.push_back(socketOf(d_, i));
+        for (int i = 0; i < d_.supervisor.instanceCount; ++i) paths.push_back(socketOf(d_, i));
         gathering_ = std::async(std::launch::async, [paths] {
-            return askAll(paths, std::vector<json>(paths.size(), json{{"do", "figures"}}), kAskFigures);
+            return sendRequests(paths, std::vector<json>(paths.size(), json{{"do", "figures"}}), kAskFigures);
         });
     }
 
     void event(int i, const char* what) {
-        events_.emplace_back(++lastEvent_,
-                             json{{"number", lastEvent_},
-                                  {"at_ns", nowIs()},
-                                  {"instance", i},
-                                  {"pid", at(i).pid},
-                                  {"what", what},
-                                  {"version", agent_.versionOf(i).program + "/" + agent_.versionOf(i).form}});
+        events_.emplace_back(++lastEvent_, json{{"number", lastEvent_},
+                                                {"at_ns", monotonicNow()},
+                                                {"instance", i},
+                                                {"pid", at(i).pid},
+                                                {"what", what},
+                                                {"version", agent_.versionOf(i).program + "/" +
+                                                                agent_.versionOf(i).templateDigest}});
         if (events_.size() > kMostEvents) events_.pop_front();
     }
 
@@ -648,11 +658,11 @@
         std::string problem;
     };
 
-    Description d_;
-    logging::Log log_;
-    Versions versions_;
-    supervisor::Keeper keeper_;
-    rollout::Agent agent_;
+    FleetDescription d_;
+    logging::Logger log_;
+    VersionStore versions_;
+    supervisor::InstanceSupervisor supervisor_;
+    rollout::RolloutAgent agent_;
     Version described_;  // by the description
     std::vector<Instance> instances_;
     std::vector<pid_t> leaving_;  // drain after an upgrade
@@ -663,12 +673,12 @@
     std::list<Waiting> waiting_;
     std::deque<std::pair<std::uint64_t, json>> events_;
     std::uint64_t lastEvent_ = 0;
-    Door door_;
+    ControlListener listener_;
 };
 
 }  // namespace
 
-int keepFleet(const Description& d) {
+int runFleet(const FleetDescription& d) {
     if (::mkdir(d.folder.c_str(), 0755) != 0 && errno != EEXIST)
         throw std::runtime_error(fmt::format("can't make {}: {}", d.folder, std::strerror(errno)));
     // A disk at its limit is an error to be told and not an end.
@@ -678,8 +688,8 @@
         fmt::print(stderr, "poppyctl fleet: another keeper keeps {}\n", d.folder);
         return 1;
     }
-    clearLeft(d.folder);
-    Fleet fleet(d);
+    removeTemporaryFiles(d.folder);
+    FleetHost fleet(d);
     return fleet.run();
 }
 
--- a/src/ctl/fleet_command.hpp
+++ b/src/ctl/fleet_command.hpp
@@ -9,9 +9,9 @@
 // Until SIGTERM or SIGINT, which stop all instances in order; SIGHUP reads description and form anew and
 // rolls a restart through them, SIGUSR2 an upgrade, SIGQUIT leaves them alone and goes. The exit code; 1
 // where another keeper keeps the folder.
-int keepFleet(const Description& d);
+int runFleet(const FleetDescription& d);
 
 // Where its agent is asked.
-inline std::string agentSocketOf(const Description& d) { return d.folder + "/fleet.sock"; }
+inline std::string agentSocketOf(const FleetDescription& d) { return d.folder + "/fleet.sock"; }
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/fleet_description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -35,39 +35,39 @@
 
 }  // namespace
 
-Description readDescription(const std::string& file) {
+FleetDescription readFleetDescription(const std::string& file) {
     std::ifstream stream(file, std::ios::binary);
     const std::string said{std::istreambuf_iterator<char>(stream), {}};
     if (!stream) throw std::runtime_error(file + ":1: can't be read");
-    config::Problems problems(file);
-    Description d;
+    config::ConfigProblems problems(file);
+    FleetDescription d;
     d.file = file;
     if (const auto table = config::parseToml(said, file, problems)) {
-        config::Table t(*table, problems);
-        d.terms.count = t.whole("count", std::nullopt, 1, kMostInstances);
-        d.terms.batch = t.whole("batch", 1, 1, kMostInstances);
-        d.terms.readyWithin = t.millis("ready_ms", 10'000.0);
-        d.terms.watch = t.millis("watch_ms", 2'000.0);
-        d.terms.leastPause = t.millis("pause_ms", 200.0);
-        d.terms.longestPause = t.millis("longest_pause_ms", 30'000.0);
-        d.terms.steady = t.millis("steady_ms", 60'000.0);
-        d.terms.stopWithin = t.millis("stop_ms", 10'000.0);
-        if (d.terms.batch >= d.terms.count && d.terms.count > 1)
+        config::TomlTable t(*table, problems);
+        d.supervisor.instanceCount = t.integer("count", std::nullopt, 1, kMostInstances);
+        d.supervisor.batchSize = t.integer("batch", 1, 1, kMostInstances);
+        d.supervisor.readyTimeout = t.millis("ready_ms", 10'000.0);
+        d.supervisor.observationTime = t.millis("watch_ms", 2'000.0);
+        d.supervisor.minBackoff = t.millis("pause_ms", 200.0);
+        d.supervisor.maxBackoff = t.millis("longest_pause_ms", 30'000.0);
+        d.supervisor.backoffResetAfter = t.millis("steady_ms", 60'000.0);
+        d.supervisor.stopTimeout = t.millis("stop_ms", 10'000.0);
+        if (d.supervisor.batchSize >= d.supervisor.instanceCount && d.supervisor.instanceCount > 1)
             t.problem("batch", "is not less than count: all would be away at once");
-        d.program = t.text("program", std::nullopt);
-        d.folder = t.text("folder", std::nullopt);
+        d.program = t.string("program", std::nullopt);
+        d.folder = t.string("folder", std::nullopt);
         if (!d.folder.starts_with('/')) t.problem("folder", "is not an absolute path");
-        d.name = t.text("name", "r");
-        d.zone = t.text("zone", "");
-        d.address = t.text("address", "127.0.0.1");
+        d.name = t.string("name", "r");
+        d.zone = t.string("zone", "");
+        d.address = t.string("address", "127.0.0.1");
         in_addr ignored{};
         if (::inet_pton(AF_INET, d.address.c_str(), &ignored) != 1)
             t.problem("address", "is not an IPv4 address");
-        d.ownAddresses = t.yes("own_addresses", false);
-        d.firstPort = t.whole("first_port", std::nullopt, 1, 65'535);
-        if (!d.ownAddresses && d.firstPort + d.terms.count > 65'536)
+        d.ownAddresses = t.boolean("own_addresses", false);
+        d.firstPort = t.integer("first_port", std::nullopt, 1, 65'535);
+        if (!d.ownAddresses && d.firstPort + d.supervisor.instanceCount > 65'536)
             t.problem("first_port", "leaves no port for the last instance");
-        const std::string path = t.text("operator", std::nullopt);
+        const std::string path = t.string("operator", std::nullopt);
         std::ifstream form(path, std::ios::binary);
         d.templateText.assign(std::istreambuf_iterator<char>(form), {});
         if (!form) t.problem("operator", "names a file that can't be read: " + path);
@@ -80,12 +80,12 @@
     return d;
 }
 
-std::string nameOf(const Description& d, int i) { return d.name + std::to_string(i); }
-std::string socketOf(const Description& d, int i) {
+std::string nameOf(const FleetDescription& d, int i) { return d.name + std::to_string(i); }
+std::string socketOf(const FleetDescription& d, int i) {
     return fmt::format("{}/{}.sock", d.folder, nameOf(d, i));
 }
 
-std::string operatorFileOf(const Description& d, const std::string& form, int i) {
+std::string operatorFileOf(const FleetDescription& d, const std::string& form, int i) {
     const std::string address = d.ownAddresses ? addressAfter(d.address, i) : d.address;
     const int port = d.ownAddresses ? d.firstPort : d.firstPort + i;
     return filled(form, {{"{name}", nameOf(d, i)},
--- a/src/ctl/fleet_description.hpp
+++ b/src/ctl/fleet_description.hpp
@@ -7,8 +7,8 @@
 
 namespace poppyscale::ctl {
 
-struct Description {
-    supervisor::Terms terms;
+struct FleetDescription {
+    supervisor::SupervisorSettings supervisor;
     std::string file;
     std::string program;
     std::string folder;         // of sockets, files and logs
@@ -22,13 +22,13 @@
 };
 
 // Throws std::runtime_error with all problems, a line each.
-Description readDescription(const std::string& file);
+FleetDescription readFleetDescription(const std::string& file);
 
-std::string nameOf(const Description& d, int i);
-std::string socketOf(const Description& d, int i);
+std::string nameOf(const FleetDescription& d, int i);
+std::string socketOf(const FleetDescription& d, int i);
 // The operator's file of an instance, made of that form.
-std::string operatorFileOf(const Description& d, const std::string& form, int i);
-inline std::string operatorFileOf(const Description& d, int i) {
+std::string operatorFileOf(const FleetDescription& d, const std::string& form, int i);
+inline std::string operatorFileOf(const FleetDescription& d, int i) {
     return operatorFileOf(d, d.templateText, i);
 }
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -98,7 +98,7 @@
     distributor->add_option("address", distributorAddress, "where it listens, as 10.1.0.5:9100")->required();
     distributor->add_flag("--json", plain, "as it was told");
     auto* roll = app.add_subcommand("roll", "a staged change of program or settings over several machines");
-    ::poppyscale::ctl::RollCall rolling;
+    ::poppyscale::ctl::RolloutOptions rolling;
     roll->add_option("plan", rolling.plan, "the plan")->required();
     roll->add_flag("--dry", rolling.dry, "how each instance would come by it; nothing is begun");
     roll->add_flag("--status", rolling.status, "how the instances of the plan's agents stand");
@@ -111,9 +111,9 @@
     try {
         if (*roll) {
             rolling.json |= plain;
-            return ::poppyscale::ctl::runRoll(rolling);
+            return ::poppyscale::ctl::runRollout(rolling);
         }
-        if (*fleet) return ::poppyscale::ctl::keepFleet(::poppyscale::ctl::readDescription(description));
+        if (*fleet) return ::poppyscale::ctl::runFleet(::poppyscale::ctl::readFleetDescription(description));
         if (*distributor) {
             const json status = ::poppyscale::ctl::distributorStatus(distributorAddress, kPatienceMs);
             fmt::print("{}", plain ? status.dump(2) + "\n" : ::poppyscale::ctl::distributorTable(status));
@@ -122,7 +122,7 @@
         const std::string what = app.get_subcommands().front()->get_name();
         json asked{{"do", what}};
         if (!program.empty()) asked["program"] = program;
-        const json said = poppyscale::ctl::ask(path, asked, kPatienceMs);
+        const json said = poppyscale::ctl::sendRequest(path, asked, kPatienceMs);
         if (plain) {
             fmt::print("{}\n", said.dump(2));
         } else if (said.contains("error")) {
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -19,31 +19,32 @@
 namespace {
 
 using nlohmann::json;
-using rollout::Outcome;
+using rollout::RolloutOutcome;
 
 constexpr int kTick = 400;          // ms between two orders, at least
 constexpr int kAnswerWithin = 900;  // ms; who is later is not heard this time
 
-Nanos nowIs() {
+Nanos monotonicNow() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 
-std::vector<std::string> socketsOf(const rollout::Plan& plan) {
+std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
     std::vector<std::string> all;
     for (const auto& agent : plan.agents) all.push_back(agent.socket);
     return all;
 }
 
-class Coordinator : private rollout::RollHands {
+class Coordinator : private rollout::RolloutHost {
   public:
-    Coordinator(const rollout::Plan& plan, const std::string& program, const RollCall& call)
+    Coordinator(const rollout::RolloutPlan& plan, const std::string& program, const RolloutOptions& call)
         : plan_(plan),
           call_(call),
           programDigest_(program),
-          log_("poppyctl roll", call.json ? logging::Form::json : logging::Form::text),
-          roll_(plan, digestOf(program + "\n" + plan.formText), static_cast<rollout::RollHands&>(*this)) {}
+          log_("poppyctl roll", call.json ? logging::Format::json : logging::Format::text),
+          roll_(plan, digestOf(program + "\n" + plan.templateText),
+                static_cast<rollout::RolloutHost&>(*this)) {}
 
     int run() {
         sigset_t heard;
@@ -52,18 +53,18 @@
         sigprocmask(SIG_BLOCK, &heard, nullptr);
         const int signals = ::signalfd(-1, &heard, SFD_CLOEXEC | SFD_NONBLOCK);
         bool told = false;
-        while (roll_.outcome() == Outcome::none) {
-            const Nanos began = nowIs();
+        while (roll_.outcome() == RolloutOutcome::none) {
+            const Nanos began = monotonicNow();
             turn();
-            roll_.settle(nowIs());
-            const auto left = kTick - (nowIs() - began) / kMillisecond;
+            roll_.reconcile(monotonicNow());
+            const auto left = kTick - (monotonicNow() - began) / kMillisecond;
             pollfd one{signals, POLLIN, 0};
             ::poll(&one, 1, static_cast<int>(std::max<Nanos>(left, 0)));
             signalfd_siginfo info{};
             while (::read(signals, &info, sizeof info) == sizeof info) {
                 // Told a second time: the agents go back by themselves what is not held.
-                if (std::exchange(told, true)) return kCant;
-                roll_.abandon(nowIs());
+                if (std::exchange(told, true)) return kExitNotPossible;
+                roll_.abandon(monotonicNow());
             }
         }
         return tell();
@@ -73,72 +74,75 @@
     void turn() {
         std::vector<json> orders;
         for (std::size_t a = 0; a < plan_.agents.size(); ++a) {
-            auto order = roll_.order(static_cast<int>(a));
+            auto order = roll_.orderFor(static_cast<int>(a));
             if (order) order->programDigest = programDigest_;
             orders.push_back(order ? rollout::toJson(*order) : json{{"do", "look"}});
         }
-        const auto answers = askAll(socketsOf(plan_), orders, kAnswerWithin);
+        const auto answers = sendRequests(socketsOf(plan_), orders, kAnswerWithin);
         for (std::size_t a = 0; a < answers.size(); ++a) heard(static_cast<int>(a), answers[a]);
     }
 
     void heard(int a, const json& said) {
-        const Nanos now = nowIs();
+        const Nanos now = monotonicNow();
         const auto& name = plan_.agents[static_cast<std::size_t>(a)].name;
         if (said.is_null()) return;
         if (said.contains("error")) {
             const auto why = said["error"].get<std::string>();
-            if (said.value("overtaken", false)) return roll_.overtaken(now, a, why);
+            if (said.value("overtaken", false)) return roll_.onSuperseded(now, a, why);
             if (said.value("busy", false)) return;
             log_.info("refused", {{"agent", name}, {"why", why}});
-            return roll_.refused(now, a, why);
+            return roll_.onRefused(now, a, why);
         }
         try {
-            roll_.heard(now, a, rollout::readReport(said));
+            roll_.onReport(now, a, rollout::readReport(said));
         } catch (const std::exception& problem) {
             log_.info("not understood", {{"agent", name}, {"why", problem.what()}});
-            roll_.refused(now, a, problem.what());
+            roll_.onRefused(now, a, problem.what());
         }
     }
 
-    void say(std::string_view what, const json& fields) override { log_.info(what, fields); }
+    void report(std::string_view what, const json& fields) override { log_.info(what, fields); }
 
     int tell() {
         const auto outcome = roll_.outcome();
         if (call_.json) {
-            fmt::print("{}\n", roll_.status(nowIs()).dump(2));
+            fmt::print("{}\n", roll_.status(monotonicNow()).dump(2));
         } else {
             fmt::print("{}{}{}\n", rollout::nameOf(outcome), roll_.reason().empty() ? "" : ": ",
                        roll_.reason());
-            for (const auto& one : roll_.notUndone()) fmt::print("  {}\n", one);
-            if (outcome == Outcome::went)
+            for (const auto& one : roll_.unrestoredInstances()) fmt::print("  {}\n", one);
+            if (outcome == RolloutOutcome::completed)
                 fmt::print("the machines' descriptions still name what ran before: write {}{}{} into them\n",
-                           plan_.program, !plan_.program.empty() && !plan_.form.empty() ? " and " : "",
-                           plan_.form);
+                           plan_.program,
+                           !plan_.program.empty() && !plan_.templatePath.empty() ? " and " : "",
+                           plan_.templatePath);
         }
         switch (outcome) {
-            case Outcome::went:
-                return kWent;
-            case Outcome::undone:
-                return kUndone;
-            case Outcome::notUndone:
-                return kNotUndone;
+            case RolloutOutcome::completed:
+                return kExitCompleted;
+            case RolloutOutcome::rolledBack:
+                return kExitRolledBack;
+            case RolloutOutcome::rollbackIncomplete:
+                return kExitRollbackIncomplete;
             default:
-                return kCant;
+                return kExitNotPossible;
         }
     }
 
-    const rollout::Plan& plan_;
-    const RollCall& call_;
+    const rollout::RolloutPlan& plan_;
+    const RolloutOptions& call_;
     std::string programDigest_;
-    logging::Log log_;
-    rollout::Roll roll_;
+    logging::Logger log_;
+    rollout::RolloutController roll_;
 };
 
-int showWays(const rollout::Plan& plan, const std::string& program, const RollCall& call) {
-    const json what{
-        {"do", "way"}, {"format", rollout::kFormat}, {"form", plan.formText}, {"program_digest", program}};
+int showWays(const rollout::RolloutPlan& plan, const std::string& program, const RolloutOptions& call) {
+    const json what{{"do", "way"},
+                    {"format", rollout::kFormat},
+                    {"form", plan.templateText},
+                    {"program_digest", program}};
     const auto answers =
-        askAll(socketsOf(plan), std::vector<json>(plan.agents.size(), what), kAnswerWithin * 3);
+        sendRequests(socketsOf(plan), std::vector<json>(plan.agents.size(), what), kAnswerWithin * 3);
     json all = json::array();
     bool can = true;
     int instances = 0;
@@ -171,12 +175,12 @@
         for (const int n : stages) words += fmt::format("{}{}", words.empty() ? "" : ", ", n);
         fmt::print("stages: {} of {} instances\n", words, instances);
     }
-    return can ? kWent : kCant;
+    return can ? kExitCompleted : kExitNotPossible;
 }
 
-int showStatus(const rollout::Plan& plan, const RollCall& call) {
-    const auto answers =
-        askAll(socketsOf(plan), std::vector<json>(plan.agents.size(), json{{"do", "look"}}), kAnswerWithin);
+int showStatus(const rollout::RolloutPlan& plan, const RolloutOptions& call) {
+    const auto answers = sendRequests(
+        socketsOf(plan), std::vector<json>(plan.agents.size(), json{{"do", "look"}}), kAnswerWithin);
     json all = json::object();
     bool heard = true;
     for (std::size_t a = 0; a < answers.size(); ++a) {
@@ -191,29 +195,29 @@
         const auto report = rollout::readReport(answers[a]);
         fmt::print("{:<16} roll {}{}{}\n", name, report.number,
                    report.digest.empty() ? ", none under way"
-                   : report.over         ? ", over"
+                   : report.isFinished   ? ", over"
                                          : ", under way",
-                   report.wentBack ? ", went back by itself" : "");
+                   report.hasRolledBack ? ", went back by itself" : "");
         for (const auto& i : report.instances)
-            fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", i.name, i.zone, rollout::nameOf(i.stand),
+            fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", i.name, i.zone, rollout::nameOf(i.state),
                        static_cast<double>(i.since) / 1e9, i.ready ? "ready" : "not ready",
-                       i.figures ? "" : ", tells no figures", i.problem.empty() ? "" : ", " + i.problem);
+                       i.metrics ? "" : ", tells no figures", i.problem.empty() ? "" : ", " + i.problem);
     }
     if (call.json) fmt::print("{}\n", all.dump(2));
-    return heard ? kWent : kCant;
+    return heard ? kExitCompleted : kExitNotPossible;
 }
 
 }  // namespace
 
-int runRoll(const RollCall& call) {
-    std::optional<rollout::Plan> plan;
+int runRollout(const RolloutOptions& call) {
+    std::optional<rollout::RolloutPlan> plan;
     std::string program;
     try {
-        plan = rollout::loadPlan(call.plan);
+        plan = rollout::loadRolloutPlan(call.plan);
         if (!plan->program.empty()) program = digestOfFile(plan->program);
     } catch (const std::exception& problem) {
         fmt::print(stderr, "poppyctl: {}\n", problem.what());
-        return kCant;
+        return kExitNotPossible;
     }
     if (call.status) return showStatus(*plan, call);
     if (call.dry) return showWays(*plan, program, call);
--- a/src/ctl/rollout_command.hpp
+++ b/src/ctl/rollout_command.hpp
@@ -5,7 +5,7 @@
 
 namespace poppyscale::ctl {
 
-struct RollCall {
+struct RolloutOptions {
     std::string plan;
     bool dry = false;     // how each instance would come by the change; nothing is begun
     bool status = false;  // how the agents' instances stand
@@ -13,8 +13,9 @@
 };
 
 // Went through, can't, usage, stopped and undone, stopped and not all undone.
-constexpr int kWent = 0, kCant = 1, kRollUsage = 2, kUndone = 3, kNotUndone = 4;
+constexpr int kExitCompleted = 0, kExitNotPossible = 1, kExitUsage = 2, kExitRolledBack = 3,
+              kExitRollbackIncomplete = 4;
 
-int runRoll(const RollCall& call);
+int runRollout(const RolloutOptions& call);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/version_store.cpp
+++ b/src/ctl/version_store.cpp
@@ -50,7 +50,7 @@
 
 std::string digestOfFile(const std::string& path) { return digestOf(readAll(path)); }
 
-void writeWhole(const std::string& path, std::string_view bytes, int mode) {
+void writeAtomically(const std::string& path, std::string_view bytes, int mode) {
     // A name of its own: two threads may write one file, and neither may rename the other's half.
     const std::string beside = fmt::format("{}{}{}", path, kBeside, ::gettid());
     const int fd = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
@@ -80,7 +80,7 @@
     if (failed) fail("sync", folder, failed);
 }
 
-void clearLeft(const std::string& folder) {
+void removeTemporaryFiles(const std::string& folder) {
     std::error_code none;
     for (const auto& one : std::filesystem::recursive_directory_iterator(folder, none))
         if (one.path().filename().string().find(kBeside) != std::string::npos)
@@ -88,7 +88,7 @@
 }
 
 void writeChecked(const std::string& path, std::string_view bytes) {
-    writeWhole(path, fmt::format("{}{}\n{}", kHead, digestOf(bytes), bytes));
+    writeAtomically(path, fmt::format("{}{}\n{}", kHead, digestOf(bytes), bytes));
 }
 
 std::optional<std::string> readChecked(const std::string& path) {
@@ -103,7 +103,7 @@
     return rest;
 }
 
-std::string Versions::keepProgram(const std::string& path) const {
+std::string VersionStore::storeProgram(const std::string& path) const {
     const std::string bytes = readAll(path);
     const std::string digest = digestOf(bytes);
     const std::string kept = programPath(digest);
@@ -112,32 +112,32 @@
     std::error_code unread;
     if (std::filesystem::file_size(kept, unread) == bytes.size() && !unread && digestOfFile(kept) == digest)
         return digest;
-    writeWhole(kept, bytes, 0755);
+    writeAtomically(kept, bytes, 0755);
     return digest;
 }
 
-std::string Versions::keepForm(const std::string& text) const {
+std::string VersionStore::storeTemplate(const std::string& text) const {
     const std::string digest = digestOf(text);
     makeFolder(folder_);
     const std::string kept = folder_ + "/" + digest + ".form";
-    if (::access(kept.c_str(), F_OK) != 0 || readAll(kept) != text) writeWhole(kept, text);
+    if (::access(kept.c_str(), F_OK) != 0 || readAll(kept) != text) writeAtomically(kept, text);
     return digest;
 }
 
-void Versions::checkProgram(const std::string& digest) const {
+void VersionStore::checkProgram(const std::string& digest) const {
     const std::string path = programPath(digest);
     if (::access(path.c_str(), X_OK) != 0) fail("run", path, errno);
     if (digestOfFile(path) != digest) throw std::runtime_error(path + " is not the program that it was");
 }
 
-std::string Versions::form(const std::string& digest) const {
+std::string VersionStore::templateText(const std::string& digest) const {
     const std::string path = folder_ + "/" + digest + ".form";
     std::string text = readAll(path);
     if (digestOf(text) != digest) throw std::runtime_error(path + " is not the form that it was");
     return text;
 }
 
-std::string Versions::digestIn(std::string_view path) const {
+std::string VersionStore::digestIn(std::string_view path) const {
     if (!path.starts_with(folder_ + "/")) return "";
     path.remove_prefix(folder_.size() + 1);
     return std::string(path.substr(0, path.find('/')));
--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -19,17 +19,17 @@
     std::string host;  // as the request's Host names it
 };
 
-class ListCall : private transport::Connection::Owner {
+class EndpointPoll : private transport::Connection::Handler {
   public:
-    class Owner {
+    class Handler {
       public:
-        virtual ~Owner() = default;
+        virtual ~Handler() = default;
         // A whole answer has come; its call may be followed by another one on the same connection.
-        virtual void answered(ListCall& call) = 0;
+        virtual void onResponse(EndpointPoll& call) = 0;
         // The call is of no further use, and is to be destroyed.
-        virtual void failed(ListCall& call, std::string_view why) = 0;
+        virtual void onFailed(EndpointPoll& call, std::string_view why) = 0;
         // About to be written, the connection being up.
-        virtual void written() = 0;
+        virtual void onRequestSent() = 0;
     };
 
     // What is asked for.
@@ -41,44 +41,44 @@
 
     enum class Phase : std::uint8_t { connecting, waiting, reading };
 
-    ListCall(transport::Loop& loop, transport::Pool& pool, Owner& owner, DiscoveryAddress source,
-             std::size_t longestList);
+    EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& owner,
+                 DiscoveryAddress source, std::size_t longestList);
 
     // False when there is no connection to be had; the call is to be destroyed then.
-    bool begin(const Request& request);
+    bool start(const Request& request);
 
     const Request& request() const { return request_; }
     const DiscoveryAddress& source() const { return source_; }
     // The answer, after `answered`.
-    int status() const { return answer_.status(); }
-    std::string_view body() { return answer_.body(); }
-    bool mayCallAgain() const { return connection_ && answer_.keepsOpen(); }
-    Nanos begunAt() const { return begunAt_; }
+    int status() const { return response_.status(); }
+    std::string_view body() { return response_.body(); }
+    bool canPollAgain() const { return connection_ && response_.isKeepAlive(); }
+    Nanos startedAt() const { return startedAt_; }
     // Since it began, but for what it may have waited for a change.
-    Nanos tookBesideWait() const { return transport::Loop::now() - begunAt_ - request_.wait; }
+    Nanos durationBesideWait() const { return transport::EventLoop::now() - startedAt_ - request_.wait; }
     // What a call that is late has not done.
-    std::string_view whyLate() const;
+    std::string_view lateReason() const;
     // For the log: how long ago it began, in which phase it is, what has come of its answer.
     std::string progress() const;
 
   private:
-    void opened(bool up) override;
-    void received(std::string_view bytes) override;
-    void ended() override;
+    void onConnected(bool up) override;
+    void onData(std::string_view bytes) override;
+    void onClosed() override;
 
     bool write();
     void extend();
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
-    Owner& owner_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
+    Handler& owner_;
     const DiscoveryAddress source_;
     Request request_;
     Phase phase_ = Phase::connecting;
-    Nanos begunAt_ = 0;
+    Nanos startedAt_ = 0;
     std::size_t bytes_ = 0;
-    protocol::HttpAnswer answer_;
-    transport::Alarm limit_;
+    protocol::HttpResponse response_;
+    transport::Timer timeout_;
     std::unique_ptr<transport::Connection> connection_;
 };
 
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -22,43 +22,43 @@
 
 }  // namespace
 
-Watch::Watch(transport::Loop& loop, transport::Pool& pool, proxy::Core& core, Settings settings,
-             proxy::Log log)
+EndpointWatcher::EndpointWatcher(transport::EventLoop& loop, transport::BufferPool& pool,
+                                 proxy::RequestDispatcher& core, Settings settings, proxy::Log log)
     : loop_(loop),
       pool_(pool),
-      core_(core),
-      longestWait_(settings.longestWait),
+      dispatcher_(core),
+      maxPollWait_(settings.maxPollWait),
       sourceSeed_(settings.sourceSeed),
-      longestList_(settings.longestList),
+      maxListBytes_(settings.maxListBytes),
       log_(std::move(log)),
       version_(settings.version),
-      pushed_(settings.pushed),
-      pacing_(settings.routers, settings.seed, false),
-      next_(loop, [this] { callDue(); }),
-      heardAt_(transport::Loop::now()) {
-    setSources(std::move(settings.sources));
+      isPushed_(settings.isPushed),
+      pacing_(settings.routerCount, settings.seed, false),
+      nextPoll_(loop, [this] { onPollDue(); }),
+      lastHeardAt_(transport::EventLoop::now()) {
+    replaceSources(std::move(settings.sources));
 }
 
-void Watch::setSources(std::vector<DiscoveryAddress> sources) {
-    several_.reset();
+void EndpointWatcher::replaceSources(std::vector<DiscoveryAddress> sources) {
+    sourceSet_.reset();
     std::size_t first = 0;
     if (sources.size() > 1) {
         SourceSelector selector(sources.size(), sourceSeed_);
         first = selector.current();
-        several_.reset(new Several{sources, std::move(selector), 0, 0, 0});
+        sourceSet_.reset(new SourceSet{sources, std::move(selector), 0, 0, 0});
     }
     source_ = sources[first];
-    pacing_.setMayBeCrowded(!pushed_ && !several_);
+    pacing_.setMayBeCrowded(!isPushed_ && !sourceSet_);
 }
 
-void Watch::want() {
-    if (unanswered_ || (next_.isSet() && (several_ || pacing_.isCrowded()))) return;
-    beginCall();
+void EndpointWatcher::start() {
+    if (unanswered_ || (nextPoll_.isActive() && (sourceSet_ || pacing_.isCrowded()))) return;
+    beginPoll();
 }
 
-void Watch::moveTo(std::vector<DiscoveryAddress> sources) {
-    if (several_ && std::equal(sources.begin(), sources.end(), several_->addresses.begin(),
-                               several_->addresses.end(), isSameSource))
+void EndpointWatcher::setSources(std::vector<DiscoveryAddress> sources) {
+    if (sourceSet_ && std::equal(sources.begin(), sources.end(), sourceSet_->addresses.begin(),
+                                 sourceSet_->addresses.end(), isSameSource))
         return;
     const auto kept = std::find_if(sources.begin(), sources.end(), [&](const DiscoveryAddress& source) {
         return isSameSource(source, source_);
@@ -66,184 +66,186 @@
     if (kept != sources.end()) {
         const DiscoveryAddress current = *kept;
         const auto index = static_cast<std::size_t>(kept - sources.begin());
-        setSources(std::move(sources));
+        replaceSources(std::move(sources));
         source_ = current;
-        if (several_) several_->selector.resumeAt(index);
+        if (sourceSet_) sourceSet_->selector.resumeAt(index);
         // Of sources that are none any more.
-        for (std::size_t i = calls_.size(); i > 0; --i)
-            if (!isSameSource(calls_[i - 1]->source(), source_)) drop(*calls_[i - 1]);
-        return want();
+        for (std::size_t i = polls_.size(); i > 0; --i)
+            if (!isSameSource(polls_[i - 1]->source(), source_)) drop(*polls_[i - 1]);
+        return start();
     }
-    setSources(std::move(sources));
-    if (several_) version_ = 0;
-    wholeWanted_ = true;
-    watch_ = nullptr;
+    replaceSources(std::move(sources));
+    if (sourceSet_) version_ = 0;
+    needsCompleteList_ = true;
+    longPoll_ = nullptr;
     unanswered_ = nullptr;
-    calls_.clear();
-    next_.clear();
-    core_.listMoved();
-    want();
+    polls_.clear();
+    nextPoll_.stop();
+    dispatcher_.onDiscoveryMoved();
+    start();
 }
 
-ListCall::Request Watch::nextRequest() {
-    ListCall::Request request;
+EndpointPoll::Request EndpointWatcher::nextRequest() {
+    EndpointPoll::Request request;
     request.known = version_;
-    if (wholeWanted_) return request;
+    if (needsCompleteList_) return request;
     request.after = version_;
     // After a failure, and at a source that is tried, what is newer is told at once, if only that nothing is.
-    if (isProbing() || !trouble_.empty() || pacing_.isCrowded()) return request;
-    request.wait = pacing_.watchWait(several_ ? std::min(longestWait_, kWaitAmongSeveral) : longestWait_);
+    if (isProbing() || !lastFailure_.empty() || pacing_.isCrowded()) return request;
+    request.wait = pacing_.watchWait(sourceSet_ ? std::min(maxPollWait_, kWaitAmongSeveral) : maxPollWait_);
     return request;
 }
 
-void Watch::beginCall() {
+void EndpointWatcher::beginPoll() {
     // None of those that are out is given up for another one.
-    if (calls_.size() >= kMostCalls) return next_.set(transport::Loop::now() + kPauseAtMostCalls);
-    calls_.push_back(std::make_unique<ListCall>(loop_, pool_, static_cast<ListCall::Owner&>(*this), source_,
-                                                longestList_));
-    ListCall& call = *calls_.back();
-    const ListCall::Request request = nextRequest();
-    if (request.wait > 0) watch_ = &call;
+    if (polls_.size() >= kMaxConcurrentPolls)
+        return nextPoll_.start(transport::EventLoop::now() + kPauseAtMostCalls);
+    polls_.push_back(std::make_unique<EndpointPoll>(loop_, pool_, static_cast<EndpointPoll::Handler&>(*this),
+                                                    source_, maxListBytes_));
+    EndpointPoll& call = *polls_.back();
+    const EndpointPoll::Request request = nextRequest();
+    if (request.wait > 0) longPoll_ = &call;
     scheduleOverdue(call, request);
-    if (!call.begin(request)) failed(call, "can't connect");
+    if (!call.start(request)) onFailed(call, "can't connect");
 }
 
-void Watch::callAgain(ListCall& call) {
-    const ListCall::Request request = nextRequest();
-    watch_ = &call;
+void EndpointWatcher::pollAgain(EndpointPoll& call) {
+    const EndpointPoll::Request request = nextRequest();
+    longPoll_ = &call;
     const auto isThis = [&](const auto& one) { return one.get() == &call; };
-    std::rotate(std::find_if(calls_.begin(), calls_.end(), isThis), calls_.end() - 1, calls_.end());
+    std::rotate(std::find_if(polls_.begin(), polls_.end(), isThis), polls_.end() - 1, polls_.end());
     scheduleOverdue(call, request);
-    if (!call.begin(request)) failed(call, "the connection broke");
+    if (!call.start(request)) onFailed(call, "the connection broke");
 }
 
-void Watch::scheduleOverdue(const ListCall& call, const ListCall::Request& request) {
+void EndpointWatcher::scheduleOverdue(const EndpointPoll& call, const EndpointPoll::Request& request) {
     unanswered_ = &call;
-    const Nanos now = transport::Loop::now();
+    const Nanos now = transport::EventLoop::now();
     if (isProbing())
-        next_.set(now + several_->selector.attemptTimeout());
+        nextPoll_.start(now + sourceSet_->selector.attemptTimeout());
     else if (request.wait > 0)
-        next_.set(now + request.wait + kWatchGrace);
+        nextPoll_.start(now + request.wait + kLongPollGrace);
     else
-        next_.set(now + pacing_.intervalWithoutAnswer());
+        nextPoll_.start(now + pacing_.intervalWithoutAnswer());
 }
 
-void Watch::callDue() {
-    if (!unanswered_) return beginCall();  // the pause after a failure is over
-    const ListCall& call = *unanswered_;
+void EndpointWatcher::onPollDue() {
+    if (!unanswered_) return beginPoll();  // the pause after a failure is over
+    const EndpointPoll& call = *unanswered_;
     unanswered_ = nullptr;
-    watch_ = nullptr;
-    const std::string_view why = call.whyLate();
-    note(why, call);
-    core_.listFailed();
-    if (several_)
+    longPoll_ = nullptr;
+    const std::string_view why = call.lateReason();
+    recordFailure(why, call);
+    dispatcher_.onPollFailed();
+    if (sourceSet_)
         moveToNextSource(why);
     else
-        beginCall();
+        beginPoll();
 }
 
-void Watch::answered(ListCall& call) {
+void EndpointWatcher::onResponse(EndpointPoll& call) {
     if (call.status() != 200) {
-        pacing_.refused(transport::Loop::now());
-        return failed(call, fmt::format("answered {}", call.status()));
+        pacing_.onRefused(transport::EventLoop::now());
+        return onFailed(call, fmt::format("answered {}", call.status()));
     }
-    pacing_.answered(transport::Loop::now(), call.tookBesideWait());
+    pacing_.onAnswered(transport::EventLoop::now(), call.durationBesideWait());
     try {
-        if (!take(call)) return;
-    } catch (const protocol::Malformed& problem) {
+        if (!applyResponse(call)) return;
+    } catch (const protocol::ParseError& problem) {
         // The same changes would be spoilt in the same way again.
-        wholeWanted_ = true;
-        return failed(call, problem.what());
+        needsCompleteList_ = true;
+        return onFailed(call, problem.what());
     }
     // What was asked for before it can tell nothing more.
-    while (calls_.front().get() != &call) drop(*calls_.front());
-    if (watch_ && watch_ != &call) return drop(call);
+    while (polls_.front().get() != &call) drop(*polls_.front());
+    if (longPoll_ && longPoll_ != &call) return drop(call);
     if (pacing_.isCrowded()) return pollLater(call);
     // At once: a later call would begin a new watch.
-    if (call.mayCallAgain()) return callAgain(call);
+    if (call.canPollAgain()) return pollAgain(call);
     drop(call);
-    beginCall();
+    beginPoll();
 }
 
-void Watch::retryAfterPause() {
-    const Nanos now = transport::Loop::now();
-    next_.set(now + pacing_.pauseAfterFailure(now - heardAt_));
+void EndpointWatcher::retryAfterPause() {
+    const Nanos now = transport::EventLoop::now();
+    nextPoll_.start(now + pacing_.pauseAfterFailure(now - lastHeardAt_));
 }
 
 // Leaves a crowded source to the others for a while.
-void Watch::pollLater(ListCall& call) {
-    const Nanos now = transport::Loop::now();
-    const bool prompt = call.tookBesideWait() <= kPromptAnswer;
-    const Nanos due = prompt ? now + kPromptPause : call.begunAt() + kCrowdedPeriod;
+void EndpointWatcher::pollLater(EndpointPoll& call) {
+    const Nanos now = transport::EventLoop::now();
+    const bool prompt = call.durationBesideWait() <= kPromptResponseTime;
+    const Nanos due = prompt ? now + kPromptPause : call.startedAt() + kCrowdedPeriod;
     drop(call);
-    next_.set(std::max(due, now));
+    nextPoll_.start(std::max(due, now));
 }
 
 // False when the call has failed by what it brought.
-bool Watch::take(ListCall& call) {
-    const auto roster = protocol::readRoster(call.body());
-    const ListCall::Request& request = call.request();
+bool EndpointWatcher::applyResponse(EndpointPoll& call) {
+    const auto roster = protocol::readEndpointList(call.body());
+    const EndpointPoll::Request& request = call.request();
     // Begun before a newer answer was taken: it tells nothing that is not known.
     const bool overtaken = request.known < version_ && roster.version < version_;
-    if (several_ && !overtaken) {
+    if (sourceSet_ && !overtaken) {
         if (roster.version < version_ && unanswered_ != &call) return drop(call), false;
-        if (roster.version < version_ && !takesOlder(call, roster)) return false;
+        if (roster.version < version_ && !acceptsOlderVersion(call, roster)) return false;
         resumeAtSourceOf(call);
-        several_->selector.answered();
+        sourceSet_->selector.onAnswered();
     }
     // Another call's answer, come late, or a discovery that has lost what it knew: which of the two shows in
     // what the whole list is then.
-    if (!several_ && request.after && roster.version < request.known)
-        throw protocol::Malformed(fmt::format("version {} after version {}", roster.version, request.known));
-    heardAt_ = transport::Loop::now();
-    if (!std::exchange(trouble_, {}).empty())
+    if (!sourceSet_ && request.after && roster.version < request.known)
+        throw protocol::ParseError(fmt::format("version {} after version {}", roster.version, request.known));
+    lastHeardAt_ = transport::EventLoop::now();
+    if (!std::exchange(lastFailure_, {}).empty())
         log_(fmt::format("the list is had from {} again: version {}; {}",
-                         several_ ? source_.host : "discovery", roster.version, call.progress()));
+                         sourceSet_ ? source_.host : "discovery", roster.version, call.progress()));
     if (overtaken) return true;
     version_ = roster.version;
-    wholeWanted_ = false;
-    core_.listed(roster.full ? NewsKind::whole : NewsKind::changes, roster);
+    needsCompleteList_ = false;
+    dispatcher_.onEndpointList(roster.isComplete ? EndpointUpdateKind::complete : EndpointUpdateKind::delta,
+                               roster);
     return true;
 }
 
-void Watch::failed(ListCall& call, std::string_view why) {
+void EndpointWatcher::onFailed(EndpointPoll& call, std::string_view why) {
     // Beside newer calls it ends without consequences: the next one is due by theirs.
     if (unanswered_ != &call) {
-        if (!several_) log_(fmt::format("an older call for the list ended: {}; {}", why, call.progress()));
+        if (!sourceSet_) log_(fmt::format("an older call for the list ended: {}; {}", why, call.progress()));
         return drop(call);
     }
-    note(why, call);
+    recordFailure(why, call);
     drop(call);
-    core_.listFailed();
-    if (several_)
+    dispatcher_.onPollFailed();
+    if (sourceSet_)
         moveToNextSource(why);
     else
         retryAfterPause();
 }
 
-void Watch::drop(ListCall& call) {
-    if (watch_ == &call) watch_ = nullptr;
+void EndpointWatcher::drop(EndpointPoll& call) {
+    if (longPoll_ == &call) longPoll_ = nullptr;
     if (unanswered_ == &call) unanswered_ = nullptr;
-    std::erase_if(calls_, [&](const auto& one) { return one.get() == &call; });
+    std::erase_if(polls_, [&](const auto& one) { return one.get() == &call; });
 }
 
-void Watch::note(std::string_view why, const ListCall& call) {
-    trouble_ = several_ ? fmt::format("{}: {}", call.source().host, why) : std::string(why);
-    if (several_) return;  // told with the move to the next source
-    const auto age = (transport::Loop::now() - heardAt_) / kMillisecond;
+void EndpointWatcher::recordFailure(std::string_view why, const EndpointPoll& call) {
+    lastFailure_ = sourceSet_ ? fmt::format("{}: {}", call.source().host, why) : std::string(why);
+    if (sourceSet_) return;  // told with the move to the next source
+    const auto age = (transport::EventLoop::now() - lastHeardAt_) / kMillisecond;
     log_(fmt::format("the list could not be had from discovery: {}; last heard of {} ms ago; {}", why, age,
                      call.progress()));
 }
 
-bool Watch::takesOlder(ListCall& call, const protocol::Roster& roster) {
+bool EndpointWatcher::acceptsOlderVersion(EndpointPoll& call, const protocol::EndpointList& roster) {
     const auto offered = fmt::format("version {} after version {}", roster.version, version_);
-    if (several_->selector.judge(roster.version, version_) == ListVerdict::older) {
-        failed(call, offered);
+    if (sourceSet_->selector.judgeVersion(roster.version, version_) == ListVerdict::older) {
+        onFailed(call, offered);
         return false;
     }
-    if (!roster.full) {
-        wholeWanted_ = true;
-        failed(call, offered + ", as from all others; the whole list is needed");
+    if (!roster.isComplete) {
+        needsCompleteList_ = true;
+        onFailed(call, offered + ", as from all others; the whole list is needed");
         return false;
     }
     log_(fmt::format("takes {} from {}: every source tells an older one", offered, source_.host));
@@ -251,39 +253,40 @@
 }
 
 // A source that answers after another one was tried is the one in use again.
-void Watch::resumeAtSourceOf(const ListCall& call) {
+void EndpointWatcher::resumeAtSourceOf(const EndpointPoll& call) {
     if (isSameSource(call.source(), source_)) return;
     const auto it =
-        std::find_if(several_->addresses.begin(), several_->addresses.end(),
+        std::find_if(sourceSet_->addresses.begin(), sourceSet_->addresses.end(),
                      [&](const DiscoveryAddress& one) { return isSameSource(one, call.source()); });
-    if (it == several_->addresses.end()) return;
+    if (it == sourceSet_->addresses.end()) return;
     source_ = *it;
-    several_->selector.resumeAt(static_cast<std::size_t>(it - several_->addresses.begin()));
+    sourceSet_->selector.resumeAt(static_cast<std::size_t>(it - sourceSet_->addresses.begin()));
 }
 
-void Watch::moveToNextSource(std::string_view why) {
+void EndpointWatcher::moveToNextSource(std::string_view why) {
     const std::string failed = fmt::format("{}: {}", source_.host, why);
-    const Attempt next = several_->selector.failed(transport::Loop::now());
-    source_ = several_->addresses[next.source];
-    next_.set(next.at);
+    const Attempt next = sourceSet_->selector.onFailed(transport::EventLoop::now());
+    source_ = sourceSet_->addresses[next.source];
+    nextPoll_.start(next.at);
     logMove(failed);
 }
 
-void Watch::logMove(std::string_view why) {
-    const Nanos now = transport::Loop::now();
-    if (now - several_->logWindowBegan >= kLogWindow) {
-        several_->logWindowBegan = now;
-        several_->logged = 0;
+void EndpointWatcher::logMove(std::string_view why) {
+    const Nanos now = transport::EventLoop::now();
+    if (now - sourceSet_->logWindowBegan >= kLogWindow) {
+        sourceSet_->logWindowBegan = now;
+        sourceSet_->logged = 0;
     }
-    if (several_->logged >= kMostLoggedMoves) {
-        ++several_->unlogged;
+    if (sourceSet_->logged >= kMostLoggedMoves) {
+        ++sourceSet_->unlogged;
         return;
     }
-    ++several_->logged;
-    const auto unlogged = several_->unlogged ? fmt::format("; {} more moves before", several_->unlogged) : "";
-    several_->unlogged = 0;
+    ++sourceSet_->logged;
+    const auto unlogged =
+        sourceSet_->unlogged ? fmt::format("; {} more moves before", sourceSet_->unlogged) : "";
+    sourceSet_->unlogged = 0;
     log_(fmt::format("asks {} for its list: {}; last heard of {} ms ago{}", source_.host, why,
-                     (now - heardAt_) / kMillisecond, unlogged));
+                     (now - lastHeardAt_) / kMillisecond, unlogged));
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -25,19 +25,19 @@
 
 namespace poppyscale::discovery {
 
-constexpr std::size_t kMostCalls = 4;
+constexpr std::size_t kMaxConcurrentPolls = 4;
 // Past its wait at the source, a call that has brought nothing is ended by then, its connection included.
-constexpr Nanos kLongestSilence = 6'500 * kMillisecond;
+constexpr Nanos kMaxSilence = 6'500 * kMillisecond;
 // An answer that has begun may go on for as long as bytes come at least this often,
-constexpr Nanos kLongestStall = 2'500 * kMillisecond;
+constexpr Nanos kMaxStall = 2'500 * kMillisecond;
 // and up to this long past the wait.
-constexpr Nanos kLongestAnswer = 15'000 * kMillisecond;
+constexpr Nanos kMaxResponseDuration = 15'000 * kMillisecond;
 // A watch that has not answered so long after its wait is over is taken for silent: whatever the source had
 // to tell counts as told 2 s after the wait, and the rest of these is for another call.
-constexpr Nanos kWatchGrace = 1'000 * kMillisecond;
+constexpr Nanos kLongPollGrace = 1'000 * kMillisecond;
 // Between two calls of which the first has no answer yet.
-constexpr Nanos kLongestInterval = 2'200 * kMillisecond;
-constexpr Nanos kShortestInterval = 1'800 * kMillisecond;
+constexpr Nanos kMaxInterval = 2'200 * kMillisecond;
+constexpr Nanos kMinInterval = 1'800 * kMillisecond;
 // The same at a crowded source: over the 3 to 4.5 s that one takes for the calls ahead, and short enough for
 // another call within 6 s.
 constexpr Nanos kCrowdedInterval = 4'600 * kMillisecond;
@@ -46,37 +46,37 @@
 // From a prompt answer of one to the next call, which shows whether there is room again.
 constexpr Nanos kPromptPause = 500 * kMillisecond;
 // An answer within this time is that of a source that has room.
-constexpr Nanos kPromptAnswer = 1'000 * kMillisecond;
+constexpr Nanos kPromptResponseTime = 1'000 * kMillisecond;
 // How many prompt answers in a row show that there is room again: one, and twice as many each time that it
 // was crowded again soon after.
-constexpr int kMostPromptAnswers = 4;
+constexpr int kMaxPromptAnswers = 4;
 constexpr Nanos kCrowdedAgainWithin = 15'000 * kMillisecond;
 // After a call that a crowded source refused: refusing costs it work too, and calls that come sooner take it
 // from those that are let in.
-constexpr Nanos kShortestRefusedPause = 1'500 * kMillisecond;
-constexpr Nanos kLongestRefusedPause = 3'000 * kMillisecond;
+constexpr Nanos kMinRefusedPause = 1'500 * kMillisecond;
+constexpr Nanos kMaxRefusedPause = 3'000 * kMillisecond;
 // After a call that failed otherwise.
 constexpr Nanos kFirstPause = 500 * kMillisecond;   // by a router that has just heard of the list
 constexpr Nanos kUrgentAge = 4'000 * kMillisecond;  // since then; from here on the pause is the shortest one
-constexpr Nanos kShortestPause = 400 * kMillisecond;
-constexpr Nanos kLongestPause = 1'500 * kMillisecond;
+constexpr Nanos kMinPause = 400 * kMillisecond;
+constexpr Nanos kMaxPause = 1'500 * kMillisecond;
 constexpr Nanos kPausePerRouter = 5 * kMillisecond;
 
-class CallPacing {
+class PollPacing {
   public:
     // `routers` is the size of the fleet that asks the same source.
     // A source may count as crowded where routers ask it by turns and there is no other one; where changes
     // count as told at once, or another source can be asked, it never does.
-    CallPacing(std::int64_t routers, std::uint64_t seed, bool mayBeCrowded);
+    PollPacing(std::int64_t routers, std::uint64_t seed, bool mayBeCrowded);
     void setMayBeCrowded(bool may);
 
-    void setRouters(std::int64_t routers) { routers_ = routers; }
+    void setRouterCount(std::int64_t routers) { routerCount_ = routers; }
     // Before the next call after one that failed, the list having been heard of `age` ago. Drawn, so that
     // routers that failed together don't ask together.
     Nanos pauseAfterFailure(Nanos age);
     // The source has refused a call, or has answered one after so long.
-    void refused(Nanos now);
-    void answered(Nanos now, Nanos after);
+    void onRefused(Nanos now);
+    void onAnswered(Nanos now, Nanos after);
     bool isCrowded() const { return promptAnswersLeft_ > 0; }
     // Between the begins of two calls while none is answered.
     Nanos intervalWithoutAnswer();
@@ -87,7 +87,7 @@
   private:
     Nanos draw(Nanos least, Nanos most);
 
-    std::int64_t routers_;
+    std::int64_t routerCount_;
     bool mayBeCrowded_;
     int promptAnswersLeft_ = 0;  // until the source counts as one with room
     int promptAnswersNeeded_ = 1;
--- a/src/discovery/removed_endpoints.cpp
+++ b/src/discovery/removed_endpoints.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void KnownServers::add(const std::string& id) {
+void RemovedEndpoints::add(const std::string& id) {
     remove(id);
     byAge_.push_back(id);
     const Position position = std::prev(byAge_.end());
@@ -22,7 +22,7 @@
     while (usedBytes_ > capacityBytes_) remove(byAge_.front());
 }
 
-void KnownServers::remove(std::string_view id) {
+void RemovedEndpoints::remove(std::string_view id) {
     const auto found = positions_.find(id);
     if (found == positions_.end()) return;
     const Position position = found->second;
--- a/src/discovery/removed_endpoints.hpp
+++ b/src/discovery/removed_endpoints.hpp
@@ -10,9 +10,9 @@
 namespace poppyscale::discovery {
 
 // Holds as many ids as fit into its bytes; the one that went first is forgotten first.
-class KnownServers {
+class RemovedEndpoints {
   public:
-    explicit KnownServers(std::size_t capacityBytes) : capacityBytes_(capacityBytes) {}
+    explicit RemovedEndpoints(std::size_t capacityBytes) : capacityBytes_(capacityBytes) {}
 
     // An id that is there already counts as the latest from now on.
     void add(const std::string& id);
--- a/src/discovery/server_start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -20,7 +20,7 @@
 
 namespace poppyscale::discovery {
 
-class StartTimes {
+class ServerStartTimes {
   public:
     // How long a reading of the wall clock counts after a step away from it.
     static constexpr Nanos kLeadKept = 600'000 * kMillisecond;
@@ -30,13 +30,13 @@
 
     // `lead`: of the monotonic clock over the wall clock, read at `now`. To be told often: only a step that
     // shows between two readings is known of.
-    void noteClock(Nanos now, Nanos lead);
+    void recordClockOffset(Nanos now, Nanos lead);
     // When the server started: 0 for long ago.
     Nanos startOf(std::string_view server, std::int64_t startedMs, Nanos now);
     void forget(const std::string& server) { starts_.erase(server); }
 
   private:
-    struct Lead {
+    struct ClockOffset {
         Nanos value = 0;
         Nanos lastSeen = 0;
     };
@@ -46,7 +46,7 @@
     };
     Nanos read(std::int64_t startedMs, Nanos now) const;
 
-    std::vector<Lead> leads_;  // the newest last
+    std::vector<ClockOffset> clockOffsets_;  // the newest last
     std::unordered_map<std::string, Start> starts_;
 };
 
--- a/src/discovery/source_selector.cpp
+++ b/src/discovery/source_selector.cpp
@@ -9,7 +9,7 @@
 
 SourceSelector::SourceSelector(std::size_t count, std::uint64_t seed, std::set<Safeguard> without)
     : without_(std::move(without)), random_(seed), sources_(count), order_(count) {
-    assert(count >= 1 && count <= kMostSources);
+    assert(count >= 1 && count <= kMaxSources);
     std::iota(order_.begin(), order_.end(), std::size_t{0});
     if (has(Safeguard::spread)) std::shuffle(order_.begin(), order_.end(), random_);
 }
@@ -23,8 +23,8 @@
 Nanos SourceSelector::attemptTimeout() const {
     const std::size_t round = failures_ == 0 ? 0 : (failures_ - 1) / count();
     Nanos timeout = firstTimeout();
-    for (std::size_t i = 0; i < round && timeout < kLongestTimeout; ++i) timeout *= 2;
-    return std::min(timeout, kLongestTimeout);
+    for (std::size_t i = 0; i < round && timeout < kMaxTimeout; ++i) timeout *= 2;
+    return std::min(timeout, kMaxTimeout);
 }
 
 void SourceSelector::resumeAt(std::size_t source) {
@@ -33,7 +33,7 @@
     confirmed_ = true;
 }
 
-Attempt SourceSelector::failed(Nanos now) {
+Attempt SourceSelector::onFailed(Nanos now) {
     Source& lost = sources_[current()];
     ++failures_;
     ++lost.failures;
@@ -47,19 +47,19 @@
     return {current(), std::max(now, sources_[current()].retryAt)};
 }
 
-void SourceSelector::answered() {
+void SourceSelector::onAnswered() {
     failures_ = 0;
     for (Source& source : sources_) source = Source{};
     confirmed_ = true;
     if (!has(Safeguard::stickiness)) position_ = 0;
 }
 
-ListVerdict SourceSelector::judge(std::int64_t offered, std::int64_t known) {
+ListVerdict SourceSelector::judgeVersion(std::int64_t offered, std::int64_t known) {
     if (offered >= known) return ListVerdict::usable;
     if (!has(Safeguard::versionGuard)) return ListVerdict::allOlder;
-    sources_[current()].toldOlder = true;
-    const bool all =
-        std::all_of(sources_.begin(), sources_.end(), [](const Source& source) { return source.toldOlder; });
+    sources_[current()].offeredOlder = true;
+    const bool all = std::all_of(sources_.begin(), sources_.end(),
+                                 [](const Source& source) { return source.offeredOlder; });
     return all ? ListVerdict::allOlder : ListVerdict::older;
 }
 
@@ -71,7 +71,7 @@
 Nanos SourceSelector::backoffAfter(int failures) {
     if (!has(Safeguard::backoff)) return 0;
     Nanos longest = kFirstBackoff;
-    for (int i = 1; i < failures && longest < kLongestBackoff; ++i) longest *= 2;
+    for (int i = 1; i < failures && longest < kMaxBackoff; ++i) longest *= 2;
     return draw(longest / 2, longest);
 }
 
--- a/src/discovery/source_selector.hpp
+++ b/src/discovery/source_selector.hpp
@@ -27,13 +27,13 @@
 
 namespace poppyscale::discovery {
 
-constexpr std::size_t kMostSources = 8;  // with more, the first round's timeouts would be too short
+constexpr std::size_t kMaxSources = 8;  // with more, the first round's timeouts would be too short
 constexpr Nanos kRecoveryBound = 2'000 * kMillisecond;
 constexpr Nanos kLossJitter = 500 * kMillisecond;    // before the first attempt after a loss
 constexpr Nanos kRoundJitter = 50 * kMillisecond;    // before each further attempt of the first round
 constexpr Nanos kFirstBackoff = 500 * kMillisecond;  // of one source, after its first failure in an outage
-constexpr Nanos kLongestBackoff = 4'000 * kMillisecond;
-constexpr Nanos kLongestTimeout = 2'000 * kMillisecond;  // of one attempt
+constexpr Nanos kMaxBackoff = 4'000 * kMillisecond;
+constexpr Nanos kMaxTimeout = 2'000 * kMillisecond;  // of one attempt
 
 // What the promises rest on. One is left out only to prove that its check finds that.
 enum class Safeguard : std::uint8_t { stickiness, spread, jitter, bound, backoff, versionGuard };
@@ -65,17 +65,17 @@
     void resumeAt(std::size_t source);
     // The attempt at the current source failed, or its connection was lost. The next one is at another
     // source, or at the same one when the others' backoff is longer.
-    Attempt failed(Nanos now);
+    Attempt onFailed(Nanos now);
     // The current source gave a list that was taken, if only the word that nothing has changed.
-    void answered();
+    void onAnswered();
     // Judges the version that the current source offers against the known one.
-    ListVerdict judge(std::int64_t offered, std::int64_t known);
+    ListVerdict judgeVersion(std::int64_t offered, std::int64_t known);
 
   private:
     struct Source {
         int failures = 0;  // within this outage
         Nanos retryAt = 0;
-        bool toldOlder = false;
+        bool offeredOlder = false;
     };
 
     bool has(Safeguard safeguard) const { return !without_.contains(safeguard); }
--- a/src/endpoint_distribution/distributor.cpp
+++ b/src/endpoint_distribution/distributor.cpp
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-const std::vector<std::pair<std::string_view, Guard>>& guards() {
-    static const std::vector<std::pair<std::string_view, Guard>> all{
-        {"version-guard", Guard::versionGuard}, {"older-list", Guard::olderList},
-        {"tombstones", Guard::tombstones},      {"gaps", Guard::gaps},
-        {"fail-over", Guard::failOver},         {"backoff-jitter", Guard::backoffJitter},
-        {"batching", Guard::batching},          {"slow-reader-bound", Guard::slowReaderBound},
-        {"patience", Guard::patience},          {"stale-upstream", Guard::staleUpstream},
-        {"ahead-check", Guard::aheadCheck}};
+const std::vector<std::pair<std::string_view, Safeguard>>& guards() {
+    static const std::vector<std::pair<std::string_view, Safeguard>> all{
+        {"version-guard", Safeguard::versionGuard}, {"older-list", Safeguard::olderList},
+        {"tombstones", Safeguard::tombstones},      {"gaps", Safeguard::gaps},
+        {"fail-over", Safeguard::failOver},         {"backoff-jitter", Safeguard::backoffJitter},
+        {"batching", Safeguard::batching},          {"slow-reader-bound", Safeguard::slowReaderBound},
+        {"patience", Safeguard::patience},          {"stale-upstream", Safeguard::staleUpstream},
+        {"ahead-check", Safeguard::aheadCheck}};
     return all;
 }
 
-Guard guardNamed(std::string_view name) {
+Safeguard guardNamed(std::string_view name) {
     std::string known;
     for (const auto& [guardName, guard] : guards()) {
         if (guardName == name) return guard;
@@ -33,11 +33,11 @@
     throw std::runtime_error("'" + std::string(name) + "' is none of " + known);
 }
 
-Distributor::Distributor(const Options& options, Host& host, Nanos now)
+Distributor::Distributor(const Options& options, DistributorHost& host, Nanos now)
     : options_(options),
       host_(host),
-      list_(options.has(Guard::tombstones) ? options.maxTombstones : 0,
-            {options.has(Guard::gaps), options.has(Guard::tombstones)}),
+      list_(options.has(Safeguard::tombstones) ? options.maxTombstones : 0,
+            {options.has(Safeguard::gaps), options.has(Safeguard::tombstones)}),
       random_(options.seed),
       upstreamDue_(now),
       heardAt_(now),
@@ -48,45 +48,45 @@
 
 void Distributor::superviseUpstream(Nanos now) {
     if (shuttingDown_ || now < upstreamDue_) return;
-    if (upstreamState_ == UpstreamState::asked)
-        upstreamFailed(now, Failure::silent, "no answer in time");
+    if (upstreamState_ == UpstreamState::polling)
+        onUpstreamFailed(now, Failure::unresponsive, "no answer in time");
     else
-        ask(now);
+        pollUpstream(now);
 }
 
-void Distributor::ask(Nanos now) {
-    upstreamState_ = UpstreamState::asked;
-    if (now - silentAt_ > kPatienceKept) answerWithin_ = kAnswerWithin;
+void Distributor::pollUpstream(Nanos now) {
+    upstreamState_ = UpstreamState::polling;
+    if (now - silentAt_ > kResponseTimeoutRetention) answerWithin_ = kResponseTimeout;
     beginAheadCheck(now);
-    if (askWhole_ || !list_.isKnown()) {
+    if (needsCompleteList_ || !list_.isKnown()) {
         upstreamDue_ = now + answerWithin_ * kWholeAnswerFactor;
-        return host_.askUpstream(upstream_, std::nullopt, 0);
+        return host_.pollUpstream(upstream_, std::nullopt, 0);
     }
     // Not all distributors' waits end together; and an upstream that has just failed is not waited for.
     std::uniform_int_distribution<Nanos> jitter(0, options_.upstreamWait / 2);
     const bool mayWait = !probing_ && !checkingAhead_;
     const Nanos wait = !mayWait ? 0 : options_.upstreamWait - jitter(random_);
     upstreamDue_ = now + wait + answerWithin_;
-    host_.askUpstream(upstream_, list_.version(), wait);
+    host_.pollUpstream(upstream_, list_.version(), wait);
 }
 
-void Distributor::upstreamAnswered(Nanos now, ListUpdate update, Nanos upstreamAge) {
-    if (upstreamState_ != UpstreamState::asked || shuttingDown_) return;
-    if (!list_.isKnown() && !update.full)
-        return upstreamFailed(now, Failure::spoilt, "changes where there is no list");
+void Distributor::onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge) {
+    if (upstreamState_ != UpstreamState::polling || shuttingDown_) return;
+    if (!list_.isKnown() && !update.isComplete)
+        return onUpstreamFailed(now, Failure::malformed, "changes where there is no list");
     const bool isOlder = list_.isKnown() && update.version < list_.version();
-    if (isOlder && options_.has(Guard::olderList)) return refuseOlder(now, std::move(update));
+    if (isOlder && options_.has(Safeguard::olderList)) return refuseOlder(now, std::move(update));
     accept(now, std::move(update));
     upstreamAge_ = upstreamAge;
     heardAt_ = now;
     const bool isStale = upstreamAge > options_.upstreamWait + kStaleAfter;
-    if (isStale && options_.has(Guard::staleUpstream)) return retryNext(now, "its list is out of date");
-    if (!trouble_.empty()) host_.log("the list is had from upstream " + std::to_string(upstream_));
-    trouble_.clear();
+    if (isStale && options_.has(Safeguard::staleUpstream)) return retryNext(now, "its list is out of date");
+    if (!lastFailure_.empty()) host_.log("the list is had from upstream " + std::to_string(upstream_));
+    lastFailure_.clear();
     failures_ = 0;
     silences_ = 0;
     probing_ = false;
-    upstreamState_ = UpstreamState::pausing;
+    upstreamState_ = UpstreamState::backingOff;
     upstreamDue_ = now;  // asked again at once: it parks the call until there is a change
     continueAheadCheck(now);
 }
@@ -94,7 +94,7 @@
 void Distributor::accept(Nanos now, ListUpdate update) {
     std::fill(toldOlder_.begin(), toldOlder_.end(), false);
     newestOlder_.reset();
-    askWhole_ = false;
+    needsCompleteList_ = false;
     // A version names one state: the same one again brings nothing.
     const bool isNews = !list_.isKnown() || update.version != list_.version();
     if (!isNews) return;
@@ -108,16 +108,16 @@
     const std::string reason = "it tells version " + std::to_string(older.version) + " after version " +
                                std::to_string(list_.version());
     // Another call's answer come late, or one that has lost what it knew: its whole list will show.
-    if (!askWhole_) {
-        askWhole_ = true;
-        upstreamState_ = UpstreamState::pausing;
+    if (!needsCompleteList_) {
+        needsCompleteList_ = true;
+        upstreamState_ = UpstreamState::backingOff;
         upstreamDue_ = now + nextPause();
-        trouble_ = reason;
+        lastFailure_ = reason;
         host_.log("upstream " + std::to_string(upstream_) + ": " + reason + "; asked for its whole list");
         return;
     }
-    if (!older.full)
-        return upstreamFailed(now, Failure::spoilt, "changes where the whole list was asked for");
+    if (!older.isComplete)
+        return onUpstreamFailed(now, Failure::malformed, "changes where the whole list was asked for");
     toldOlder_[upstream_] = true;
     if (!newestOlder_ || newestOlder_->version < older.version) newestOlder_ = std::move(older);
     const bool allToldOlder = std::find(toldOlder_.begin(), toldOlder_.end(), false) == toldOlder_.end();
@@ -135,35 +135,35 @@
     list_.restart(std::move(*newestOlder_));
     newestOlder_.reset();
     std::fill(toldOlder_.begin(), toldOlder_.end(), false);
-    askWhole_ = false;
+    needsCompleteList_ = false;
     heardAt_ = now;
     listChanged(now);
 }
 
-void Distributor::upstreamFailed(Nanos now, Failure failure, std::string_view reason) {
-    if (upstreamState_ != UpstreamState::asked || shuttingDown_) return;
+void Distributor::onUpstreamFailed(Nanos now, Failure failure, std::string_view reason) {
+    if (upstreamState_ != UpstreamState::polling || shuttingDown_) return;
     // The same changes would be spoilt in the same way again.
-    if (failure == Failure::spoilt) askWhole_ = true;
-    if (failure == Failure::silent) noteSilence(now);
+    if (failure == Failure::malformed) needsCompleteList_ = true;
+    if (failure == Failure::unresponsive) noteSilence(now);
     retryNext(now, reason);
 }
 
 void Distributor::retryNext(Nanos now, std::string_view reason) {
-    trouble_ = reason;
-    host_.log("upstream " + std::to_string(upstream_) + ": " + trouble_ + "; last heard " +
+    lastFailure_ = reason;
+    host_.log("upstream " + std::to_string(upstream_) + ": " + lastFailure_ + "; last heard " +
               std::to_string(milliseconds(now - heardAt_)) + " ms ago");
-    if (options_.has(Guard::failOver)) upstream_ = (upstream_ + 1) % options_.upstreams;
+    if (options_.has(Safeguard::failOver)) upstream_ = (upstream_ + 1) % options_.upstreams;
     probing_ = true;
-    upstreamState_ = UpstreamState::pausing;
+    upstreamState_ = UpstreamState::backingOff;
     upstreamDue_ = now + nextPause();
 }
 
 void Distributor::noteSilence(Nanos now) {
     silentAt_ = now;
     ++silences_;
-    if (silences_ < options_.upstreams || !options_.has(Guard::patience)) return;
+    if (silences_ < options_.upstreams || !options_.has(Safeguard::patience)) return;
     silences_ = 0;
-    answerWithin_ = std::min(2 * answerWithin_, kMaxAnswerWithin);
+    answerWithin_ = std::min(2 * answerWithin_, kMaxResponseTimeout);
 }
 
 Nanos Distributor::nextPause() {
@@ -171,7 +171,7 @@
     const Nanos grown = std::min(kMinBackoff << std::min(failures_, kDoublings), kMaxBackoff);
     ++failures_;
     const Nanos pause = grown / static_cast<Nanos>(options_.upstreams);
-    if (!options_.has(Guard::backoffJitter)) return pause;
+    if (!options_.has(Safeguard::backoffJitter)) return pause;
     return pause - std::uniform_int_distribution<Nanos>(0, pause / 2)(random_);
 }
 
@@ -190,7 +190,7 @@
 }
 
 void Distributor::beginAheadCheck(Nanos now) {
-    if (checkingAhead_ || now < nextAheadCheck_ || !options_.has(Guard::aheadCheck)) return;
+    if (checkingAhead_ || now < nextAheadCheck_ || !options_.has(Safeguard::aheadCheck)) return;
     // Nobody asks with it any more, as far as a reader's longest wait tells.
     std::erase_if(ahead_,
                   [now](const auto& entry) { return now - entry.second.lastAsked > 2 * kMaxReaderWait; });
@@ -224,18 +224,18 @@
         host_.log("no upstream knows version " + std::to_string(version) +
                   ", which readers have; the newest is " + std::to_string(list_.version()));
     }
-    lookAtAll();
+    updateAllDeadlines();
 }
 
 // ---- readers
 
-void Distributor::readerConnected(Nanos now, ReaderId id) {
+void Distributor::onReaderConnected(Nanos now, ReaderId id) {
     Reader& reader = readers_[id];
     reader.since = now;
-    look(id, reader);
+    updateDeadline(id, reader);
 }
 
-void Distributor::readerAsks(Nanos now, ReaderId id, const ReaderRequest& request) {
+void Distributor::onReaderPoll(Nanos now, ReaderId id, const ReaderRequest& request) {
     const auto found = readers_.find(id);
     if (found == readers_.end()) return;
     Reader& reader = found->second;
@@ -246,12 +246,12 @@
             ++countedReaders_;
         }
     }
-    const bool mustWait = reader.state == ReaderState::draining && options_.has(Guard::slowReaderBound);
+    const bool mustWait = reader.state == ReaderState::draining && options_.has(Safeguard::slowReaderBound);
     if (mustWait)
         reader.queued = request;
     else
         startRequest(now, reader, request);
-    look(id, reader);
+    updateDeadline(id, reader);
 }
 
 void Distributor::startRequest(Nanos now, Reader& reader, const ReaderRequest& request) {
@@ -262,23 +262,23 @@
     if (request.after) noteAhead(now, *request.after);
 }
 
-void Distributor::readerSent(Nanos now, ReaderId id, std::size_t unsent) {
+void Distributor::onReaderBytesSent(Nanos now, ReaderId id, std::size_t unsent) {
     const auto found = readers_.find(id);
     if (found == readers_.end()) return;
     Reader& reader = found->second;
     reader.unsent = unsent;
     if (reader.state != ReaderState::draining) return;
-    if (unsent > 0) return look(id, reader);
+    if (unsent > 0) return updateDeadline(id, reader);
     reader.state = ReaderState::idle;
     reader.since = now;
     if (reader.queued) {
         startRequest(now, reader, *reader.queued);
         reader.queued.reset();
     }
-    look(id, reader);
+    updateDeadline(id, reader);
 }
 
-void Distributor::readerLeaves(Nanos, ReaderId id) { drop(id); }
+void Distributor::onReaderClosed(Nanos, ReaderId id) { drop(id); }
 
 void Distributor::drop(ReaderId id) {
     const auto found = readers_.find(id);
@@ -291,19 +291,19 @@
 void Distributor::listChanged(Nanos now) {
     // A change joins the batch that is not told yet, or begins the next one.
     if (now >= batchDue_) batchDue_ = std::max(now, batchDue_ + options_.batch);
-    if (!options_.has(Guard::batching)) batchDue_ = now;
+    if (!options_.has(Safeguard::batching)) batchDue_ = now;
     ahead_.erase(ahead_.begin(), ahead_.upper_bound(list_.version()));
-    lookAtAll();
+    updateAllDeadlines();
 }
 
-void Distributor::lookAtAll() {
-    for (auto& [id, reader] : readers_) look(id, reader);
+void Distributor::updateAllDeadlines() {
+    for (auto& [id, reader] : readers_) updateDeadline(id, reader);
 }
 
 // When a reader with this version, which is not older than the one here, is told a lower one; mostly never.
 Nanos Distributor::tellsLowerFrom(const Reader& reader, Version after) const {
     if (after == list_.version()) return kNever;
-    if (!options_.has(Guard::versionGuard)) return reader.since;
+    if (!options_.has(Safeguard::versionGuard)) return reader.since;
     const auto ahead = ahead_.find(after);
     if (ahead != ahead_.end() && ahead->second.lost) return reader.since;
     if (!oldEpochVersion_) return kNever;
@@ -312,10 +312,10 @@
 }
 
 Nanos Distributor::deadlineOf(const Reader& reader) const {
-    if (reader.state == ReaderState::idle) return reader.since + kIdleWithin;
+    if (reader.state == ReaderState::idle) return reader.since + kIdleTimeout;
     if (reader.state == ReaderState::draining) {
-        if (!options_.has(Guard::slowReaderBound)) return kNever;
-        return reader.since + (reader.unsent > options_.maxUnsent ? kOverUnsentWithin : kDrainWithin);
+        if (!options_.has(Safeguard::slowReaderBound)) return kNever;
+        return reader.since + (reader.unsent > options_.maxUnsent ? kOverUnsentWithin : kDrainTimeout);
     }
     const bool atOnce = reader.refused || !list_.isKnown() || shuttingDown_;
     if (atOnce) return reader.since;
@@ -328,7 +328,7 @@
     return std::min(waitIsOver, lowerFrom);
 }
 
-void Distributor::look(ReaderId id, Reader& reader) {
+void Distributor::updateDeadline(ReaderId id, Reader& reader) {
     const Nanos deadline = deadlineOf(reader);
     if (deadline == reader.deadline) return;
     deadlines_.erase({reader.deadline, id});
@@ -354,17 +354,17 @@
 }
 
 void Distributor::answer(Nanos now, ReaderId id, Reader& reader) {
-    const Answer told = answerFor(now, reader);
-    ++counts_.answers;
-    reader.mayAnswerAt = options_.has(Guard::batching) ? now + options_.batch : now;
+    const ListResponse told = answerFor(now, reader);
+    ++counts_.responses;
+    reader.mayAnswerAt = options_.has(Safeguard::batching) ? now + options_.batch : now;
     reader.since = now;
-    reader.unsent = host_.answer(id, told);
+    reader.unsent = host_.sendResponse(id, told);
     reader.state = reader.unsent > 0 ? ReaderState::draining : ReaderState::idle;
-    look(id, reader);
+    updateDeadline(id, reader);
 }
 
-Answer Distributor::answerFor(Nanos now, const Reader& reader) {
-    Answer told;
+ListResponse Distributor::answerFor(Nanos now, const Reader& reader) {
+    ListResponse told;
     told.listAgeMs = milliseconds(listAge(now));
     told.close = shuttingDown_;
     if (reader.refused || !list_.isKnown()) {
@@ -382,19 +382,19 @@
 }
 
 SharedBytes Distributor::bodyFor(Nanos now, const Reader& reader) {
-    const bool isWhole = !reader.request.after || tellsWhole(now, reader, *reader.request.after);
+    const bool isWhole = !reader.request.after || sendsCompleteList(now, reader, *reader.request.after);
     if (isWhole) {
-        ++counts_.wholeAnswers;
-        return list_.whole();
+        ++counts_.completeResponses;
+        return list_.completeList();
     }
     const Version after = *reader.request.after;
     if (after > list_.version()) return ListState::unchanged(after);
-    ++counts_.deltaAnswers;
-    return list_.since(after);
+    ++counts_.deltaResponses;
+    return list_.changesSince(after);
 }
 
-bool Distributor::tellsWhole(Nanos now, const Reader& reader, Version after) const {
-    if (after < list_.version()) return !list_.canTellSince(after);
+bool Distributor::sendsCompleteList(Nanos now, const Reader& reader, Version after) const {
+    if (after < list_.version()) return !list_.hasChangesSince(after);
     return now >= tellsLowerFrom(reader, after);
 }
 
@@ -402,7 +402,7 @@
 
 void Distributor::shutDown(Nanos) {
     shuttingDown_ = true;
-    lookAtAll();
+    updateAllDeadlines();
 }
 
 void Distributor::reconcile(Nanos now) {
@@ -412,16 +412,16 @@
     if (!deadlines_.empty()) wake = std::min(wake, deadlines_.begin()->first);
     if (wake == wokenAt_) return;
     wokenAt_ = wake;
-    host_.wakeAt(wake);
+    host_.scheduleWakeup(wake);
 }
 
-Status Distributor::status(Nanos now) const {
-    Status status = counts_;
+DistributorStatus Distributor::status(Nanos now) const {
+    DistributorStatus status = counts_;
     status.version = list_.version();
     status.entries = list_.entries();
     status.tombstones = list_.tombstones();
     status.age = listAge(now);
-    status.trouble = trouble_;
+    status.lastFailure = lastFailure_;
     status.upstream = upstream_;
     status.readers = countedReaders_;
     return status;
--- a/src/endpoint_distribution/distributor.hpp
+++ b/src/endpoint_distribution/distributor.hpp
@@ -64,23 +64,23 @@
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 constexpr Nanos kEpochGrace = 1 * kSecond;
 // Of an upstream, beyond the wait that it was asked for: by then its answer is whole.
-constexpr Nanos kAnswerWithin = 1 * kSecond;
-constexpr Nanos kMaxAnswerWithin = 4 * kSecond;
-constexpr Nanos kPatienceKept = 30 * kSecond;
+constexpr Nanos kResponseTimeout = 1 * kSecond;
+constexpr Nanos kMaxResponseTimeout = 4 * kSecond;
+constexpr Nanos kResponseTimeoutRetention = 30 * kSecond;
 constexpr int kWholeAnswerFactor = 2;  // of a whole list
 constexpr Nanos kStaleAfter = 2 * kSecond;
 constexpr Nanos kAheadPatience = 2 * kSecond;
 constexpr std::size_t kMaxAhead = 64;
 constexpr Nanos kMinBackoff = 100 * kMillisecond;
 constexpr Nanos kMaxBackoff = 1 * kSecond;
-constexpr Nanos kDrainWithin = 5 * kSecond;
+constexpr Nanos kDrainTimeout = 5 * kSecond;
 constexpr Nanos kOverUnsentWithin = 1 * kSecond;
-constexpr Nanos kIdleWithin = 60 * kSecond;  // between a reader's calls
+constexpr Nanos kIdleTimeout = 60 * kSecond;  // between a reader's calls
 constexpr Nanos kMaxReaderWait = 60 * kSecond;
 constexpr int kRetryAfterSeconds = 1;
 
 // What keeps the promises, each by its name; one can be left out to prove that a test finds it.
-enum class Guard : std::uint8_t {
+enum class Safeguard : std::uint8_t {
     versionGuard,     // a reader is never told a lower version than it has
     olderList,        // an upstream's older list is refused
     tombstones,       // removed servers are told to readers of before
@@ -94,8 +94,8 @@
     aheadCheck        // readers with a version that no upstream knows any more are found out
 };
 // Throws std::runtime_error that lists the names.
-Guard guardNamed(std::string_view name);
-const std::vector<std::pair<std::string_view, Guard>>& guards();
+Safeguard guardNamed(std::string_view name);
+const std::vector<std::pair<std::string_view, Safeguard>>& guards();
 
 struct Options {
     std::size_t upstreams = 1;
@@ -105,9 +105,9 @@
     std::size_t maxUnsent = 1024 * 1024;  // bytes of a reader's answer that its kernel has not taken
     std::size_t maxTombstones = ListState::kDefaultTombstones;
     std::uint64_t seed = 1;
-    std::set<Guard> without;  // nothing but in proofs
+    std::set<Safeguard> disabledSafeguards;  // nothing but in proofs
 
-    bool has(Guard guard) const { return !without.contains(guard); }
+    bool has(Safeguard guard) const { return !disabledSafeguards.contains(guard); }
 };
 
 struct ReaderRequest {
@@ -115,7 +115,7 @@
     Nanos wait = 0;                // for a newer version than `after`
 };
 
-struct Answer {
+struct ListResponse {
     int status = 200;           // or 503
     int retryAfterSeconds = 0;  // beside 503
     std::int64_t listAgeMs = 0;
@@ -126,31 +126,31 @@
 enum class CloseReason : std::uint8_t { slow, idle };
 
 // What the decisions ask of whatever carries them out. No method calls back into the distributor.
-class Host {
+class DistributorHost {
   public:
-    virtual ~Host() = default;
+    virtual ~DistributorHost() = default;
     // Gives the number of bytes that the kernel has not taken yet; `readerSent` tells of them from then on.
-    virtual std::size_t answer(ReaderId reader, const Answer& answer) = 0;
+    virtual std::size_t sendResponse(ReaderId reader, const ListResponse& answer) = 0;
     // Whatever was asked of an upstream before is of no interest any more.
-    virtual void askUpstream(std::size_t index, std::optional<Version> after, Nanos wait) = 0;
+    virtual void pollUpstream(std::size_t index, std::optional<Version> after, Nanos wait) = 0;
     virtual void closeReader(ReaderId reader, CloseReason reason) = 0;
-    virtual void wakeAt(Nanos at) = 0;
+    virtual void scheduleWakeup(Nanos at) = 0;
     virtual void log(std::string_view text) = 0;
 };
 
-struct Status {
+struct DistributorStatus {
     Version version = 0;
     std::size_t entries = 0;
     std::size_t tombstones = 0;
-    Nanos age = 0;        // of the list; since the start while there is none
-    std::string trouble;  // why the list can't be had from the upstream; empty while it can
+    Nanos age = 0;            // of the list; since the start while there is none
+    std::string lastFailure;  // why the list can't be had from the upstream; empty while it can
     std::size_t upstream = 0;
     std::size_t readers = 0;
     std::uint64_t epochs = 0;        // begun since the start
     std::uint64_t lostVersions = 0;  // of readers, that no upstream knew any more
-    std::uint64_t answers = 0;
-    std::uint64_t wholeAnswers = 0;
-    std::uint64_t deltaAnswers = 0;
+    std::uint64_t responses = 0;
+    std::uint64_t completeResponses = 0;
+    std::uint64_t deltaResponses = 0;
     std::uint64_t slowReadersClosed = 0;
     std::uint64_t versionFallsRefused = 0;
     std::uint64_t readersRefused = 0;
@@ -158,18 +158,18 @@
 
 class Distributor {
   public:
-    Distributor(const Options& options, Host& host, Nanos now);
+    Distributor(const Options& options, DistributorHost& host, Nanos now);
 
     // A reader is a connection; it may ask again before it has taken its last answer.
-    void readerConnected(Nanos now, ReaderId reader);
-    void readerAsks(Nanos now, ReaderId reader, const ReaderRequest& request);
-    void readerSent(Nanos now, ReaderId reader, std::size_t unsent);
-    void readerLeaves(Nanos now, ReaderId reader);
+    void onReaderConnected(Nanos now, ReaderId reader);
+    void onReaderPoll(Nanos now, ReaderId reader, const ReaderRequest& request);
+    void onReaderBytesSent(Nanos now, ReaderId reader, std::size_t unsent);
+    void onReaderClosed(Nanos now, ReaderId reader);
 
     // Of the upstream that was asked last.
-    void upstreamAnswered(Nanos now, ListUpdate update, Nanos upstreamAge);
-    enum class Failure : std::uint8_t { unreachable, silent, spoilt };
-    void upstreamFailed(Nanos now, Failure failure, std::string_view reason);
+    void onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge);
+    enum class Failure : std::uint8_t { unreachable, unresponsive, malformed };
+    void onUpstreamFailed(Nanos now, Failure failure, std::string_view reason);
 
     // All readers that wait are answered, and each connection ends with its answer.
     void shutDown(Nanos now);
@@ -177,7 +177,7 @@
     // Once after all events of a moment, and at the time last given to `wakeAt`: emits what is to be done.
     void reconcile(Nanos now);
 
-    Status status(Nanos now) const;
+    DistributorStatus status(Nanos now) const;
     Version version() const { return list_.version(); }
 
   private:
@@ -193,7 +193,7 @@
         std::optional<ReaderRequest> queued;  // asked while it drains
         Nanos deadline = kNever;              // the next moment to look at it
     };
-    enum class UpstreamState : std::uint8_t { pausing, asked };
+    enum class UpstreamState : std::uint8_t { backingOff, polling };
     // A version that readers ask with and that is newer than the one here.
     struct AheadVersion {
         Nanos firstAsked = 0;
@@ -202,7 +202,7 @@
     };
 
     void superviseUpstream(Nanos now);
-    void ask(Nanos now);
+    void pollUpstream(Nanos now);
     void accept(Nanos now, ListUpdate update);
     void refuseOlder(Nanos now, ListUpdate older);
     void beginEpoch(Nanos now);
@@ -217,36 +217,36 @@
     void endAheadCheck(Nanos now);
 
     void listChanged(Nanos now);
-    void look(ReaderId id, Reader& reader);
+    void updateDeadline(ReaderId id, Reader& reader);
     Nanos deadlineOf(const Reader& reader) const;
     Nanos tellsLowerFrom(const Reader& reader, Version after) const;
-    bool tellsWhole(Nanos now, const Reader& reader, Version after) const;
-    void lookAtAll();
+    bool sendsCompleteList(Nanos now, const Reader& reader, Version after) const;
+    void updateAllDeadlines();
     void serveDueReaders(Nanos now);
     void serve(Nanos now, ReaderId id, Reader& reader);
     void answer(Nanos now, ReaderId id, Reader& reader);
-    Answer answerFor(Nanos now, const Reader& reader);
+    ListResponse answerFor(Nanos now, const Reader& reader);
     SharedBytes bodyFor(Nanos now, const Reader& reader);
     void startRequest(Nanos now, Reader& reader, const ReaderRequest& request);
     void drop(ReaderId id);
     Nanos listAge(Nanos now) const;
 
     Options options_;
-    Host& host_;
+    DistributorHost& host_;
     ListState list_;
     std::mt19937_64 random_;
 
     // The upstreams.
-    UpstreamState upstreamState_ = UpstreamState::pausing;
+    UpstreamState upstreamState_ = UpstreamState::backingOff;
     std::size_t upstream_ = 0;
     Nanos upstreamDue_ = 0;  // when a pause is over, or an answer is too late
-    bool askWhole_ = true;
+    bool needsCompleteList_ = true;
     bool probing_ = true;  // nothing has been heard since the last failure
     int failures_ = 0;     // in a row
-    Nanos answerWithin_ = kAnswerWithin;
+    Nanos answerWithin_ = kResponseTimeout;
     std::size_t silences_ = 0;  // in a row, since the time last grew
     Nanos silentAt_ = 0;        // the last one
-    std::string trouble_ = "nothing has been heard yet";
+    std::string lastFailure_ = "nothing has been heard yet";
     Nanos heardAt_;
     Nanos upstreamAge_ = 0;
     std::vector<bool> toldOlder_;             // by upstream
@@ -267,7 +267,7 @@
     Nanos batchDue_ = 0;  // when the newest version may be told
     bool shuttingDown_ = false;
     Nanos wokenAt_ = kNever;
-    Status counts_;
+    DistributorStatus counts_;
 };
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distribution/list_state.cpp
+++ b/src/endpoint_distribution/list_state.cpp
@@ -30,12 +30,12 @@
 void ListState::apply(ListUpdate update) {
     if (!known_) return restart(std::move(update));
     const Version newer = update.version;
-    if (update.full)
-        applyWhole(std::move(update));
+    if (update.isComplete)
+        applyCompleteList(std::move(update));
     else
         applyChanges(std::move(update));
     version_ = newer;
-    whole_.reset();
+    completeList_.reset();
     sinceCache_.clear();
     sinceCacheBytes_ = 0;
     dropOldTombstones();
@@ -55,38 +55,38 @@
 // A server that is named as it is here may have been another in between, so it has changed all the same.
 void ListState::applyChanges(ListUpdate changes) {
     for (ServerEntry& entry : changes.entries) {
-        if (entry.gone)
-            bury(std::move(entry), changes.version);
+        if (entry.isRemoved)
+            addTombstone(std::move(entry), changes.version);
         else
             put(std::move(entry), changes.version);
     }
 }
 
-void ListState::applyWhole(ListUpdate whole) {
+void ListState::applyCompleteList(ListUpdate whole) {
     noteGap(whole.version);
     std::unordered_set<std::string> named;
     for (ServerEntry& entry : whole.entries) {
-        if (entry.gone) continue;
+        if (entry.isRemoved) continue;
         named.insert(entry.id);
         const auto found = liveById_.find(entry.id);
         const bool same = found != liveById_.end() && found->second->entry.text == entry.text;
         if (!same) put(std::move(entry), whole.version);
     }
     std::vector<ServerEntry> missing;
-    for (const Kept& kept : live_)
-        if (!named.contains(kept.entry.id)) missing.push_back(goneEntry(kept.entry));
-    for (ServerEntry& entry : missing) bury(std::move(entry), whole.version);
+    for (const RetainedEntry& kept : live_)
+        if (!named.contains(kept.entry.id)) missing.push_back(removedEntry(kept.entry));
+    for (ServerEntry& entry : missing) addTombstone(std::move(entry), whole.version);
 }
 
 void ListState::noteGap(Version newer) {
-    if (newer <= version_ + 1 || !minds_.gaps) return;
+    if (newer <= version_ + 1 || !retainedBounds_.gaps) return;
     gaps_.push_back({version_, newer});
     if (gaps_.size() <= kMaxGaps) return;
     oldestBase_ = std::max(oldestBase_, gaps_.front().newer);
     gaps_.pop_front();
 }
 
-bool ListState::canTellSince(Version after) const {
+bool ListState::hasChangesSince(Version after) const {
     const auto isWithin = [after](const Gap& gap) { return gap.older < after && after < gap.newer; };
     return after >= oldestBase_ && std::none_of(gaps_.begin(), gaps_.end(), isWithin);
 }
@@ -107,7 +107,7 @@
     live_.splice(live_.end(), live_, found->second);
 }
 
-void ListState::bury(ServerEntry entry, Version changed) {
+void ListState::addTombstone(ServerEntry entry, Version changed) {
     const auto found = liveById_.find(entry.id);
     if (found != liveById_.end()) {
         live_.erase(found->second);
@@ -125,7 +125,8 @@
 
 void ListState::dropOldTombstones() {
     while (tombstones_.size() > maxTombstones_) {
-        if (minds_.droppedTombstones) oldestBase_ = std::max(oldestBase_, tombstones_.front().changed);
+        if (retainedBounds_.droppedTombstones)
+            oldestBase_ = std::max(oldestBase_, tombstones_.front().changed);
         tombstoneById_.erase(tombstones_.front().entry.id);
         tombstones_.pop_front();
     }
@@ -133,12 +134,12 @@
 
 std::string ListState::serialize(bool full, Version after) const {
     std::string text = head(version_, full);
-    const auto appendChanged = [&](const KeptList& kept) {
+    const auto appendChanged = [&](const RetainedEntries& kept) {
         for (auto it = kept.rbegin(); it != kept.rend() && it->changed > after; ++it)
             append(text, it->entry.text);
     };
     if (full) {
-        for (const Kept& kept : live_) append(text, kept.entry.text);
+        for (const RetainedEntry& kept : live_) append(text, kept.entry.text);
     } else {
         appendChanged(live_);
         appendChanged(tombstones_);
@@ -146,13 +147,13 @@
     return text + "]}";
 }
 
-SharedBytes ListState::whole() {
-    if (!whole_) whole_ = std::make_shared<const std::string>(serialize(true, 0));
-    return whole_;
+SharedBytes ListState::completeList() {
+    if (!completeList_) completeList_ = std::make_shared<const std::string>(serialize(true, 0));
+    return completeList_;
 }
 
-SharedBytes ListState::since(Version after) {
-    if (!canTellSince(after)) return whole();
+SharedBytes ListState::changesSince(Version after) {
+    if (!hasChangesSince(after)) return completeList();
     const auto cached = sinceCache_.find(after);
     if (cached != sinceCache_.end()) return cached->second;
     const auto made = std::make_shared<const std::string>(serialize(false, after));
--- a/src/endpoint_distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -29,12 +29,12 @@
     static constexpr std::size_t kDefaultTombstones = 65'536;
 
     // Without `minds` the bounds of what can be told are not kept: known mistakes, for proofs.
-    struct Minds {
+    struct RetainedBounds {
         bool gaps = true;
         bool droppedTombstones = true;
     };
-    explicit ListState(std::size_t maxTombstones, Minds minds = {true, true})
-        : maxTombstones_(maxTombstones), minds_(minds) {}
+    explicit ListState(std::size_t maxTombstones, RetainedBounds minds = {true, true})
+        : maxTombstones_(maxTombstones), retainedBounds_(minds) {}
 
     bool isKnown() const { return known_; }
     Version version() const { return version_; }
@@ -49,21 +49,21 @@
     void restart(ListUpdate whole);
 
     // Answers, serialized once for all readers that ask the same.
-    SharedBytes whole();
-    SharedBytes since(Version after);  // the whole list where the changes can't be told any more
-    bool canTellSince(Version after) const;
+    SharedBytes completeList();
+    SharedBytes changesSince(Version after);  // the whole list where the changes can't be told any more
+    bool hasChangesSince(Version after) const;
     static SharedBytes unchanged(Version version);
 
   private:
-    struct Kept {
+    struct RetainedEntry {
         ServerEntry entry;
         Version changed;
     };
-    using KeptList = std::list<Kept>;  // in the order of the changes, the newest at the end
+    using RetainedEntries = std::list<RetainedEntry>;  // in the order of the changes, the newest at the end
 
     void put(ServerEntry entry, Version changed);
-    void bury(ServerEntry entry, Version changed);
-    void applyWhole(ListUpdate whole);
+    void addTombstone(ServerEntry entry, Version changed);
+    void applyCompleteList(ListUpdate whole);
     void applyChanges(ListUpdate changes);
     void noteGap(Version newer);
     void dropOldTombstones();
@@ -74,17 +74,17 @@
     };
 
     std::size_t maxTombstones_;
-    Minds minds_;
+    RetainedBounds retainedBounds_;
     bool known_ = false;
     Version version_ = 0;
     Version oldestBase_ = 0;
-    KeptList live_;
-    KeptList tombstones_;
+    RetainedEntries live_;
+    RetainedEntries tombstones_;
     std::deque<Gap> gaps_;
-    std::unordered_map<std::string, KeptList::iterator> liveById_;
-    std::unordered_map<std::string, KeptList::iterator> tombstoneById_;
+    std::unordered_map<std::string, RetainedEntries::iterator> liveById_;
+    std::unordered_map<std::string, RetainedEntries::iterator> tombstoneById_;
     // Of the newest version alone.
-    SharedBytes whole_;
+    SharedBytes completeList_;
     std::map<Version, SharedBytes> sinceCache_;
     std::size_t sinceCacheBytes_ = 0;
 };
--- a/src/endpoint_distribution/list_update.cpp
+++ b/src/endpoint_distribution/list_update.cpp
@@ -69,22 +69,23 @@
 }  // namespace
 
 ListUpdate readListUpdate(std::string_view json) {
-    const protocol::Roster list = protocol::readRoster(json);
+    const protocol::EndpointList list = protocol::readEndpointList(json);
     const auto texts = EntryScanner(json).scan();
-    if (texts.size() != list.places.size())
-        throw protocol::Malformed("a list whose entries can't be told apart");
+    if (texts.size() != list.entries.size())
+        throw protocol::ParseError("a list whose entries can't be told apart");
     ListUpdate update;
     update.version = list.version;
-    update.full = list.full;
+    update.isComplete = list.isComplete;
     update.entries.reserve(texts.size());
     for (std::size_t i = 0; i < texts.size(); ++i) {
-        const Listed& listed = list.places[i].listed;
-        update.entries.push_back({listed.name, listed.presence == Presence::gone, std::string(texts[i])});
+        const Endpoint& listed = list.entries[i].endpoint;
+        update.entries.push_back(
+            {listed.name, listed.state == EndpointState::removed, std::string(texts[i])});
     }
     return update;
 }
 
-ServerEntry goneEntry(const ServerEntry& last) {
+ServerEntry removedEntry(const ServerEntry& last) {
     auto entry = nlohmann::json::parse(last.text);
     entry["state"] = "Gone";
     return {last.id, true, entry.dump()};
--- a/src/endpoint_distribution/list_update.hpp
+++ b/src/endpoint_distribution/list_update.hpp
@@ -13,13 +13,14 @@
 
 struct ServerEntry {
     std::string id;
-    bool gone = false;
+    bool isRemoved = false;
     std::string text;  // the JSON object
 };
 
 struct ListUpdate {
     Version version = 0;
-    bool full = false;  // all servers, else those that have changed since the version that was asked with
+    bool isComplete =
+        false;  // all servers, else those that have changed since the version that was asked with
     std::vector<ServerEntry> entries;
 };
 
@@ -27,6 +28,6 @@
 ListUpdate readListUpdate(std::string_view json);
 
 // The entry of a server that a whole list does not name any more.
-ServerEntry goneEntry(const ServerEntry& last);
+ServerEntry removedEntry(const ServerEntry& last);
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distributor/main.cpp
+++ b/src/endpoint_distributor/main.cpp
@@ -27,7 +27,7 @@
     }
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        poppyscale::endpoint_distributor::Program program(
+        poppyscale::endpoint_distributor::DistributorProcess program(
             poppyscale::endpoint_distributor::readSettings(path));
         program.run();
     } catch (const std::exception& problem) {
--- a/src/endpoint_distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-Program::Program(const Settings& settings)
+DistributorProcess::DistributorProcess(const Settings& settings)
     : settings_(settings),
-      logger_(settings.name, logging::Form::text),
+      logger_(settings.name, logging::Format::text),
       pool_((settings.options.maxReaders + kSpareConnections) * kBuffersOfReader + kSpareBuffers),
       wake_(loop_, [] {}),  // what is to be done is done at the end of each turn
       endBy_(loop_, [this] { loop_.stop(); }),
       readers_(loop_, pool_, settings.options.maxReaders + kSpareConnections,
                [this] { return statusJson(); }),
-      distributor_(optionsOf(settings), *this, transport::Loop::now()),
+      distributor_(optionsOf(settings), *this, transport::EventLoop::now()),
       upstreams_(loop_, pool_, distributor_, settings.upstreams, settings.maxListBytes) {
     rlimit files{};
     const rlim_t needed = settings.options.maxReaders + kSpareConnections + kOwnDescriptors;
@@ -48,74 +48,75 @@
     }
     readers_.attach(distributor_);
     const std::string problem = readers_.listen(settings.listenAddress);
-    if (!problem.empty()) throw CannotStart(fmt::format("can't listen on {}: {}", settings.listen, problem));
-    terminate_.emplace(loop_, SIGTERM, [this] { beginEnd(); });
-    interrupt_.emplace(loop_, SIGINT, [this] { beginEnd(); });
-    loop_.eachTurn([this] { turn(); });
+    if (!problem.empty()) throw StartupError(fmt::format("can't listen on {}: {}", settings.listen, problem));
+    terminate_.emplace(loop_, SIGTERM, [this] { beginShutdown(); });
+    interrupt_.emplace(loop_, SIGINT, [this] { beginShutdown(); });
+    loop_.onIteration([this] { runIteration(); });
 }
 
-void Program::run() {
+void DistributorProcess::run() {
     log(fmt::format("listens on {}", settings_.listen));
     loop_.run();
 }
 
-void Program::turn() {
+void DistributorProcess::runIteration() {
     readers_.turn();
-    distributor_.reconcile(transport::Loop::now());
+    distributor_.reconcile(transport::EventLoop::now());
     if (ending_ && readers_.allSent()) loop_.stop();
 }
 
-void Program::beginEnd() {
+void DistributorProcess::beginShutdown() {
     if (ending_) return;
     ending_ = true;
     log("ends: who waits is answered");
     readers_.stopListening();
     upstreams_.stop();
-    distributor_.shutDown(transport::Loop::now());
-    endBy_.set(transport::Loop::now() + kEndWithin);
+    distributor_.shutDown(transport::EventLoop::now());
+    endBy_.start(transport::EventLoop::now() + kEndWithin);
 }
 
-std::size_t Program::answer(endpoint_distribution::ReaderId reader,
-                            const endpoint_distribution::Answer& answer) {
+std::size_t DistributorProcess::sendResponse(endpoint_distribution::ReaderId reader,
+                                             const endpoint_distribution::ListResponse& answer) {
     return readers_.answer(reader, answer);
 }
 
-void Program::askUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
-                          Nanos wait) {
-    upstreams_.ask(index, after, wait);
+void DistributorProcess::pollUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
+                                      Nanos wait) {
+    upstreams_.poll(index, after, wait);
 }
 
-void Program::closeReader(endpoint_distribution::ReaderId reader, endpoint_distribution::CloseReason reason) {
+void DistributorProcess::closeReader(endpoint_distribution::ReaderId reader,
+                                     endpoint_distribution::CloseReason reason) {
     if (reason == endpoint_distribution::CloseReason::slow)
         log("a reader that does not take its answer is closed");
     readers_.close(reader);
 }
 
-void Program::wakeAt(Nanos at) {
+void DistributorProcess::scheduleWakeup(Nanos at) {
     if (at == kNever)
-        wake_.clear();
+        wake_.stop();
     else
-        wake_.set(at);
+        wake_.start(at);
 }
 
-void Program::log(std::string_view text) { logger_.info(text); }
+void DistributorProcess::log(std::string_view text) { logger_.info(text); }
 
-std::string Program::statusJson() const {
-    const endpoint_distribution::Status status = distributor_.status(transport::Loop::now());
+std::string DistributorProcess::statusJson() const {
+    const endpoint_distribution::DistributorStatus status = distributor_.status(transport::EventLoop::now());
     const nlohmann::json json{{"name", settings_.name},
                               {"version", status.version},
                               {"entries", status.entries},
                               {"tombstones", status.tombstones},
                               {"age_ms", status.age / kMillisecond},
-                              {"trouble", status.trouble},
+                              {"trouble", status.lastFailure},
                               {"upstream", settings_.upstreams[status.upstream].name},
                               {"readers", status.readers},
                               {"epochs", status.epochs},
                               {"lost_versions", status.lostVersions},
-                              {"answers", status.answers},
+                              {"answers", status.responses},
                               {"bytes_sent", readers_.bytesSent()},
-                              {"whole_answers", status.wholeAnswers},
-                              {"delta_answers", status.deltaAnswers},
+                              {"whole_answers", status.completeResponses},
+                              {"delta_answers", status.deltaResponses},
                               {"slow_readers_closed", status.slowReadersClosed},
                               {"readers_refused", status.readersRefused},
                               {"version_falls_refused", status.versionFallsRefused}};
--- a/src/endpoint_distributor/program.hpp
+++ b/src/endpoint_distributor/program.hpp
@@ -14,36 +14,36 @@
 
 namespace poppyscale::endpoint_distributor {
 
-struct CannotStart : std::runtime_error {
+struct StartupError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-class Program : private endpoint_distribution::Host {
+class DistributorProcess : private endpoint_distribution::DistributorHost {
   public:
     // Listens. Throws CannotStart.
-    explicit Program(const Settings& settings);
+    explicit DistributorProcess(const Settings& settings);
     void run();  // until it is told to end
 
   private:
-    std::size_t answer(endpoint_distribution::ReaderId reader,
-                       const endpoint_distribution::Answer& answer) override;
-    void askUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
-                     Nanos wait) override;
+    std::size_t sendResponse(endpoint_distribution::ReaderId reader,
+                             const endpoint_distribution::ListResponse& answer) override;
+    void pollUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
+                      Nanos wait) override;
     void closeReader(endpoint_distribution::ReaderId reader,
                      endpoint_distribution::CloseReason reason) override;
-    void wakeAt(Nanos at) override;
+    void scheduleWakeup(Nanos at) override;
     void log(std::string_view text) override;
 
-    void turn();
-    void beginEnd();
+    void runIteration();
+    void beginShutdown();
     std::string statusJson() const;
 
     const Settings settings_;
-    logging::Log logger_;
-    transport::Pool pool_;
-    transport::Loop loop_;
-    transport::Alarm wake_;
-    transport::Alarm endBy_;
+    logging::Logger logger_;
+    transport::BufferPool pool_;
+    transport::EventLoop loop_;
+    transport::Timer wake_;
+    transport::Timer endBy_;
     ReaderServer readers_;
     endpoint_distribution::Distributor distributor_;
     UpstreamClient upstreams_;
--- a/src/endpoint_distributor/reader_server.cpp
+++ b/src/endpoint_distributor/reader_server.cpp
@@ -33,8 +33,8 @@
 
 // ---- ReaderServer
 
-ReaderServer::ReaderServer(transport::Loop& loop, transport::Pool& pool, std::size_t maxConnections,
-                           std::function<std::string()> status)
+ReaderServer::ReaderServer(transport::EventLoop& loop, transport::BufferPool& pool,
+                           std::size_t maxConnections, std::function<std::string()> status)
     : loop_(loop), pool_(pool), maxConnections_(maxConnections), status_(std::move(status)) {}
 
 ReaderServer::~ReaderServer() = default;
@@ -50,10 +50,10 @@
     const bool hasRoom = connections_.size() < maxConnections_;
     if (!connection->start(finish) || !hasRoom) return;
     connections_[id] = std::move(connection);
-    distributor_->readerConnected(transport::Loop::now(), id);
+    distributor_->onReaderConnected(transport::EventLoop::now(), id);
 }
 
-std::size_t ReaderServer::answer(ReaderId id, const endpoint_distribution::Answer& answer) {
+std::size_t ReaderServer::answer(ReaderId id, const endpoint_distribution::ListResponse& answer) {
     const auto found = connections_.find(id);
     return found == connections_.end() ? 0 : found->second->send(answer);
 }
@@ -67,7 +67,7 @@
         const auto found = connections_.find(id);
         if (found == connections_.end() || found->second->visit()) continue;
         connections_.erase(found);
-        distributor_->readerLeaves(transport::Loop::now(), id);
+        distributor_->onReaderClosed(transport::EventLoop::now(), id);
     }
 }
 
@@ -83,7 +83,7 @@
 
 bool ReaderConnection::start(const std::function<bool(transport::Connection&)>& finish) {
     if (!finish(connection_)) return false;
-    connection_.read(true);
+    connection_.setReading(true);
     return true;
 }
 
@@ -91,16 +91,16 @@
 
 bool ReaderConnection::visit() { return !isBroken_ && readRequests(); }
 
-void ReaderConnection::received(std::string_view bytes) {
+void ReaderConnection::onData(std::string_view bytes) {
     pending_.append(bytes);
-    if (!readRequests()) ended();
+    if (!readRequests()) onClosed();
 }
 
-void ReaderConnection::ended() {
+void ReaderConnection::onClosed() {
     ReaderServer& server = server_;
     const ReaderId id = id_;
     server.connections_.erase(id);  // and this with it
-    server.distributor_->readerLeaves(transport::Loop::now(), id);
+    server.distributor_->onReaderClosed(transport::EventLoop::now(), id);
 }
 
 // False when the connection is of no further use.
@@ -109,7 +109,7 @@
         std::string_view rest = pending_;
         const auto state = request_.feed(rest);
         pending_.erase(0, pending_.size() - rest.size());
-        if (state == protocol::HttpRequest::State::broken) return false;
+        if (state == protocol::HttpRequest::State::malformed) return false;
         if (state == protocol::HttpRequest::State::more) return true;
         request();
         request_.clear();
@@ -118,7 +118,7 @@
 }
 
 void ReaderConnection::request() {
-    closes_ = !request_.keepsOpen();
+    closes_ = !request_.isKeepAlive();
     if (!request_.isGet() || (request_.path() != "/api/targets" && request_.path() != "/status"))
         return respond(404, "", std::make_shared<const std::string>("{\"error\":\"not found\"}"));
     if (request_.path() == "/status")
@@ -135,10 +135,10 @@
     asked.wait = std::clamp<std::int64_t>(waitMs, 0, endpoint_distribution::kMaxReaderWait / kMillisecond) *
                  kMillisecond;
     isAsking_ = true;
-    server_.distributor_->readerAsks(transport::Loop::now(), id_, asked);
+    server_.distributor_->onReaderPoll(transport::EventLoop::now(), id_, asked);
 }
 
-std::size_t ReaderConnection::send(const endpoint_distribution::Answer& answer) {
+std::size_t ReaderConnection::send(const endpoint_distribution::ListResponse& answer) {
     isAsking_ = false;
     closes_ = closes_ || answer.close;
     std::string headers = fmt::format("X-List-Age-Ms: {}\r\n", answer.listAgeMs);
@@ -162,7 +162,7 @@
 }
 
 void ReaderConnection::pump() {
-    while (!outgoing_.empty() && connection_.unsent() == 0 && !isBroken_) {
+    while (!outgoing_.empty() && connection_.unsentBytes() == 0 && !isBroken_) {
         const std::string& first = *outgoing_.front();
         const auto piece = std::string_view(first).substr(sentOfFirst_, kPiece);
         isBroken_ = !connection_.write(piece);
@@ -176,14 +176,14 @@
     if (isBroken_) return visitLater();
     if (!closes_ || isFinishing_ || unsent() > 0) return;
     isFinishing_ = true;
-    connection_.finishSending();
+    connection_.shutdownWrite();
 }
 
-std::size_t ReaderConnection::unsent() const { return outgoingBytes_ + connection_.unsent(); }
+std::size_t ReaderConnection::unsent() const { return outgoingBytes_ + connection_.unsentBytes(); }
 
-void ReaderConnection::emptied() {
+void ReaderConnection::onDrained() {
     pump();
-    server_.distributor_->readerSent(transport::Loop::now(), id_, unsent());
+    server_.distributor_->onReaderBytesSent(transport::EventLoop::now(), id_, unsent());
 }
 
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/reader_server.hpp
+++ b/src/endpoint_distributor/reader_server.hpp
@@ -22,7 +22,7 @@
 class ReaderServer {
   public:
     // `status` makes the JSON that answers GET /status.
-    ReaderServer(transport::Loop& loop, transport::Pool& pool, std::size_t maxConnections,
+    ReaderServer(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t maxConnections,
                  std::function<std::string()> status);
     ~ReaderServer();
 
@@ -32,7 +32,7 @@
     void stopListening() { listener_.reset(); }
 
     // What the decisions ask for.
-    std::size_t answer(endpoint_distribution::ReaderId id, const endpoint_distribution::Answer& answer);
+    std::size_t answer(endpoint_distribution::ReaderId id, const endpoint_distribution::ListResponse& answer);
     void close(endpoint_distribution::ReaderId id);
     // Once a turn, before the decisions: connections that broke while they were written to, and requests that
     // came behind one that has been answered since.
@@ -45,8 +45,8 @@
     friend class ReaderConnection;
     void admit(const std::function<bool(transport::Connection&)>& finish);
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
     std::size_t maxConnections_;
     std::function<std::string()> status_;
     endpoint_distribution::Distributor* distributor_ = nullptr;
@@ -57,20 +57,20 @@
     std::uint64_t bytesSent_ = 0;
 };
 
-class ReaderConnection : private transport::Connection::Owner {
+class ReaderConnection : private transport::Connection::Handler {
   public:
     ReaderConnection(ReaderServer& server, endpoint_distribution::ReaderId id);
 
     bool start(const std::function<bool(transport::Connection&)>& finish);
-    std::size_t send(const endpoint_distribution::Answer& answer);
+    std::size_t send(const endpoint_distribution::ListResponse& answer);
     std::size_t unsent() const;
     // What is left to do outside of the decisions; false when the connection is of no further use.
     bool visit();
 
   private:
-    void received(std::string_view bytes) override;
-    void ended() override;
-    void emptied() override;
+    void onData(std::string_view bytes) override;
+    void onClosed() override;
+    void onDrained() override;
 
     bool readRequests();
     void request();
--- a/src/endpoint_distributor/settings.cpp
+++ b/src/endpoint_distributor/settings.cpp
@@ -13,14 +13,14 @@
 // answer.
 constexpr int kDefaultWaitMs = 3'000;
 
-transport::Address readAddress(config::Table& table, std::string_view key, const std::string& written) {
+transport::Address readAddress(config::TomlTable& table, std::string_view key, const std::string& written) {
     if (const auto address = transport::parseAddress(written)) return *address;
     table.problem(key, "'" + written + "' is not an address and port");
     return {};
 }
 
-void readUpstreams(config::Table& table, Settings& settings) {
-    const auto written = table.texts("upstreams");
+void readUpstreams(config::TomlTable& table, Settings& settings) {
+    const auto written = table.strings("upstreams");
     if (table.has("upstreams") && (written.empty() || written.size() > kMaxUpstreams))
         table.problem("upstreams", "does not name 1 to " + std::to_string(kMaxUpstreams) + " addresses");
     for (const std::string& text : written)
@@ -28,21 +28,22 @@
     settings.options.upstreams = std::max<std::size_t>(settings.upstreams.size(), 1);
 }
 
-void readDistributor(config::Table& table, Settings& settings) {
+void readDistributor(config::TomlTable& table, Settings& settings) {
     endpoint_distribution::Options& options = settings.options;
-    settings.name = table.text("name", std::nullopt);
-    settings.listen = table.text("listen", std::nullopt);
+    settings.name = table.string("name", std::nullopt);
+    settings.listen = table.string("listen", std::nullopt);
     if (table.has("listen")) settings.listenAddress = readAddress(table, "listen", settings.listen);
     readUpstreams(table, settings);
-    options.upstreamWait = table.whole("wait_ms", kDefaultWaitMs, 100, 60'000) * kMillisecond;
-    options.batch = table.whole("batch_ms", 50, 1, 5'000) * kMillisecond;
-    options.maxReaders = static_cast<std::size_t>(table.whole("max_readers", 4096, 1, 1'000'000));
-    options.maxUnsent = static_cast<std::size_t>(table.whole("max_unsent_kib", 1024, 16, 1024 * 1024)) * 1024;
+    options.upstreamWait = table.integer("wait_ms", kDefaultWaitMs, 100, 60'000) * kMillisecond;
+    options.batch = table.integer("batch_ms", 50, 1, 5'000) * kMillisecond;
+    options.maxReaders = static_cast<std::size_t>(table.integer("max_readers", 4096, 1, 1'000'000));
+    options.maxUnsent =
+        static_cast<std::size_t>(table.integer("max_unsent_kib", 1024, 16, 1024 * 1024)) * 1024;
     options.maxTombstones = static_cast<std::size_t>(
-        table.whole("tombstones", static_cast<int>(endpoint_distribution::ListState::kDefaultTombstones),
-                    1024, 10'000'000));
+        table.integer("tombstones", static_cast<int>(endpoint_distribution::ListState::kDefaultTombstones),
+                      1024, 10'000'000));
     settings.maxListBytes =
-        static_cast<std::size_t>(table.whole("max_list_kib", 64 * 1024, 64, 1024 * 1024)) * 1024;
+        static_cast<std::size_t>(table.integer("max_list_kib", 64 * 1024, 64, 1024 * 1024)) * 1024;
 }
 
 }  // namespace
@@ -51,12 +52,12 @@
     std::ifstream file(path, std::ios::binary);
     const std::string written{std::istreambuf_iterator<char>(file), {}};
     if (!file) throw SettingsError("can't read " + path);
-    config::Problems problems(path);
+    config::ConfigProblems problems(path);
     Settings settings;
     const auto parsed = config::parseToml(written, path, problems);
     if (parsed) {
-        config::Table root(*parsed, problems);
-        root.one("distributor", true, [&](config::Table& table) { readDistributor(table, settings); });
+        config::TomlTable root(*parsed, problems);
+        root.one("distributor", true, [&](config::TomlTable& table) { readDistributor(table, settings); });
         root.finish();
     }
     if (!problems.none()) throw SettingsError(problems.text());
--- a/src/endpoint_distributor/upstream_client.cpp
+++ b/src/endpoint_distributor/upstream_client.cpp
@@ -23,8 +23,9 @@
 
 }  // namespace
 
-UpstreamClient::UpstreamClient(transport::Loop& loop, transport::Pool& pool, Distributor& distributor,
-                               std::vector<Upstream> upstreams, std::size_t maxListBytes)
+UpstreamClient::UpstreamClient(transport::EventLoop& loop, transport::BufferPool& pool,
+                               Distributor& distributor, std::vector<Upstream> upstreams,
+                               std::size_t maxListBytes)
     : loop_(loop),
       pool_(pool),
       distributor_(distributor),
@@ -32,7 +33,8 @@
       answer_(maxListBytes),
       connectBy_(loop, [this] { fail(Distributor::Failure::unreachable, "can't connect in time"); }) {}
 
-void UpstreamClient::ask(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait) {
+void UpstreamClient::poll(std::size_t index, std::optional<endpoint_distribution::Version> after,
+                          Nanos wait) {
     const bool canReuse = connection_ && index == index_ && state_ == State::idle;
     if (!canReuse) connection_.reset();
     index_ = index;
@@ -46,24 +48,24 @@
 
 void UpstreamClient::stop() {
     state_ = State::idle;
-    connectBy_.clear();
+    connectBy_.stop();
     connection_.reset();
 }
 
 void UpstreamClient::connect() {
     state_ = State::connecting;
     const auto share = kConnectAllWithin / static_cast<Nanos>(upstreams_.size());
-    connectBy_.set(transport::Loop::now() + std::min(kConnectWithin, share));
-    transport::Connection::Owner& self = *this;
+    connectBy_.start(transport::EventLoop::now() + std::min(kConnectWithin, share));
+    transport::Connection::Handler& self = *this;
     connection_ = std::make_unique<transport::Connection>(loop_, pool_, self);
     // One that fails at once is told as one that fails later: not within the call that asked for it.
-    if (!connection_->open(upstreams_[index_].address)) connectBy_.set(transport::Loop::now());
+    if (!connection_->connect(upstreams_[index_].address)) connectBy_.start(transport::EventLoop::now());
 }
 
-void UpstreamClient::opened(bool up) {
-    connectBy_.clear();
+void UpstreamClient::onConnected(bool up) {
+    connectBy_.stop();
     if (!up) return fail(Distributor::Failure::unreachable, "can't connect");
-    connection_->read(true);
+    connection_->setReading(true);
     write();
 }
 
@@ -71,41 +73,42 @@
     state_ = State::waiting;
     const std::string request =
         fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", target_, upstreams_[index_].name);
-    if (!connection_->write(request)) connectBy_.set(transport::Loop::now());
+    if (!connection_->write(request)) connectBy_.start(transport::EventLoop::now());
 }
 
-void UpstreamClient::received(std::string_view bytes) {
+void UpstreamClient::onData(std::string_view bytes) {
     if (state_ != State::waiting) return connection_.reset();
     const auto state = answer_.feed(bytes);
-    if (state == protocol::HttpAnswer::State::whole) return answered();
-    if (state == protocol::HttpAnswer::State::broken)
-        fail(Distributor::Failure::spoilt, "an answer that is not HTTP, or is too long");
+    if (state == protocol::HttpResponse::State::complete) return answered();
+    if (state == protocol::HttpResponse::State::malformed)
+        fail(Distributor::Failure::malformed, "an answer that is not HTTP, or is too long");
 }
 
-void UpstreamClient::ended() {
+void UpstreamClient::onClosed() {
     if (state_ != State::waiting) return connection_.reset();
-    const bool isWhole = connection_->finished() && answer_.end() == protocol::HttpAnswer::State::whole;
+    const bool isWhole =
+        connection_->hasPeerFinished() && answer_.end() == protocol::HttpResponse::State::complete;
     if (isWhole) return answered();
     fail(Distributor::Failure::unreachable, "the connection ended");
 }
 
 void UpstreamClient::answered() {
     state_ = State::idle;
-    if (!answer_.keepsOpen()) connection_.reset();
+    if (!answer_.isKeepAlive()) connection_.reset();
     if (answer_.status() != 200)
         return fail(Distributor::Failure::unreachable, fmt::format("answered {}", answer_.status()));
-    const Nanos now = transport::Loop::now();
+    const Nanos now = transport::EventLoop::now();
     try {
         auto update = endpoint_distribution::readListUpdate(answer_.body());
-        distributor_.upstreamAnswered(now, std::move(update), answer_.listAgeMs() * kMillisecond);
-    } catch (const protocol::Malformed& problem) {
-        fail(Distributor::Failure::spoilt, problem.what());
+        distributor_.onUpstreamResponse(now, std::move(update), answer_.listAgeMs() * kMillisecond);
+    } catch (const protocol::ParseError& problem) {
+        fail(Distributor::Failure::malformed, problem.what());
     }
 }
 
 void UpstreamClient::fail(Distributor::Failure failure, const std::string& reason) {
     stop();
-    distributor_.upstreamFailed(transport::Loop::now(), failure, reason);
+    distributor_.onUpstreamFailed(transport::EventLoop::now(), failure, reason);
 }
 
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/upstream_client.hpp
+++ b/src/endpoint_distributor/upstream_client.hpp
@@ -13,37 +13,37 @@
 
 namespace poppyscale::endpoint_distributor {
 
-class UpstreamClient : private transport::Connection::Owner {
+class UpstreamClient : private transport::Connection::Handler {
   public:
-    UpstreamClient(transport::Loop& loop, transport::Pool& pool,
+    UpstreamClient(transport::EventLoop& loop, transport::BufferPool& pool,
                    endpoint_distribution::Distributor& distributor, std::vector<Upstream> upstreams,
                    std::size_t maxListBytes);
 
     // A call that is out is given up.
-    void ask(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait);
+    void poll(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait);
     void stop();
 
   private:
     enum class State : std::uint8_t { idle, connecting, waiting };
 
-    void opened(bool up) override;
-    void received(std::string_view bytes) override;
-    void ended() override;
+    void onConnected(bool up) override;
+    void onData(std::string_view bytes) override;
+    void onClosed() override;
 
     void connect();
     void write();
     void answered();
     void fail(endpoint_distribution::Distributor::Failure failure, const std::string& reason);
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
     endpoint_distribution::Distributor& distributor_;
     std::vector<Upstream> upstreams_;
     State state_ = State::idle;
     std::size_t index_ = 0;
     std::string target_;
-    protocol::HttpAnswer answer_;
-    transport::Alarm connectBy_;
+    protocol::HttpResponse answer_;
+    transport::Timer connectBy_;
     std::unique_ptr<transport::Connection> connection_;
 };
 
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -13,71 +13,71 @@
 
 namespace poppyscale::lease {
 
-class Voter {
+class Acceptor {
   public:
     // What is wanted of the outside after an event.
-    struct Wanted {
-        std::vector<std::pair<MemberId, Answer>> answers;
-        std::vector<std::pair<int, Recall>> recalls;     // to voters
-        std::vector<std::pair<int, Recalled>> recalled;  // the same
-        Records keep;                                    // to disk and synced; then `kept` with `ticket`
+    struct Actions {
+        std::vector<std::pair<MemberId, LeaseAnswer>> answers;
+        std::vector<std::pair<int, RecallRequest>> recalls;  // to voters
+        std::vector<std::pair<int, RecallAnswer>> recalled;  // the same
+        GrantRecords keep;                                   // to disk and synced; then `kept` with `ticket`
         std::uint64_t ticket = 0;
     };
 
     // forgetting: it does not know what it granted, and votes for nobody. voting: it does.
-    enum class State : std::uint8_t { forgetting, voting };
+    enum class State : std::uint8_t { recovering, voting };
 
     // `memory`: what was on its disk, if it says that it ever voted; nothing for a new one, or one that lost
     // it.
-    Voter(const Terms& terms, int self, Nanos now, const std::optional<Records>& memory);
+    Acceptor(const LeaseSettings& terms, int self, Nanos now, const std::optional<GrantRecords>& memory);
 
-    void heard(Nanos now, MemberId from, const Ask& ask);
-    void heard(Nanos now, int voter, const Recall&);
-    void heard(Nanos now, int voter, const Recalled& said);
-    void kept(Nanos now, std::uint64_t ticket);
+    void onRequest(Nanos now, MemberId from, const LeaseRequest& ask);
+    void onRequest(Nanos now, int voter, const RecallRequest&);
+    void onRequest(Nanos now, int voter, const RecallAnswer& said);
+    void onPersisted(Nanos now, std::uint64_t ticket);
     // Once after the events of a moment, and by `next`.
-    Wanted settle(Nanos now);
-    Nanos next() const;
+    Actions reconcile(Nanos now);
+    Nanos nextDeadline() const;
 
     State state() const { return state_; }
     // Fences may have fallen: too many had lost their memory at once to tell.
-    bool mayHaveFallen() const { return mayHaveFallen_; }
+    bool mayHaveLostState() const { return mayHaveLostState_; }
     // By whom a lease is held here as far as this one knows, and for how long; for people.
-    struct Shown {
+    struct GrantStatus {
         Fence fence;
         Nanos left;
     };
-    std::map<LeaseId, Shown> shown(Nanos now) const;
+    std::map<LeaseId, GrantStatus> grantStatus(Nanos now) const;
     // All that matters of it, times beside `now`: for who explores states.
     std::string image(Nanos now) const;
 
   private:
     struct Grant {
-        Record record;
+        GrantRecord record;
         Nanos until = 0;  // of a holder's grant; past: free
         MemberId reserved = 0;
         Nanos reservedUntil = 0;
         std::set<MemberId> waits;  // asked and were refused: told when it is let go
     };
-    Answer answer(Nanos now, MemberId from, const Ask& ask);
+    LeaseAnswer answer(Nanos now, MemberId from, const LeaseRequest& ask);
     void settleMemory(Nanos now);
 
-    Terms terms_;
+    LeaseSettings settings_;
     int self_;
     State state_;
-    bool mayHaveFallen_ = false;
+    bool mayHaveLostState_ = false;
     Nanos quarantinedUntil_ = 0, recallAt_ = 0;
     std::map<int, bool> recalledBy_;  // whether it remembers
     std::map<LeaseId, Grant> grants_;
-    Wanted wanted_;
+    Actions wanted_;
     // Answers that wait for the disk, each with the ticket that it needs.
-    struct Waiting {
+    struct PendingAnswer {
         std::uint64_t ticket;
         MemberId to;
-        Answer answer;
+        LeaseAnswer answer;
     };
-    std::vector<Waiting> waiting_;
-    std::uint64_t ticket_ = 0, kept_ = 0;
+    std::vector<PendingAnswer> waiting_;
+    std::uint64_t ticket_ = 0, persistedTicket_ = 0;
 };
 
 }  // namespace poppyscale::lease
--- a/src/lease/lease_holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -16,50 +16,50 @@
 namespace poppyscale::lease {
 
 // The word to act. Who receives the act refuses a fence that is lower than one that it has seen.
-struct Act {
+struct CriticalSection {
     Fence fence = 0;
-    Nanos by = 0;  // it has to be over by then, on this member's clock
+    Nanos validUntil = 0;  // it has to be over by then, on this member's clock
 };
 
-class Holder {
+class LeaseHolder {
   public:
-    struct Wanted {
-        std::vector<std::pair<int, Ask>> asks;             // by voter
-        std::vector<std::pair<MemberId, LeaseId>> offers;  // to a successor: it is free for you
+    struct Actions {
+        std::vector<std::pair<int, LeaseRequest>> requests;  // by voter
+        std::vector<std::pair<MemberId, LeaseId>> offers;    // to a successor: it is free for you
     };
     // idle: it does not want it. pausing: until it asks again. asking: for a new fence. holding: by a
     // majority.
-    enum class State : std::uint8_t { idle, pausing, asking, holding };
+    enum class State : std::uint8_t { idle, backingOff, requesting, holding };
 
     // `life` is another one with each start of the process; all that is drawn follows from it. Small and
     // copied by value, so each draw makes a generator of its own.
-    Holder(const Terms& terms, MemberId self, std::uint32_t life);
+    LeaseHolder(const LeaseSettings& terms, MemberId self, std::uint32_t life);
 
     // Wants it from now on, and asks after a pause by its rank: 0 at once.
-    void want(Nanos now, LeaseId lease, int rank = 0);
+    void acquire(Nanos now, LeaseId lease, int rank = 0);
     // It is not wanted any more: others may have it at once. Here and below no act may be under way: who was
     // told that it may act waits for its end first.
-    void letGo(Nanos now, LeaseId lease);
+    void release(Nanos now, LeaseId lease);
     // The same, and for a while only that member may. It waits its turn again if it goes on wanting it.
-    void handOn(Nanos now, LeaseId lease, MemberId to);
+    void transfer(Nanos now, LeaseId lease, MemberId to);
     // What a holder handed on: it is asked for without a pause.
-    void offered(Nanos now, LeaseId lease);
-    void heard(Nanos now, int voter, const Answer& answer);
+    void onTransferOffered(Nanos now, LeaseId lease);
+    void onAnswer(Nanos now, int voter, const LeaseAnswer& answer);
     // Whether an act that lasts at most so long may begin now. Nothing: no, or not known.
-    std::optional<Act> act(Nanos now, LeaseId lease, Nanos lasts) const;
+    std::optional<CriticalSection> enterCriticalSection(Nanos now, LeaseId lease, Nanos lasts) const;
 
-    Wanted settle(Nanos now);
-    Nanos next() const;
+    Actions reconcile(Nanos now);
+    Nanos nextDeadline() const;
 
     State state(LeaseId lease) const;
-    bool holds(Nanos now, LeaseId lease) const;
+    bool isHolding(Nanos now, LeaseId lease) const;
     Fence fence(LeaseId lease) const;
     // Times that it came to hold one that it did not hold just before.
-    std::uint64_t taken() const { return taken_; }
+    std::uint64_t acquisitionCount() const { return taken_; }
     std::string image(Nanos now) const;
 
   private:
-    struct One {
+    struct LeaseState {
         State state = State::idle;
         Fence fence = 0;            // by which it asks or holds
         Fence highest = 0;          // that any voter told of
@@ -67,20 +67,20 @@
         Nanos at = 0;               // of the next ask; in `asking` when it is given up
         Nanos until = 0;            // it is held
         std::vector<Nanos> freeIn;  // by voters that refused this ask: for how long it is another's
-        int tries = 0;
+        int attempts = 0;
         bool wanted = false;
     };
-    void ask(Nanos now, LeaseId lease, One& one);
-    void tell(LeaseId lease, const One& one, Ask::Kind kind, MemberId to = 0);
-    void giveUp(Nanos now, LeaseId lease, One& one);
-    Nanos heldUntil(const One& one) const;
-    Nanos pause(One& one);
+    void ask(Nanos now, LeaseId lease, LeaseState& one);
+    void tell(LeaseId lease, const LeaseState& one, LeaseRequest::Kind kind, MemberId to = 0);
+    void giveUp(Nanos now, LeaseId lease, LeaseState& one);
+    Nanos heldUntil(const LeaseState& one) const;
+    Nanos pause(LeaseState& one);
 
-    Terms terms_;
+    LeaseSettings settings_;
     MemberId self_;
-    std::uint32_t life_, draws_ = 0;
-    std::map<LeaseId, One> all_;
-    Wanted wanted_;
+    std::uint32_t incarnation_, draws_ = 0;
+    std::map<LeaseId, LeaseState> all_;
+    Actions wanted_;
     std::uint64_t taken_ = 0;
 };
 
--- a/src/lease/messages.hpp
+++ b/src/lease/messages.hpp
@@ -41,62 +41,63 @@
 }
 
 // What keeps the promise, each by its name; one can be left out to prove that a check finds it.
-enum class Guard : std::uint8_t {
+enum class Safeguard : std::uint8_t {
     quarantine,  // a voter that forgot votes for nobody until all that it may have granted is over
     rate,        // holders allow for clocks that run fast or slow
-    asked,       // they count from before they asked, not from the answer
+    sentTime,    // they count from before they asked, not from the answer
     majority,    // more than half of the voters
     fence,       // each new holder's number is over all that were
     margin,      // an act is begun only if the lease outlasts it
     sync         // a voter says what is on its disk, not what will be
 };
 // Throws std::runtime_error that lists the names.
-Guard guardNamed(std::string_view name);
-const std::vector<std::pair<std::string_view, Guard>>& guards();
+Safeguard guardNamed(std::string_view name);
+const std::vector<std::pair<std::string_view, Safeguard>>& guards();
 
-struct Terms {
-    int voters = 3;                           // 3 or 5, odd
-    Nanos length = 4'000 * kMillisecond;      // of a grant, on the voter's clock
-    double rate = 0.01;                       // by which a clock may be off, 0 to 0.1
-    Nanos margin = 100 * kMillisecond;        // by which a lease has to outlast an act
-    Nanos answerWithin = 400 * kMillisecond;  // or a round of asking is given up
-    Nanos renewEvery = 1'200 * kMillisecond;  // while it holds
-    Nanos leastPause = 50 * kMillisecond;     // before it asks again, doubled each time, a random part of it
-    Nanos longestPause = 1'000 * kMillisecond;
-    std::set<Guard> without;  // nothing but in proofs
+struct LeaseSettings {
+    int voters = 3;                              // 3 or 5, odd
+    Nanos duration = 4'000 * kMillisecond;       // of a grant, on the voter's clock
+    double rate = 0.01;                          // by which a clock may be off, 0 to 0.1
+    Nanos margin = 100 * kMillisecond;           // by which a lease has to outlast an act
+    Nanos answerTimeout = 400 * kMillisecond;    // or a round of asking is given up
+    Nanos renewInterval = 1'200 * kMillisecond;  // while it holds
+    Nanos minBackoff = 50 * kMillisecond;  // before it asks again, doubled each time, a random part of it
+    Nanos maxBackoff = 1'000 * kMillisecond;
+    std::set<Safeguard> disabledSafeguards;  // nothing but in proofs
 
-    bool has(Guard guard) const { return !without.contains(guard); }
-    int majority() const { return has(Guard::majority) ? voters / 2 + 1 : voters / 2; }
+    bool has(Safeguard guard) const { return !disabledSafeguards.contains(guard); }
+    int majority() const { return has(Safeguard::majority) ? voters / 2 + 1 : voters / 2; }
     // For which a holder may count on a majority's grants, on its own clock.
     Nanos held() const {
-        return has(Guard::rate) ? static_cast<Nanos>(static_cast<double>(length) * (1 - rate) / (1 + rate))
-                                : length;
+        return has(Safeguard::rate)
+                   ? static_cast<Nanos>(static_cast<double>(duration) * (1 - rate) / (1 + rate))
+                   : duration;
     }
 };
 // What is wrong with them, by key; nothing where they will do.
-std::vector<std::pair<std::string, std::string>> problemsOf(const Terms& terms, Nanos longestAct);
+std::vector<std::pair<std::string, std::string>> problemsOf(const LeaseSettings& terms, Nanos longestAct);
 
 // A holder to a voter.
-struct Ask {
+struct LeaseRequest {
     enum class Kind : std::uint8_t {
-        grant,  // or renew, where the fence is the one that it holds by
-        letGo,  // it does not act by that fence any more, and never will
-        handOn  // the same, and for a while only `to` may have it
+        acquire,  // or renew, where the fence is the one that it holds by
+        release,  // it does not act by that fence any more, and never will
+        transfer  // the same, and for a while only `to` may have it
     };
-    Kind kind = Kind::grant;
+    Kind kind = Kind::acquire;
     LeaseId lease = 0;
     Fence fence = 0;
-    std::uint32_t life =
+    std::uint32_t incarnation =
         0;            // of the holder's process: one that has started again is another, and counts anew
     Nanos stamp = 0;  // of the holder's clock when it asked; a voter only gives it back
     MemberId to = 0;
 };
 
 // A voter to a holder.
-struct Answer {
+struct LeaseAnswer {
     LeaseId lease = 0;
     Fence fence = 0;  // as asked, and the next two
-    std::uint32_t life = 0;
+    std::uint32_t incarnation = 0;
     Nanos stamp = 0;
     bool granted = false;
     Fence highest = 0;  // that it has granted, or seen let go
@@ -104,19 +105,19 @@
 };
 
 // What a voter has to remember of a lease: durable before it is said.
-struct Record {
+struct GrantRecord {
     Fence highest = 0;
     std::uint32_t life = 0;  // of who asked by it
     bool over = false;       // nobody holds by it any more
-    bool operator==(const Record&) const = default;
+    bool operator==(const GrantRecord&) const = default;
 };
-using Records = std::map<LeaseId, Record>;
+using GrantRecords = std::map<LeaseId, GrantRecord>;
 
 // A voter that forgot to the others, and what they say.
-struct Recall {};
-struct Recalled {
-    bool remembers = false;  // it has voted since, and has all that it granted
-    Records records;
+struct RecallRequest {};
+struct RecallAnswer {
+    bool hasState = false;  // it has voted since, and has all that it granted
+    GrantRecords records;
 };
 
 }  // namespace poppyscale::lease
