--- a/src/logging/logger.hpp
+++ b/src/logging/logger.hpp
@@ -11,31 +11,31 @@
 
 namespace poppyscale::logging {
 
-enum class Form : std::uint8_t { text, json };
+enum class Format : std::uint8_t { text, json };
 
-class Log {
+class Logger {
   public:
     // `name` is in front of each line of text, and a field of each one of JSON. `perSecond` lines are written
     // on the mean and `atOnce` at most; the others are left out, and the next one says how many.
-    Log(std::string name, Form form, double perSecond = 50, double atOnce = 200);
-    void plan(Form form, double perSecond);
-    void line(spdlog::level::level_enum level, std::string_view what, const nlohmann::json& fields = {});
+    Logger(std::string name, Format form, double perSecond = 50, double atOnce = 200);
+    void configure(Format form, double perSecond);
+    void log(spdlog::level::level_enum level, std::string_view what, const nlohmann::json& fields = {});
     void info(std::string_view what, const nlohmann::json& fields = {}) {
-        line(spdlog::level::info, what, fields);
+        log(spdlog::level::info, what, fields);
     }
 
     // A line that is `text`, or `fields` with the time and the level.
     void write(spdlog::level::level_enum level, std::string_view text, nlohmann::json fields);
 
   private:
-    bool may();
+    bool mayWrite();
 
     std::string name_;
-    Form form_;
-    double perSecond_, atOnce_;
+    Format form_;
+    double perSecond_, burst_;
     double allowance_;
     std::int64_t filledAt_ = 0;
-    unsigned long left_ = 0;  // lines since the last one written
+    unsigned long suppressedLines_ = 0;  // lines since the last one written
     std::shared_ptr<spdlog::logger> logger_;
 };
 
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -19,49 +19,49 @@
 
 // Times of answers in classes that grow by an eighth, 0.1 ms to 100 s: a shift of the median by a tenth
 // shows.
-constexpr int kClasses = 118;
-constexpr double kLeastMs = 0.1, kMostMs = 100'000;
+constexpr int kLatencyBuckets = 118;
+constexpr double kMinLatencyMs = 0.1, kMaxLatencyMs = 100'000;
 
-enum class Declined : std::uint8_t {
-    full,    // the router held as many commands as it may
-    unsent,  // by the decisions, before any relay
-    after    // by the decisions, after a relay that never ran or may run again
+enum class Rejection : std::uint8_t {
+    requestLimit,        // the router held as many commands as it may
+    beforeFirstAttempt,  // by the decisions, before any relay
+    afterAttempt         // by the decisions, after a relay that never ran or may run again
 };
 
-class Counts {
+class RouterMetrics {
   public:
-    explicit Counts(const std::vector<Verb>& verbs);
+    explicit RouterMetrics(const std::vector<RequestClass>& requestClasses);
     // Verbs that are new are added; what is gone keeps its figures.
-    void changed(const std::vector<Verb>& verbs);
+    void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
-    void taken(std::string_view verb);
-    void answered(std::string_view verb, Nanos took);
-    void declined(std::string_view verb, Declined why);
-    void terminated(std::string_view verb);
-    void left(std::string_view verb);  // its client went before its answer
-    void relay(bool toOrigin);
-    void relayEnded(Ending how, Nanos spent);
-    void turn(Nanos took);
+    void recordAccepted(std::string_view requestClass);
+    void recordSucceeded(std::string_view requestClass, Nanos took);
+    void recordRejected(std::string_view requestClass, Rejection why);
+    void recordFailed(std::string_view requestClass);
+    void recordAbandoned(std::string_view requestClass);  // its client went before its answer
+    void recordAttempt(bool toOrigin);
+    void recordAttemptEnded(AttemptOutcome how, Nanos spent);
+    void recordIteration(Nanos took);
 
     nlohmann::json json() const;
 
   private:
     using Times = decltype(boost::histogram::make_histogram(
-        boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(kClasses, kLeastMs,
-                                                                                        kMostMs)));
-    struct OfVerb {
-        Nanos goal = 0;
-        std::uint64_t taken = 0, inGoal = 0, late = 0, full = 0, unsent = 0, after = 0, terminated = 0,
-                      left = 0;
-        Times times;
+        boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
+            kLatencyBuckets, kMinLatencyMs, kMaxLatencyMs)));
+    struct RequestClassMetrics {
+        Nanos latencyObjective = 0;
+        std::uint64_t accepted = 0, withinObjective = 0, late = 0, full = 0, unsent = 0, after = 0,
+                      failed = 0, abandoned = 0;
+        Times latencies;
     };
-    OfVerb& of(std::string_view verb);
+    RequestClassMetrics& metricsOf(std::string_view requestClass);
 
-    std::map<std::string, OfVerb, std::less<>> verbs_;
-    std::uint64_t relays_ = 0, originRelays_ = 0, errored_ = 0, timedOut_ = 0, cut_ = 0, turnedAway_ = 0,
-                  foundDead_ = 0;
-    double relayMs_ = 0;
-    Nanos longestTurn_ = 0;
+    std::map<std::string, RequestClassMetrics, std::less<>> requestClasses_;
+    std::uint64_t attempts_ = 0, originAttempts_ = 0, failed_ = 0, timedOut_ = 0, connectionsLost_ = 0,
+                  overloaded_ = 0, connectFailed_ = 0;
+    double attemptMs_ = 0;
+    Nanos longestIteration_ = 0;
 };
 
 }  // namespace poppyscale::metrics
--- a/src/process/command_line.cpp
+++ b/src/process/command_line.cpp
@@ -11,47 +11,48 @@
 namespace poppyscale::process {
 namespace {
 
-using protocol::Malformed;
+using protocol::ParseError;
 
 constexpr const char* kVersion = "poppyscale 0.3";
 
-protocol::Start readPlatform(const char* path) {
+protocol::StartupConfig readPlatform(const char* path) {
     std::ifstream file(path, std::ios::binary);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw Malformed(std::string("can't read the configuration ") + path);
+    if (!file) throw ParseError(std::string("can't read the configuration ") + path);
     try {
-        return protocol::readStart(text);
-    } catch (const Malformed& problem) {
-        throw Malformed(std::string("configuration ") + path + ": " + problem.what());
+        return protocol::readStartupConfig(text);
+    } catch (const ParseError& problem) {
+        throw ParseError(std::string("configuration ") + path + ": " + problem.what());
     }
 }
 
-Told readAll(const std::string& operatorFile) {
+InstanceConfig readAll(const std::string& operatorFile) {
     const char* const path = std::getenv("ROUTER_CONFIG");
-    Told told;
-    told.platform = path != nullptr;
+    InstanceConfig told;
+    told.fromPlatform = path != nullptr;
     if (!path && operatorFile.empty())
-        throw Malformed("ROUTER_CONFIG names no configuration, and --operator names no file");
+        throw ParseError("ROUTER_CONFIG names no configuration, and --operator names no file");
     std::string problems;
     try {
-        if (path) told.start = readPlatform(path);
-    } catch (const Malformed& problem) {
+        if (path) told.startup = readPlatform(path);
+    } catch (const ParseError& problem) {
         problems = problem.what();
     }
     try {
-        if (!operatorFile.empty()) told.plan = config::loadPlan(operatorFile, told.platform);
-    } catch (const Malformed& problem) {
+        if (!operatorFile.empty())
+            told.operatorConfig = config::loadOperatorConfig(operatorFile, told.fromPlatform);
+    } catch (const ParseError& problem) {
         problems += (problems.empty() ? "" : "\n") + std::string(problem.what());
     }
-    if (!problems.empty()) throw Malformed(problems);
-    if (told.plan.start) told.start = *told.plan.start;
-    if (const char* const console = std::getenv("ROUTER_CONSOLE")) told.start.console = console;
+    if (!problems.empty()) throw ParseError(problems);
+    if (told.operatorConfig.startup) told.startup = *told.operatorConfig.startup;
+    if (const char* const console = std::getenv("ROUTER_CONSOLE")) told.startup.console = console;
     return told;
 }
 
 }  // namespace
 
-int start(int argc, char** argv, const MakeCore& makeCore) {
+int runCommandLine(int argc, char** argv, const MakeDispatcher& makeCore) {
     CLI::App app{"poppyscale: spreads keys over caches before a slow origin"};
     app.set_version_flag("--version", kVersion);
     std::string file;
@@ -77,8 +78,8 @@
     sigprocmask(SIG_BLOCK, &hangUp, nullptr);
     try {
         if (*check) {
-            const Told told = readAll(file);
-            std::cout << config::described(told.start, told.plan, told.platform);
+            const InstanceConfig told = readAll(file);
+            std::cout << config::describeConfig(told.startup, told.operatorConfig, told.fromPlatform);
             return 0;
         }
         std::vector<std::string> newcomer{argv[0], "serve", "--take-over"};
@@ -86,9 +87,9 @@
         if (!file.empty()) newcomer.insert(newcomer.end(), {"--operator", file});
         const char* const said = std::getenv("ROUTER_PASSED_SOCKET");
         const char* const folder = std::getenv("TMPDIR");
-        const int passed = said && !takeOver ? passedSocket(said) : -1;
-        Program router({[file] { return readAll(file); }, takeOver, std::move(newcomer), passed, kVersion,
-                        folder ? folder : "", makeCore});
+        const int passed = said && !takeOver ? passedListener(said) : -1;
+        RouterProcess router({[file] { return readAll(file); }, takeOver, std::move(newcomer), passed,
+                              kVersion, folder ? folder : "", makeCore});
         sigprocmask(SIG_UNBLOCK, &hangUp, nullptr);
         return router.run();
     } catch (const std::exception& problem) {
--- a/src/process/command_line.hpp
+++ b/src/process/command_line.hpp
@@ -6,6 +6,6 @@
 namespace poppyscale::process {
 
 // The exit code: 0, 1 for what can't be used, 2 for a command line that is none.
-int start(int argc, char** argv, const MakeCore& makeCore = {});
+int runCommandLine(int argc, char** argv, const MakeDispatcher& makeCore = {});
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/inherited_sockets.cpp
+++ b/src/process/hot_restart/inherited_sockets.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-Caller::Caller(const std::string& path, Nanos patience) {
+PeerClient::PeerClient(const std::string& path, Nanos patience) {
     const sockaddr_un at = localAddress(path);
     const timeval wait{static_cast<time_t>(patience / (1000 * kMillisecond)),
                        static_cast<suseconds_t>(patience % (1000 * kMillisecond) / 1000)};
@@ -51,21 +51,21 @@
     throw std::system_error(failed, std::generic_category(), path);
 }
 
-Caller::~Caller() {
+PeerClient::~PeerClient() {
     if (socket_ >= 0) ::close(socket_);
 }
 
-void Caller::finish() const { ::shutdown(socket_, SHUT_WR); }
+void PeerClient::finish() const { ::shutdown(socket_, SHUT_WR); }
 
-int Caller::release() { return std::exchange(socket_, -1); }
+int PeerClient::release() { return std::exchange(socket_, -1); }
 
-void Caller::write(const nlohmann::json& word) {
+void PeerClient::write(const nlohmann::json& word) {
     const std::string line = word.dump() + "\n";
     if (::send(socket_, line.data(), line.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(line.size()))
         throw std::runtime_error("the other process does not hear");
 }
 
-nlohmann::json Caller::readLine() {
+nlohmann::json PeerClient::readLine() {
     std::string line;
     while (!line.ends_with('\n')) {
         if (line.size() > kLongestLine) throw std::runtime_error("the other process says too long a line");
@@ -77,20 +77,20 @@
 }
 
 // Looks before it takes: what follows the line may carry a socket and must not be read with it.
-std::string Caller::readPartOfLine() {
+std::string PeerClient::readPartOfLine() {
     std::string part(kPartOfLine, '\0');
     const auto seen = ::recv(socket_, part.data(), part.size(), MSG_PEEK);
-    if (seen <= 0) throw Silent("the other process is silent");
+    if (seen <= 0) throw PeerUnresponsive("the other process is silent");
     part.resize(static_cast<std::size_t>(seen));
     if (const auto end = part.find('\n'); end != std::string::npos) part.resize(end + 1);
     const auto got = ::recv(socket_, part.data(), part.size(), 0);
-    if (got <= 0) throw Silent("the other process is silent");
+    if (got <= 0) throw PeerUnresponsive("the other process is silent");
     part.resize(static_cast<std::size_t>(got));
     return part;
 }
 
-int askPredecessor(const std::string& path, Nanos patience, std::string& words) {
-    std::optional<Caller> caller;
+int fetchOperatorState(const std::string& path, Nanos patience, std::string& words) {
+    std::optional<PeerClient> caller;
     try {
         caller.emplace(path, patience);
     } catch (const std::system_error& problem) {
@@ -103,17 +103,17 @@
     return caller->release();
 }
 
-TakenOver::TakenOver(const std::string& path) try : caller_(path, kPatience) {
+InheritedSockets::InheritedSockets(const std::string& path) try : caller_(path, kPatience) {
     caller_.write({{"do", "take-over"}});
     const auto said = caller_.readLine();
-    described_ = said.at("described").get<std::string>();
+    describedConfig_ = said.at("described").get<std::string>();
     listener_ = receive();
     if (said.value("console", false)) console_ = receive();
 } catch (const std::exception& problem) {
     throw std::runtime_error(fmt::format("can't take over: {}", problem.what()));
 }
 
-int TakenOver::receive() const {
+int InheritedSockets::receive() const {
     char byte = 0;
     iovec piece{&byte, 1};
     alignas(cmsghdr) char room[CMSG_SPACE(sizeof(int))] = {};
@@ -132,26 +132,26 @@
     return received;
 }
 
-TakenOver::~TakenOver() {
+InheritedSockets::~InheritedSockets() {
     if (listener_ >= 0) ::close(listener_);
     if (console_ >= 0) ::close(console_);
 }
 
-int TakenOver::takeListener() { return std::exchange(listener_, -1); }
-int TakenOver::takeConsole() { return std::exchange(console_, -1); }
+int InheritedSockets::takeListener() { return std::exchange(listener_, -1); }
+int InheritedSockets::takeConsole() { return std::exchange(console_, -1); }
 
-bool TakenOver::isAt(const transport::Address& address) const {
+bool InheritedSockets::isAt(const transport::Address& address) const {
     transport::Address at{};
     socklen_t size = sizeof at;
     return ::getsockname(listener_, reinterpret_cast<sockaddr*>(&at), &size) == 0 &&
            transport::sameAddress(at, address);
 }
 
-void TakenOver::ready(const nlohmann::json& word) {
+void InheritedSockets::reportReady(const nlohmann::json& word) {
     caller_.write(word);
     try {
         caller_.readLine();
-    } catch (const Silent&) {
+    } catch (const PeerUnresponsive&) {
         // Held up, it would read our word later and let go though nobody is here. It looks for our end first,
         // so that what it says from now on is no, and what it said before is here by then.
         caller_.finish();
@@ -159,7 +159,7 @@
     }
 }
 
-void TakenOver::refuse(const std::string& why) noexcept {
+void InheritedSockets::reportFailure(const std::string& why) noexcept {
     try {
         caller_.write({{"do", "refuse"}, {"why", why}});
         caller_.readLine();
@@ -168,7 +168,7 @@
     }
 }
 
-Successor::Successor(const std::vector<std::string>& commandLine) {
+NewProcess::NewProcess(const std::vector<std::string>& commandLine) {
     std::vector<std::string> held = commandLine;
     std::vector<char*> arguments;
     for (auto& one : held) arguments.push_back(one.data());
@@ -184,20 +184,20 @@
     if (failed) throw std::runtime_error(fmt::format("can't start {}: {}", held[0], std::strerror(failed)));
 }
 
-Successor::~Successor() {
-    if (pid_ < 0 || ended()) return;
+NewProcess::~NewProcess() {
+    if (pid_ < 0 || hasExited()) return;
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
 }
 
-bool Successor::ended() {
+bool NewProcess::hasExited() {
     if (pid_ < 0) return true;
     if (::waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
     pid_ = -1;
     return true;
 }
 
-int passedSocket(const std::string& said) {
+int passedListener(const std::string& said) {
     const auto wrong = [&](const char* what) {
         return std::runtime_error(fmt::format("ROUTER_PASSED_SOCKET is '{}': {}", said, what));
     };
@@ -215,7 +215,7 @@
     return *number;
 }
 
-void notify(const std::string& words) {
+void notifyServiceManager(const std::string& words) {
     const char* const path = std::getenv("NOTIFY_SOCKET");
     if (!path || (path[0] != '/' && path[0] != '@')) return;
     sockaddr_un at{};
--- a/src/process/hot_restart/inherited_sockets.hpp
+++ b/src/process/hot_restart/inherited_sockets.hpp
@@ -15,18 +15,18 @@
 namespace poppyscale::process {
 
 // No word in time, or none any more.
-struct Silent : std::runtime_error {
+struct PeerUnresponsive : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // A local socket on which one line asks and one answers, waiting for each.
-class Caller {
+class PeerClient {
   public:
     // Throws std::runtime_error, here and below, when the other process can't be had or is silent.
-    Caller(const std::string& path, Nanos patience);
-    ~Caller();
-    Caller(const Caller&) = delete;
-    Caller& operator=(const Caller&) = delete;
+    PeerClient(const std::string& path, Nanos patience);
+    ~PeerClient();
+    PeerClient(const PeerClient&) = delete;
+    PeerClient& operator=(const PeerClient&) = delete;
 
     void write(const nlohmann::json& word);
     // What the other process says against it is thrown too.
@@ -44,47 +44,47 @@
 
 // Asks the process that serves for what operators said to it. The connection, for what is said from now on,
 // or below 0 when no process is there; throws when one is and does not answer.
-int askPredecessor(const std::string& path, Nanos patience, std::string& words);
+int fetchOperatorState(const std::string& path, Nanos patience, std::string& words);
 
-class TakenOver {
+class InheritedSockets {
   public:
     // Asks at the operator's socket `path` for the listening socket, and throws std::runtime_error with what
     // the other process says when it does not give it.
-    explicit TakenOver(const std::string& path);
-    ~TakenOver();
-    TakenOver(const TakenOver&) = delete;
-    TakenOver& operator=(const TakenOver&) = delete;
+    explicit InheritedSockets(const std::string& path);
+    ~InheritedSockets();
+    InheritedSockets(const InheritedSockets&) = delete;
+    InheritedSockets& operator=(const InheritedSockets&) = delete;
 
     // The listening socket; whoever asks has it from then on.
     int takeListener();
     int takeConsole();  // the operators' door's; below 0 when there is none
     bool isAt(const transport::Address& address) const;
     // What the other process has in force.
-    const std::string& described() const { return described_; }
+    const std::string& describedConfig() const { return describedConfig_; }
     // Tells it that all is up. When this returns it has stopped accepting; else it throws.
-    void ready(const nlohmann::json& word);
+    void reportReady(const nlohmann::json& word);
     // Tells it why nothing comes of this: by the time our own log had it we might be ended.
-    void refuse(const std::string& why) noexcept;
+    void reportFailure(const std::string& why) noexcept;
 
   private:
     int receive() const;
 
-    Caller caller_;
+    PeerClient caller_;
     int listener_ = -1;
     int console_ = -1;
-    std::string described_;
+    std::string describedConfig_;
 };
 
 // The process that is to take over, ours to end until it is ready.
-class Successor {
+class NewProcess {
   public:
-    explicit Successor(const std::vector<std::string>& commandLine);
-    ~Successor();  // ends it unless it was let go
-    Successor(const Successor&) = delete;
-    Successor& operator=(const Successor&) = delete;
+    explicit NewProcess(const std::vector<std::string>& commandLine);
+    ~NewProcess();  // ends it unless it was let go
+    NewProcess(const NewProcess&) = delete;
+    NewProcess& operator=(const NewProcess&) = delete;
 
-    bool ended();
-    void letGo() { pid_ = -1; }
+    bool hasExited();
+    void release() { pid_ = -1; }
     pid_t pid() const { return pid_; }
 
   private:
@@ -93,9 +93,9 @@
 
 // The clients' listening socket that the platform holds and this process inherited, by the number that
 // $ROUTER_PASSED_SOCKET says; throws std::runtime_error that names it. No child inherits it.
-int passedSocket(const std::string& said);
+int passedListener(const std::string& said);
 
 // A line to the service manager, by sd_notify's protocol, if one listens.
-void notify(const std::string& words);
+void notifyServiceManager(const std::string& words);
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/peer_processes.cpp
+++ b/src/process/hot_restart/peer_processes.cpp
@@ -11,7 +11,7 @@
 namespace poppyscale::process {
 namespace {
 
-using config::Level;
+using config::LogLevel;
 
 constexpr Nanos kAskWithin = 500 * kMillisecond;
 constexpr std::size_t kWorthTelling = 8;  // clients more or less
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Succession::Succession(transport::Loop& loop, transport::Pool& pool, const std::string& folder,
-                       const std::string& name, Owner& owner, Say say)
-    : owner_(owner), say_(std::move(say)) {
+PeerProcesses::PeerProcesses(transport::EventLoop& loop, transport::BufferPool& pool,
+                             const std::string& folder, const std::string& name, Handler& owner, Log say)
+    : owner_(owner), log_(std::move(say)) {
     if (folder.empty()) return;
     const std::string base = folder + "/" + fileName(name);
     path_ = base + ".sock";
@@ -34,120 +34,121 @@
     server_.emplace(loop, pool, [this](auto& session, const auto& asked) { return answer(session, asked); });
 }
 
-void Succession::begin(bool besides) {
+void PeerProcesses::start(bool besides) {
     if (!file_) return;
-    if (const auto problem = file_->read(words_); !problem.empty())
-        say_(Level::error,
+    if (const auto problem = file_->read(state_); !problem.empty())
+        log_(LogLevel::error,
              fmt::format("of the operators' words on file only what can be read holds: {}", problem));
     if (besides) {
         std::string said;
         try {
-            const int socket = askPredecessor(path_, kAskWithin, said);
+            const int socket = fetchOperatorState(path_, kAskWithin, said);
             if (socket >= 0) {
-                words_ = {};
-                if (const auto problem = words_.read(said); !problem.empty())
-                    say_(Level::error,
+                state_ = {};
+                if (const auto problem = state_.parse(said); !problem.empty())
+                    log_(LogLevel::error,
                          fmt::format("of the other process's words only a part holds: {}", problem));
-                join(server_->join(socket), false);
+                addPeer(server_->adopt(socket), false);
             }
         } catch (const std::exception& problem) {
-            say_(Level::error, fmt::format("goes by what is on file: {}", problem.what()));
+            log_(LogLevel::error, fmt::format("goes by what is on file: {}", problem.what()));
         }
     }
-    settle();
+    reconcile();
 }
 
-std::string Succession::listen() { return server_ ? server_->listen(path_) : ""; }
+std::string PeerProcesses::listen() { return server_ ? server_->listen(path_) : ""; }
 
-std::string Succession::say(const std::string& word) {
-    Words next = words_;
-    if (!next.take(word))
-        return fmt::format("it can't be kept: {} servers are out already", words_.out.size());
-    if (next == words_) return "";
+std::string PeerProcesses::applyCommand(const std::string& word) {
+    OperatorState next = state_;
+    if (!next.apply(word))
+        return fmt::format("it can't be kept: {} servers are out already", state_.ejectedServers.size());
+    if (next == state_) return "";
     if (file_)
         if (const auto problem = file_->write(next); !problem.empty())
             return "it could not be written down: " + problem;
-    words_ = next;
-    settle();
-    tell({{"do", "word"}, {"word", word}});
+    state_ = next;
+    reconcile();
+    notifyPeers({{"do", "word"}, {"word", word}});
     return "";
 }
 
-void Succession::lookAgain() {
-    Words fresh;
+void PeerProcesses::reloadState() {
+    OperatorState fresh;
     if (!file_ || !file_->read(fresh).empty()) return;
-    words_ = fresh;
-    settle();
+    state_ = fresh;
+    reconcile();
 }
 
-std::size_t Succession::othersClients() const {
+std::size_t PeerProcesses::peerClientCount() const {
     std::size_t sum = 0;
-    for (const Kin& k : kin_) sum += k.clients;
+    for (const PeerProcess& k : peers_) sum += k.clients;
     return sum;
 }
 
-void Succession::holds(std::size_t clients) {
-    const auto apart = std::max(clients, told_) - std::min(clients, told_);
-    if (kin_.empty() || (apart < kWorthTelling && (clients > 0 || apart == 0))) return;
-    told_ = clients;
-    tell({{"do", "holds"}, {"clients", clients}});
+void PeerProcesses::reportClientCount(std::size_t clients) {
+    const auto apart = std::max(clients, reportedClients_) - std::min(clients, reportedClients_);
+    if (peers_.empty() || (apart < kWorthTelling && (clients > 0 || apart == 0))) return;
+    reportedClients_ = clients;
+    notifyPeers({{"do", "holds"}, {"clients", clients}});
 }
 
-nlohmann::json Succession::answer(control::Session& session, const nlohmann::json& asked) {
+nlohmann::json PeerProcesses::answer(control::OperatorSession& session, const nlohmann::json& asked) {
     const auto what = asked.value("do", "");
     if (what == "succeed") {
-        join(session, true);
+        addPeer(session, true);
         // The newcomer will have its own socket at that path.
-        server_->leavePath();
-        return {{"words", words_.text()}};
+        server_->releasePath();
+        return {{"words", state_.serialize()}};
     }
-    const auto kin =
-        std::find_if(kin_.begin(), kin_.end(), [&](const Kin& k) { return k.session == &session; });
-    if (kin == kin_.end())
+    const auto kin = std::find_if(peers_.begin(), peers_.end(),
+                                  [&](const PeerProcess& k) { return k.session == &session; });
+    if (kin == peers_.end())
         return what.empty() ? nlohmann::json() : nlohmann::json{{"error", "not known here"}};
     if (what == "holds") {
         kin->clients = asked.at("clients").get<std::size_t>();
-        owner_.othersChanged();
+        owner_.onPeersChanged();
     }
     if (what == "word") {
-        Words next = words_;
+        OperatorState next = state_;
         const auto word = asked.at("word").get<std::string>();
-        if (next.take(word) && next != words_) {
-            words_ = next;
-            if (file_) file_->write(words_);
-            settle();
-            tell(asked, &session);
+        if (next.apply(word) && next != state_) {
+            state_ = next;
+            if (file_) file_->write(state_);
+            reconcile();
+            notifyPeers(asked, &session);
         }
     }
     return nullptr;
 }
 
-void Succession::join(control::Session& session, bool heir) {
-    kin_.push_back({&session, heir});
-    told_ = 0;
-    session.gone = [this, at = &session] {
-        const auto it = std::find_if(kin_.begin(), kin_.end(), [&](const Kin& k) { return k.session == at; });
-        const bool wasHeir = it->heir;
-        kin_.erase(it);
+void PeerProcesses::addPeer(control::OperatorSession& session, bool heir) {
+    peers_.push_back({&session, heir});
+    reportedClients_ = 0;
+    session.onPeerClosed = [this, at = &session] {
+        const auto it =
+            std::find_if(peers_.begin(), peers_.end(), [&](const PeerProcess& k) { return k.session == at; });
+        const bool wasHeir = it->isNewer;
+        peers_.erase(it);
         // A successor that is gone before this one was told to go has left the path to nobody.
-        if (wasHeir && !leaves_) listen();
-        owner_.othersChanged();
+        if (wasHeir && !isShuttingDown_) listen();
+        owner_.onPeersChanged();
     };
-    owner_.othersChanged();
+    owner_.onPeersChanged();
 }
 
-void Succession::tell(const nlohmann::json& what, const control::Session* but) {
-    for (const Kin& k : kin_)
-        if (k.session != but) k.session->say(what);
+void PeerProcesses::notifyPeers(const nlohmann::json& what, const control::OperatorSession* but) {
+    for (const PeerProcess& k : peers_)
+        if (k.session != but) k.session->send(what);
 }
 
-void Succession::settle() {
-    for (const auto& id : applied_.out)
-        if (!words_.out.contains(id)) owner_.ban(id, false);
-    for (const auto& id : words_.out)
-        if (!applied_.out.contains(id)) owner_.ban(id, true);
-    if (applied_.standby != words_.standby) owner_.standBy(words_.standby);
-    applied_ = words_;
+void PeerProcesses::reconcile() {
+    for (const auto& id : applied_.ejectedServers)
+        if (!state_.ejectedServers.contains(id)) owner_.setEjected(id, false);
+    for (const auto& id : state_.ejectedServers)
+        if (!applied_.ejectedServers.contains(id)) owner_.setEjected(id, true);
+    if (applied_.isStandby != state_.isStandby) owner_.setStandby(state_.isStandby);
+    applied_ = state_;
 }
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/peer_processes.hpp
+++ b/src/process/hot_restart/peer_processes.hpp
@@ -13,58 +13,58 @@
 
 namespace poppyscale::process {
 
-class Succession {
+class PeerProcesses {
   public:
-    class Owner {
+    class Handler {
       public:
-        virtual ~Owner() = default;
+        virtual ~Handler() = default;
         // The words that hold, wherever they were said.
-        virtual void ban(const std::string& id, bool on) = 0;
-        virtual void standBy(bool on) = 0;
+        virtual void setEjected(const std::string& id, bool on) = 0;
+        virtual void setStandby(bool on) = 0;
         // A process beside this one has come or gone, or holds another number of clients.
-        virtual void othersChanged() = 0;
+        virtual void onPeersChanged() = 0;
     };
-    using Say = std::function<void(config::Level level, std::string_view text)>;
+    using Log = std::function<void(config::LogLevel level, std::string_view text)>;
     // `folder` is where processes that come later look, or empty.
-    Succession(transport::Loop& loop, transport::Pool& pool, const std::string& folder,
-               const std::string& name, Owner& owner, Say say);
+    PeerProcesses(transport::EventLoop& loop, transport::BufferPool& pool, const std::string& folder,
+                  const std::string& name, Handler& owner, Log say);
 
     // What was written down, and from a predecessor, if there is to be one, what holds now. Waits for its
     // answer, but not long: it may hang.
-    void begin(bool besides);
+    void start(bool besides);
     // Where a successor finds this process; empty, or what is wrong.
     std::string listen();
     // A word from this process's door. Empty once it binds here and will bind later, else why it can't.
-    std::string say(const std::string& word);
+    std::string applyCommand(const std::string& word);
     // What another wrote while this one was held up.
-    void lookAgain();
-    void leaves() { leaves_ = true; }
+    void reloadState();
+    void onShutdown() { isShuttingDown_ = true; }
 
-    const Words& words() const { return words_; }
-    bool alone() const { return kin_.empty(); }
-    std::size_t othersClients() const;
-    void holds(std::size_t clients);
+    const OperatorState& operatorState() const { return state_; }
+    bool isAlone() const { return peers_.empty(); }
+    std::size_t peerClientCount() const;
+    void reportClientCount(std::size_t clients);
 
   private:
-    struct Kin {
-        control::Session* session;
-        bool heir;
+    struct PeerProcess {
+        control::OperatorSession* session;
+        bool isNewer;
         std::size_t clients = 0;
     };
-    nlohmann::json answer(control::Session& session, const nlohmann::json& asked);
-    void join(control::Session& session, bool heir);
-    void tell(const nlohmann::json& what, const control::Session* but = nullptr);
-    void settle();
+    nlohmann::json answer(control::OperatorSession& session, const nlohmann::json& asked);
+    void addPeer(control::OperatorSession& session, bool heir);
+    void notifyPeers(const nlohmann::json& what, const control::OperatorSession* but = nullptr);
+    void reconcile();
 
-    Owner& owner_;
-    Say say_;
+    Handler& owner_;
+    Log log_;
     std::string path_;  // of the socket
-    std::optional<WordsFile> file_;
-    std::optional<control::Server> server_;
-    std::vector<Kin> kin_;
-    Words words_, applied_;
-    std::size_t told_ = 0;  // clients
-    bool leaves_ = false;
+    std::optional<OperatorStateFile> file_;
+    std::optional<control::OperatorSocket> server_;
+    std::vector<PeerProcess> peers_;
+    OperatorState state_, applied_;
+    std::size_t reportedClients_ = 0;  // clients
+    bool isShuttingDown_ = false;
 };
 
 }  // namespace poppyscale::process
--- a/src/process/main.cpp
+++ b/src/process/main.cpp
@@ -1,3 +1,3 @@
 #include "process/command_line.hpp"
 
-int main(int argc, char** argv) { return poppyscale::process::start(argc, argv); }
+int main(int argc, char** argv) { return poppyscale::process::runCommandLine(argc, argv); }
--- a/src/process/operator_state.cpp
+++ b/src/process/operator_state.cpp
@@ -28,15 +28,15 @@
 
 }  // namespace
 
-std::string Words::text() const {
+std::string OperatorState::serialize() const {
     std::string text(kHead);
     text += '\n';
-    for (const auto& id : out) text.append(kOut).append(id) += '\n';
-    if (standby) text += "standby\n";
+    for (const auto& id : ejectedServers) text.append(kOut).append(id) += '\n';
+    if (isStandby) text += "standby\n";
     return text;
 }
 
-std::string Words::read(std::string_view text) {
+std::string OperatorState::parse(std::string_view text) {
     std::string problem;
     if (text.size() > kLongestFile) {
         problem = "it is too long";
@@ -52,25 +52,25 @@
         if (std::exchange(first, false) && line != kHead && problem.empty())
             problem = "it is of another version, or nonsense";
         if (line == kHead) continue;
-        if (!take(line) && problem.empty()) problem = "a line in it can't be read";
+        if (!apply(line) && problem.empty()) problem = "a line in it can't be read";
     }
     return problem;
 }
 
-bool Words::take(std::string_view word) {
-    if (word == "standby" || word == "active") return standby = word == "standby", true;
+bool OperatorState::apply(std::string_view word) {
+    if (word == "standby" || word == "active") return isStandby = word == "standby", true;
     const auto id = word.substr(std::min(word.size(), word.find(' ') + 1));
     if (!isId(id)) return false;
-    if (word.starts_with("in ")) return out.erase(std::string(id)), true;
+    if (word.starts_with("in ")) return ejectedServers.erase(std::string(id)), true;
     if (!word.starts_with(kOut)) return false;
-    if (out.size() >= kMostOut && !out.contains(std::string(id))) return false;
-    out.emplace(id);
+    if (ejectedServers.size() >= kMostOut && !ejectedServers.contains(std::string(id))) return false;
+    ejectedServers.emplace(id);
     return true;
 }
 
-std::string WordsFile::write(const Words& words) const {
+std::string OperatorStateFile::write(const OperatorState& words) const {
     // A name of its own: the other process may write at the same moment.
-    const std::string text = words.text(), fresh = fmt::format("{}.{}", path_, ::getpid());
+    const std::string text = words.serialize(), fresh = fmt::format("{}.{}", path_, ::getpid());
     const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     if (file < 0) return std::strerror(errno);
     const auto written = ::write(file, text.data(), text.size());
@@ -80,7 +80,7 @@
     return ::rename(fresh.c_str(), path_.c_str()) == 0 ? "" : std::strerror(errno);
 }
 
-std::string WordsFile::read(Words& words) const {
+std::string OperatorStateFile::read(OperatorState& words) const {
     const int file = ::open(path_.c_str(), O_RDONLY | O_CLOEXEC);
     if (file < 0) return errno == ENOENT ? "" : std::strerror(errno);
     std::string text(kLongestFile + 1, '\0');
@@ -88,7 +88,7 @@
     ::close(file);
     if (got < 0) return std::strerror(errno);
     text.resize(static_cast<std::size_t>(got));
-    return words.read(text);
+    return words.parse(text);
 }
 
 }  // namespace poppyscale::process
--- a/src/process/operator_state.hpp
+++ b/src/process/operator_state.hpp
@@ -8,26 +8,26 @@
 
 namespace poppyscale::process {
 
-struct Words {
-    std::set<std::string> out;  // caches that nothing may go to
-    bool standby = false;
+struct OperatorState {
+    std::set<std::string> ejectedServers;  // caches that nothing may go to
+    bool isStandby = false;
 
-    std::string text() const;
+    std::string serialize() const;
     // "out ID", "in ID", "standby" or "active"; false when it is none of these, or there is no room for
     // one more server that is out.
-    bool take(std::string_view word);
+    bool apply(std::string_view word);
     // Takes what can be read; empty, or what is wrong with the rest.
-    std::string read(std::string_view text);
-    bool operator==(const Words&) const = default;
+    std::string parse(std::string_view text);
+    bool operator==(const OperatorState&) const = default;
 };
 
-class WordsFile {
+class OperatorStateFile {
   public:
-    explicit WordsFile(std::string path) : path_(std::move(path)) {}
+    explicit OperatorStateFile(std::string path) : path_(std::move(path)) {}
     // Empty when the words are in the file, whole or not at all; else what the system said.
-    std::string write(const Words& words) const;
+    std::string write(const OperatorState& words) const;
     // What is wrong with the file, if anything; none at all is well.
-    std::string read(Words& words) const;
+    std::string read(OperatorState& words) const;
 
   private:
     std::string path_;
--- a/src/process/process_logger.cpp
+++ b/src/process/process_logger.cpp
@@ -3,17 +3,17 @@
 namespace poppyscale::process {
 namespace {
 
-spdlog::level::level_enum levelOf(config::Level level) {
+spdlog::level::level_enum levelOf(config::LogLevel level) {
     switch (level) {
-        case config::Level::debug:
+        case config::LogLevel::debug:
             return spdlog::level::debug;
-        case config::Level::info:
+        case config::LogLevel::info:
             return spdlog::level::info;
-        case config::Level::warning:
+        case config::LogLevel::warning:
             return spdlog::level::warn;
-        case config::Level::error:
+        case config::LogLevel::error:
             return spdlog::level::err;
-        case config::Level::off:
+        case config::LogLevel::off:
             break;
     }
     return spdlog::level::off;
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-void Logger::plan(const config::LogPlan& plan) {
-    plan_ = plan;
-    log_.plan(plan.json ? logging::Form::json : logging::Form::text, plan.perSecond);
+void ProcessLogger::configure(const config::LogConfig& plan) {
+    config_ = plan;
+    log_.configure(plan.json ? logging::Format::json : logging::Format::text, plan.perSecond);
 }
 
-void Logger::line(std::string_view part, config::Level level, std::string_view text) {
-    const auto own = plan_.parts.find(std::string(part));
-    if (level < (own == plan_.parts.end() ? plan_.level : own->second)) return;
+void ProcessLogger::log(std::string_view part, config::LogLevel level, std::string_view text) {
+    const auto own = config_.parts.find(std::string(part));
+    if (level < (own == config_.parts.end() ? config_.level : own->second)) return;
     nlohmann::json fields;
-    if (plan_.json) fields = {{"part", part}, {"text", text}};
+    if (config_.json) fields = {{"part", part}, {"text", text}};
     log_.write(levelOf(level), text, std::move(fields));
 }
 
--- a/src/process/process_logger.hpp
+++ b/src/process/process_logger.hpp
@@ -8,14 +8,14 @@
 
 namespace poppyscale::process {
 
-class Logger {
+class ProcessLogger {
   public:
-    void plan(const config::LogPlan& plan);
-    void line(std::string_view part, config::Level level, std::string_view text);
+    void configure(const config::LogConfig& plan);
+    void log(std::string_view part, config::LogLevel level, std::string_view text);
 
   private:
-    config::LogPlan plan_;
-    logging::Log log_{"poppyscale", logging::Form::text, config::LogPlan{}.perSecond, 50};
+    config::LogConfig config_;
+    logging::Logger log_{"poppyscale", logging::Format::text, config::LogConfig{}.perSecond, 50};
 };
 
 }  // namespace poppyscale::process
--- a/src/process/router_process.cpp
+++ b/src/process/router_process.cpp
@@ -14,8 +14,8 @@
 namespace poppyscale::process {
 namespace {
 
-using config::Level;
-using proxy::Clients;
+using config::LogLevel;
+using proxy::ClientListener;
 
 // Clients go on connecting for up to 0.4 s after the signal.
 constexpr Nanos kLeaving = 480 * kMillisecond;
@@ -45,295 +45,309 @@
 constexpr std::size_t kTextOfShown = 256;  // of one command, beside its words
 
 // Kept for the console, so that no crowd of clients shuts operators out.
-std::size_t mostCallers(const protocol::Start& start) {
-    return start.console.empty() ? 0 : std::clamp<std::size_t>(start.descriptors / 16, 4, 16);
+std::size_t mostCallers(const protocol::StartupConfig& start) {
+    return start.console.empty() ? 0 : std::clamp<std::size_t>(start.maxDescriptors / 16, 4, 16);
 }
 
-std::size_t mostLinks(const protocol::Start& start) { return start.descriptors * 2 / 5; }
+std::size_t mostLinks(const protocol::StartupConfig& start) { return start.maxDescriptors * 2 / 5; }
 
-std::size_t mostClients(const protocol::Start& start) {
-    const std::size_t left = start.descriptors - mostLinks(start) - kOwnDescriptors - mostCallers(start);
-    return std::max<std::size_t>(std::min(left, start.memory / 8 / kMemoryOfClient), 1);
+std::size_t mostClients(const protocol::StartupConfig& start) {
+    const std::size_t left = start.maxDescriptors - mostLinks(start) - kOwnDescriptors - mostCallers(start);
+    return std::max<std::size_t>(std::min(left, start.memoryLimitBytes / 8 / kMemoryOfClient), 1);
 }
 
 transport::Address addressOf(const std::string& text, const char* what) {
     if (const auto address = transport::parseAddress(text)) return *address;
-    throw protocol::Malformed(fmt::format("{} is not an address and port: '{}'", what, text));
+    throw protocol::ParseError(fmt::format("{} is not an address and port: '{}'", what, text));
 }
 
 std::int64_t millis(Nanos ns) { return ns / kMillisecond; }
 
 }  // namespace
 
-Program::Program(Wanted wanted)
-    : wanted_(std::move(wanted)),
-      told_(wanted_.read()),
-      pool_(told_.start.memory / 8 / transport::kBufferSize) {
-    protocol::Start& start = told_.start;
-    logger_.plan(told_.plan.log);
-    const auto log = [this](const char* part, Level level) {
-        return [this, part, level](std::string_view text) { say(part, level, text); };
+RouterProcess::RouterProcess(ProcessOptions wanted)
+    : options_(std::move(wanted)),
+      config_(options_.readConfig()),
+      pool_(config_.startup.memoryLimitBytes / 8 / transport::kBufferSize) {
+    protocol::StartupConfig& start = config_.startup;
+    logger_.configure(config_.operatorConfig.log);
+    const auto logTo = [this](const char* part, LogLevel level) {
+        return [this, part, level](std::string_view text) { log(part, level, text); };
     };
-    asTold_ = config::described(start, told_.plan, told_.platform);
+    describedConfig_ = config::describeConfig(start, config_.operatorConfig, config_.fromPlatform);
     // A descriptor more than the system gives would end in refused clients.
     rlimit files{};
     if (getrlimit(RLIMIT_NOFILE, &files) == 0) {
         files.rlim_cur =
-            std::min<rlim_t>(std::max<rlim_t>(files.rlim_cur, start.descriptors), files.rlim_max);
+            std::min<rlim_t>(std::max<rlim_t>(files.rlim_cur, start.maxDescriptors), files.rlim_max);
         setrlimit(RLIMIT_NOFILE, &files);
-        start.descriptors =
-            std::max<std::size_t>(std::min<std::size_t>(start.descriptors, files.rlim_cur), 64);
+        start.maxDescriptors =
+            std::max<std::size_t>(std::min<std::size_t>(start.maxDescriptors, files.rlim_cur), 64);
     }
     const auto listen = addressOf(start.listen, "listen");
-    const auto decisions = log("decisions", Level::info);
-    core_ = wanted_.makeCore
-                ? wanted_.makeCore(loop_, pool_, start, mostLinks(start), decisions)
-                : std::make_unique<proxy::Core>(loop_, pool_, start, mostLinks(start), decisions);
-    clients_.emplace(loop_, pool_, *core_, mostClients(start), start.memory / 16, 2 * start.idle);
-    clients_->tellExhausted = [this](std::string_view why) {
-        say("life", Level::warning, fmt::format("new connections have to wait: {}", why));
+    const auto decisions = logTo("decisions", LogLevel::info);
+    dispatcher_ =
+        options_.makeDispatcher
+            ? options_.makeDispatcher(loop_, pool_, start, mostLinks(start), decisions)
+            : std::make_unique<proxy::RequestDispatcher>(loop_, pool_, start, mostLinks(start), decisions);
+    clientListener_.emplace(loop_, pool_, *dispatcher_, mostClients(start), start.memoryLimitBytes / 16,
+                            2 * start.serverIdleTimeout);
+    clientListener_->onExhausted = [this](std::string_view why) {
+        log("life", LogLevel::warning, fmt::format("new connections have to wait: {}", why));
     };
-    if (auto sources = sourcesOf(told_); !sources.empty()) {
+    if (auto sources = endpointSources(config_); !sources.empty()) {
         // What discovery holds back for a call that waits counts as told soon after; the shorter the wait,
         // the sooner a silent discovery is noticed.
-        discovery::Watch::Settings settings;
+        discovery::EndpointWatcher::Settings settings;
         settings.sources = std::move(sources);
-        settings.longestWait = std::clamp(start.watchFor, kLeastWait, kMostWait);
+        settings.maxPollWait = std::clamp(start.pollWait, kLeastWait, kMostWait);
         // Routers may share a seed where nobody sets one; they may not share their choice of a source.
-        settings.sourceSeed = start.terms.seed ^ std::hash<std::string>{}(start.name);
-        settings.seed = start.terms.seed;
-        settings.version = start.known.version;
-        settings.routers = start.terms.routers;
-        settings.pushed = start.listPushed;
-        settings.longestList = start.memory / kListPart;
-        watch_.emplace(loop_, pool_, *core_, std::move(settings), log("discovery", Level::warning));
-        core_->askForList = [this] { watch_->want(); };
+        settings.sourceSeed = start.policy.seed ^ std::hash<std::string>{}(start.name);
+        settings.seed = start.policy.seed;
+        settings.version = start.knownEndpoints.version;
+        settings.routerCount = start.policy.routerCount;
+        settings.isPushed = start.endpointsArePushed;
+        settings.maxListBytes = start.memoryLimitBytes / kListPart;
+        endpointWatcher_.emplace(loop_, pool_, *dispatcher_, std::move(settings),
+                                 logTo("discovery", LogLevel::warning));
+        dispatcher_->requestPoll = [this] { endpointWatcher_->start(); };
     }
-    next_.emplace(loop_, [this] { enter(state_ == State::leaving ? State::draining : State::done); });
-    upgradeBy_.emplace(loop_, [this] { upgradeEnds("the new process was not ready in time"); });
-    if (!told_.plan.admin.empty()) {
-        core_->count(start.terms.verbs);
-        admin_.emplace(loop_, pool_,
-                       [this](auto& session, const auto& asked) { return answer(session, asked); });
+    stateTimer_.emplace(loop_,
+                        [this] { enter(state_ == State::lameDuck ? State::draining : State::stopped); });
+    upgradeTimeout_.emplace(loop_, [this] { endUpgrade("the new process was not ready in time"); });
+    if (!config_.operatorConfig.operatorSocket.empty()) {
+        dispatcher_->enableMetrics(start.policy.requestClasses);
+        operatorSocket_.emplace(loop_, pool_,
+                                [this](auto& session, const auto& asked) { return answer(session, asked); });
     }
-    const bool kept = !start.console.empty() || wanted_.passed >= 0;
-    Succession::Owner& self = *this;
-    succession_.emplace(loop_, pool_, kept ? wanted_.folder : "", start.name, self,
-                        [this](Level level, std::string_view text) { say("life", level, text); });
-    if (wanted_.takeOver) {
-        if (!admin_) throw protocol::Malformed("to take over an operator's socket is needed: [admin] socket");
-        taken_.emplace(told_.plan.admin);
+    const bool kept = !start.console.empty() || options_.passedListener >= 0;
+    PeerProcesses::Handler& self = *this;
+    peers_.emplace(loop_, pool_, kept ? options_.stateFolder : "", start.name, self,
+                   [this](LogLevel level, std::string_view text) { log("life", level, text); });
+    if (options_.isHotRestart) {
+        if (!operatorSocket_)
+            throw protocol::ParseError("to take over an operator's socket is needed: [admin] socket");
+        inheritedSockets_.emplace(config_.operatorConfig.operatorSocket);
         // An upgrade changes the program; another configuration would pass for a fault of the new one.
         std::string against;
-        if (taken_->described() != asTold_)
+        if (inheritedSockets_->describedConfig() != describedConfig_)
             against = "the process that serves has another configuration; reload it first";
-        if (!taken_->isAt(listen)) against = "the process that serves listens elsewhere than " + start.listen;
+        if (!inheritedSockets_->isAt(listen))
+            against = "the process that serves listens elsewhere than " + start.listen;
         if (against.empty()) {
-            succession_->begin(true);
+            peers_->start(true);
             return;
         }
-        taken_->refuse(against);
-        throw protocol::Malformed("can't take over: " + against);
+        inheritedSockets_->reportFailure(against);
+        throw protocol::ParseError("can't take over: " + against);
     }
-    succession_->begin(wanted_.passed >= 0);
-    const std::string problem =
-        wanted_.passed >= 0 ? clients_->listenOn(wanted_.passed) : clients_->listen(listen);
+    peers_->start(options_.passedListener >= 0);
+    const std::string problem = options_.passedListener >= 0
+                                    ? clientListener_->listenOn(options_.passedListener)
+                                    : clientListener_->listen(listen);
     if (!problem.empty())
-        throw protocol::Malformed(fmt::format("can't listen on {}: {}", start.listen, problem));
-    listenForOperators();
-    if (!admin_) return;
-    const std::string denied = admin_->listen(told_.plan.admin);
+        throw protocol::ParseError(fmt::format("can't listen on {}: {}", start.listen, problem));
+    openOperatorSockets();
+    if (!operatorSocket_) return;
+    const std::string denied = operatorSocket_->listen(config_.operatorConfig.operatorSocket);
     if (!denied.empty())
-        throw protocol::Malformed(
-            fmt::format("can't have the operator's socket {}: {}", told_.plan.admin, denied));
+        throw protocol::ParseError(fmt::format("can't have the operator's socket {}: {}",
+                                               config_.operatorConfig.operatorSocket, denied));
 }
 
-Program::~Program() = default;
+RouterProcess::~RouterProcess() = default;
 
-void Program::listenForOperators() {
-    const auto& at = told_.start.console;
+void RouterProcess::openOperatorSockets() {
+    const auto& at = config_.startup.console;
     if (!at.empty()) {
-        door_.emplace(loop_, pool_, mostCallers(told_.start),
-                      [this](const control::Call& call) { return answer(call); });
-        const int taken = taken_ ? taken_->takeConsole() : -1;
-        const auto denied = taken >= 0 ? door_->listenOn(taken) : door_->listen(addressOf(at, "console"));
+        console_.emplace(loop_, pool_, mostCallers(config_.startup),
+                         [this](const control::ConsoleCommand& call) { return answer(call); });
+        const int taken = inheritedSockets_ ? inheritedSockets_->takeConsole() : -1;
+        const auto denied =
+            taken >= 0 ? console_->listenOn(taken) : console_->listen(addressOf(at, "console"));
         if (!denied.empty())
-            throw protocol::Malformed(fmt::format("can't listen on console {}: {}", at, denied));
+            throw protocol::ParseError(fmt::format("can't listen on console {}: {}", at, denied));
     }
-    if (wanted_.passed < 0 && !admin_) return;
-    if (const auto denied = succession_->listen(); !denied.empty())
-        say("life", Level::error, fmt::format("a later process won't find this one: {}", denied));
+    if (options_.passedListener < 0 && !operatorSocket_) return;
+    if (const auto denied = peers_->listen(); !denied.empty())
+        log("life", LogLevel::error, fmt::format("a later process won't find this one: {}", denied));
 }
 
-std::vector<discovery::DiscoveryAddress> Program::sourcesOf(const Told& told) const {
+std::vector<discovery::DiscoveryAddress> RouterProcess::endpointSources(const InstanceConfig& told) const {
     std::vector<discovery::DiscoveryAddress> sources;
-    for (const std::string& one : told.plan.distributors)
+    for (const std::string& one : told.operatorConfig.distributors)
         sources.push_back({addressOf(one, "distributor"), one});
-    if (sources.empty() && !told.start.discovery.empty())
-        sources.push_back({addressOf(told.start.discovery, "discovery"), told.start.discovery});
+    if (sources.empty() && !told.startup.discovery.empty())
+        sources.push_back({addressOf(told.startup.discovery, "discovery"), told.startup.discovery});
     return sources;
 }
 
-Nanos Program::lastFor() const {
-    return told_.plan.drainWithin ? told_.plan.drainWithin : told_.start.longestPatience + kLastAnswers;
+Nanos RouterProcess::drainDuration() const {
+    return config_.operatorConfig.drainTimeout ? config_.operatorConfig.drainTimeout
+                                               : config_.startup.maxRequestTimeout + kLastAnswers;
 }
 
-void Program::leave() {
+void RouterProcess::beginShutdown() {
     // What another process was told while this one was held up; and whoever comes next has the path.
-    succession_->lookAgain();
-    succession_->leaves();
+    peers_->reloadState();
+    peers_->onShutdown();
     // Told a second time: at once. One that drains since another took over was not told before.
-    const bool again = std::exchange(toldToStop_, true);
-    if (again && (state_ == State::leaving || state_ == State::draining)) return enter(State::done);
+    const bool again = std::exchange(stopRequested_, true);
+    if (again && (state_ == State::lameDuck || state_ == State::draining)) return enter(State::stopped);
     if (state_ != State::serving) return;
-    if (wanted_.passed < 0) return enter(State::leaving);
+    if (options_.passedListener < 0) return enter(State::lameDuck);
     // The platform holds the socket, and another process takes what stands in its backlog.
-    handedOver();
+    onHotRestartComplete();
 }
 
-void Program::handedOver() {
-    succeeded_ = true;
-    clients_->handedOver();
+void RouterProcess::onHotRestartComplete() {
+    isReplaced_ = true;
+    clientListener_->stopListening();
     enter(State::draining);
 }
 
-nlohmann::json Program::reload() {
-    const Nanos began = transport::Loop::now();
-    nlohmann::json said = readAnew();
+nlohmann::json RouterProcess::reload() {
+    const Nanos began = transport::EventLoop::now();
+    nlohmann::json said = readConfigAgain();
     // It is read on the loop, which is held up by it as by any turn.
-    if (core_->counts()) core_->counts()->turn(transport::Loop::now() - began);
+    if (dispatcher_->metrics()) dispatcher_->metrics()->recordIteration(transport::EventLoop::now() - began);
     return said;
 }
 
-nlohmann::json Program::readAnew() {
+nlohmann::json RouterProcess::readConfigAgain() {
     if (upgrade_) {
-        say("life", Level::warning, "goes on with the old configuration: an upgrade is under way");
+        log("life", LogLevel::warning, "goes on with the old configuration: an upgrade is under way");
         return {{"error", "an upgrade is under way"}};
     }
     // While it leaves too: what it still owes goes by the list.
     try {
-        notify("RELOADING=1");
-        Told fresh = wanted_.read();
-        if (watch_.has_value() == sourcesOf(fresh).empty())
-            throw protocol::Malformed("whether there is a discovery waits for a start");
-        auto difference = config::differenceOf(told_.start, fresh.start);
-        const auto& before = told_.plan.distributors;
-        const auto& after = fresh.plan.distributors;
+        notifyServiceManager("RELOADING=1");
+        InstanceConfig fresh = options_.readConfig();
+        if (endpointWatcher_.has_value() == endpointSources(fresh).empty())
+            throw protocol::ParseError("whether there is a discovery waits for a start");
+        auto difference = config::compareConfigs(config_.startup, fresh.startup);
+        const auto& before = config_.operatorConfig.distributors;
+        const auto& after = fresh.operatorConfig.distributors;
         if (before != after)
-            difference.live.push_back(fmt::format("distributors: {} before, {} now", fmt::join(before, " "),
-                                                  fmt::join(after, " ")));
+            difference.appliesNow.push_back(fmt::format("distributors: {} before, {} now",
+                                                        fmt::join(before, " "), fmt::join(after, " ")));
         std::string words;
-        for (const auto& line : difference.live) words += "; " + line;
-        for (const auto& line : difference.waits) words += "; " + line;
-        say("life", Level::info,
-            fmt::format("read its configuration anew, discovery at {}{}{}", fresh.start.discovery, words,
-                        difference.waits.empty() ? "" : "; other changes wait for the next start"));
-        apply(std::move(fresh));
-        notify("READY=1");
-        return {{"changed", difference.live}, {"waits", difference.waits}};
+        for (const auto& line : difference.appliesNow) words += "; " + line;
+        for (const auto& line : difference.needsRestart) words += "; " + line;
+        log("life", LogLevel::info,
+            fmt::format("read its configuration anew, discovery at {}{}{}", fresh.startup.discovery, words,
+                        difference.needsRestart.empty() ? "" : "; other changes wait for the next start"));
+        applyConfig(std::move(fresh));
+        notifyServiceManager("READY=1");
+        return {{"changed", difference.appliesNow}, {"waits", difference.needsRestart}};
     } catch (const std::exception& problem) {
-        notify("READY=1");
-        say("life", Level::error, fmt::format("goes on with the old configuration: {}", problem.what()));
+        notifyServiceManager("READY=1");
+        log("life", LogLevel::error, fmt::format("goes on with the old configuration: {}", problem.what()));
         return {{"error", problem.what()}};
     }
 }
 
 // Nothing in here can fail: all of it has been checked.
-void Program::apply(Told fresh) {
+void RouterProcess::applyConfig(InstanceConfig fresh) {
     ++reloads_;
-    asTold_ = config::described(fresh.start, fresh.plan, fresh.platform);
-    protocol::Start& is = told_.start;
-    protocol::Start& next = fresh.start;
+    describedConfig_ = config::describeConfig(fresh.startup, fresh.operatorConfig, fresh.fromPlatform);
+    protocol::StartupConfig& is = config_.startup;
+    protocol::StartupConfig& next = fresh.startup;
     // What waits for a start stays as it is, also in what is shown.
     next.name = is.name;
     next.listen = is.listen;
     next.console = is.console;
-    next.memory = is.memory;
-    next.descriptors = is.descriptors;
-    next.terms.seed = is.terms.seed;  // another one with each start
-    next.watchFor = is.watchFor;
-    next.terms.askWithin = is.terms.askWithin;
-    next.terms.fallSpan = is.terms.fallSpan;
-    next.terms.aside = is.terms.aside;
-    next.terms.sizesMove = is.terms.sizesMove;
-    next.terms.originShape = is.terms.originShape;
-    next.terms.listOnRequest = is.terms.listOnRequest;
+    next.memoryLimitBytes = is.memoryLimitBytes;
+    next.maxDescriptors = is.maxDescriptors;
+    next.policy.seed = is.policy.seed;  // another one with each start
+    next.pollWait = is.pollWait;
+    next.policy.pollInterval = is.policy.pollInterval;
+    next.policy.overloadWindow = is.policy.overloadWindow;
+    next.policy.cacheAside = is.policy.cacheAside;
+    next.policy.weightsFollowLoad = is.policy.weightsFollowLoad;
+    next.policy.originShape = is.policy.originShape;
+    next.policy.pollsEndpoints = is.policy.pollsEndpoints;
     // A command may still be open that waits longer than any verb that is left.
-    next.longestPatience = std::max(next.longestPatience, is.longestPatience);
-    fresh.plan.admin = told_.plan.admin;
-    logger_.plan(fresh.plan.log);
-    core_->changed(next);
-    clients_->patience(2 * next.idle);
-    if (watch_) {
-        watch_->setRouters(next.terms.routers);
-        watch_->moveTo(sourcesOf(fresh));
+    next.maxRequestTimeout = std::max(next.maxRequestTimeout, is.maxRequestTimeout);
+    fresh.operatorConfig.operatorSocket = config_.operatorConfig.operatorSocket;
+    logger_.configure(fresh.operatorConfig.log);
+    dispatcher_->applyConfig(next);
+    clientListener_->setMaxRequestTimeout(2 * next.serverIdleTimeout);
+    if (endpointWatcher_) {
+        endpointWatcher_->setRouterCount(next.policy.routerCount);
+        endpointWatcher_->setSources(endpointSources(fresh));
     } else {
-        core_->listed(NewsKind::whole, next.known);
+        dispatcher_->onEndpointList(EndpointUpdateKind::complete, next.knownEndpoints);
     }
-    told_ = std::move(fresh);
+    config_ = std::move(fresh);
 }
 
-int Program::run() {
-    if (taken_) {
+int RouterProcess::run() {
+    if (inheritedSockets_) {
         // The other one stops accepting with its answer; what comes meanwhile stands in the socket's backlog.
-        taken_->ready({{"do", "ready"}, {"pid", ::getpid()}});
-        std::string problem = clients_->listenOn(taken_->takeListener());
-        if (problem.empty()) problem = admin_->listen(told_.plan.admin);
-        if (!problem.empty()) throw protocol::Malformed("can't go on with what was taken over: " + problem);
-        listenForOperators();
-        taken_.reset();
+        inheritedSockets_->reportReady({{"do", "ready"}, {"pid", ::getpid()}});
+        std::string problem = clientListener_->listenOn(inheritedSockets_->takeListener());
+        if (problem.empty()) problem = operatorSocket_->listen(config_.operatorConfig.operatorSocket);
+        if (!problem.empty()) throw protocol::ParseError("can't go on with what was taken over: " + problem);
+        openOperatorSockets();
+        inheritedSockets_.reset();
     }
     enter(State::serving);
-    loop_.eachTurn([this] { turn(); });
+    loop_.onIteration([this] { runIteration(); });
     loop_.run();
     return 0;
 }
 
-void Program::turn() {
-    const Nanos began = core_->counts() ? transport::Loop::now() : 0;
-    clients_->turn();
-    succession_->holds(clients_->count());
-    core_->turn();
-    if (core_->counts()) core_->counts()->turn(transport::Loop::now() - began);
-    if (state_ == State::draining && clients_->closed()) enter(State::done);
+void RouterProcess::runIteration() {
+    const Nanos began = dispatcher_->metrics() ? transport::EventLoop::now() : 0;
+    clientListener_->runIteration();
+    peers_->reportClientCount(clientListener_->count());
+    dispatcher_->runIteration();
+    if (dispatcher_->metrics()) dispatcher_->metrics()->recordIteration(transport::EventLoop::now() - began);
+    if (state_ == State::draining && clientListener_->isClosed()) enter(State::stopped);
 }
 
-void Program::enter(State state) {
+void RouterProcess::enter(State state) {
     // Whoever gets ready only now would go on where this one was told to stop.
-    if (upgrade_ && state != State::serving) upgradeEnds("the process that serves was told to stop");
+    if (upgrade_ && state != State::serving) endUpgrade("the process that serves was told to stop");
     state_ = state;
-    const Nanos now = transport::Loop::now();
+    const Nanos now = transport::EventLoop::now();
     switch (state) {
         case State::starting:
             break;
         case State::serving:
-            say("life", Level::info, fmt::format("{} serves on {}", told_.start.name, told_.start.listen));
-            notify(fmt::format("READY=1\nMAINPID={}", ::getpid()));
+            log("life", LogLevel::info,
+                fmt::format("{} serves on {}", config_.startup.name, config_.startup.listen));
+            notifyServiceManager(fmt::format("READY=1\nMAINPID={}", ::getpid()));
             break;
-        case State::leaving:
-            say("life", Level::info,
-                fmt::format("{} was told to stop; {} commands open", told_.start.name, core_->open()));
-            notify("STOPPING=1");
-            next_->set(now + kLeaving);
+        case State::lameDuck:
+            log("life", LogLevel::info,
+                fmt::format("{} was told to stop; {} commands open", config_.startup.name,
+                            dispatcher_->openRequests()));
+            notifyServiceManager("STOPPING=1");
+            stateTimer_->start(now + kLeaving);
             break;
         case State::draining:
-            clients_->close();
-            clients_->empty(
-                succeeded_
-                    ? Clients::Emptying{now, now + kIdleFrom, now + kIdleUntil, now + kTaken,
-                                        now + kTaken + lastFor() - kLastAnswers / 2}
-                    : Clients::Emptying{now, now, now, now + lastFor(), now + lastFor() - kLastAnswers / 2});
-            next_->set(now + lastFor() + (succeeded_ ? kTaken : 0));
+            clientListener_->close();
+            clientListener_->drain(
+                isReplaced_
+                    ? ClientListener::DrainSchedule{now, now + kIdleFrom, now + kIdleUntil, now + kTaken,
+                                                    now + kTaken + drainDuration() - kLastAnswers / 2}
+                    : ClientListener::DrainSchedule{now, now, now, now + drainDuration(),
+                                                    now + drainDuration() - kLastAnswers / 2});
+            stateTimer_->start(now + drainDuration() + (isReplaced_ ? kTaken : 0));
             break;
-        case State::done: {
+        case State::stopped: {
             std::map<std::string, int> left;
-            for (const auto& s : core_->standing())
-                if (s.asked) ++left[s.verb];
+            for (const auto& s : dispatcher_->requestStatuses())
+                if (s.isAwaited) ++left[s.requestClass];
             std::string words;
-            for (const auto& [verb, count] : left) words += fmt::format(", {} {} given up", count, verb);
-            say("life", left.empty() ? Level::info : Level::warning,
-                fmt::format("{} stops; {} clients left{}", told_.start.name, clients_->count(), words));
-            core_->giveUpAll();
+            for (const auto& [requestClass, count] : left)
+                words += fmt::format(", {} {} given up", count, requestClass);
+            log("life", left.empty() ? LogLevel::info : LogLevel::warning,
+                fmt::format("{} stops; {} clients left{}", config_.startup.name, clientListener_->count(),
+                            words));
+            dispatcher_->failAll();
             loop_.stop();
             break;
         }
@@ -342,151 +356,154 @@
 
 // ---- the console
 
-control::Reply Program::answer(const control::Call& call) {
-    using Kind = control::Call::Kind;
+control::ConsoleReply RouterProcess::answer(const control::ConsoleCommand& call) {
+    using Kind = control::ConsoleCommand::Kind;
     switch (call.kind) {
         case Kind::status:
-            return state_ == State::starting ? control::Reply{false, "starting"} : took("");
+            return state_ == State::starting ? control::ConsoleReply{false, "starting"}
+                                             : applyOperatorCommand("");
         case Kind::standby:
-            return took("standby");
+            return applyOperatorCommand("standby");
         case Kind::active:
-            return took("active");
-        case Kind::ban:
-        case Kind::lift:
+            return applyOperatorCommand("active");
+        case Kind::eject:
+        case Kind::restore:
             break;
     }
-    if (const auto why = core_->whyNoBan(call.server); !why.empty()) return {false, why};
-    return took((call.kind == Kind::ban ? "out " : "in ") + call.server);
+    if (const auto why = dispatcher_->ejectionProblem(call.server); !why.empty()) return {false, why};
+    return applyOperatorCommand((call.kind == Kind::eject ? "out " : "in ") + call.server);
 }
 
 // A word that can be taken, or none, and how things stand then.
-control::Reply Program::took(const std::string& word) {
+control::ConsoleReply RouterProcess::applyOperatorCommand(const std::string& word) {
     if (!word.empty())
-        if (const auto problem = succession_->say(word); !problem.empty()) return {false, problem};
+        if (const auto problem = peers_->applyCommand(word); !problem.empty()) return {false, problem};
     return {true, fmt::format("{}{}; {} clients, {} commands open{}", stateName(),
-                              succession_->words().standby ? ", standing by" : "", clients_->count(),
-                              core_->open(), outWords())};
+                              peers_->operatorState().isStandby ? ", standing by" : "",
+                              clientListener_->count(), dispatcher_->openRequests(), ejectedServersText())};
 }
 
-std::string Program::outWords() const {
-    const auto& out = succession_->words().out;
+std::string RouterProcess::ejectedServersText() const {
+    const auto& out = peers_->operatorState().ejectedServers;
     return out.empty() ? "" : fmt::format("; out: {}", fmt::join(out, " "));
 }
 
-void Program::ban(const std::string& server, bool on) {
-    say("life", Level::info, fmt::format("{} is {} by an operator's word", server, on ? "out" : "let in"));
-    core_->ban(server, on);
+void RouterProcess::setEjected(const std::string& server, bool on) {
+    log("life", LogLevel::info, fmt::format("{} is {} by an operator's word", server, on ? "out" : "let in"));
+    dispatcher_->setEjected(server, on);
 }
 
 // While another process is the same router, both together keep to its bounds.
-void Program::othersChanged() {
-    const protocol::Start& start = told_.start;
-    const bool alone = succession_->alone();
-    const std::size_t memory = alone ? start.memory : start.memory / 2;
+void RouterProcess::onPeersChanged() {
+    const protocol::StartupConfig& start = config_.startup;
+    const bool alone = peers_->isAlone();
+    const std::size_t memory = alone ? start.memoryLimitBytes : start.memoryLimitBytes / 2;
     const std::size_t most = mostClients(start);
-    pool_.bound(memory / 8 / transport::kBufferSize);
-    core_->bound(memory, alone ? mostLinks(start) : mostLinks(start) / 2);
-    clients_->bound(std::max(most - std::min(most, succession_->othersClients()), kLeastClients),
-                    memory / 16);
+    pool_.setCapacity(memory / 8 / transport::kBufferSize);
+    dispatcher_->setLimits(memory, alone ? mostLinks(start) : mostLinks(start) / 2);
+    clientListener_->setLimits(std::max(most - std::min(most, peers_->peerClientCount()), kLeastClients),
+                               memory / 16);
 }
 
-void Program::standBy(bool on) {
-    say("life", Level::info, fmt::format("{} {}", told_.start.name, on ? "stands by" : "is active again"));
-    clients_->standBy(on);
+void RouterProcess::setStandby(bool on) {
+    log("life", LogLevel::info,
+        fmt::format("{} {}", config_.startup.name, on ? "stands by" : "is active again"));
+    clientListener_->setStandby(on);
     // Who is leaving goes on leaving.
     if (state_ != State::serving && state_ != State::starting) return;
-    const Nanos now = transport::Loop::now();
+    const Nanos now = transport::EventLoop::now();
     if (on)
-        clients_->empty({now, now + kStandbyIdleFrom, now + kStandbyIdleUntil, now + kStandbyTaken});
+        clientListener_->drain({now, now + kStandbyIdleFrom, now + kStandbyIdleUntil, now + kStandbyTaken});
     else
-        clients_->stay();
+        clientListener_->cancelDrain();
 }
 
 // ---- the operator
 
-nlohmann::json Program::answer(control::Session& session, const nlohmann::json& asked) {
+nlohmann::json RouterProcess::answer(control::OperatorSession& session, const nlohmann::json& asked) {
     const auto what = asked.value("do", "");
     if (what == "status") return status();
-    if (what == "figures") return figures();
-    if (what == "commands") return commands();
+    if (what == "figures") return metrics();
+    if (what == "commands") return requests();
     if (what == "caches") return caches();
     if (what == "reload") return reload();
     if (what == "drain") {
         if (state_ != State::serving) return {{"error", "it leaves already"}};
-        leave();
-        return {{"open", core_->open()}};
+        beginShutdown();
+        return {{"open", dispatcher_->openRequests()}};
     }
     if (what == "stop") {
-        const auto open = core_->open();
-        enter(State::done);
+        const auto open = dispatcher_->openRequests();
+        enter(State::stopped);
         return {{"open", open}};
     }
     if (what == "upgrade") return upgrade(session, asked);
-    if (what == "take-over") return giveSockets(session);
-    if (what == "ready") return successorReady(session, asked);
-    if (what == "refuse" && upgrade_ && upgrade_->heir == &session) {
-        upgradeEnds("the new process refuses: " + asked.value("why", ""));
+    if (what == "take-over") return passSockets(session);
+    if (what == "ready") return onNewProcessReady(session, asked);
+    if (what == "refuse" && upgrade_ && upgrade_->newProcessSession == &session) {
+        endUpgrade("the new process refuses: " + asked.value("why", ""));
         return {{"ok", true}};
     }
     return {{"error", fmt::format("'{}' is not known here", what.substr(0, 40))}};
 }
 
-const char* Program::stateName() const {
+const char* RouterProcess::stateName() const {
     static constexpr const char* states[] = {"starting", "serving", "leaving", "draining", "done"};
     return states[static_cast<int>(state_)];
 }
 
-nlohmann::json Program::status() {
+nlohmann::json RouterProcess::status() {
     // Where the list comes from discovery: how long ago that said what holds, and why it can't be had now.
     auto list = nlohmann::json::object();
-    if (watch_)
-        list = {{"age_ms", millis(transport::Loop::now() - watch_->heardAt())},
-                {"trouble", watch_->trouble()}};
-    if (watch_ && !told_.plan.distributors.empty()) {
-        list["source"] = watch_->source();
-        list["sources"] = watch_->sourceCount();
+    if (endpointWatcher_)
+        list = {{"age_ms", millis(transport::EventLoop::now() - endpointWatcher_->lastHeardAt())},
+                {"trouble", endpointWatcher_->lastFailure()}};
+    if (endpointWatcher_ && !config_.operatorConfig.distributors.empty()) {
+        list["source"] = endpointWatcher_->currentSource();
+        list["sources"] = endpointWatcher_->sourceCount();
     }
-    return {{"name", told_.start.name},
-            {"list", std::move(list)},
-            {"state", stateName()},
-            {"pid", ::getpid()},
-            {"up_ms", millis(transport::Loop::now() - startedAt_)},
-            {"listen", told_.start.listen},
-            {"discovery", told_.start.discovery},
-            {"open", core_->open()},
-            {"clients", clients_->count()},
-            {"links", core_->links()},
-            {"reloads", reloads_},
-            {"upgrading", upgrade_.has_value()},
-            {"described", config::described(told_.start, told_.plan, told_.platform)}};
+    return {
+        {"name", config_.startup.name},
+        {"list", std::move(list)},
+        {"state", stateName()},
+        {"pid", ::getpid()},
+        {"up_ms", millis(transport::EventLoop::now() - startedAt_)},
+        {"listen", config_.startup.listen},
+        {"discovery", config_.startup.discovery},
+        {"open", dispatcher_->openRequests()},
+        {"clients", clientListener_->count()},
+        {"links", dispatcher_->connectionCount()},
+        {"reloads", reloads_},
+        {"upgrading", upgrade_.has_value()},
+        {"described", config::describeConfig(config_.startup, config_.operatorConfig, config_.fromPlatform)}};
 }
 
-nlohmann::json Program::figures() {
-    auto all = core_->counts()->json();
+nlohmann::json RouterProcess::metrics() {
+    auto all = dispatcher_->metrics()->json();
     long pages = 0, resident = 0;
     std::ifstream("/proc/self/statm") >> pages >> resident;
     std::error_code unread;
     const auto files = std::filesystem::directory_iterator("/proc/self/fd", unread);
     int ready = 0, listed = 0;
-    for (const Belief& b : core_->beliefs()) {
-        listed += !b.origin;
-        ready += !b.origin && b.presence == Presence::ready && !b.banned;
+    for (const EndpointStatus& b : dispatcher_->endpointStatuses()) {
+        listed += !b.isOrigin;
+        ready += !b.isOrigin && b.state == EndpointState::ready && !b.isEjectedByOperator;
     }
     auto given = nlohmann::json::object();
-    for (const auto& [name, g] : core_->given()) given[name] = {g.relays, g.leaving};
-    all.update({{"name", told_.start.name},
+    for (const auto& [name, g] : dispatcher_->attemptsByServer()) given[name] = {g.attempts, g.isDraining};
+    all.update({{"name", config_.startup.name},
                 {"caches", std::move(given)},
-                {"program", wanted_.version},
+                {"program", options_.version},
                 {"pid", ::getpid()},
-                {"zone", told_.start.terms.zone},
+                {"zone", config_.startup.policy.zone},
                 {"state", stateName()},
-                {"up_ms", millis(transport::Loop::now() - startedAt_)},
-                {"open", core_->open()},
-                {"clients", clients_->count()},
-                {"links", core_->links()},
-                {"links_opened", core_->linksOpened()},
-                {"list_calls", watch_ ? watch_->calls() : 0},
-                {"guard", core_->guard().json()},
+                {"up_ms", millis(transport::EventLoop::now() - startedAt_)},
+                {"open", dispatcher_->openRequests()},
+                {"clients", clientListener_->count()},
+                {"links", dispatcher_->connectionCount()},
+                {"links_opened", dispatcher_->connectionsOpened()},
+                {"list_calls", endpointWatcher_ ? endpointWatcher_->pollCount() : 0},
+                {"guard", dispatcher_->guard().json()},
                 {"caches_ready", ready},
                 {"caches_listed", listed},
                 {"memory_kb", resident * (::sysconf(_SC_PAGESIZE) / 1024)},
@@ -494,124 +511,127 @@
     return all;
 }
 
-nlohmann::json Program::commands() {
-    const Nanos now = transport::Loop::now();
+nlohmann::json RouterProcess::requests() {
+    const Nanos now = transport::EventLoop::now();
     auto all = nlohmann::json::array();
-    std::size_t room = told_.start.memory / kShownPart;
-    for (const auto& s : core_->standing()) {
-        const std::size_t text =
-            kTextOfShown + s.id.size() + s.verb.size() + s.customer.size() + s.key.size() + s.at.size();
+    std::size_t room = config_.startup.memoryLimitBytes / kShownPart;
+    for (const auto& s : dispatcher_->requestStatuses()) {
+        const std::size_t text = kTextOfShown + s.id.size() + s.requestClass.size() + s.tenant.size() +
+                                 s.key.size() + s.server.size();
         if (text > room) break;
         room -= text;
         all.push_back({{"id", s.id},
-                       {"verb", s.verb},
-                       {"customer", s.customer},
+                       {"verb", s.requestClass},
+                       {"customer", s.tenant},
                        {"key", s.key},
                        {"age_ms", millis(now - s.since)},
-                       {"left_ms", millis(s.giveUpAt - now)},
-                       {"relays", s.relays},
-                       {"waited_for", s.asked},
-                       {"at", s.at},
-                       {"out_ms", s.at.empty() ? 0 : millis(now - s.sentAt)}});
+                       {"left_ms", millis(s.deadline - now)},
+                       {"relays", s.attemptCount},
+                       {"waited_for", s.isAwaited},
+                       {"at", s.server},
+                       {"out_ms", s.server.empty() ? 0 : millis(now - s.sentAt)}});
     }
-    return {{"open", core_->open()}, {"commands", std::move(all)}};
+    return {{"open", dispatcher_->openRequests()}, {"commands", std::move(all)}};
 }
 
-nlohmann::json Program::caches() {
+nlohmann::json RouterProcess::caches() {
     static constexpr const char* presences[] = {"gone", "ready", "draining"};
-    const Nanos now = transport::Loop::now();
+    const Nanos now = transport::EventLoop::now();
     auto all = nlohmann::json::array();
-    for (const Belief& b : core_->beliefs())
+    for (const EndpointStatus& b : dispatcher_->endpointStatuses())
         all.push_back({{"name", b.name},
                        {"zone", b.zone},
-                       {"kind", b.origin ? "origin" : "cache"},
-                       {"state", presences[static_cast<int>(b.presence)]},
-                       {"banned", b.banned},
-                       {"out", b.out},
-                       {"window", b.window},
-                       {"warmth", b.warmth},
-                       {"heard", b.heard},
-                       {"failed", b.failed},
-                       {"lateness", b.lateness},
-                       {"hints", b.hints},
-                       {"aside_ms", std::max<std::int64_t>(millis(b.asideUntil - now), 0)}});
+                       {"kind", b.isOrigin ? "origin" : "cache"},
+                       {"state", presences[static_cast<int>(b.state)]},
+                       {"banned", b.isEjectedByOperator},
+                       {"out", b.inFlight},
+                       {"window", b.concurrencyLimit},
+                       {"warmth", b.warmupFraction},
+                       {"heard", b.recentOutcomes},
+                       {"failed", b.recentFailures},
+                       {"lateness", b.latencyRatio},
+                       {"hints", b.hintedKeys},
+                       {"aside_ms", std::max<std::int64_t>(millis(b.ejectedUntil - now), 0)}});
     return {{"caches", std::move(all)}};
 }
 
 // ---- the upgrade
 
-nlohmann::json Program::upgrade(control::Session& session, const nlohmann::json& asked) {
+nlohmann::json RouterProcess::upgrade(control::OperatorSession& session, const nlohmann::json& asked) {
     if (upgrade_) return {{"error", "an upgrade is under way"}};
     if (state_ != State::serving) return {{"error", "it leaves already"}};
-    auto line = wanted_.newcomer;
+    auto line = options_.newProcessCommand;
     if (asked.contains("program")) line[0] = asked["program"].get<std::string>();
     Upgrade begun;
     try {
-        begun.process = std::make_unique<Successor>(line);
+        begun.process = std::make_unique<NewProcess>(line);
     } catch (const std::exception& problem) {
         return {{"error", problem.what()}};
     }
-    begun.asked = &session;
-    session.gone = [this] {
-        if (upgrade_) upgrade_->asked = nullptr;  // nobody waits for it, but it goes on
+    begun.requester = &session;
+    session.onPeerClosed = [this] {
+        if (upgrade_) upgrade_->requester = nullptr;  // nobody waits for it, but it goes on
     };
-    say("life", Level::info,
+    log("life", LogLevel::info,
         fmt::format("starts {} as process {} to take over", line[0], begun.process->pid()));
     upgrade_ = std::move(begun);
-    upgradeBy_->set(transport::Loop::now() + kUpgradeWithin);
+    upgradeTimeout_->start(transport::EventLoop::now() + kUpgradeWithin);
     return nullptr;  // the answer comes when it is known
 }
 
-nlohmann::json Program::giveSockets(control::Session& session) {
+nlohmann::json RouterProcess::passSockets(control::OperatorSession& session) {
     if (state_ != State::serving) return {{"error", "it leaves already"}};
-    if (upgrade_ && upgrade_->heir) return {{"error", "another process is taking over"}};
+    if (upgrade_ && upgrade_->newProcessSession) return {{"error", "another process is taking over"}};
     if (!upgrade_) {
         // One that was not started from here may come too: a supervisor's.
         upgrade_.emplace();
-        upgradeBy_->set(transport::Loop::now() + kUpgradeWithin);
+        upgradeTimeout_->start(transport::EventLoop::now() + kUpgradeWithin);
     }
-    upgrade_->heir = &session;
-    session.gone = [this] {
+    upgrade_->newProcessSession = &session;
+    session.onPeerClosed = [this] {
         if (!upgrade_) return;
-        upgrade_->heir = nullptr;
-        upgradeEnds("the new process went before it was ready");
+        upgrade_->newProcessSession = nullptr;
+        endUpgrade("the new process went before it was ready");
     };
-    session.say({{"described", asTold_}, {"console", door_.has_value()}});
-    if (!session.pass(clients_->descriptor()) || (door_ && !session.pass(door_->descriptor())))
-        upgradeEnds("the listening sockets could not be passed");
+    session.send({{"described", describedConfig_}, {"console", console_.has_value()}});
+    if (!session.passDescriptor(clientListener_->descriptor()) ||
+        (console_ && !session.passDescriptor(console_->descriptor())))
+        endUpgrade("the listening sockets could not be passed");
     return nullptr;
 }
 
-nlohmann::json Program::successorReady(control::Session& session, const nlohmann::json& asked) {
-    if (!upgrade_ || upgrade_->heir != &session) return {{"error", "nothing was taken over"}};
+nlohmann::json RouterProcess::onNewProcessReady(control::OperatorSession& session,
+                                                const nlohmann::json& asked) {
+    if (!upgrade_ || upgrade_->newProcessSession != &session) return {{"error", "nothing was taken over"}};
     // It may have said so long ago, and gone since: told with what ends its connection.
-    if (session.left()) return nullptr;
+    if (session.hasPeerClosed()) return nullptr;
     Upgrade done = std::move(*upgrade_);
     upgrade_.reset();
-    upgradeBy_->clear();
-    session.gone = {};
-    if (done.process) done.process->letGo();
+    upgradeTimeout_->stop();
+    session.onPeerClosed = {};
+    if (done.process) done.process->release();
     const auto pid = asked.value("pid", 0);
-    say("life", Level::info, fmt::format("process {} takes over; {} commands open", pid, core_->open()));
-    if (done.asked) {
-        done.asked->gone = {};
-        done.asked->say({{"taken_over_by", pid}});
+    log("life", LogLevel::info,
+        fmt::format("process {} takes over; {} commands open", pid, dispatcher_->openRequests()));
+    if (done.requester) {
+        done.requester->onPeerClosed = {};
+        done.requester->send({{"taken_over_by", pid}});
     }
-    admin_->leavePath();
-    door_.reset();
-    handedOver();
+    operatorSocket_->releasePath();
+    console_.reset();
+    onHotRestartComplete();
     return {{"ok", true}};
 }
 
-void Program::upgradeEnds(const std::string& problem) {
+void RouterProcess::endUpgrade(const std::string& problem) {
     Upgrade ended = std::move(*upgrade_);
     upgrade_.reset();
-    upgradeBy_->clear();
-    say("life", Level::error, fmt::format("no other process takes over: {}", problem));
-    if (ended.heir) ended.heir->gone = {};
-    if (ended.asked) {
-        ended.asked->gone = {};
-        ended.asked->say({{"error", problem}});
+    upgradeTimeout_->stop();
+    log("life", LogLevel::error, fmt::format("no other process takes over: {}", problem));
+    if (ended.newProcessSession) ended.newProcessSession->onPeerClosed = {};
+    if (ended.requester) {
+        ended.requester->onPeerClosed = {};
+        ended.requester->send({{"error", problem}});
     }
 }
 
--- a/src/process/router_process.hpp
+++ b/src/process/router_process.hpp
@@ -25,106 +25,106 @@
 namespace poppyscale::process {
 
 // All that an instance is told: by the platform's configuration, the operator's file, or both.
-struct Told {
-    protocol::Start start;
-    config::Plan plan;
-    bool platform = true;  // the deployment is described by the platform's configuration
+struct InstanceConfig {
+    protocol::StartupConfig startup;
+    config::OperatorConfig operatorConfig;
+    bool fromPlatform = true;  // the deployment is described by the platform's configuration
 };
 
-using MakeCore = std::function<std::unique_ptr<proxy::Core>(transport::Loop& loop, transport::Pool& pool,
-                                                            const protocol::Start& start,
-                                                            std::size_t mostLinks, proxy::Log log)>;
+using MakeDispatcher = std::function<std::unique_ptr<proxy::RequestDispatcher>(
+    transport::EventLoop& loop, transport::BufferPool& pool, const protocol::StartupConfig& start,
+    std::size_t mostLinks, proxy::Log log)>;
 
-struct Wanted {
-    std::function<Told()> read;         // throws protocol::Malformed
-    bool takeOver = false;              // the sockets of the process that serves so far
-    std::vector<std::string> newcomer;  // the command line by which an upgrade starts its successor
-    int passed = -1;                    // the clients' listening socket, where the platform holds it
-    std::string version;                // as `--version` tells it
-    std::string folder;                 // where what operators said is kept for a later process, or empty
-    MakeCore makeCore;                  // of a harmful version in the lab; empty: the router's own
+struct ProcessOptions {
+    std::function<InstanceConfig()> readConfig;  // throws protocol::Malformed
+    bool isHotRestart = false;                   // the sockets of the process that serves so far
+    std::vector<std::string> newProcessCommand;  // the command line by which an upgrade starts its successor
+    int passedListener = -1;                     // the clients' listening socket, where the platform holds it
+    std::string version;                         // as `--version` tells it
+    std::string stateFolder;        // where what operators said is kept for a later process, or empty
+    MakeDispatcher makeDispatcher;  // of a harmful version in the lab; empty: the router's own
 };
 
-class Program : private Succession::Owner {
+class RouterProcess : private PeerProcesses::Handler {
   public:
-    explicit Program(Wanted wanted);
-    ~Program() override;
+    explicit RouterProcess(ProcessOptions wanted);
+    ~RouterProcess() override;
     // The exit code.
     int run();
 
   private:
     // serving: until told to stop. leaving: told, but clients still come. draining: no new ones, what was
     // taken is answered. done: nothing is owed any more, or the time for it is over.
-    enum class State : std::uint8_t { starting, serving, leaving, draining, done };
+    enum class State : std::uint8_t { starting, serving, lameDuck, draining, stopped };
 
     void enter(State state);
-    void turn();
-    void leave();
-    void handedOver();  // to a process beside this one, which serves from now on
+    void runIteration();
+    void beginShutdown();
+    void onHotRestartComplete();  // to a process beside this one, which serves from now on
     // Reads everything anew; what is not usable changes nothing. What came of it, in words.
     nlohmann::json reload();
-    nlohmann::json readAnew();
-    void apply(Told fresh);
-    void say(std::string_view part, config::Level level, std::string_view text) {
-        logger_.line(part, level, text);
+    nlohmann::json readConfigAgain();
+    void applyConfig(InstanceConfig fresh);
+    void log(std::string_view part, config::LogLevel level, std::string_view text) {
+        logger_.log(part, level, text);
     }
     // Whom to ask for the list: the distributors where these are set, else discovery, if there is one.
-    std::vector<discovery::DiscoveryAddress> sourcesOf(const Told& told) const;
-    Nanos lastFor() const;
+    std::vector<discovery::DiscoveryAddress> endpointSources(const InstanceConfig& told) const;
+    Nanos drainDuration() const;
 
-    control::Reply answer(const control::Call& call);
-    control::Reply took(const std::string& word);
-    std::string outWords() const;  // which caches are
-    void ban(const std::string& server, bool on) override;
-    void standBy(bool on) override;
-    void othersChanged() override;
-    void listenForOperators();
+    control::ConsoleReply answer(const control::ConsoleCommand& call);
+    control::ConsoleReply applyOperatorCommand(const std::string& word);
+    std::string ejectedServersText() const;  // which caches are
+    void setEjected(const std::string& server, bool on) override;
+    void setStandby(bool on) override;
+    void onPeersChanged() override;
+    void openOperatorSockets();
     const char* stateName() const;
 
-    nlohmann::json answer(control::Session& session, const nlohmann::json& asked);
+    nlohmann::json answer(control::OperatorSession& session, const nlohmann::json& asked);
     nlohmann::json status();
-    nlohmann::json figures();
-    nlohmann::json commands();
+    nlohmann::json metrics();
+    nlohmann::json requests();
     nlohmann::json caches();
     // Hand-over to a successor: it has until an alarm to be ready, and till then all goes on as before.
-    nlohmann::json upgrade(control::Session& session, const nlohmann::json& asked);
-    nlohmann::json giveSockets(control::Session& session);
-    nlohmann::json successorReady(control::Session& session, const nlohmann::json& asked);
-    void upgradeEnds(const std::string& problem);
+    nlohmann::json upgrade(control::OperatorSession& session, const nlohmann::json& asked);
+    nlohmann::json passSockets(control::OperatorSession& session);
+    nlohmann::json onNewProcessReady(control::OperatorSession& session, const nlohmann::json& asked);
+    void endUpgrade(const std::string& problem);
 
-    Wanted wanted_;
-    Logger logger_;
-    Told told_;
-    std::string asTold_;  // what the files said, with what waits for a start
+    ProcessOptions options_;
+    ProcessLogger logger_;
+    InstanceConfig config_;
+    std::string describedConfig_;  // what the files said, with what waits for a start
     State state_ = State::starting;
-    Nanos startedAt_ = transport::Loop::now();
+    Nanos startedAt_ = transport::EventLoop::now();
     int reloads_ = 0;
-    bool toldToStop_ = false;
-    bool succeeded_ = false;
+    bool stopRequested_ = false;
+    bool isReplaced_ = false;
     // The loop goes first: its handles close as it does, and give their buffers back.
-    transport::Pool pool_;
-    transport::Loop loop_;
-    std::unique_ptr<proxy::Core> core_;
-    std::optional<proxy::Clients> clients_;
-    std::optional<discovery::Watch> watch_;
-    std::optional<transport::Alarm> next_;
-    std::optional<TakenOver> taken_;
+    transport::BufferPool pool_;
+    transport::EventLoop loop_;
+    std::unique_ptr<proxy::RequestDispatcher> dispatcher_;
+    std::optional<proxy::ClientListener> clientListener_;
+    std::optional<discovery::EndpointWatcher> endpointWatcher_;
+    std::optional<transport::Timer> stateTimer_;
+    std::optional<InheritedSockets> inheritedSockets_;
     struct Upgrade {
-        control::Session* asked = nullptr;  // who waits for how it goes
-        control::Session* heir = nullptr;   // the successor, once it has come
-        std::unique_ptr<Successor> process;
+        control::OperatorSession* requester = nullptr;          // who waits for how it goes
+        control::OperatorSession* newProcessSession = nullptr;  // the successor, once it has come
+        std::unique_ptr<NewProcess> process;
     };
     std::optional<Upgrade> upgrade_;
-    std::optional<transport::Alarm> upgradeBy_;
-    std::optional<Succession> succession_;
-    std::optional<control::Door> door_;
-    std::optional<control::Server> admin_;
-    transport::Signal terminate_{loop_, SIGTERM, [this] { leave(); }};
-    transport::Signal interrupt_{loop_, SIGINT, [this] { leave(); }};
+    std::optional<transport::Timer> upgradeTimeout_;
+    std::optional<PeerProcesses> peers_;
+    std::optional<control::ConsoleListener> console_;
+    std::optional<control::OperatorSocket> operatorSocket_;
+    transport::Signal terminate_{loop_, SIGTERM, [this] { beginShutdown(); }};
+    transport::Signal interrupt_{loop_, SIGINT, [this] { beginShutdown(); }};
     transport::Signal hangUp_{loop_, SIGHUP, [this] { reload(); }};
     transport::Signal child_{loop_, SIGCHLD, [this] {
-                                 if (upgrade_ && upgrade_->process && upgrade_->process->ended())
-                                     upgradeEnds("the new process ended before it was ready");
+                                 if (upgrade_ && upgrade_->process && upgrade_->process->hasExited())
+                                     endUpgrade("the new process ended before it was ready");
                              }};
 };
 
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -13,8 +13,9 @@
 
 using Json = nlohmann::json;
 
-constexpr int kDeepest = 8;
-constexpr Nanos kLeastPause = 100 * kMillisecond;  // twice the longest pause before discovery is asked again
+constexpr int kMaxDepth = 8;
+constexpr Nanos kMinPollInterval =
+    100 * kMillisecond;  // twice the longest pause before discovery is asked again
 
 // Every use of the library goes through here: it throws its own kinds for what is missing or of another type.
 template <class Read>
@@ -22,63 +23,63 @@
     try {
         return read();
     } catch (const Json::exception& problem) {
-        throw Malformed(problem.what());
+        throw ParseError(problem.what());
     }
 }
 
 // In the stream of lists an absurd weight costs that value alone; in a file it is an error.
-Place placeOf(const Json& entry, bool inFile) {
-    Place place;
-    Listed& listed = place.listed;
+EndpointEntry endpointEntryOf(const Json& entry, bool inFile) {
+    EndpointEntry place;
+    Endpoint& listed = place.endpoint;
     listed.name = entry.at("id").get<std::string>();
-    if (listed.name.empty()) throw Malformed("an entry without an id");
+    if (listed.name.empty()) throw ParseError("an entry without an id");
     const auto state = entry.at("state").get<std::string>();
     if (state != "Ready" && state != "Terminating" && state != "Gone")
-        throw Malformed("an entry with an unknown state");
-    listed.presence = state == "Ready"         ? Presence::ready
-                      : state == "Terminating" ? Presence::draining
-                                               : Presence::gone;
+        throw ParseError("an entry with an unknown state");
+    listed.state = state == "Ready"         ? EndpointState::ready
+                   : state == "Terminating" ? EndpointState::draining
+                                            : EndpointState::removed;
     listed.zone = entry.value("zone", "");
     listed.shape = entry.value("kind", "");
     listed.cell = entry.value("cell", std::int64_t{0});
     const auto weight = entry.find("weight");
     if (inFile && weight != entry.end() && !weight->is_number())
-        throw Malformed("an entry with a weight that is no number: " + listed.name);
-    listed.size = weight == entry.end() ? 1.0 : weight->is_number() ? weight->get<double>() : 0.0;
-    if (!std::isfinite(listed.size) || listed.size < 0) {
-        if (inFile) throw Malformed("an entry with a weight out of range: " + listed.name);
-        listed.size = 0;  // not told
+        throw ParseError("an entry with a weight that is no number: " + listed.name);
+    listed.weight = weight == entry.end() ? 1.0 : weight->is_number() ? weight->get<double>() : 0.0;
+    if (!std::isfinite(listed.weight) || listed.weight < 0) {
+        if (inFile) throw ParseError("an entry with a weight out of range: " + listed.name);
+        listed.weight = 0;  // not told
     }
     place.address = entry.value("addr", "");
     place.startedMs = entry.value("started_ms", std::int64_t{0});
     // Far past any clock; times ten to the sixth it must not overflow.
     if (place.startedMs < 0 || place.startedMs > 8'000'000'000'000)
-        throw Malformed("an entry with a start out of range");
+        throw ParseError("an entry with a start out of range");
     return place;
 }
 
 // Of the file that a process is started with.
-Roster rosterOf(const Json& json) {
-    Roster roster;
+EndpointList endpointListOf(const Json& json) {
+    EndpointList roster;
     roster.version = json.at("version").get<std::int64_t>();
-    roster.full = json.at("full").get<bool>();
-    for (const Json& entry : json.at("servers")) roster.places.push_back(placeOf(entry, true));
+    roster.isComplete = json.at("full").get<bool>();
+    for (const Json& entry : json.at("servers")) roster.entries.push_back(endpointEntryOf(entry, true));
     return roster;
 }
 
 // Reads a roster entry by entry: as a whole a tree of JSON takes five to forty times the room of its text,
 // and the longest list that may come is bounded by its text. What is not asked for in here is not kept for a
 // moment.
-class RosterReader {
+class EndpointListReader {
   public:
-    Roster read(std::string_view text) {
+    EndpointList read(std::string_view text) {
         const Json json = Json::parse(text, [this](int depth, Json::parse_event_t event, Json& parsed) {
             return keeps(depth, event, parsed);
         });
         roster_.version = json.at("version").get<std::int64_t>();
-        roster_.full = json.at("full").get<bool>();
-        if (!json.at("servers").is_array()) throw Malformed("servers is not a list");
-        if (!problem_.empty()) throw Malformed(problem_);
+        roster_.isComplete = json.at("full").get<bool>();
+        if (!json.at("servers").is_array()) throw ParseError("servers is not a list");
+        if (!problem_.empty()) throw ParseError(problem_);
         return std::move(roster_);
     }
 
@@ -98,7 +99,7 @@
     bool keepsKey(const Json& key) {
         inServers_ = key == "servers";
         if (inServers_) {  // of one key twice the last one holds
-            roster_.places.clear();
+            roster_.entries.clear();
             problem_.clear();
         }
         return inServers_ || key == "version" || key == "full";
@@ -117,7 +118,7 @@
     // What is wrong is only told at the end: a later list of servers may hold in place of this one.
     void takeServer(const Json& entry) {
         try {
-            roster_.places.push_back(placeOf(entry, false));
+            roster_.entries.push_back(endpointEntryOf(entry, false));
         } catch (const std::exception& problem) {
             problem_ = problem.what();
         }
@@ -129,7 +130,7 @@
 
     static constexpr std::array<std::string_view, 8> kFields{"id",   "state",  "zone", "kind",
                                                              "cell", "weight", "addr", "started_ms"};
-    Roster roster_;
+    EndpointList roster_;
     std::string problem_;  // with the entries of the list that holds so far
     bool inServers_ = false;
 };
@@ -138,16 +139,17 @@
 // list: of the grace after that, half is for the first call, so that the rest is left for its answer. What an
 // agent was pushed counts as told from a process's first moment and from the first one after a failure: there
 // each call has to fit into the grace.
-void askWithinGrace(Nanos grace, Start& start) {
-    start.terms.firstAskWithin = std::max(grace / 2, kLeastPause);
-    if (start.terms.listOnRequest) return;
-    start.terms.askWithin = std::clamp(grace / 2, kLeastPause, std::max(start.watchFor, kLeastPause));
-    start.terms.firstAskWithin = start.terms.askWithin / 2;
+void pollIntervalWithinGrace(Nanos grace, StartupConfig& start) {
+    start.policy.maxFirstPollDelay = std::max(grace / 2, kMinPollInterval);
+    if (start.policy.pollsEndpoints) return;
+    start.policy.pollInterval =
+        std::clamp(grace / 2, kMinPollInterval, std::max(start.pollWait, kMinPollInterval));
+    start.policy.maxFirstPollDelay = start.policy.pollInterval / 2;
 }
 
 std::string scalar(const Json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-void flatten(const Json& value, const std::string& path, Paths& paths) {
+void flatten(const Json& value, const std::string& path, SettingsMap& paths) {
     const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
     if (value.is_object()) {
         for (const auto& [name, item] : value.items()) flatten(item, below(name), paths);
@@ -168,50 +170,51 @@
 
 }  // namespace
 
-Roster readRoster(std::string_view text) {
-    return reading([&] { return RosterReader().read(text); });
+EndpointList readEndpointList(std::string_view text) {
+    return reading([&] { return EndpointListReader().read(text); });
 }
 
-Start readStart(std::string_view text) {
+StartupConfig readStartupConfig(std::string_view text) {
     // Brackets within brackets take forty times the room of their text.
-    const auto shallow = [](int depth, Json::parse_event_t, Json&) { return depth <= kDeepest; };
+    const auto shallow = [](int depth, Json::parse_event_t, Json&) { return depth <= kMaxDepth; };
     return reading([&] {
         const Json json = Json::parse(text, shallow);
-        Start start;
+        StartupConfig start;
         start.name = json.at("name").get<std::string>();
         start.listen = json.at("listen").get<std::string>();
         start.discovery = json.at("discovery").get<std::string>();
         start.console = json.value("console", "");
         const auto digits = json.at("seed").get<std::string>();
         const auto seed = parse<std::uint64_t>(digits, 16);
-        if (!seed) throw Malformed("seed is not a hexadecimal number");
+        if (!seed) throw ParseError("seed is not a hexadecimal number");
         const Json& limits = json.at("limits");
         const double megabytes = limits.at("memory_mb").get<double>();
         const auto sockets = limits.at("sockets").get<std::int64_t>();
         if (!(megabytes >= 16 && megabytes < 1e9) || sockets < 64 || sockets > 10'000'000)
-            throw Malformed("limits are out of range: at least 16 MB and 64 sockets are needed");
-        start.memory = static_cast<std::size_t>(megabytes * 1e6);
-        start.descriptors = static_cast<std::size_t>(sockets);
-        if (json.contains("known")) start.known = rosterOf(json.at("known"));
+            throw ParseError("limits are out of range: at least 16 MB and 64 sockets are needed");
+        start.memoryLimitBytes = static_cast<std::size_t>(megabytes * 1e6);
+        start.maxDescriptors = static_cast<std::size_t>(sockets);
+        if (json.contains("known")) start.knownEndpoints = endpointListOf(json.at("known"));
         const Json& settings = json.at("settings");
         if (settings.contains("weights") && !settings.at("weights").is_string())
-            throw Malformed("setting weights is not a word");
-        Paths paths;
+            throw ParseError("setting weights is not a word");
+        SettingsMap paths;
         flatten(settings, "", paths);
-        start.terms = readTerms(paths, *seed);
+        start.policy = readPolicySettings(paths, *seed);
         // Nothing is pushed on sockets: a list that the simulator pushes would never be heard of.
-        start.watchFor = paths.time("rules.askWithinUs");
-        start.terms.askWithin = start.watchFor;
-        start.terms.firstAskWithin = start.watchFor / 2;
-        if (paths.has("rules.drainGraceUs")) askWithinGrace(paths.time("rules.drainGraceUs"), start);
-        start.listPushed = !start.terms.listOnRequest;
-        start.terms.listOnRequest = true;
-        start.idle = paths.time("allowed.connIdleUs");
-        start.connectWithin = paths.time("allowed.connectTimeoutUs");
-        start.mostOpen = static_cast<std::size_t>(paths.whole("allowed.maxOpen", 100'000'000));
-        for (std::size_t i = 0; i < start.terms.verbs.size(); ++i)
-            start.longestPatience =
-                std::max(start.longestPatience, paths.time("verbs." + std::to_string(i) + ".timeLimitUs"));
+        start.pollWait = paths.duration("rules.askWithinUs");
+        start.policy.pollInterval = start.pollWait;
+        start.policy.maxFirstPollDelay = start.pollWait / 2;
+        if (paths.has("rules.drainGraceUs"))
+            pollIntervalWithinGrace(paths.duration("rules.drainGraceUs"), start);
+        start.endpointsArePushed = !start.policy.pollsEndpoints;
+        start.policy.pollsEndpoints = true;
+        start.serverIdleTimeout = paths.duration("allowed.connIdleUs");
+        start.connectTimeout = paths.duration("allowed.connectTimeoutUs");
+        start.maxOpenRequests = static_cast<std::size_t>(paths.integer("allowed.maxOpen", 100'000'000));
+        for (std::size_t i = 0; i < start.policy.requestClasses.size(); ++i)
+            start.maxRequestTimeout = std::max(start.maxRequestTimeout,
+                                               paths.duration("verbs." + std::to_string(i) + ".timeLimitUs"));
         return start;
     });
 }
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -11,39 +11,39 @@
 
 namespace poppyscale::protocol {
 
-struct Place {
-    Listed listed;  // its `cameUp` stays 0: only the router knows how its clock lies to the machines'
+struct EndpointEntry {
+    Endpoint endpoint;  // its `cameUp` stays 0: only the router knows how its clock lies to the machines'
     std::string address;
     std::int64_t startedMs = 0;  // Unix time; 0 for long ago
 };
 
-struct Roster {
+struct EndpointList {
     std::int64_t version = 0;
-    bool full = false;
-    std::vector<Place> places;
+    bool isComplete = false;
+    std::vector<EndpointEntry> entries;
 };
 
 // Throws Malformed.
-Roster readRoster(std::string_view json);
+EndpointList readEndpointList(std::string_view json);
 
 // What a router is started with.
-struct Start {
+struct StartupConfig {
     std::string name;
     std::string listen;
     std::string discovery;
     std::string console;  // where operators call; nowhere if empty
-    Terms terms;
-    Roster known;
-    Nanos idle = 0;             // after which caches close a connection
-    bool listPushed = false;    // what discovery has counts as told at once
-    Nanos watchFor = 0;         // how long a call to discovery may wait for a change
-    Nanos connectWithin = 0;    // a connection that is not up by then won't be
-    Nanos longestPatience = 0;  // of any verb's client
-    std::size_t mostOpen = 0;   // commands at once
-    std::size_t descriptors = 0;
-    std::size_t memory = 0;  // bytes
+    PolicySettings policy;
+    EndpointList knownEndpoints;
+    Nanos serverIdleTimeout = 0;      // after which caches close a connection
+    bool endpointsArePushed = false;  // what discovery has counts as told at once
+    Nanos pollWait = 0;               // how long a call to discovery may wait for a change
+    Nanos connectTimeout = 0;         // a connection that is not up by then won't be
+    Nanos maxRequestTimeout = 0;      // of any verb's client
+    std::size_t maxOpenRequests = 0;  // commands at once
+    std::size_t maxDescriptors = 0;
+    std::size_t memoryLimitBytes = 0;  // bytes
 };
 
-Start readStart(std::string_view json);
+StartupConfig readStartupConfig(std::string_view json);
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/http_request.cpp
+++ b/src/protocol/http_request.cpp
@@ -46,8 +46,8 @@
 HttpRequest::State HttpRequest::feed(std::string_view& bytes) {
     const std::size_t parsed = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
     bytes.remove_prefix(std::min(parsed, bytes.size()));
-    if (whole_) return State::whole;
-    return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::broken;
+    if (whole_) return State::complete;
+    return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::malformed;
 }
 
 std::string_view HttpRequest::path() const {
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -16,7 +16,7 @@
     HttpRequest(const HttpRequest&) = delete;
     HttpRequest& operator=(const HttpRequest&) = delete;
 
-    enum class State : std::uint8_t { more, whole, broken };
+    enum class State : std::uint8_t { more, complete, malformed };
     // Takes from the front of `bytes` up to the end of one request at most.
     State feed(std::string_view& bytes);
     void clear();
@@ -25,7 +25,7 @@
     std::string_view path() const;
     // A value of the part behind '?'; empty without one.
     std::string_view query(std::string_view name) const;
-    bool keepsOpen() const { return keepsOpen_; }
+    bool isKeepAlive() const { return keepsOpen_; }
 
   private:
     static HttpRequest& of(http_parser* parser) { return *static_cast<HttpRequest*>(parser->data); }
--- a/src/protocol/http_response.cpp
+++ b/src/protocol/http_response.cpp
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-HttpAnswer::HttpAnswer(std::size_t longestKept, std::size_t longestBody)
+HttpResponse::HttpResponse(std::size_t longestKept, std::size_t longestBody)
     : longestKept_(longestKept), longestBody_(longestBody) {
     http_parser_settings_init(&calls_);
     calls_.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
-        HttpAnswer& a = of(p);
+        HttpResponse& a = of(p);
         if (a.valueSeen_) a.headerDone();
         a.field_.append(at, size);
         return (a.headers_ += size) > kMostHeaders ? 1 : 0;
     };
     calls_.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
-        HttpAnswer& a = of(p);
+        HttpResponse& a = of(p);
         a.valueSeen_ = true;
         a.value_.append(at, size);
         return (a.headers_ += size) > kMostHeaders ? 1 : 0;
     };
     calls_.on_headers_complete = [](http_parser* p) {
-        HttpAnswer& a = of(p);
+        HttpResponse& a = of(p);
         a.headerDone();
         // Told by the length it names, before any of it is kept.
         if (p->content_length == ~std::uint64_t{0} || p->content_length <= a.longestKept_) return 0;
@@ -40,7 +40,7 @@
         return 0;
     };
     calls_.on_body = [](http_parser* p, const char* at, std::size_t size) {
-        HttpAnswer& a = of(p);
+        HttpResponse& a = of(p);
         // In one stretch: a body with a length has nothing between its bytes.
         if (a.longLength_) return a.piece_ = {at, size}, 0;
         a.body_.append(at, size);
@@ -60,7 +60,7 @@
     clear();
 }
 
-void HttpAnswer::clear() {
+void HttpResponse::clear() {
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     headers_ = 0;
@@ -72,7 +72,7 @@
     valueSeen_ = neverRan_ = keepsOpen_ = whole_ = false;
 }
 
-void HttpAnswer::headerDone() {
+void HttpResponse::headerDone() {
     if (strcasecmp(field_.c_str(), "X-Rejected") == 0 && value_ == "1") neverRan_ = true;
     if (strcasecmp(field_.c_str(), "X-List-Age-Ms") == 0)
         listAgeMs_ = std::clamp<std::int64_t>(parse<std::int64_t>(value_).value_or(0), 0, kMaxListAgeMs);
@@ -81,20 +81,20 @@
     valueSeen_ = false;
 }
 
-HttpAnswer::State HttpAnswer::feed(std::string_view bytes) {
+HttpResponse::State HttpResponse::feed(std::string_view bytes) {
     piece_ = {};
     const std::size_t parsed = http_parser_execute(&parser_, &calls_, bytes.data(), bytes.size());
     if (whole_) {
         // What follows is no part of it: served all the same, but nothing more is read of that connection.
         if (parsed < bytes.size()) keepsOpen_ = false;
-        return State::whole;
+        return State::complete;
     }
-    return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::broken;
+    return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::malformed;
 }
 
-HttpAnswer::State HttpAnswer::end() {
+HttpResponse::State HttpResponse::end() {
     http_parser_execute(&parser_, &calls_, nullptr, 0);
-    return whole_ ? State::whole : State::broken;
+    return whole_ ? State::complete : State::malformed;
 }
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/http_response.hpp
+++ b/src/protocol/http_response.hpp
@@ -9,32 +9,32 @@
 
 namespace poppyscale::protocol {
 
-class HttpAnswer {
+class HttpResponse {
   public:
-    explicit HttpAnswer(std::size_t longestBody) : HttpAnswer(longestBody, longestBody) {}
+    explicit HttpResponse(std::size_t longestBody) : HttpResponse(longestBody, longestBody) {}
     // A good answer that names a length over `longestKept` gives its body in pieces; one over `longestBody`,
     // or over the first without a length, is broken.
-    HttpAnswer(std::size_t longestKept, std::size_t longestBody);
-    HttpAnswer(const HttpAnswer&) = delete;
-    HttpAnswer& operator=(const HttpAnswer&) = delete;
+    HttpResponse(std::size_t longestKept, std::size_t longestBody);
+    HttpResponse(const HttpResponse&) = delete;
+    HttpResponse& operator=(const HttpResponse&) = delete;
 
-    enum class State : std::uint8_t { more, whole, broken };
+    enum class State : std::uint8_t { more, complete, malformed };
     State feed(std::string_view bytes);
     State end();  // the connection ended, which also ends a body without a length
     void clear();
 
     int status() const { return static_cast<int>(parser_.status_code); }
-    bool keepsOpen() const { return keepsOpen_; }
-    bool neverRan() const { return neverRan_; }
+    bool isKeepAlive() const { return keepsOpen_; }
+    bool wasNotExecuted() const { return neverRan_; }
     // Of a list, as a distributor tells it in `X-List-Age-Ms`; 0 where nothing is told.
     std::int64_t listAgeMs() const { return listAgeMs_; }
-    std::size_t longLength() const { return longLength_; }  // 0 for one that is kept
-    std::string_view piece() const { return piece_; }       // until the next call of `feed`
+    std::size_t streamedLength() const { return longLength_; }  // 0 for one that is kept
+    std::string_view chunk() const { return piece_; }           // until the next call of `feed`
     std::string& body() { return body_; }
-    std::size_t held() const { return headers_ + body_.size(); }
+    std::size_t bufferedBytes() const { return headers_ + body_.size(); }
 
   private:
-    static HttpAnswer& of(http_parser* parser) { return *static_cast<HttpAnswer*>(parser->data); }
+    static HttpResponse& of(http_parser* parser) { return *static_cast<HttpResponse*>(parser->data); }
     void headerDone();
 
     http_parser_settings calls_{};
--- a/src/protocol/request.cpp
+++ b/src/protocol/request.cpp
@@ -8,12 +8,12 @@
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::int64_t kLongestWaitMs = 3'600'000;
-constexpr std::size_t kLongestWord = 1024;  // of a key, an id or a list
+constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
+constexpr std::size_t kMaxWordLength = 1024;  // of a key, an id or a list
 
 bool isWord(std::string_view text, std::size_t least) {
     // These go on in a header of the origin's: a line break in one would begin another header.
-    return text.size() >= least && text.size() <= kLongestWord &&
+    return text.size() >= least && text.size() <= kMaxWordLength &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
@@ -42,8 +42,8 @@
 }
 
 // The info list of an attempt: as the client sent it, but for the time that is left.
-std::string attemptInfo(const Command& command, Nanos timeLeft) {
-    const auto milliseconds = std::max<Nanos>(timeLeft, kLeastTimeTold) / kMillisecond;
+std::string attemptInfo(const Request& command, Nanos timeLeft) {
+    const auto milliseconds = std::max<Nanos>(timeLeft, kMinForwardedTimeout) / kMillisecond;
     std::string info;
     eachItem(command.info, [&](std::string_view name, std::string_view, std::string_view item) {
         if (!info.empty()) info += ',';
@@ -55,7 +55,7 @@
     return info;
 }
 
-Aside wrong(std::string_view what) { return {"-ERR " + std::string(what) + "\r\n"}; }
+ControlCommand describeProblem(std::string_view what) { return {"-ERR " + std::string(what) + "\r\n"}; }
 
 // The path of a key: all that a path may not hold is written as its number.
 std::string pathOf(std::string_view key) {
@@ -76,88 +76,92 @@
 
 }  // namespace
 
-std::variant<Command, Aside> readCommand(Value value) {
+std::variant<Request, ControlCommand> readRequest(RespValue value) {
     auto& words = value.items;
-    if (words.empty()) return wrong("empty command");
+    if (words.empty()) return describeProblem("empty command");
     const std::string name = upper(words[0].text);
     if (name == "PING") {
-        if (words.size() > 2) return wrong("wrong number of arguments for 'PING'");
-        return Aside{words.size() == 1 ? "+PONG\r\n" : bulk(words[1].text), false, true};
+        if (words.size() > 2) return describeProblem("wrong number of arguments for 'PING'");
+        return ControlCommand{words.size() == 1 ? "+PONG\r\n" : bulk(words[1].text), false, true};
     }
-    if (name == "QUIT") return Aside{"+OK\r\n", true};
+    if (name == "QUIT") return ControlCommand{"+OK\r\n", true};
     const bool write = name == "OBJ.SET";
-    if (!write && name != "OBJ.GET") return wrong("unknown command '" + printable(words[0].text) + "'");
-    if (words.size() != (write ? 5U : 4U)) return wrong("wrong number of arguments for '" + name + "'");
+    if (!write && name != "OBJ.GET")
+        return describeProblem("unknown command '" + printable(words[0].text) + "'");
+    if (words.size() != (write ? 5U : 4U))
+        return describeProblem("wrong number of arguments for '" + name + "'");
 
-    Command command;
-    command.write = write;
+    Request command;
+    command.isWrite = write;
     command.key = std::move(words[1].text);
     command.id = std::move(words[2].text);
     command.info = std::move(words[3].text);
     if (write) command.value = std::move(words[4].text);
     if (!isWord(command.key, 1) || !isWord(command.id, 1) || !isWord(command.info, 0))
-        return wrong("key, id and list are words of up to 1024 visible characters");
+        return describeProblem("key, id and list are words of up to 1024 visible characters");
     std::int64_t patience = -1;
     eachItem(command.info, [&](std::string_view item, std::string_view text, std::string_view) {
-        if (item == "c") command.verb = text;
-        if (item == "t") command.customer = text;
-        if (item == "r") command.again = text == "1";
+        if (item == "c") command.requestClass = text;
+        if (item == "t") command.tenant = text;
+        if (item == "r") command.isRetry = text == "1";
         if (item == "d") patience = parse<std::int64_t>(text).value_or(-1);
     });
-    if (patience < 0 || command.verb.empty()) return wrong("the list must tell c and d, d in milliseconds");
-    command.patience = std::min(patience, kLongestWaitMs) * kMillisecond;
+    if (patience < 0 || command.requestClass.empty())
+        return describeProblem("the list must tell c and d, d in milliseconds");
+    command.timeout = std::min(patience, kMaxTimeoutMs) * kMillisecond;
     return command;
 }
 
-std::variant<Command, Aside> readHead(std::vector<Value> words, std::size_t longLength) {
-    words.push_back({Value::Kind::bulk, {}, {}});
-    auto said = readCommand({Value::Kind::array, {}, std::move(words)});
-    if (auto* const command = std::get_if<Command>(&said)) command->longLength = longLength;
+std::variant<Request, ControlCommand> readRequestHead(std::vector<RespValue> words, std::size_t longLength) {
+    words.push_back({RespValue::Kind::bulk, {}, {}});
+    auto said = readRequest({RespValue::Kind::array, {}, std::move(words)});
+    if (auto* const command = std::get_if<Request>(&said)) command->longLength = longLength;
     return said;
 }
 
-std::string cacheCommand(const Command& command, Nanos timeLeft) {
+std::string cacheRequest(const Request& command, Nanos timeLeft) {
     const std::string info = attemptInfo(command, timeLeft);
-    std::vector<std::string_view> words{command.write ? "OBJ.SET" : "OBJ.GET", command.key, command.id, info};
-    if (command.write && !command.longLength) words.push_back(command.value);
+    std::vector<std::string_view> words{command.isWrite ? "OBJ.SET" : "OBJ.GET", command.key, command.id,
+                                        info};
+    if (command.isWrite && !command.longLength) words.push_back(command.value);
     std::string out = protocol::command(words, command.longLength ? 1 : 0);
     if (!command.longLength) return out;
     return out.append("$").append(std::to_string(command.longLength)).append("\r\n");
 }
 
-std::string originCall(const Command& command, std::string_view host, Nanos timeLeft) {
-    std::string out(command.write ? "PUT " : "GET ");
+std::string originRequest(const Request& command, std::string_view host, Nanos timeLeft) {
+    std::string out(command.isWrite ? "PUT " : "GET ");
     out.append(pathOf(command.key)).append(" HTTP/1.1\r\nHost: ").append(host);
     out.append("\r\nX-Call-Id: ").append(command.id);
     out.append("\r\nX-Call-Info: ").append(attemptInfo(command, timeLeft));
     const std::size_t length = command.longLength ? command.longLength : command.value.size();
-    if (command.write) out.append("\r\nContent-Length: ").append(std::to_string(length));
+    if (command.isWrite) out.append("\r\nContent-Length: ").append(std::to_string(length));
     return out.append("\r\n\r\n").append(command.value);
 }
 
-Outcome readCacheAnswer(Value answer) {
-    if (answer.kind == Value::Kind::error) {
+AttemptResponse readCacheResponse(RespValue answer) {
+    if (answer.kind == RespValue::Kind::error) {
         std::string_view text = answer.text;
-        if (text.starts_with("ERR")) return {Ending::errored, {}, true};
+        if (text.starts_with("ERR")) return {AttemptOutcome::failed, {}, true};
         // Only what is just this proves that the command never ran: a spoilt line may come after it did.
         if (!text.starts_with("BUSY")) return {};
         text.remove_prefix(4);
         const bool plain = text.empty() || (text[0] == ' ' && parse<std::uint32_t>(text.substr(1)));
-        return plain ? Outcome{Ending::noRoom, {}, true} : Outcome{};
+        return plain ? AttemptResponse{AttemptOutcome::overloaded, {}, true} : AttemptResponse{};
     }
     // The value or receipt, how it went and a load report, which nothing here reads: it may be of any kind.
-    if (answer.kind != Value::Kind::array || answer.items.size() != 3) return {};
+    if (answer.kind != RespValue::Kind::array || answer.items.size() != 3) return {};
     const auto& how = answer.items[1].kind;
-    if (how != Value::Kind::bulk && how != Value::Kind::null) return {};
-    Value& first = answer.items[0];
-    if (first.kind == Value::Kind::null) return {Ending::noneHere, {}, true};
-    if (first.kind != Value::Kind::bulk) return {};
+    if (how != RespValue::Kind::bulk && how != RespValue::Kind::null) return {};
+    RespValue& first = answer.items[0];
+    if (first.kind == RespValue::Kind::null) return {AttemptOutcome::cacheMiss, {}, true};
+    if (first.kind != RespValue::Kind::bulk) return {};
     // A word that is none of these is passed over, and the answer counts as ever.
     const std::string_view word = answer.items[1].text;
-    const Found found = word == "hit"                         ? Found::kept
-                        : word == "miss" || word == "pending" ? Found::fetched
-                                                              : Found::untold;
-    return {Ending::answered, std::move(first.text), true, found};
+    const ReadThroughResult found = word == "hit"                         ? ReadThroughResult::cached
+                                    : word == "miss" || word == "pending" ? ReadThroughResult::fetched
+                                                                          : ReadThroughResult::unknown;
+    return {AttemptOutcome::succeeded, std::move(first.text), true, found};
 }
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-Decoder::State Decoder::fail(std::string_view what) {
+RespDecoder::State RespDecoder::fail(std::string_view what) {
     problem_ = what;
-    return State::broken;
+    return State::malformed;
 }
 
-Decoder::State Decoder::feed(std::string_view& bytes) {
-    if (!problem_.empty()) return State::broken;
+RespDecoder::State RespDecoder::feed(std::string_view& bytes) {
+    if (!problem_.empty()) return State::malformed;
     if (longLength_) {
         const State state = feedLong(bytes);
         if (state != State::more || longLength_) return state;
@@ -49,30 +49,30 @@
             bytes.remove_prefix(part.size());
             held_ += part.size();
             // Told by its first byte, before a line that may never end.
-            if (bounds_.onlyCommands && line_[0] != (open_.empty() ? '*' : '$'))
+            if (bounds_.commandsOnly && line_[0] != (open_.empty() ? '*' : '$'))
                 return fail(open_.empty() ? "expected an array" : "expected a bulk string");
             if (end == std::string_view::npos) return State::more;
             state = header();
             line_.clear();
         }
-        if (held_ > bounds_.whole) return fail("value too large");
+        if (held_ > bounds_.maxValueSize) return fail("value too large");
         if (state != State::more) return state;
     }
     return State::more;
 }
 
 // Nothing of it is kept but its last byte and its end.
-Decoder::State Decoder::feedLong(std::string_view& bytes) {
+RespDecoder::State RespDecoder::feedLong(std::string_view& bytes) {
     if (longLeft_ == 0) {
         longLength_ = 0;
-        return put({Value::Kind::bulk, {}, {}});
+        return put({RespValue::Kind::bulk, {}, {}});
     }
     if (bytes.empty()) return State::more;
     if (longLeft_ > 3) {
         piece_ = bytes.substr(0, longLeft_ - 3);
         bytes.remove_prefix(piece_.size());
         longLeft_ -= piece_.size();
-        return State::longPiece;
+        return State::streamChunk;
     }
     const std::size_t size = std::min(longLeft_, bytes.size());
     bulk_.text.append(bytes.substr(0, size));
@@ -80,43 +80,43 @@
     if ((longLeft_ -= size) > 0) return State::more;
     if (!bulk_.text.ends_with("\r\n")) return fail("bulk string without its end");
     piece_ = std::string_view(bulk_.text).substr(0, 1);
-    return State::longPiece;
+    return State::streamChunk;
 }
 
-Decoder::State Decoder::header() {
+RespDecoder::State RespDecoder::header() {
     if (!line_.ends_with("\r\n") || line_.size() < 3) return fail("line without its end");
     const std::string_view rest(line_.data() + 1, line_.size() - 3);
     const char kind = line_[0];
-    if (kind == '+') return put({Value::Kind::simple, std::string(rest), {}});
-    if (kind == '-') return put({Value::Kind::error, std::string(rest), {}});
+    if (kind == '+') return put({RespValue::Kind::simple, std::string(rest), {}});
+    if (kind == '-') return put({RespValue::Kind::error, std::string(rest), {}});
     const auto number = parse<std::int64_t>(rest);
     if (!number) return fail("not a number");
-    if (kind == ':') return put({Value::Kind::integer, std::string(rest), {}});
+    if (kind == ':') return put({RespValue::Kind::integer, std::string(rest), {}});
     if (kind != '$' && kind != '*') return fail("unknown type");
-    if (*number == -1 && !bounds_.onlyCommands) return put({});
+    if (*number == -1 && !bounds_.commandsOnly) return put({});
     if (*number < 0) return fail("negative length");
     const auto size = static_cast<std::size_t>(*number);
     if (kind == '$') {
-        const bool there = open_.size() == 1 && open_[0].array.items.size() == bounds_.longItem;
-        if (size > bounds_.bulk && size <= bounds_.longest && there) {
+        const bool there = open_.size() == 1 && open_[0].array.items.size() == bounds_.streamedItem;
+        if (size > bounds_.maxBulkLength && size <= bounds_.maxStreamedLength && there) {
             longLength_ = size;
             longLeft_ = size + 2;
-            bulk_ = {Value::Kind::bulk, {}, {}};
-            return State::longBegins;
+            bulk_ = {RespValue::Kind::bulk, {}, {}};
+            return State::streamBegins;
         }
-        if (size > bounds_.bulk) return fail("bulk string too long");
-        bulk_ = {Value::Kind::bulk, {}, {}};
+        if (size > bounds_.maxBulkLength) return fail("bulk string too long");
+        bulk_ = {RespValue::Kind::bulk, {}, {}};
         bulkLeft_ = size + 2;
         return State::more;
     }
-    if (size > bounds_.items) return fail("array too long");
-    if (open_.size() >= bounds_.depth) return fail("arrays too deep");
-    if (size == 0) return put({Value::Kind::array, {}, {}});
-    open_.push_back({{Value::Kind::array, {}, {}}, size});
+    if (size > bounds_.maxItems) return fail("array too long");
+    if (open_.size() >= bounds_.maxDepth) return fail("arrays too deep");
+    if (size == 0) return put({RespValue::Kind::array, {}, {}});
+    open_.push_back({{RespValue::Kind::array, {}, {}}, size});
     return State::more;
 }
 
-Decoder::State Decoder::put(Value value) {
+RespDecoder::State RespDecoder::put(RespValue value) {
     while (!open_.empty()) {
         Open& top = open_.back();
         top.array.items.push_back(std::move(value));
@@ -127,10 +127,10 @@
     done_ = std::move(value);
     begun_ = false;
     held_ = 0;
-    return State::whole;
+    return State::complete;
 }
 
-Value Decoder::take() { return std::move(done_); }
+RespValue RespDecoder::takeValue() { return std::move(done_); }
 
 void appendBulk(std::string& out, std::string_view text) {
     appendCount(out, '$', text.size());
--- a/src/proxy/body_stream.hpp
+++ b/src/proxy/body_stream.hpp
@@ -7,27 +7,27 @@
 
 namespace poppyscale::proxy {
 
-enum class Room : std::uint8_t { more, full, gone };
+enum class FlowControl : std::uint8_t { ready, full, closed };
 
-class Taker {
+class BodySink {
   public:
-    virtual ~Taker() = default;
+    virtual ~BodySink() = default;
     // All of it is taken, whatever is said. After `full` nothing may come until `more`, after `gone` nothing.
-    virtual Room piece(std::string_view bytes) = 0;
-    virtual void brokeOff() = 0;  // the rest won't come
+    virtual FlowControl onChunk(std::string_view bytes) = 0;
+    virtual void onAborted() = 0;  // the rest won't come
 };
 
-class Giver {
+class BodySource {
   public:
-    virtual ~Giver() = default;
-    virtual void more() = 0;   // there is room again
-    virtual void leave() = 0;  // nothing more is wanted
+    virtual ~BodySource() = default;
+    virtual void resume() = 0;  // there is room again
+    virtual void cancel() = 0;  // nothing more is wanted
 };
 
 // The value of a write, which waits until somebody takes it.
-class Body : public Giver {
+class RequestBody : public BodySource {
   public:
-    virtual void begin(Taker& taker) = 0;
+    virtual void streamTo(BodySink& taker) = 0;
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -25,31 +25,31 @@
 enum class Invariant : std::uint8_t { sending, repeating, closing, starting, count };
 
 // Why an attempt was not begun, or a connection not closed.
-enum class Refusal : std::uint8_t {
-    serverLeaves,   // it drains, is gone or was taken out
-    clientLeft,     // nobody waits for the answer
-    noTimeLeft,     // the request's time, or the one by which it may be repeated, is over
-    mayNotRepeat,   // it may have run
-    requestClosed,  // it has its answer
-    stillOwed,      // a request on the connection has no answer
+enum class BlockedAction : std::uint8_t {
+    serverUnavailable,   // it drains, is gone or was taken out
+    clientDisconnected,  // nobody waits for the answer
+    deadlinePassed,      // the request's time, or the one by which it may be repeated, is over
+    mayNotRepeat,        // it may have run
+    requestClosed,       // it has its answer
+    responsePending,     // a request on the connection has no answer
     count
 };
 
-class Guard {
+class InvariantGuard {
   public:
     using Log = std::function<void(std::string_view)>;
-    explicit Guard(Log log) : log_(std::move(log)) {}
+    explicit InvariantGuard(Log log) : log_(std::move(log)) {}
 
-    void refused(Refusal why) { ++refused_[static_cast<std::size_t>(why)]; }
+    void recordBlocked(BlockedAction why) { ++blocked_[static_cast<std::size_t>(why)]; }
     // It happened all the same. `what` names the request, server or client.
-    void violated(Invariant invariant, const std::string& what);
+    void reportViolation(Invariant invariant, const std::string& what);
 
     // By name, for operators.
     nlohmann::json json() const;
 
   private:
     Log log_;
-    std::array<std::uint64_t, static_cast<std::size_t>(Refusal::count)> refused_{};
+    std::array<std::uint64_t, static_cast<std::size_t>(BlockedAction::count)> blocked_{};
     std::array<std::uint64_t, static_cast<std::size_t>(Invariant::count)> violated_{};
 };
 
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -28,192 +28,198 @@
 namespace poppyscale::proxy {
 
 // The one final answer of a command.
-struct Final {
-    enum class Kind : std::uint8_t { answered, declined, terminated };
-    Kind kind = Kind::terminated;
+struct FinalResponse {
+    enum class Kind : std::uint8_t { succeeded, rejected, failed };
+    Kind kind = Kind::failed;
     std::string value;
-    Nanos comeBack = 0;
+    Nanos retryAfter = 0;
 };
 
 // Who waits for it, at a front.
-class Asker {
+class ResponseSink {
   public:
-    virtual ~Asker() = default;
-    virtual void tell(Final final) = 0;
+    virtual ~ResponseSink() = default;
+    virtual void complete(FinalResponse final) = 0;
     // The client has not closed its connection, by a look that is recent enough for an attempt to begin. Once
     // this returns false, the asker has let go of the command.
-    virtual bool present() = 0;
+    virtual bool isClientConnected() = 0;
     // Or a value that is too long to be kept: its first piece is at hand, and it is answered with that.
-    virtual Taker& begin(std::size_t length, Giver& from) = 0;
+    virtual BodySink& beginStream(std::size_t length, BodySource& from) = 0;
 };
 
-struct Command {
-    CommandId id = 0;
-    Nanos takenAt = 0;
-    protocol::Command said;
-    Asker* asker = nullptr;  // null once told, or when the client has left
-    Body* body = nullptr;    // of a write that is too long to be kept
-    Nanos giveUpAt = 0;
-    int relays = 0;
-    std::unique_ptr<Relay> out;
+struct PendingRequest {
+    RequestId id = 0;
+    Nanos acceptedAt = 0;
+    protocol::Request message;
+    ResponseSink* sink = nullptr;  // null once told, or when the client has left
+    RequestBody* body = nullptr;   // of a write that is too long to be kept
+    Nanos deadline = 0;
+    int attemptCount = 0;
+    std::unique_ptr<Attempt> attempt;
     // By the terms under which it was taken.
-    Effect effect = Effect::effectful;
-    Nanos remembered = 0;
-    Nanos firstMayHaveRunAt = kNever;  // when the first attempt was sent that may have run
+    Idempotency idempotency = Idempotency::nonIdempotent;
+    Nanos idempotencyKeyTtl = 0;
+    Nanos firstPossiblyExecutedAt = kNever;  // when the first attempt was sent that may have run
 };
 
 // A command as it stands, to be looked at.
-struct Standing {
-    std::string id, verb, customer, key;
+struct RequestStatus {
+    std::string id, requestClass, tenant, key;
     Nanos since = 0;
-    Nanos giveUpAt = 0;
-    int relays = 0;
-    bool asked = false;  // somebody still waits for its answer
-    std::string at;      // where a relay is out, or empty
+    Nanos deadline = 0;
+    int attemptCount = 0;
+    bool isAwaited = false;  // somebody still waits for its answer
+    std::string server;      // where a relay is out, or empty
     Nanos sentAt = 0;
 };
 
 using Log = std::function<void(std::string_view)>;
 
-class Core : private Host, protected RelayOwner {
+class RequestDispatcher : private PolicyHost, protected AttemptHandler {
   public:
-    Core(transport::Loop& loop, transport::Pool& pool, const protocol::Start& start, std::size_t mostLinks,
-         Log log);
-    ~Core() override = default;
+    RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
+                      const protocol::StartupConfig& start, std::size_t mostLinks, Log log);
+    ~RequestDispatcher() override = default;
 
     // What is virtual from here on is so for the lab, whose harmful versions are this router but for their
     // harm.
 
     // Without a command, the asker is to be told: what is wrong with it, or else that the router holds as
     // many as it may.
-    struct Taken {
-        Command* command = nullptr;
-        std::string_view wrong;
+    struct AcceptResult {
+        PendingRequest* request = nullptr;
+        std::string_view problem;
     };
-    virtual Taken take(Asker& asker, protocol::Command said, Nanos now, Body* body = nullptr);
-    virtual void left(Command& command);
-    std::size_t open() const { return commands_.size(); }
+    virtual AcceptResult accept(ResponseSink& asker, protocol::Request said, Nanos now,
+                                RequestBody* body = nullptr);
+    virtual void onClientDisconnected(PendingRequest& command);
+    std::size_t openRequests() const { return requests_.size(); }
     // The end of all: whoever still waits is told, in the turn that this is called in.
-    void giveUpAll();
-    std::size_t links() const { return links_.count; }
-    std::uint64_t linksOpened() const { return links_.opened; }
+    void failAll();
+    std::size_t connectionCount() const { return pool_.connectionCount; }
+    std::uint64_t connectionsOpened() const { return pool_.connectionsOpened; }
     // By the server's name: how many relays it was given, and whether it is listed as leaving.
-    struct Given {
-        std::uint64_t relays;
-        bool leaving;
+    struct ServerAttempts {
+        std::uint64_t attempts;
+        bool isDraining;
     };
-    std::map<std::string, Given> given() const;
+    std::map<std::string, ServerAttempts> attemptsByServer() const;
     // From now on what is done is counted; null until then.
-    void count(const std::vector<Verb>& verbs);
-    metrics::Counts* counts() { return counts_.get(); }
+    void enableMetrics(const std::vector<RequestClass>& requestClasses);
+    metrics::RouterMetrics* metrics() { return metrics_.get(); }
     // The oldest first.
-    std::vector<Standing> standing() const;
-    std::vector<Belief> beliefs() { return router_.beliefs(transport::Loop::now()); }
+    std::vector<RequestStatus> requestStatuses() const;
+    std::vector<EndpointStatus> endpointStatuses() {
+        return policy_.endpointStatuses(transport::EventLoop::now());
+    }
     // Other verbs, customers and figures from the next turn on; what is open ends by what it came under.
-    void changed(const protocol::Start& start);
+    void applyConfig(const protocol::StartupConfig& start);
 
-    Guard& guard() { return guard_; }
+    InvariantGuard& guard() { return guard_; }
 
     // Why an operator can't take that server out, or let it in; or nothing.
-    std::string whyNoBan(const std::string& name) const;
+    std::string ejectionProblem(const std::string& name) const;
     // Takes a cache out by an operator's word, or lets it serve again; binding when this returns.
-    void ban(const std::string& name, bool on);
+    void setEjected(const std::string& name, bool on);
     // Other bounds than at the start, while another process has a part of them.
-    void bound(std::size_t memory, std::size_t mostLinks);
-    virtual void listed(NewsKind kind, const protocol::Roster& roster);
-    void listFailed();
-    void listMoved();  // what failed before was another discovery's
-    std::function<void()> askForList;
+    void setLimits(std::size_t memory, std::size_t mostLinks);
+    virtual void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster);
+    void onPollFailed();
+    void onDiscoveryMoved();  // what failed before was another discovery's
+    std::function<void()> requestPoll;
 
     // Hands over what has been gathered, until nothing is left of it.
-    void turn();
+    void runIteration();
 
   protected:
-    void relayEnded(Relay& relay, protocol::Outcome outcome) override;
-    void keepIdle(Nanos time) { links_.keepIdle = time; }
+    void onAttemptEnded(Attempt& attempt, protocol::AttemptResponse outcome) override;
+    void setIdleTimeout(Nanos time) { pool_.idleTimeout = time; }
 
   private:
-    struct Arrived {
-        Command* command;
+    struct RequestArrived {
+        PendingRequest* request;
     };
-    struct Ended {
-        RelayEnd end;
+    struct AttemptEnded {
+        AttemptResult end;
     };
-    struct Left {
-        CommandId id;
+    struct ClientDisconnected {
+        RequestId id;
     };
-    struct News {
-        NewsKind kind;
-        std::vector<Listed> entries;
+    struct EndpointsUpdated {
+        EndpointUpdateKind kind;
+        std::vector<Endpoint> entries;
     };
-    struct Changed {
-        Terms terms;
+    struct SettingsChanged {
+        PolicySettings settings;
     };
-    struct Banned {
+    struct EjectionChanged {
         std::string name;
-        bool on;
+        bool isEjected;
     };
     struct Event {
         Nanos at;
-        std::variant<Arrived, Ended, Left, News, Changed, Banned> what;
+        std::variant<RequestArrived, AttemptEnded, ClientDisconnected, EndpointsUpdated, SettingsChanged,
+                     EjectionChanged>
+            what;
     };
-    struct Send {
-        Upstream* to;
-        Nanos giveUpAt, startBy;
+    struct StartAttempt {
+        UpstreamServer* to;
+        Nanos deadline, latestStart;
     };
     struct Action {
-        CommandId id;
-        std::variant<Send, Final> what;
+        RequestId id;
+        std::variant<StartAttempt, FinalResponse> what;
     };
 
-    void relay(CommandId id, std::string_view cache, Nanos giveUpAt, Nanos startBy) override;
-    void decline(CommandId id, Nanos comeBack) override;
-    void terminate(CommandId id) override;
-    void wake(Nanos at) override { wakeUp_.set(at); }
-    void subscribe() override { subscribe_ = true; }
+    void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override;
+    void reject(RequestId id, Nanos retryAfter) override;
+    void fail(RequestId id) override;
+    void scheduleWakeup(Nanos at) override { wakeUp_.start(at); }
+    void pollEndpoints() override { pollRequested_ = true; }
     void log(std::string_view text) override { log_(text); }
 
-    Taker* relayGives(Relay& relay, std::size_t length, Giver& from) override;
-    bool awaited(Relay& relay) override { return awaited(*commands_.at(relay.command)); }
-    bool awaited(Command& command);
-    void nobodyWaits(Command& command);
+    BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& from) override;
+    bool isAwaited(Attempt& attempt) override { return isAwaited(*requests_.at(attempt.request)); }
+    bool isAwaited(PendingRequest& command);
+    void abandon(PendingRequest& command);
 
-    void lookAtClock(Nanos now);
-    void handOver(const Event& event);
-    void carryOut(Action& action);
-    void tell(Command& command, Final final);
-    void forget(CommandId id);
+    void sampleClockOffset(Nanos now);
+    void applyEvent(const Event& event);
+    void execute(Action& action);
+    void complete(PendingRequest& command, FinalResponse final);
+    void forget(RequestId id);
 
     // Why that attempt may not begin; none if it may.
-    std::optional<Refusal> whyNotSend(const Send& send, Command& command, Nanos giveUpAt, Nanos now);
+    std::optional<BlockedAction> blockedBy(const StartAttempt& send, PendingRequest& command, Nanos deadline,
+                                           Nanos now);
     // Whether the next attempt of a command may take effect beside an earlier one.
-    static bool mayRepeat(const Command& command, Nanos now);
+    static bool mayRepeat(const PendingRequest& command, Nanos now);
 
-    transport::Loop& loop_;
+    transport::EventLoop& loop_;
     Log log_;
-    Guard guard_;
-    Links links_;
-    std::size_t mostOpen_;
-    std::size_t mostHeld_;  // bytes of what clients sent
-    std::size_t held_ = 0;
-    discovery::StartTimes startTimes_;
-    Nanos clockLookedAt_ = 0;
+    InvariantGuard guard_;
+    ConnectionPool pool_;
+    std::size_t maxOpenRequests_;
+    std::size_t maxBufferedBytes_;  // bytes of what clients sent
+    std::size_t bufferedBytes_ = 0;
+    discovery::ServerStartTimes startTimes_;
+    Nanos clockSampledAt_ = 0;
     std::string originShape_;
-    bool aside_;
-    bool due_ = true;
-    bool subscribe_ = false;
-    CommandId lastId_ = 0;
-    std::unordered_map<std::string, Verb> verbs_;
-    std::unique_ptr<metrics::Counts> counts_;
-    std::unordered_map<CommandId, std::unique_ptr<Command>> commands_;
-    std::unordered_set<std::string_view> ids_;  // that clients gave the commands
-    std::unordered_map<std::string, std::unique_ptr<Upstream>> upstreams_;
-    std::set<std::string> bans_;
-    discovery::KnownServers known_;  // that were listed and are gone
+    bool cacheAside_;
+    bool hasPendingWork_ = true;
+    bool pollRequested_ = false;
+    RequestId lastId_ = 0;
+    std::unordered_map<std::string, RequestClass> requestClasses_;
+    std::unique_ptr<metrics::RouterMetrics> metrics_;
+    std::unordered_map<RequestId, std::unique_ptr<PendingRequest>> requests_;
+    std::unordered_set<std::string_view> clientIds_;  // that clients gave the commands
+    std::unordered_map<std::string, std::unique_ptr<UpstreamServer>> upstreams_;
+    std::set<std::string> ejectedServers_;
+    discovery::RemovedEndpoints removedEndpoints_;  // that were listed and are gone
     std::vector<Event> events_;
     std::vector<Action> actions_;
-    transport::Alarm wakeUp_;
-    Router router_;
+    transport::Timer wakeUp_;
+    RoutingPolicy policy_;
 };
 
 }  // namespace poppyscale::proxy
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -16,42 +16,44 @@
 // The form of figures, orders and reports; another one is refused by its number.
 constexpr int kFormat = 1;
 
-struct OfVerb {
-    std::uint64_t taken = 0, inGoal = 0, late = 0, declined = 0, terminated = 0, left = 0;
-    std::vector<std::uint64_t> times;  // answers by class of their time, from the fastest class there is
-    std::uint64_t answered() const { return inGoal + late; }
-    std::uint64_t unanswered() const { return declined + terminated + left; }
+struct RequestClassMetrics {
+    std::uint64_t accepted = 0, withinObjective = 0, late = 0, rejected = 0, failed = 0, abandoned = 0;
+    std::vector<std::uint64_t> latencies;  // answers by class of their time, from the fastest class there is
+    std::uint64_t succeeded() const { return withinObjective + late; }
+    std::uint64_t unsuccessful() const { return rejected + failed + abandoned; }
 };
 
 // One of the caches, as an instance sees it.
-struct OfCache {
-    std::uint64_t relays = 0;
-    bool leaving = false;
+struct CacheMetrics {
+    std::uint64_t attempts = 0;
+    bool isDraining = false;
 };
 
 // Counted since the start of one process, but for the levels.
-struct Figures {
-    std::int64_t life = 0;  // the process; another one counts from nothing
+struct InstanceMetrics {
+    std::int64_t incarnation = 0;  // the process; another one counts from nothing
     Nanos up = 0;
     std::string program;
     std::string zone;
-    std::map<std::string, OfVerb> verbs;
-    std::map<std::string, OfCache> caches;
-    std::uint64_t relays = 0, originRelays = 0, relaysLost = 0, opened = 0, calls = 0;
+    std::map<std::string, RequestClassMetrics> requestClasses;
+    std::map<std::string, CacheMetrics> caches;
+    std::uint64_t attempts = 0, originAttempts = 0, attemptsLost = 0, connectionsOpened = 0,
+                  endpointPolls = 0;
     std::uint64_t churned = 0;  // of a window: connections opened beyond those by which there are more now
-    double relayMs = 0;         // that relays which had an answer were out, in all
+    double attemptMs = 0;       // that relays which had an answer were out, in all
     // Levels: as they are.
-    double memoryKb = 0, descriptors = 0, links = 0, open = 0;
+    double memoryKb = 0, descriptors = 0, connections = 0, openRequests = 0;
     int cachesReady = 0, cachesListed = 0;
-    Nanos longestTurn = 0;
+    Nanos longestIteration = 0;
 };
 
 // As an instance's door answers `figures`; nothing when it is an older program's, of another form or
 // nonsense.
-std::optional<Figures> readFigures(const nlohmann::json& said);
+std::optional<InstanceMetrics> readInstanceMetrics(const nlohmann::json& said);
 
 // What one instance did between two looks, or nothing: another process, counters that fell, more time than
 // has gone by. `between` is the time between the looks on the reader's clock.
-std::optional<Figures> windowOf(const Figures& before, const Figures& after, Nanos between);
+std::optional<InstanceMetrics> windowOf(const InstanceMetrics& before, const InstanceMetrics& after,
+                                        Nanos between);
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/messages.cpp
+++ b/src/rollout/messages.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string_view nameOf(Stand stand) { return kStands[static_cast<int>(stand)]; }
+std::string_view nameOf(InstanceState stand) { return kStands[static_cast<int>(stand)]; }
 
 json toJson(const Order& o) {
     return {{"do", "roll"},
@@ -32,9 +32,9 @@
             {"form", o.form},
             {"changed", o.changed},
             {"held", o.held},
-            {"keep_ms", o.keep / kMillisecond},
+            {"keep_ms", o.holdDuration / kMillisecond},
             {"batch", o.batch},
-            {"over", o.over}};
+            {"over", o.isFinished}};
 }
 
 Order readOrder(const json& said) try {
@@ -48,10 +48,10 @@
     o.form = said.at("form").get<std::string>();
     o.changed = said.at("changed").get<std::set<int>>();
     o.held = said.at("held").get<std::set<int>>();
-    o.keep = said.at("keep_ms").get<std::int64_t>() * kMillisecond;
+    o.holdDuration = said.at("keep_ms").get<std::int64_t>() * kMillisecond;
     o.batch = said.at("batch").get<int>();
-    o.over = said.at("over").get<bool>();
-    if (o.number == 0 || o.keep < 0 || o.batch < 1) throw std::runtime_error("an order out of range");
+    o.isFinished = said.at("over").get<bool>();
+    if (o.number == 0 || o.holdDuration < 0 || o.batch < 1) throw std::runtime_error("an order out of range");
     return o;
 } catch (const json::exception& problem) {
     throw std::runtime_error(fmt::format("an order out of form: {}", problem.what()));
@@ -63,18 +63,18 @@
         const InstanceReport& one = r.instances[i];
         instances.push_back({{"name", one.name},
                              {"zone", one.zone},
-                             {"stand", nameOf(one.stand)},
+                             {"stand", nameOf(one.state)},
                              {"ready", one.ready},
                              {"since_ms", one.since / kMillisecond},
-                             {"ends", one.ends},
+                             {"ends", one.exitCount},
                              {"problem", one.problem},
                              {"figures", i < figures.size() ? figures[i] : json()}});
     }
     return {{"format", kFormat},
             {"number", r.number},
             {"digest", r.digest},
-            {"over", r.over},
-            {"went_back", r.wentBack},
+            {"over", r.isFinished},
+            {"went_back", r.hasRolledBack},
             {"problem", r.problem},
             {"instances", std::move(instances)}};
 }
@@ -84,8 +84,8 @@
     Report r;
     r.number = said.at("number").get<std::uint64_t>();
     r.digest = said.at("digest").get<std::string>();
-    r.over = said.at("over").get<bool>();
-    r.wentBack = said.value("went_back", false);
+    r.isFinished = said.at("over").get<bool>();
+    r.hasRolledBack = said.value("went_back", false);
     r.problem = said.value("problem", "");
     for (const auto& one : said.at("instances")) {
         InstanceReport& i = r.instances.emplace_back();
@@ -95,15 +95,15 @@
         bool known = false;
         for (int s = 0; s < 5; ++s)
             if (stand == kStands[s]) {
-                i.stand = static_cast<Stand>(s);
+                i.state = static_cast<InstanceState>(s);
                 known = true;
             }
         if (!known) throw std::runtime_error(fmt::format("'{}' is no stand that is known here", stand));
         i.ready = one.at("ready").get<bool>();
         i.since = one.at("since_ms").get<std::int64_t>() * kMillisecond;
-        i.ends = one.at("ends").get<int>();
+        i.exitCount = one.at("ends").get<int>();
         i.problem = one.value("problem", "");
-        if (one.contains("figures")) i.figures = readFigures(one.at("figures"));
+        if (one.contains("figures")) i.metrics = readInstanceMetrics(one.at("figures"));
     }
     return r;
 } catch (const json::exception& problem) {
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -14,11 +14,11 @@
 
 // A program and an operator's form, by content.
 struct Version {
-    std::string program;  // digest
-    std::string form;     // digest
+    std::string program;         // digest
+    std::string templateDigest;  // digest
     bool operator==(const Version&) const = default;
     bool none() const { return program.empty(); }
-    std::string shown() const { return program.substr(0, 8) + "/" + form.substr(0, 8); }
+    std::string shown() const { return program.substr(0, 8) + "/" + templateDigest.substr(0, 8); }
 };
 
 // What a coordinator wants of an agent, whole each time: an order that is lost or comes twice does no harm.
@@ -31,36 +31,36 @@
     std::string form;           // text, or empty where the form stays
     std::set<int> changed;      // instances that are to have the change; all others are to be as before
     std::set<int> held;         // of those: whose change stays without further word
-    Nanos keep = 0;             // the others' change stays for so long after this was heard
+    Nanos holdDuration = 0;     // the others' change stays for so long after this was heard
     int batch = 1;              // at once
-    bool over = false;          // the roll has ended: what is changed is from now on how things are
+    bool isFinished = false;    // the roll has ended: what is changed is from now on how things are
 };
 
-enum class Stand : std::uint8_t {
-    before,    // runs what ran before the roll
-    changing,  // on its way to the change
-    changed,   // runs it
-    back,      // on its way back
-    stuck      // could not be brought where it was to be
+enum class InstanceState : std::uint8_t {
+    original,     // runs what ran before the roll
+    changing,     // on its way to the change
+    changed,      // runs it
+    rollingBack,  // on its way back
+    failed        // could not be brought where it was to be
 };
 
 struct InstanceReport {
     std::string name;
     std::string zone;
-    Stand stand = Stand::before;
+    InstanceState state = InstanceState::original;
     bool ready = false;
     Nanos since = 0;      // it has stood so for so long
-    int ends = 0;         // by itself, since its agent came or this roll began
+    int exitCount = 0;    // by itself, since its agent came or this roll began
     std::string problem;  // why it is stuck, or could not be changed
-    std::optional<Figures> figures;
+    std::optional<InstanceMetrics> metrics;
 };
 
 struct Report {
     std::uint64_t number = 0;  // the highest that it has seen
     std::string digest;        // of the change that it holds or undoes; empty: none
-    bool over = false;
-    bool wentBack = false;  // by itself, as it heard nothing
-    std::string problem;    // of the agent: it can't keep what it is told
+    bool isFinished = false;
+    bool hasRolledBack = false;  // by itself, as it heard nothing
+    std::string problem;         // of the agent: it can't keep what it is told
     std::vector<InstanceReport> instances;
 };
 
@@ -70,6 +70,6 @@
 nlohmann::json toJson(const Report& report, const std::vector<nlohmann::json>& figures);
 Report readReport(const nlohmann::json& said);
 
-std::string_view nameOf(Stand stand);
+std::string_view nameOf(InstanceState stand);
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -15,55 +15,58 @@
 
 }  // namespace
 
-Agent::Agent(int instances, const Version& now, AgentHands& hands) : hands_(hands) {
-    all_.resize(static_cast<std::size_t>(instances));
-    held_.before = wanted_.before = now;
+RolloutAgent::RolloutAgent(int instances, const Version& now, AgentHost& hands) : host_(hands) {
+    instances_.resize(static_cast<std::size_t>(instances));
+    persisted_.before = wanted_.before = now;
 }
 
-void Agent::restore(Nanos now, const Held& held) {
-    held_ = wanted_ = held;
-    wordUntil_ = now + std::min(held.keep, kFirstWord);
+void RolloutAgent::restore(Nanos now, const AgentState& held) {
+    persisted_ = wanted_ = held;
+    orderValidUntil_ = now + std::min(held.holdDuration, kFirstWord);
     // Who was on its way is brought where it is to be, and so is who may have been.
-    for (int i = 0; i < static_cast<int>(all_.size()); ++i)
-        if (held.changed.contains(i)) go(now, i, Stand::changing);
+    for (int i = 0; i < static_cast<int>(instances_.size()); ++i)
+        if (held.changed.contains(i)) enterState(now, i, InstanceState::changing);
 }
 
-bool Agent::allBefore() const {
-    return std::all_of(all_.begin(), all_.end(), [](const One& o) { return o.stand == Stand::before; });
+bool RolloutAgent::allBefore() const {
+    return std::all_of(instances_.begin(), instances_.end(),
+                       [](const Instance& o) { return o.state == InstanceState::original; });
 }
 
-const Version& Agent::versionOf(int i) const {
-    const Stand s = at(i).stand;
-    return s == Stand::changing || s == Stand::changed ? held_.change : held_.before;
+const Version& RolloutAgent::versionOf(int i) const {
+    const InstanceState s = at(i).state;
+    return s == InstanceState::changing || s == InstanceState::changed ? persisted_.change
+                                                                       : persisted_.before;
 }
 
-void Agent::go(Nanos now, int i, Stand stand) {
-    One& one = at(i);
-    one.stand = stand;
+void RolloutAgent::enterState(Nanos now, int i, InstanceState stand) {
+    Instance& one = at(i);
+    one.state = stand;
     one.since = now;
-    if (stand == Stand::changing) hands_.bring(i, held_.change);
-    if (stand == Stand::back) hands_.bring(i, held_.before);
+    if (stand == InstanceState::changing) host_.install(i, persisted_.change);
+    if (stand == InstanceState::rollingBack) host_.install(i, persisted_.before);
 }
 
-void Agent::want(const Held& held) {
-    if (held == wanted_ && (keeping_ || acts_)) return;
+void RolloutAgent::setWanted(const AgentState& held) {
+    if (held == wanted_ && (isPersisting_ || mayAct_)) return;
     wanted_ = held;
-    acts_ = false;
-    if (keeping_) {
-        again_ = true;
+    mayAct_ = false;
+    if (isPersisting_) {
+        persistAgain_ = true;
         return;
     }
-    keeping_ = true;
-    hands_.keep(wanted_);
+    isPersisting_ = true;
+    host_.persist(wanted_);
 }
 
-std::string Agent::hear(Nanos now, const Order& o, const Version& change) {
+std::string RolloutAgent::onOrder(Nanos now, const Order& o, const Version& change) {
     if (o.number < wanted_.number) return fmt::format("overtaken by {}", wanted_.number);
     if (o.number == wanted_.number && o.step <= step_)
         return fmt::format("overtaken by a later order of {}", o.number);
     for (const int i : o.changed)
-        if (i < 0 || i >= static_cast<int>(all_.size())) return fmt::format("there is no instance {}", i);
-    Held h = wanted_;
+        if (i < 0 || i >= static_cast<int>(instances_.size()))
+            return fmt::format("there is no instance {}", i);
+    AgentState h = wanted_;
     const bool begins = o.number > h.number && allBefore() && h.changed.empty();
     h.number = o.number;
     step_ = o.step;
@@ -72,163 +75,164 @@
     if (other && !(allBefore() && h.changed.empty())) {
         h.changed.clear();
         h.held.clear();
-        want(h);
+        setWanted(h);
         return "";
     }
-    if (o.over) {
-        const bool whole = h.digest == o.digest && h.changed.size() == all_.size();
-        if (!whole && !h.over) return "not all are changed: it can't be over";
-        if (!h.over) h.before = h.change;
-        h.over = true;
+    if (o.isFinished) {
+        const bool whole = h.digest == o.digest && h.changed.size() == instances_.size();
+        if (!whole && !h.isFinished) return "not all are changed: it can't be over";
+        if (!h.isFinished) h.before = h.change;
+        h.isFinished = true;
         h.changed.clear();
         h.held.clear();
-        want(h);
+        setWanted(h);
         return "";
     }
-    if (other || h.over || begins) {
+    if (other || h.isFinished || begins) {
         // Ends are counted from the roll's begin, so that both sides are counted for as long.
-        for (One& one : all_) one.ends = 0;
-        for (One& one : all_) one.problem.clear();
+        for (Instance& one : instances_) one.exitCount = 0;
+        for (Instance& one : instances_) one.problem.clear();
     }
     h.digest = o.digest;
     h.change = change;
-    h.over = false;
+    h.isFinished = false;
     h.changed = o.changed;
     h.held = o.held;
-    h.keep = o.keep;
+    h.holdDuration = o.holdDuration;
     h.batch = o.batch;
-    wordUntil_ = now + o.keep;
-    wentBack_ = false;
-    want(h);
+    orderValidUntil_ = now + o.holdDuration;
+    hasRolledBack_ = false;
+    setWanted(h);
     return "";
 }
 
-void Agent::kept(Nanos now, std::string_view problem) {
-    keeping_ = false;
+void RolloutAgent::onPersisted(Nanos now, std::string_view problem) {
+    isPersisting_ = false;
     problem_ = problem;
-    if (again_) {
-        again_ = false;
-        keeping_ = true;
-        hands_.keep(wanted_);
+    if (persistAgain_) {
+        persistAgain_ = false;
+        isPersisting_ = true;
+        host_.persist(wanted_);
         return;
     }
     if (!problem.empty()) {
         // It goes on by what is on disk, but for going back: that is safe from whatever stands there.
-        hands_.log(fmt::format("can't keep what it was told: {}", problem));
+        host_.log(fmt::format("can't keep what it was told: {}", problem));
         std::set<int> both;
-        std::set_intersection(held_.changed.begin(), held_.changed.end(), wanted_.changed.begin(),
+        std::set_intersection(persisted_.changed.begin(), persisted_.changed.end(), wanted_.changed.begin(),
                               wanted_.changed.end(), std::inserter(both, both.begin()));
         const std::uint64_t number = wanted_.number;
-        wanted_ = held_;
+        wanted_ = persisted_;
         wanted_.number = number;  // it has seen that one all the same
         wanted_.changed = both;
-        acts_ = true;
+        mayAct_ = true;
         return;
     }
-    held_ = wanted_;
-    acts_ = true;
-    if (held_.over)
-        for (One& one : all_)
-            if (one.stand == Stand::changed) {
-                one.stand = Stand::before;
+    persisted_ = wanted_;
+    mayAct_ = true;
+    if (persisted_.isFinished)
+        for (Instance& one : instances_)
+            if (one.state == InstanceState::changed) {
+                one.state = InstanceState::original;
                 one.since = now;
             }
 }
 
-bool Agent::rebase(const Version& now) {
-    if (keeping_ || !allBefore() || !wanted_.changed.empty()) return false;
-    Held h = wanted_;
+bool RolloutAgent::setOriginalVersion(const Version& now) {
+    if (isPersisting_ || !allBefore() || !wanted_.changed.empty()) return false;
+    AgentState h = wanted_;
     h.before = now;
     h.digest.clear();
-    h.over = false;
-    want(h);
-    held_.before = now;
+    h.isFinished = false;
+    setWanted(h);
+    persisted_.before = now;
     return true;
 }
 
-void Agent::astray(Nanos now, int i) {
-    const Stand s = at(i).stand;
-    if (s == Stand::before) go(now, i, Stand::back);
-    if (s == Stand::changed) go(now, i, Stand::changing);
+void RolloutAgent::onVersionMismatch(Nanos now, int i) {
+    const InstanceState s = at(i).state;
+    if (s == InstanceState::original) enterState(now, i, InstanceState::rollingBack);
+    if (s == InstanceState::changed) enterState(now, i, InstanceState::changing);
 }
 
-void Agent::brought(Nanos now, int i, std::string_view problem) {
-    One& one = at(i);
-    if (one.stand == Stand::changing) {
-        if (problem.empty()) return go(now, i, Stand::changed);
+void RolloutAgent::onInstalled(Nanos now, int i, std::string_view problem) {
+    Instance& one = at(i);
+    if (one.state == InstanceState::changing) {
+        if (problem.empty()) return enterState(now, i, InstanceState::changed);
         one.problem = problem;
-        hands_.log(fmt::format("instance {} can't be changed: {}", i, problem));
-        return go(now, i, Stand::back);
+        host_.log(fmt::format("instance {} can't be changed: {}", i, problem));
+        return enterState(now, i, InstanceState::rollingBack);
     }
-    if (one.stand != Stand::back) return;
-    if (problem.empty()) return go(now, i, Stand::before);
+    if (one.state != InstanceState::rollingBack) return;
+    if (problem.empty()) return enterState(now, i, InstanceState::original);
     one.problem = problem;
-    one.stand = Stand::stuck;
+    one.state = InstanceState::failed;
     one.since = now;
-    one.again = now + kTryAgain;
-    hands_.log(fmt::format("instance {} can't be brought back: {}", i, problem));
+    one.retryAt = now + kTryAgain;
+    host_.log(fmt::format("instance {} can't be brought back: {}", i, problem));
 }
 
-void Agent::ended(Nanos, int i) { ++at(i).ends; }
+void RolloutAgent::onExited(Nanos, int i) { ++at(i).exitCount; }
 
-void Agent::settle(Nanos now) {
+void RolloutAgent::reconcile(Nanos now) {
     // Nobody has said for too long that what is not held may stay.
-    if (now >= wordUntil_ && !wanted_.over) {
+    if (now >= orderValidUntil_ && !wanted_.isFinished) {
         std::set<int> kept;
         for (const int i : wanted_.changed)
             if (wanted_.held.contains(i)) kept.insert(i);
         if (kept != wanted_.changed) {
-            hands_.log("no word from the coordinator: what is not held goes back");
-            Held h = wanted_;
+            host_.log("no word from the coordinator: what is not held goes back");
+            AgentState h = wanted_;
             h.changed = kept;
-            wentBack_ = true;
-            want(h);
+            hasRolledBack_ = true;
+            setWanted(h);
         }
     }
     int onTheWay = 0;
     bool allReady = true;
-    for (const One& one : all_) {
-        onTheWay += one.stand == Stand::changing || one.stand == Stand::back;
+    for (const Instance& one : instances_) {
+        onTheWay += one.state == InstanceState::changing || one.state == InstanceState::rollingBack;
         allReady &= one.ready;
     }
-    for (int i = 0; i < static_cast<int>(all_.size()) && onTheWay < wanted_.batch; ++i) {
-        One& one = at(i);
+    for (int i = 0; i < static_cast<int>(instances_.size()) && onTheWay < wanted_.batch; ++i) {
+        Instance& one = at(i);
         const bool wanted = wanted_.changed.contains(i);
         // Back at once, forward only once it is on disk and while nobody is away: two kinds of trouble at
         // once may take the last one out.
         // Told that it is over, what is changed is how things are, on disk or not yet.
-        const bool back = !wanted && !wanted_.over &&
-                          (one.stand == Stand::changed || (one.stand == Stand::stuck && now >= one.again));
-        const bool forward = wanted && acts_ && allReady && one.stand == Stand::before &&
-                             one.problem.empty() && held_.changed.contains(i);
+        const bool back = !wanted && !wanted_.isFinished &&
+                          (one.state == InstanceState::changed ||
+                           (one.state == InstanceState::failed && now >= one.retryAt));
+        const bool forward = wanted && mayAct_ && allReady && one.state == InstanceState::original &&
+                             one.problem.empty() && persisted_.changed.contains(i);
         if (!back && !forward) continue;
         ++onTheWay;
-        go(now, i, back ? Stand::back : Stand::changing);
+        enterState(now, i, back ? InstanceState::rollingBack : InstanceState::changing);
     }
 }
 
-Nanos Agent::next() const {
+Nanos RolloutAgent::nextDeadline() const {
     Nanos soonest = kNever;
-    for (const One& one : all_)
-        if (one.stand == Stand::stuck) soonest = std::min(soonest, one.again);
+    for (const Instance& one : instances_)
+        if (one.state == InstanceState::failed) soonest = std::min(soonest, one.retryAt);
     for (const int i : wanted_.changed)
-        if (!wanted_.held.contains(i)) soonest = std::min(soonest, wordUntil_);
+        if (!wanted_.held.contains(i)) soonest = std::min(soonest, orderValidUntil_);
     return soonest;
 }
 
-Report Agent::report(Nanos now) const {
+Report RolloutAgent::report(Nanos now) const {
     Report r;
     r.number = wanted_.number;
-    r.digest = allBefore() && wanted_.changed.empty() && !wanted_.over ? "" : wanted_.digest;
-    r.over = held_.over;
-    r.wentBack = wentBack_;
+    r.digest = allBefore() && wanted_.changed.empty() && !wanted_.isFinished ? "" : wanted_.digest;
+    r.isFinished = persisted_.isFinished;
+    r.hasRolledBack = hasRolledBack_;
     r.problem = problem_;
-    for (const One& one : all_) {
+    for (const Instance& one : instances_) {
         InstanceReport& i = r.instances.emplace_back();
-        i.stand = one.stand;
+        i.state = one.state;
         i.ready = one.ready;
         i.since = now - one.since;
-        i.ends = one.ends;
+        i.exitCount = one.exitCount;
         i.problem = one.problem;
     }
     return r;
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -15,80 +15,80 @@
 namespace poppyscale::rollout {
 
 // What has to outlive the agent's process.
-struct Held {
+struct AgentState {
     std::uint64_t number = 0;
     std::string digest;  // of the change that is under way; empty: none
     Version before, change;
     std::set<int> changed, held;  // that are wanted so
-    Nanos keep = 0;
+    Nanos holdDuration = 0;
     int batch = 1;
-    bool over = false;
-    bool operator==(const Held&) const = default;
+    bool isFinished = false;
+    bool operator==(const AgentState&) const = default;
 };
 
-class AgentHands {
+class AgentHost {
   public:
-    virtual ~AgentHands() = default;
+    virtual ~AgentHost() = default;
     // To disk and synced; then `kept`.
-    virtual void keep(const Held& held) = 0;
+    virtual void persist(const AgentState& held) = 0;
     // So that it runs that version, whatever it runs by now; then `brought`.
-    virtual void bring(int i, const Version& to) = 0;
+    virtual void install(int i, const Version& to) = 0;
     virtual void log(std::string_view text) = 0;
 };
 
-class Agent {
+class RolloutAgent {
   public:
-    Agent(int instances, const Version& now, AgentHands& hands);
+    RolloutAgent(int instances, const Version& now, AgentHost& hands);
     // What was on disk, before anything else is told: what it says is brought about, as nobody can know how
     // far the process before came.
-    void restore(Nanos now, const Held& held);
+    void restore(Nanos now, const AgentState& held);
 
     // An order, and the version that it changes to, whose content is on disk. Empty, or why it is refused;
     // what came of it is answered after `kept`.
-    std::string hear(Nanos now, const Order& order, const Version& change);
-    void kept(Nanos now, std::string_view problem);
-    bool keeping() const { return keeping_; }
+    std::string onOrder(Nanos now, const Order& order, const Version& change);
+    void onPersisted(Nanos now, std::string_view problem);
+    bool isPersisting() const { return isPersisting_; }
     // What runs before any roll is another version from now on; false while a roll is under way.
-    bool rebase(const Version& now);
+    bool setOriginalVersion(const Version& now);
     // Running something else than it is to: it is brought there.
-    void astray(Nanos now, int i);
-    void brought(Nanos now, int i, std::string_view problem);
-    void ready(int i, bool is) { at(i).ready = is; }
-    void ended(Nanos now, int i);
+    void onVersionMismatch(Nanos now, int i);
+    void onInstalled(Nanos now, int i, std::string_view problem);
+    void onReadyChanged(int i, bool is) { at(i).ready = is; }
+    void onExited(Nanos now, int i);
 
     // Once after the events of a moment.
-    void settle(Nanos now);
-    Nanos next() const;
+    void reconcile(Nanos now);
+    Nanos nextDeadline() const;
 
     // The version that a start of this instance is to run.
     const Version& versionOf(int i) const;
     Report report(Nanos now) const;
-    const Held& held() const { return held_; }
+    const AgentState& state() const { return persisted_; }
 
   private:
-    struct One {
-        Stand stand = Stand::before;
+    struct Instance {
+        InstanceState state = InstanceState::original;
         Nanos since = 0;
         bool ready = true;
-        int ends = 0;
+        int exitCount = 0;
         std::string problem;
-        Nanos again = 0;  // when what is stuck is tried once more
+        Nanos retryAt = 0;  // when what is stuck is tried once more
     };
-    One& at(int i) { return all_.at(static_cast<std::size_t>(i)); }
-    const One& at(int i) const { return all_.at(static_cast<std::size_t>(i)); }
+    Instance& at(int i) { return instances_.at(static_cast<std::size_t>(i)); }
+    const Instance& at(int i) const { return instances_.at(static_cast<std::size_t>(i)); }
     bool allBefore() const;
-    void go(Nanos now, int i, Stand stand);
-    void want(const Held& held);
+    void enterState(Nanos now, int i, InstanceState stand);
+    void setWanted(const AgentState& held);
 
-    AgentHands& hands_;
-    std::vector<One> all_;
-    Held held_;    // as it is on disk
-    Held wanted_;  // as it was last told
+    AgentHost& host_;
+    std::vector<Instance> instances_;
+    AgentState persisted_;  // as it is on disk
+    AgentState wanted_;     // as it was last told
     std::uint64_t step_ = 0;
-    bool keeping_ = false, again_ = false;
-    bool acts_ = true;  // what is wanted is on disk
-    Nanos wordUntil_ = 0;
-    bool wentBack_ = false;
+    bool isPersisting_ = false, persistAgain_ = false;
+    bool mayAct_ = true;  // what is wanted is on disk
+    Nanos orderValidUntil_ = 0;
+    bool hasRolledBack_ = false;
     std::string problem_;
 };
 
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -36,15 +36,16 @@
 // Events that the decisions have no use for; anything else that is unknown is an error.
 constexpr std::array<std::string_view, 4> kIgnored{"OPENED", "NOTE_FROM", "CHECK_RESULT", "ENTRY"};
 
-constexpr std::array<std::pair<std::string_view, Ending>, 9> kEndings{{{"pass", Ending::answered},
-                                                                       {"fault", Ending::errored},
-                                                                       {"no_room", Ending::noRoom},
-                                                                       {"too_slow", Ending::timedOut},
-                                                                       {"no_route", Ending::noRoute},
-                                                                       {"cut", Ending::cut},
-                                                                       {"undone", Ending::undone},
-                                                                       {"stale_send", Ending::notSent},
-                                                                       {"none_here", Ending::noneHere}}};
+constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kEndings{
+    {{"pass", AttemptOutcome::succeeded},
+     {"fault", AttemptOutcome::failed},
+     {"no_room", AttemptOutcome::overloaded},
+     {"too_slow", AttemptOutcome::timedOut},
+     {"no_route", AttemptOutcome::connectFailed},
+     {"cut", AttemptOutcome::connectionLost},
+     {"undone", AttemptOutcome::notExecuted},
+     {"stale_send", AttemptOutcome::notSent},
+     {"none_here", AttemptOutcome::cacheMiss}}};
 
 std::optional<double> parseReal(std::string_view value) {
     const auto real = parse<double>(value);
@@ -62,7 +63,7 @@
         kind_ = Kind::other;
         bool known = false;
         for (const auto ignored : kIgnored) known = known || ignored == word_;
-        if (!known) throw Malformed("unknown message '" + std::string(word_.substr(0, 40)) + "'");
+        if (!known) throw ParseError("unknown message '" + std::string(word_.substr(0, 40)) + "'");
     }
     while (word_.size() < text.size()) {
         text.remove_prefix(text.find('\t') + 1);
@@ -75,7 +76,7 @@
 }
 
 void Line::fail(std::string_view what, std::string_view name) const {
-    throw Malformed(std::string(word_) + " " + std::string(what) + ": " + std::string(name));
+    throw ParseError(std::string(word_) + " " + std::string(what) + ": " + std::string(name));
 }
 
 std::optional<std::string_view> Line::find(std::string_view name) const {
@@ -96,9 +97,9 @@
     return *result;
 }
 
-std::int64_t Line::whole(std::string_view name) const { return number(name, text(name)); }
+std::int64_t Line::integer(std::string_view name) const { return number(name, text(name)); }
 
-std::int64_t Line::whole(std::string_view name, std::int64_t otherwise) const {
+std::int64_t Line::integer(std::string_view name, std::int64_t otherwise) const {
     const auto value = find(name);
     return value ? number(name, *value) : otherwise;
 }
@@ -108,83 +109,88 @@
     return micros * kNanosPerMicro;
 }
 
-CommandId Line::command() const {
+RequestId Line::command() const {
     const auto ref = text("ref");
-    const auto id = parse<CommandId>(ref, 16);
+    const auto id = parse<RequestId>(ref, 16);
     if (ref.size() != 16 || !id) fail("has a field that is not 16 hex digits", "ref");
     return *id;
 }
 
-Terms readTerms(const Line& configure) {
-    protocol::Paths paths;
+PolicySettings readPolicySettings(const Line& configure) {
+    protocol::SettingsMap paths;
     for (const auto& [path, value] : configure.parts()) paths.add(std::string(path), std::string(value));
     const auto seed = parse<std::uint64_t>(configure.text("seed"));
-    if (!seed) throw Malformed("CONFIGURE has a field that is not a whole number: seed");
+    if (!seed) throw ParseError("CONFIGURE has a field that is not a whole number: seed");
     try {
-        return protocol::readTerms(paths, *seed);
-    } catch (const Malformed& problem) {
-        throw Malformed("CONFIGURE: " + std::string(problem.what()));
+        return protocol::readPolicySettings(paths, *seed);
+    } catch (const ParseError& problem) {
+        throw ParseError("CONFIGURE: " + std::string(problem.what()));
     }
 }
 
-Listed readEntry(const Line& entry) {
-    Listed listed;
+Endpoint readEndpoint(const Line& entry) {
+    Endpoint listed;
     listed.name = entry.text("server");
-    const auto presence = entry.whole("availability");
-    if (presence < 0 || presence > 2) throw Malformed("ENTRY has an unknown availability");
-    listed.presence = presence == 0 ? Presence::gone : presence == 1 ? Presence::ready : Presence::draining;
+    const auto presence = entry.integer("availability");
+    if (presence < 0 || presence > 2) throw ParseError("ENTRY has an unknown availability");
+    listed.state = presence == 0   ? EndpointState::removed
+                   : presence == 1 ? EndpointState::ready
+                                   : EndpointState::draining;
     listed.zone = entry.find("dc").value_or("");
     listed.shape = entry.find("hw").value_or("");
-    listed.cell = entry.whole("pod", 0);
-    listed.cameUp = entry.toNanos(entry.whole("cameUpUs", 0), "cameUpUs");
+    listed.cell = entry.integer("pod", 0);
+    listed.startedAt = entry.toNanos(entry.integer("cameUpUs", 0), "cameUpUs");
     if (const auto size = entry.find("heft")) {
         const auto real = parseReal(*size);
-        if (!real || *real < 0) throw Malformed("ENTRY has a field that is not a size: heft");
-        listed.size = *real;
+        if (!real || *real < 0) throw ParseError("ENTRY has a field that is not a size: heft");
+        listed.weight = *real;
     }
     return listed;
 }
 
-NewsKind readNewsKind(const Line& announce) {
-    constexpr std::array kinds{NewsKind::changes, NewsKind::cached, NewsKind::whole, NewsKind::failed};
-    const auto kind = announce.whole("kind");
+EndpointUpdateKind readEndpointUpdateKind(const Line& announce) {
+    constexpr std::array kinds{EndpointUpdateKind::delta, EndpointUpdateKind::cached,
+                               EndpointUpdateKind::complete, EndpointUpdateKind::failed};
+    const auto kind = announce.integer("kind");
     if (kind < 0 || kind >= static_cast<std::int64_t>(kinds.size()))
-        throw Malformed("ANNOUNCE has an unknown kind");
+        throw ParseError("ANNOUNCE has an unknown kind");
     return kinds[kind];
 }
 
-Arrival readArrival(const Line& accept) {
-    Arrival arrival;
+IncomingRequest readIncomingRequest(const Line& accept) {
+    IncomingRequest arrival;
     arrival.id = accept.command();
-    arrival.verb = accept.text("profile");
-    arrival.customer = accept.find("customer").value_or("");
+    arrival.requestClass = accept.text("profile");
+    arrival.tenant = accept.find("customer").value_or("");
     arrival.key = accept.find("affinity").value_or("");
-    arrival.giveUpAt = accept.time("notAfterUs");
-    const auto bits = accept.whole("bits", 0);
-    arrival.again = (bits & 2) != 0;
-    arrival.write = (bits & 4) != 0;
+    arrival.deadline = accept.time("notAfterUs");
+    const auto bits = accept.integer("bits", 0);
+    arrival.isRetry = (bits & 2) != 0;
+    arrival.isWrite = (bits & 4) != 0;
     return arrival;
 }
 
-RelayEnd readRelayEnd(const Line& verdict) {
-    RelayEnd end;
+AttemptResult readAttemptResult(const Line& verdict) {
+    AttemptResult end;
     end.id = verdict.command();
-    const Ending* ending = lookUp(kEndings, verdict.text("verdict"));
-    if (!ending) throw Malformed("VERDICT has an unknown verdict");
-    end.ending = *ending;
-    const auto trial = verdict.whole("trial", 0);
-    if (trial < 0 || trial > 1'000'000) throw Malformed("VERDICT has a field out of range: trial");
-    end.relay = static_cast<int>(trial);
-    const auto remark = verdict.whole("remark", 0);
-    end.found = remark == 1 ? Found::kept : remark == 2 || remark == 3 ? Found::fetched : Found::untold;
-    end.over = verdict.whole("over", 0) != 0;
-    end.spent = verdict.toNanos(verdict.whole("spentUs", 0), "spentUs");
+    const AttemptOutcome* ending = lookUp(kEndings, verdict.text("verdict"));
+    if (!ending) throw ParseError("VERDICT has an unknown verdict");
+    end.outcome = *ending;
+    const auto trial = verdict.integer("trial", 0);
+    if (trial < 0 || trial > 1'000'000) throw ParseError("VERDICT has a field out of range: trial");
+    end.attempt = static_cast<int>(trial);
+    const auto remark = verdict.integer("remark", 0);
+    end.readThrough = remark == 1                  ? ReadThroughResult::cached
+                      : remark == 2 || remark == 3 ? ReadThroughResult::fetched
+                                                   : ReadThroughResult::unknown;
+    end.requestCompleted = verdict.integer("over", 0) != 0;
+    end.duration = verdict.toNanos(verdict.integer("spentUs", 0), "spentUs");
     return end;
 }
 
 void Writer::begin(std::string_view action) { reply_.append(action).append("\twho=").append(who_); }
 
-void Writer::command(CommandId id) {
+void Writer::command(RequestId id) {
     constexpr std::string_view digits = "0123456789abcdef";
     reply_.append("\tref=");
     for (int shift = 60; shift >= 0; shift -= 4) reply_.push_back(digits[(id >> shift) & 15]);
@@ -197,28 +203,28 @@
 }
 
 // What is handed off here is sent at once: nothing of it waits past `startBy`.
-void Writer::relay(CommandId id, std::string_view cache, Nanos giveUpAt, Nanos) {
+void Writer::startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos) {
     begin("HAND_OFF");
     command(id);
     reply_.append("\tserver=").append(cache);
-    count("notPastUs", giveUpAt / kNanosPerMicro);
+    count("notPastUs", deadline / kNanosPerMicro);
     reply_.push_back('\n');
 }
 
-void Writer::decline(CommandId id, Nanos comeBack) {
+void Writer::reject(RequestId id, Nanos retryAfter) {
     begin("OVERLOAD_REPLY");
     command(id);
-    if (comeBack > 0) count("coolDownUs", comeBack / kNanosPerMicro);
+    if (retryAfter > 0) count("coolDownUs", retryAfter / kNanosPerMicro);
     reply_.push_back('\n');
 }
 
-void Writer::terminate(CommandId id) {
+void Writer::fail(RequestId id) {
     begin("END_FAILED");
     command(id);
     reply_.push_back('\n');
 }
 
-void Writer::wake(Nanos at) {
+void Writer::scheduleWakeup(Nanos at) {
     begin("WAKE_AT");
     // Rounded up: a wake-up just before its moment would find nothing due.
     count("fireAtUs", (at + kNanosPerMicro - 1) / kNanosPerMicro);
@@ -226,7 +232,7 @@
     reply_.push_back('\n');
 }
 
-void Writer::subscribe() {
+void Writer::pollEndpoints() {
     begin("OBSERVE");
     reply_.append("\ton=1\n");
 }
--- a/src/simulator_adapter/codec.hpp
+++ b/src/simulator_adapter/codec.hpp
@@ -12,7 +12,7 @@
 
 namespace poppyscale::simulator_adapter {
 
-using protocol::Malformed;
+using protocol::ParseError;
 
 enum class Kind { mark, turn, configure, table, announce, accept, aborted, verdict, reminder, stop, other };
 
@@ -24,10 +24,10 @@
     std::string_view word() const { return word_; }
     std::optional<std::string_view> find(std::string_view name) const;
     std::string_view text(std::string_view name) const;  // throws when missing
-    std::int64_t whole(std::string_view name) const;
-    std::int64_t whole(std::string_view name, std::int64_t otherwise) const;
-    Nanos time(std::string_view name) const { return toNanos(whole(name), name); }
-    CommandId command() const;
+    std::int64_t integer(std::string_view name) const;
+    std::int64_t integer(std::string_view name, std::int64_t otherwise) const;
+    Nanos time(std::string_view name) const { return toNanos(integer(name), name); }
+    RequestId command() const;
     const std::vector<std::pair<std::string_view, std::string_view>>& parts() const { return parts_; }
     Nanos toNanos(std::int64_t micros, std::string_view name) const;
 
@@ -40,26 +40,26 @@
     std::vector<std::pair<std::string_view, std::string_view>> parts_;
 };
 
-Terms readTerms(const Line& configure);
-Listed readEntry(const Line& entry);
-NewsKind readNewsKind(const Line& announce);
-Arrival readArrival(const Line& accept);
-RelayEnd readRelayEnd(const Line& verdict);
+PolicySettings readPolicySettings(const Line& configure);
+Endpoint readEndpoint(const Line& entry);
+EndpointUpdateKind readEndpointUpdateKind(const Line& announce);
+IncomingRequest readIncomingRequest(const Line& accept);
+AttemptResult readAttemptResult(const Line& verdict);
 
 // Writes the actions of one instance onto a reply.
-class Writer : public Host {
+class Writer : public PolicyHost {
   public:
     Writer(std::string& reply, std::int64_t who) : reply_(reply), who_(std::to_string(who)) {}
-    void relay(CommandId id, std::string_view cache, Nanos giveUpAt, Nanos startBy) override;
-    void decline(CommandId id, Nanos comeBack) override;
-    void terminate(CommandId id) override;
-    void wake(Nanos at) override;
-    void subscribe() override;
+    void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override;
+    void reject(RequestId id, Nanos retryAfter) override;
+    void fail(RequestId id) override;
+    void scheduleWakeup(Nanos at) override;
+    void pollEndpoints() override;
     void log(std::string_view text) override;
 
   private:
     void begin(std::string_view action);
-    void command(CommandId id);
+    void command(RequestId id);
     void count(std::string_view name, std::int64_t value);
 
     std::string& reply_;
