--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -20,7 +20,7 @@
 std::size_t nth(int index) { return static_cast<std::size_t>(index); }
 
 // What the log notes of the time that an attempt tells its server.
-std::string timeToldText(const Call& call) {
+std::string timeToldText(const ServerCall& call) {
     if (!call.toldMs) return "";
     return fmt::format("d={} held={}", *call.toldMs, call.heldUp / kMillisecond);
 }
@@ -28,11 +28,11 @@
 }  // namespace
 
 // What a server's process is and what ails it.
-struct World::Host {
-    Host(const Machine::Shape& shape, std::size_t keys, Nanos span)
+struct EmulatedDeployment::Host {
+    Host(const ServerModel::Shape& shape, std::size_t keys, Nanos span)
         : machine(shape), kept(keys), drive(span) {}
-    Machine machine;
-    Kept kept;
+    ServerModel machine;
+    CacheContents kept;
     Drive drive;
     Life life = Life::up;
     bool leaving = false;
@@ -47,7 +47,8 @@
     std::uint64_t lives = 0;  // so that what was to happen to an earlier one doesn't
 };
 
-World::World(const Scenario& scenario, std::uint64_t seed, Ledger& ledger, Driver& driver)
+EmulatedDeployment::EmulatedDeployment(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
+                                       Transport& driver)
     : scenario_(scenario),
       ledger_(ledger),
       driver_(driver),
@@ -87,26 +88,26 @@
     std::iota(order_.begin(), order_.end(), 0);
 }
 
-World::~World() = default;
+EmulatedDeployment::~EmulatedDeployment() = default;
 
-void World::log(Nanos now, What what, std::uint64_t command, int router, int server, std::uint64_t run,
-                std::int64_t number, std::string text) {
+void EmulatedDeployment::log(Nanos now, EventKind what, std::uint64_t command, int router, int server,
+                             std::uint64_t run, std::int64_t number, std::string text) {
     ledger_.add({now, what, command, router, server, run, number, std::move(text)});
 }
 
-nlohmann::json World::head(std::uint64_t seed) const {
+nlohmann::json EmulatedDeployment::head(std::uint64_t seed) const {
     using nlohmann::json;
-    json verbs = json::array();
-    for (const VerbPlan& v : scenario_.verbs)
-        verbs.push_back({{"name", v.verb.name},
-                         {"effect", static_cast<int>(v.verb.effect)},
-                         {"group", static_cast<int>(v.verb.group)},
-                         {"remembered", v.verb.remembered},
-                         {"goal", v.verb.goal},
-                         {"limit", v.limit},
-                         {"utility", v.verb.utility},
-                         {"late", v.verb.lateUtility},
-                         {"write", v.write}});
+    json requestClasses = json::array();
+    for (const RequestClassPlan& v : scenario_.requestClasses)
+        requestClasses.push_back({{"name", v.requestClass.name},
+                                  {"effect", static_cast<int>(v.requestClass.idempotency)},
+                                  {"group", static_cast<int>(v.requestClass.deduplicationScope)},
+                                  {"remembered", v.requestClass.idempotencyKeyTtl},
+                                  {"goal", v.requestClass.latencyObjective},
+                                  {"limit", v.limit},
+                                  {"utility", v.requestClass.priorityWeight},
+                                  {"late", v.requestClass.lateWeight},
+                                  {"write", v.write}});
     return {{"scenario", scenario_.name},
             {"seed", seed},
             {"length", scenario_.length},
@@ -126,7 +127,7 @@
             {"bounds",
              {{"goal", scenario_.bounds.goal},
               {"answered", scenario_.bounds.answered},
-              {"relays", scenario_.bounds.relays},
+              {"relays", scenario_.bounds.attempts},
               {"apart", scenario_.bounds.apart},
               {"sent_on", scenario_.bounds.sentOn},
               {"connections", scenario_.bounds.connections},
@@ -138,11 +139,11 @@
               {"undone", scenario_.bounds.undone},
               {"harmed", scenario_.bounds.harmed},
               {"origin_mean", scenario_.bounds.originMean}}},
-            {"verbs", std::move(verbs)}};
+            {"verbs", std::move(requestClasses)}};
 }
 
-void World::addServer(Server server, Nanos now, bool cold) {
-    Machine::Shape shape;
+void EmulatedDeployment::addServer(Server server, Nanos now, bool cold) {
+    ServerModel::Shape shape;
     if (server.origin)
         shape = {scenario_.origin.cores, scenario_.origin.speed, scenario_.origin.queue,
                  scenario_.origin.thrash};
@@ -153,20 +154,20 @@
     server.wallStep = wallStep_;
     const auto index = static_cast<int>(servers_.size());
     hosts_.push_back(std::make_unique<Host>(shape, keys, std::max<Nanos>(scenario_.cold.fallSpan, 1)));
-    log(now, What::server, 0, -1, index, 0, server.startedAt,
+    log(now, EventKind::server, 0, -1, index, 0, server.startedAt,
         fmt::format("{} {} {} {} {}", server.name, server.zone, server.cell,
                     server.origin ? "origin" : "cache", shape.cores * shape.speed));
-    lines_.push_back({index, cold ? Presence::gone : Presence::ready, server.startedAt});
+    lines_.push_back({index, cold ? EndpointState::removed : EndpointState::ready, server.startedAt});
     servers_.push_back(std::move(server));
 }
 
-std::optional<int> World::serverNamed(const std::string& name) const {
+std::optional<int> EmulatedDeployment::serverNamed(const std::string& name) const {
     for (std::size_t i = servers_.size(); i-- > 0;)
         if (servers_[i].name == name) return static_cast<int>(i);
     return std::nullopt;
 }
 
-void World::begin(Nanos now) {
+void EmulatedDeployment::begin(Nanos now) {
     beganAt_ = now;
     loadUntil_ = now + scenario_.length;
     for (const FaultPlan& f : scenario_.faults) plan(f);
@@ -174,11 +175,11 @@
     agenda_.put(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { arrive(t); });
 }
 
-bool World::over(Nanos now) const { return now > loadUntil_ && open_.empty(); }
+bool EmulatedDeployment::over(Nanos now) const { return now > loadUntil_ && open_.empty(); }
 
 // ---- clients
 
-double World::rateAt(Nanos now) {
+double EmulatedDeployment::rateAt(Nanos now) {
     using Shape = LoadPlan::Shape;
     const LoadPlan& l = scenario_.load;
     const double t = static_cast<double>(now - beganAt_);
@@ -199,7 +200,7 @@
     return l.perSecond * now_.load * std::max(1 + l.swing * part, 0.02);
 }
 
-std::string World::drawKey(Nanos now) {
+std::string EmulatedDeployment::drawKey(Nanos now) {
     const LoadPlan& l = scenario_.load;
     // Places that change hands: as many as are due by now.
     const auto due = static_cast<int>(l.drift * l.keys * static_cast<double>(now - beganAt_) / 1e9);
@@ -212,7 +213,7 @@
     return fmt::format("k{}", order_[nth(rank)]);
 }
 
-int World::pickRouter() {
+int EmulatedDeployment::pickRouter() {
     std::vector<int> believed;
     for (std::size_t r = 0; r < routers_.size(); ++r)
         if (routers_[r].believed) believed.push_back(static_cast<int>(r));
@@ -220,44 +221,46 @@
     return believed[nth(net_.below(static_cast<int>(believed.size())))];
 }
 
-void World::arrive(Nanos now) {
+void EmulatedDeployment::arrive(Nanos now) {
     if (now >= loadUntil_) return;
     agenda_.put(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { arrive(t); });
-    Ask a;
-    a.verb = arrivals_.among(scenario_.verbs, [](const VerbPlan& v) { return v.share; });
-    if (!scenario_.customers.empty())
-        a.customer = arrivals_.among(scenario_.customers, [](const CustomerPlan& c) { return c.share; });
-    const VerbPlan& verb = scenario_.verbs[nth(a.verb)];
+    ClientRequest a;
+    a.requestClass =
+        arrivals_.among(scenario_.requestClasses, [](const RequestClassPlan& v) { return v.share; });
+    if (!scenario_.tenants.empty())
+        a.tenant = arrivals_.among(scenario_.tenants, [](const TenantPlan& c) { return c.share; });
+    const RequestClassPlan& requestClass = scenario_.requestClasses[nth(a.requestClass)];
     a.key = drawKey(now);
-    a.work = static_cast<double>(verb.work) * arrivals_.factor(verb.spread);
+    a.work = static_cast<double>(requestClass.work) * arrivals_.factor(requestClass.spread);
     if (arrivals_.yes(now_.heavy)) a.work *= kHeavyFactor;
-    if (verb.verb.effect == Effect::receipted) a.mark = fmt::format("{:016x}", arrivals_.word());
+    if (requestClass.requestClass.idempotency == Idempotency::idempotentWithKey)
+        a.mark = fmt::format("{:016x}", arrivals_.word());
     a.id = a.first = arrivals_.word();
     a.dueAt = now;
-    a.giveUpAt = a.firstLimit = now + verb.limit;
+    a.deadline = a.firstLimit = now + requestClass.limit;
     const bool impatient = arrivals_.yes(scenario_.load.impatient);
     a.router = pickRouter();
-    const CommandId id = a.id;
-    const Nanos half = now + verb.limit / 2;
+    const RequestId id = a.id;
+    const Nanos half = now + requestClass.limit / 2;
     ask(now, std::move(a));
     if (impatient) agenda_.put(half, [this, id](Nanos t) { clientLeaves(t, id); });
 }
 
-void World::clientLeaves(Nanos now, CommandId id) {
+void EmulatedDeployment::clientLeaves(Nanos now, RequestId id) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
     const int router = it->second.router;
-    log(now, What::left, id, router, -1, 0, 0);
+    log(now, EventKind::left, id, router, -1, 0, 0);
     open_.erase(it);
     driver_.leave(router, id);
 }
 
-void World::ask(Nanos now, Ask a) {
-    const CommandId id = a.id;
-    const std::string customer = a.customer < 0 ? "-" : scenario_.customers[nth(a.customer)].name;
-    log(now, What::asked, id, a.router, -1, static_cast<std::uint64_t>(a.dueAt), a.giveUpAt,
-        fmt::format("{} {} {} {:x} {}", scenario_.verbs[nth(a.verb)].verb.name, customer, a.key, a.first,
-                    a.tries));
+void EmulatedDeployment::ask(Nanos now, ClientRequest a) {
+    const RequestId id = a.id;
+    const std::string tenant = a.tenant < 0 ? "-" : scenario_.tenants[nth(a.tenant)].name;
+    log(now, EventKind::asked, id, a.router, -1, static_cast<std::uint64_t>(a.dueAt), a.deadline,
+        fmt::format("{} {} {} {:x} {}", scenario_.requestClasses[nth(a.requestClass)].requestClass.name,
+                    tenant, a.key, a.first, a.tries));
     works_[id] = a.work;
     remembered_.push_back(id);
     if (remembered_.size() > kRemembered) {
@@ -265,56 +268,58 @@
         lacking_.erase(remembered_.front());
         remembered_.pop_front();
     }
-    agenda_.put(a.giveUpAt + scenario_.slack, [this, id](Nanos t) {
+    agenda_.put(a.deadline + scenario_.slack, [this, id](Nanos t) {
         const auto it = open_.find(id);
         if (it == open_.end()) return;
         const int router = it->second.router;
-        log(t, What::silent, id, router, -1, 0, 0);
+        log(t, EventKind::silent, id, router, -1, 0, 0);
         open_.erase(it);
         driver_.leave(router, id);
     });
-    const Ask& kept = open_[id] = std::move(a);
+    const ClientRequest& kept = open_[id] = std::move(a);
     driver_.ask(kept);
 }
 
-void World::told(Nanos now, CommandId id, Told how, const std::string& token, Nanos comeBack) {
+void EmulatedDeployment::told(Nanos now, RequestId id, Told how, const std::string& token, Nanos retryAfter) {
     const auto it = open_.find(id);
     if (it == open_.end()) {
         // A second final answer, or one to nobody: the audit says which.
-        static constexpr What whats[] = {What::answered, What::declined, What::terminated};
+        static constexpr EventKind whats[] = {EventKind::answered, EventKind::declined,
+                                              EventKind::terminated};
         if (how != Told::unsent && works_.contains(id))
-            log(now, whats[static_cast<int>(how)], id, -1, -1, 0, comeBack, token);
+            log(now, whats[static_cast<int>(how)], id, -1, -1, 0, retryAfter, token);
         return;
     }
-    const Ask ask = std::move(it->second);
+    const ClientRequest ask = std::move(it->second);
     open_.erase(it);
     switch (how) {
         case Told::answered:
-            return log(now, What::answered, id, ask.router, -1, 0, 0, token);
+            return log(now, EventKind::answered, id, ask.router, -1, 0, 0, token);
         case Told::declined:
-            log(now, What::declined, id, ask.router, -1, 0, comeBack);
-            return tryAgain(now, ask, std::max(comeBack, scenario_.load.backoff << (ask.tries - 1)));
+            log(now, EventKind::declined, id, ask.router, -1, 0, retryAfter);
+            return tryAgain(now, ask, std::max(retryAfter, scenario_.load.backoff << (ask.tries - 1)));
         case Told::terminated:
-            log(now, What::terminated, id, ask.router, -1, 0, 0);
+            log(now, EventKind::terminated, id, ask.router, -1, 0, 0);
             // Nobody can say whether it ran: only what may run twice is asked again.
-            if (scenario_.verbs[nth(ask.verb)].verb.effect == Effect::pure)
+            if (scenario_.requestClasses[nth(ask.requestClass)].requestClass.idempotency == Idempotency::safe)
                 tryAgain(now, ask, scenario_.load.backoff << (ask.tries - 1));
             return;
         case Told::unsent:
-            log(now, What::unsent, id, ask.router, -1, 0, 0);
-            if (token.empty() || scenario_.verbs[nth(ask.verb)].verb.effect == Effect::pure)
+            log(now, EventKind::unsent, id, ask.router, -1, 0, 0);
+            if (token.empty() ||
+                scenario_.requestClasses[nth(ask.requestClass)].requestClass.idempotency == Idempotency::safe)
                 tryAgain(now, ask, kMillisecond);
             return;
     }
 }
 
-void World::tryAgain(Nanos now, const Ask& last, Nanos after) {
+void EmulatedDeployment::tryAgain(Nanos now, const ClientRequest& last, Nanos after) {
     if (last.tries >= scenario_.load.tries) return;
     const auto wait = static_cast<Nanos>(static_cast<double>(after) * (0.75 + 0.5 * net_.part()));
-    const VerbPlan& verb = scenario_.verbs[nth(last.verb)];
-    if (now + wait + verb.limit / 20 > last.firstLimit) return;
+    const RequestClassPlan& requestClass = scenario_.requestClasses[nth(last.requestClass)];
+    if (now + wait + requestClass.limit / 20 > last.firstLimit) return;
     agenda_.put(now + wait, [this, last](Nanos t) {
-        Ask a = last;
+        ClientRequest a = last;
         a.id = net_.word();
         ++a.tries;
         a.router = pickRouter();
@@ -324,46 +329,47 @@
 
 // ---- connections and relays
 
-Nanos World::delay(const std::string& from, const std::string& to) {
+Nanos EmulatedDeployment::delay(const std::string& from, const std::string& to) {
     const Nanos mean = from == to ? scenario_.network.same : scenario_.network.cross;
     return static_cast<Nanos>(static_cast<double>(mean) * net_.factor(scenario_.network.jitter));
 }
 
-bool World::passes(int router, int server) const {
+bool EmulatedDeployment::passes(int router, int server) const {
     if (now_.cutZone.empty()) return true;
     return (routers_[nth(router)].zone == now_.cutZone) == (servers_[nth(server)].zone == now_.cutZone);
 }
 
-Door World::doorNow(int router, int door) const {
+AddressState EmulatedDeployment::doorNow(int router, int door) const {
     const int server = occupants_[nth(door)];
     const Host& host = *hosts_[nth(server)];
-    if (!passes(router, server) || host.late) return Door::silent;
-    return host.life == Life::down || host.life == Life::gone || host.refuses ? Door::refused : Door::open;
+    if (!passes(router, server) || host.late) return AddressState::silent;
+    return host.life == Life::down || host.life == Life::gone || host.refuses ? AddressState::refused
+                                                                              : AddressState::open;
 }
 
-void World::lookAtDoors(Nanos) {
+void EmulatedDeployment::lookAtDoors(Nanos) {
     for (int r = 0; r < scenario_.routers.count; ++r)
-        for (int d = 0; d < doors(); ++d) driver_.door(r, d, doorNow(r, d));
+        for (int d = 0; d < doors(); ++d) driver_.setAddressState(r, d, doorNow(r, d));
 }
 
-ConnId World::connect(Nanos now, int router, int door) {
+ConnId EmulatedDeployment::connect(Nanos now, int router, int door) {
     const int server = occupants_[nth(door)];
     Host& host = *hosts_[nth(server)];
     const ConnId id = ++lastConn_;
     const Server& s = servers_[nth(server)];
     const int most = s.origin ? scenario_.origin.connections : s.plan->connections;
-    Door state = doorNow(router, door);
-    if (state == Door::open && host.connections >= most) state = Door::refused;
-    if (state == Door::open) {
+    AddressState state = doorNow(router, door);
+    if (state == AddressState::open && host.connections >= most) state = AddressState::refused;
+    if (state == AddressState::open) {
         conns_[id] = {id, router, server, false, 0, {}};
         ++host.connections;
-        log(now, What::opened, 0, router, server, 0, 0);
+        log(now, EventKind::opened, 0, router, server, 0, 0);
         if (!s.origin) host.machine.extra(static_cast<double>(s.plan->handshake));
     }
-    if (state == Door::silent) return id;
+    if (state == AddressState::silent) return id;
     const std::string& zone = routers_[nth(router)].zone;
     const Nanos trip = delay(zone, s.zone) + delay(s.zone, zone);
-    agenda_.put(now + trip, [this, id, up = state == Door::open](Nanos) {
+    agenda_.put(now + trip, [this, id, up = state == AddressState::open](Nanos) {
         const auto it = conns_.find(id);
         if (it != conns_.end()) it->second.up = true;
         if (!up || it != conns_.end()) driver_.opened(id, up);
@@ -371,7 +377,7 @@
     return id;
 }
 
-void World::closed(Nanos now, ConnId id) {
+void EmulatedDeployment::closed(Nanos now, ConnId id) {
     const auto it = conns_.find(id);
     if (it == conns_.end()) return;
     Host& host = *hosts_[nth(it->second.server)];
@@ -379,14 +385,15 @@
     for (const auto& owed : it->second.owed) {
         const auto run = runs_.find(owed.run);
         if (run == runs_.end()) continue;
-        log(now, What::closed, run->second.call.command, it->second.router, run->second.server, owed.run, 0);
+        log(now, EventKind::closed, run->second.call.command, it->second.router, run->second.server, owed.run,
+            0);
         // What only waited there is dropped; what runs goes on, and so does what is still on its way.
         if (host.machine.withdraw(owed.run)) runs_.erase(run);
     }
     conns_.erase(it);
 }
 
-void World::call(Nanos now, ConnId id, const Call& call) {
+void EmulatedDeployment::call(Nanos now, ConnId id, const ServerCall& call) {
     const auto it = conns_.find(id);
     if (it == conns_.end()) return;
     Conn& conn = it->second;
@@ -398,11 +405,11 @@
     out.call = call;
     out.server = conn.server;
     const auto work = works_.find(call.command);
-    out.work = work != works_.end() ? work->second : static_cast<double>(scenario_.verbs[0].work);
+    out.work = work != works_.end() ? work->second : static_cast<double>(scenario_.requestClasses[0].work);
     if (s.origin && !call.write) out.work *= scenario_.origin.readWork;
     const std::uint64_t run = out.run;
-    log(now, What::sent, call.command, conn.router, conn.server, run, static_cast<std::int64_t>(out.work),
-        timeToldText(call));
+    log(now, EventKind::sent, call.command, conn.router, conn.server, run,
+        static_cast<std::int64_t>(out.work), timeToldText(call));
     runs_[run] = std::move(out);
     conn.owed.push_back({run, std::nullopt});
     if (!passes(conn.router, conn.server)) return;
@@ -418,7 +425,7 @@
                     [this, id](Nanos t) { breakOne(t, id); });
 }
 
-void World::arrived(Nanos now, std::uint64_t run) {
+void EmulatedDeployment::arrived(Nanos now, std::uint64_t run) {
     RunOut& out = runs_.at(run);
     const Server& s = servers_[nth(out.server)];
     Host& host = *hosts_[nth(out.server)];
@@ -435,9 +442,9 @@
     const double tip = s.origin ? scenario_.origin.tip : cold ? scenario_.cold.tip * pace : 0;
     if (tip > 0 && host.drive.sum(now) > tip * bearable) {
         const int server = out.server;
-        log(now, What::fell, 0, -1, server, 0, 0);
+        log(now, EventKind::fell, 0, -1, server, 0, 0);
         die(now, server);
-        if (!s.origin) change(now, server, Presence::gone, scenario_.discovery.noticeGone);
+        if (!s.origin) change(now, server, EndpointState::removed, scenario_.discovery.noticeGone);
         agenda_.put(now + (s.origin ? scenario_.origin.stopped : scenario_.cold.down),
                     [this, server](Nanos t) { revive(t, server); });
         return;
@@ -447,24 +454,28 @@
     serve(now, out.server);
 }
 
-void World::serve(Nanos now, int server) {
+void EmulatedDeployment::serve(Nanos now, int server) {
     Host& host = *hosts_[nth(server)];
     if (host.life != Life::up) return;
     const Server& s = servers_[nth(server)];
     const double pace =
         paceOf(now, s.startedAt, s.origin ? 1 : scenario_.cold.share, scenario_.cold.ramp) / host.slow;
-    for (const Machine::Begun& begun : host.machine.begin(now, pace)) {
+    for (const ServerModel::Begun& begun : host.machine.begin(now, pace)) {
         RunOut& out = runs_.at(begun.job);
         out.begun = true;
-        for (const VerbPlan& v : scenario_.verbs) {
-            if (v.verb.name != out.call.verb || v.verb.effect == Effect::pure) continue;
+        for (const RequestClassPlan& v : scenario_.requestClasses) {
+            if (v.requestClass.name != out.call.requestClass ||
+                v.requestClass.idempotency == Idempotency::safe)
+                continue;
             // A repeat by its mark, where its group still knows it, gets the receipt and takes no effect.
             std::string group = "all";
-            if (v.verb.group == Group::zone) group = "z" + s.zone;
-            if (v.verb.group == Group::cell) group = fmt::format("c{}", s.cell);
-            const bool repeat = v.verb.effect == Effect::receipted && !out.call.mark.empty() &&
-                                !marks_[group].enter(now, out.call.mark, now + v.verb.remembered);
-            if (!repeat) log(now, What::began, out.call.command, -1, server, begun.job, 0);
+            if (v.requestClass.deduplicationScope == DeduplicationScope::zone) group = "z" + s.zone;
+            if (v.requestClass.deduplicationScope == DeduplicationScope::cell)
+                group = fmt::format("c{}", s.cell);
+            const bool repeat =
+                v.requestClass.idempotency == Idempotency::idempotentWithKey && !out.call.mark.empty() &&
+                !marks_[group].enter(now, out.call.mark, now + v.requestClass.idempotencyKeyTtl);
+            if (!repeat) log(now, EventKind::began, out.call.command, -1, server, begun.job, 0);
         }
         agenda_.put(begun.until, [this, run = begun.job, life = host.lives, server](Nanos t) {
             if (hosts_[nth(server)]->lives == life) finish(t, run);
@@ -472,7 +483,7 @@
     }
 }
 
-void World::finish(Nanos now, std::uint64_t run) {
+void EmulatedDeployment::finish(Nanos now, std::uint64_t run) {
     const auto it = runs_.find(run);
     if (it == runs_.end()) return;
     RunOut& out = it->second;
@@ -502,12 +513,12 @@
 }
 
 // The server's word on a run; what is left of the run goes with it.
-void World::say(Nanos now, std::uint64_t run, Reply reply) {
+void EmulatedDeployment::say(Nanos now, std::uint64_t run, Reply reply) {
     const auto it = runs_.find(run);
     const RunOut out = std::move(it->second);
     runs_.erase(it);
     static constexpr std::string_view kinds[] = {"value", "miss", "error", "busy", "spoilt"};
-    log(now, What::ended, out.call.command, -1, out.server, run, 0,
+    log(now, EventKind::ended, out.call.command, -1, out.server, run, 0,
         fmt::format("{} {}", kinds[static_cast<int>(reply.kind)], reply.token));
     const auto conn = conns_.find(out.conn);
     if (conn == conns_.end()) return;
@@ -517,7 +528,7 @@
     deliver(now, out.conn);
 }
 
-void World::deliver(Nanos now, ConnId id) {
+void EmulatedDeployment::deliver(Nanos now, ConnId id) {
     Conn& conn = conns_.at(id);
     while (!conn.owed.empty() && conn.owed.front().reply) {
         const Reply reply = std::move(*conn.owed.front().reply);
@@ -530,19 +541,19 @@
     }
 }
 
-void World::breakOne(Nanos now, ConnId id) {
+void EmulatedDeployment::breakOne(Nanos now, ConnId id) {
     const auto it = conns_.find(id);
     if (it == conns_.end()) return;
     --hosts_[nth(it->second.server)]->connections;
     for (const auto& owed : it->second.owed)
         if (const auto run = runs_.find(owed.run); run != runs_.end())
-            log(now, What::broke, run->second.call.command, it->second.router, it->second.server, owed.run,
-                0);
+            log(now, EventKind::broke, run->second.call.command, it->second.router, it->second.server,
+                owed.run, 0);
     conns_.erase(it);
     driver_.broke(id);
 }
 
-void World::breakAll(Nanos now, int server) {
+void EmulatedDeployment::breakAll(Nanos now, int server) {
     std::vector<ConnId> all;
     for (const auto& [id, conn] : conns_)
         if (conn.server == server) all.push_back(id);
@@ -550,7 +561,7 @@
     for (const ConnId id : all) breakOne(now, id);
 }
 
-void World::die(Nanos now, int server) {
+void EmulatedDeployment::die(Nanos now, int server) {
     Host& host = *hosts_[nth(server)];
     host.life = Life::down;
     ++host.lives;
@@ -562,7 +573,7 @@
     lookAtDoors(now);
 }
 
-void World::revive(Nanos now, int server) {
+void EmulatedDeployment::revive(Nanos now, int server) {
     Host& host = *hosts_[nth(server)];
     const bool back = host.life == Life::down || host.life == Life::hung;
     if (host.life == Life::gone || (!back && !host.leaving)) return;
@@ -572,34 +583,34 @@
     Server& s = servers_[nth(server)];
     if (!s.origin) s.startedAt = now;
     s.wallStep = wallStep_;
-    log(now, What::started, 0, -1, server, 0, s.startedAt);
+    log(now, EventKind::started, 0, -1, server, 0, s.startedAt);
     lookAtDoors(now);
-    if (!s.origin) change(now, server, Presence::ready, scenario_.discovery.noticeBack);
+    if (!s.origin) change(now, server, EndpointState::ready, scenario_.discovery.noticeBack);
 }
 
 // ---- discovery
 
-List World::wholeList() const {
+List EmulatedDeployment::wholeList() const {
     List list{version_, true, {}};
     for (const ListLine& line : lines_)
-        if (line.presence != Presence::gone) list.lines.push_back(line);
+        if (line.presence != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-List World::lastList(int router) const {
+List EmulatedDeployment::lastList(int router) const {
     const RouterState& state = routers_[nth(router)];
     if (state.told.empty()) return wholeList();
     List list{0, true, {}};  // its version may be old: whatever has changed since is told at the first call
     for (const auto& [server, line] : state.told)
-        if (line.presence != Presence::gone) list.lines.push_back(line);
+        if (line.presence != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-void World::change(Nanos now, int server, Presence presence, Nanos after) {
+void EmulatedDeployment::change(Nanos now, int server, EndpointState presence, Nanos after) {
     agenda_.put(now + after, [this, server, presence](Nanos t) {
         // It has come back before anyone noticed that it was gone.
         const Host& host = *hosts_[nth(server)];
-        if (presence == Presence::gone && host.life == Life::up && !host.leaving) return;
+        if (presence == EndpointState::removed && host.life == Life::up && !host.leaving) return;
         ListLine& line = lines_[nth(server)];
         line.presence = presence;
         line.startedAt = servers_[nth(server)].startedAt;
@@ -611,11 +622,11 @@
     });
 }
 
-void World::weigh(Nanos now) {
+void EmulatedDeployment::weigh(Nanos now) {
     for (ListLine& line : lines_) {
         const Server& s = servers_[nth(line.server)];
         if (s.origin) continue;
-        const Machine& machine = hosts_[nth(line.server)]->machine;
+        const ServerModel& machine = hosts_[nth(line.server)]->machine;
         const double held = (machine.running() + static_cast<double>(machine.waiting())) / s.plan->cores;
         if (std::exchange(line.held, held) != held) changes_.push_back({++version_, line});
     }
@@ -623,7 +634,7 @@
     if (now <= loadUntil_) agenda_.put(now + scenario_.discovery.weighEvery, [this](Nanos t) { weigh(t); });
 }
 
-ListCallId World::watch(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait) {
+ListCallId EmulatedDeployment::watch(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait) {
     const ListCallId call = ++lastCall_;
     listCalls_[call] = {router, after, 0};
     if (discoverySilent_) return call;
@@ -658,15 +669,17 @@
     return call;
 }
 
-Nanos World::discoveryTurn() const { return static_cast<Nanos>(1e9 / scenario_.discovery.perSecond); }
+Nanos EmulatedDeployment::discoveryTurn() const {
+    return static_cast<Nanos>(1e9 / scenario_.discovery.perSecond);
+}
 
-void World::refuseSoon(Nanos now, int router, ListCallId call) {
+void EmulatedDeployment::refuseSoon(Nanos now, int router, ListCallId call) {
     agenda_.put(now + scenario_.network.same, [this, router, call](Nanos) {
         if (listCalls_.erase(call) > 0) driver_.listRefused(router, call);
     });
 }
 
-void World::endOlderCalls(int router, ListCallId call) {
+void EmulatedDeployment::endOlderCalls(int router, ListCallId call) {
     std::vector<ListCallId> older;
     for (const auto& [id, out] : listCalls_)
         if (out.router == router && id != call) older.push_back(id);
@@ -676,9 +689,9 @@
     }
 }
 
-void World::unwatch(ListCallId call) { listCalls_.erase(call); }
+void EmulatedDeployment::unwatch(ListCallId call) { listCalls_.erase(call); }
 
-std::vector<ListCallId> World::callsInOrder() const {
+std::vector<ListCallId> EmulatedDeployment::callsInOrder() const {
     std::vector<ListCallId> calls;
     for (const auto& [id, call] : listCalls_) calls.push_back(id);
     std::stable_sort(calls.begin(), calls.end(), [this](ListCallId a, ListCallId b) {
@@ -687,7 +700,7 @@
     return calls;
 }
 
-void World::answerWatches(Nanos now) {
+void EmulatedDeployment::answerWatches(Nanos now) {
     for (const ListCallId id : callsInOrder()) {
         if (listCalls_.at(id).until <= now) continue;
         if (!scenario_.discovery.crowded) {
@@ -702,12 +715,12 @@
     }
 }
 
-Nanos World::discoveryLateness() {
+Nanos EmulatedDeployment::discoveryLateness() {
     if (now_.listLate == 0) return 0;
     return static_cast<Nanos>(static_cast<double>(now_.listLate) * (1 - faults_.part() / 4));
 }
 
-void World::answerCall(Nanos now, ListCallId id) {
+void EmulatedDeployment::answerCall(Nanos now, ListCallId id) {
     ListCall& asked = listCalls_.at(id);
     List list{version_, false, {}};
     const std::int64_t known = asked.after.value_or(0);
@@ -729,18 +742,19 @@
     });
 }
 
-void World::heard(Nanos now, int router, const List& list) {
+void EmulatedDeployment::heard(Nanos now, int router, const List& list) {
     const auto& told = routers_[nth(router)].told;
     if (list.full)
         for (const auto& [server, line] : std::map(told))
             if (std::none_of(list.lines.begin(), list.lines.end(),
                              [&, s = server](const ListLine& l) { return l.server == s; }))
-                tell(now, router, {server, Presence::gone, line.startedAt}, list.version, false);
+                tell(now, router, {server, EndpointState::removed, line.startedAt}, list.version, false);
     for (const ListLine& line : list.lines) tell(now, router, line, list.version, false);
 }
 
 // An answer that comes behind a newer one takes nothing back.
-void World::tell(Nanos now, int router, const ListLine& line, std::int64_t version, bool counted) {
+void EmulatedDeployment::tell(Nanos now, int router, const ListLine& line, std::int64_t version,
+                              bool counted) {
     static constexpr std::string_view states[] = {"gone", "ready", "draining"};
     RouterState& state = routers_[nth(router)];
     std::int64_t& toldVersion = state.toldVersion[line.server];
@@ -753,10 +767,10 @@
     state.told[line.server] = line;
     std::string text(states[static_cast<int>(line.presence)]);
     if (counted) text += " counted";
-    log(now, What::listed, 0, router, line.server, 0, line.startedAt, text);
+    log(now, EventKind::listed, 0, router, line.server, 0, line.startedAt, text);
 }
 
-void World::countAsTold(Nanos now, const Change& change) {
+void EmulatedDeployment::countAsTold(Nanos now, const Change& change) {
     const Nanos within = scenario_.discovery.toldWithin;
     if (!isDiscoveryReachable())
         return agenda_.put(now + within, [this, change](Nanos t) { countAsTold(t, change); });
@@ -766,7 +780,7 @@
         if (routers_[nth(r)].up) tell(now, r, change.line, change.version, true);
 }
 
-void World::failCalls() {
+void EmulatedDeployment::failCalls() {
     for (const ListCallId id : callsInOrder()) {
         const int router = listCalls_.at(id).router;
         listCalls_.erase(id);
@@ -776,29 +790,29 @@
 
 // ---- routers
 
-void World::routerUp(Nanos now, int router) {
+void EmulatedDeployment::routerUp(Nanos now, int router) {
     RouterState& state = routers_[nth(router)];
     state.up = state.believed = true;
-    log(now, What::up, 0, router, -1, 0, 0, state.zone);
+    log(now, EventKind::up, 0, router, -1, 0, 0, state.zone);
     heard(now, router, lastList(router));
 }
 
-void World::routerLeaves(Nanos now, int router, Nanos since) {
+void EmulatedDeployment::routerLeaves(Nanos now, int router, Nanos since) {
     RouterState& state = routers_[nth(router)];
     state.ending = true;
-    log(now, What::stopping, 0, router, -1, 0, since);
+    log(now, EventKind::stopping, 0, router, -1, 0, since);
     agenda_.put(now + kFrontSeesTerm, [this, router, life = state.life](Nanos) {
         if (routers_[nth(router)].life == life) routers_[nth(router)].believed = false;
     });
 }
 
-void World::routerGone(Nanos now, int router) {
+void EmulatedDeployment::routerGone(Nanos now, int router) {
     RouterState& state = routers_[nth(router)];
     state.up = false;
     std::erase_if(listCalls_, [router](const auto& call) { return call.second.router == router; });
     const std::uint64_t life = ++state.life;
     const bool asked = std::exchange(state.ending, false);
-    log(now, What::killed, 0, router, -1, 0, 0, asked ? "asked" : "by itself");
+    log(now, EventKind::killed, 0, router, -1, 0, 0, asked ? "asked" : "by itself");
     std::vector<ConnId> all;
     for (const auto& [id, conn] : conns_)
         if (conn.router == router) all.push_back(id);
@@ -813,16 +827,16 @@
 
 // ---- faults
 
-void World::plan(const FaultPlan& fault) {
+void EmulatedDeployment::plan(const FaultPlan& fault) {
     for (int i = 0; i < fault.times; ++i) {
         FaultPlan one = fault;
         one.at = beganAt_ + fault.at + fault.length * i / fault.times;
         if (fault.times > 1) one.length = fault.length / fault.times / 2;
-        agenda_.put(one.at, [this, one](Nanos t) { play(t, one); });
+        agenda_.put(one.at, [this, one](Nanos t) { injectFault(t, one); });
     }
 }
 
-std::vector<int> World::drawCaches(int count) {
+std::vector<int> EmulatedDeployment::drawCaches(int count) {
     std::vector<int> up;
     for (std::size_t i = 1; i < servers_.size(); ++i)
         if (hosts_[i]->life == Life::up && !hosts_[i]->draining) up.push_back(static_cast<int>(i));
@@ -832,8 +846,8 @@
     return up;
 }
 
-void World::play(Nanos now, const FaultPlan& fault) {
-    log(now, What::fault, 0, -1, -1, 0, 0, fmt::format("begins {} {}", nameOf(fault.kind), fault.zone));
+void EmulatedDeployment::injectFault(Nanos now, const FaultPlan& fault) {
+    log(now, EventKind::fault, 0, -1, -1, 0, 0, fmt::format("begins {} {}", nameOf(fault.kind), fault.zone));
     std::vector<int> hit;
     const auto each = [&](auto what) {
         hit = drawCaches(fault.count);
@@ -844,13 +858,13 @@
         case K::crash:
             each([&](int s, Host&) {
                 die(now, s);
-                change(now, s, Presence::gone, scenario_.discovery.noticeGone);
+                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
             });
             break;
         case K::hang:
             each([&](int s, Host& host) {
                 host.life = Life::hung;
-                change(now, s, Presence::gone, scenario_.discovery.noticeGone);
+                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
             });
             break;
         case K::slow:
@@ -863,20 +877,20 @@
             each([&](int s, Host& host) {
                 die(now, s);
                 host.life = Life::gone;
-                change(now, s, Presence::gone, scenario_.discovery.noticeGone);
+                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
                 Server fresh = servers_[nth(s)];
                 fresh.name = fmt::format("{}-new{}", fresh.plan->name, ++lastReplaced_);
                 const auto index = static_cast<int>(servers_.size());
                 occupants_[nth(fresh.door)] = index;
                 addServer(std::move(fresh), now, true);
-                log(now, What::started, 0, -1, index, 0, now);
+                log(now, EventKind::started, 0, -1, index, 0, now);
                 lookAtDoors(now);
-                change(now, index, Presence::ready, scenario_.discovery.noticeBack);
+                change(now, index, EndpointState::ready, scenario_.discovery.noticeBack);
             });
             break;
         case K::drain:
             each([&](int s, Host& host) {
-                change(now, s, Presence::draining, 0);
+                change(now, s, EndpointState::draining, 0);
                 // What ails it otherwise by then, or a fault that is over, ends the leaving.
                 host.leaving = true;
                 const auto leaves = [&host, lives = host.lives] {
@@ -887,7 +901,7 @@
                             [this, s, leaves](Nanos t) {
                                 if (!leaves()) return;
                                 die(t, s);
-                                change(t, s, Presence::gone, 0);
+                                change(t, s, EndpointState::removed, 0);
                             });
             });
             break;
@@ -904,10 +918,10 @@
             lookAtDoors(now);
             break;
         case K::leave: {
-            std::vector<CommandId> waiting;
+            std::vector<RequestId> waiting;
             for (const auto& [id, ask] : open_) waiting.push_back(id);
             std::sort(waiting.begin(), waiting.end());  // by number, so that a run is the same each time
-            for (const CommandId id : waiting)
+            for (const RequestId id : waiting)
                 if (faults_.yes(fault.by)) clientLeaves(now, id);
             break;
         }
@@ -917,10 +931,10 @@
         case K::slowReader:
             each([&](int, Host& host) { host.readsLater = static_cast<Nanos>(fault.by * kMillisecond); });
             break;
-        case K::deaf:
+        case K::unresponsive:
             each([&](int, Host& host) { host.deaf = true; });
             break;
-        case K::spoil:
+        case K::malformedResponses:
             now_.spoil = fault.by;
             break;
         case K::originStop:
@@ -964,7 +978,7 @@
             std::shuffle(all.begin(), all.end(), faults_.source());
             for (std::size_t i = 0; i < std::min(all.size(), nth(fault.count)); ++i) {
                 routers_[nth(all[i])].ending = true;
-                log(now, What::killed, 0, all[i], -1, 0, 0, "asked");
+                log(now, EventKind::killed, 0, all[i], -1, 0, 0, "asked");
                 driver_.kill(all[i]);
             }
             break;
@@ -975,7 +989,7 @@
                     RouterState& state = routers_[nth(r)];
                     if (!state.up) return;
                     state.ending = true;
-                    log(t, What::stopping, 0, r, -1, 0, 0);
+                    log(t, EventKind::stopping, 0, r, -1, 0, 0);
                     driver_.terminate(r);
                     agenda_.put(t + kFrontSeesTerm, [this, r, life = state.life](Nanos) {
                         if (routers_[nth(r)].life == life) routers_[nth(r)].believed = false;
@@ -1003,20 +1017,20 @@
         default: {  // of machines
             const int drawn = faults_.below(std::max(scenario_.machines.count, 1));
             hit = {fault.machine >= 0 ? fault.machine : drawn};
-            driver_.ail(fault, hit[0], true);
+            driver_.injectMachineFault(fault, hit[0], true);
             break;
         }
     }
     if (fault.length > 0)
-        agenda_.put(now + fault.length, [this, fault, hit](Nanos t) { heal(t, fault, hit); });
+        agenda_.put(now + fault.length, [this, fault, hit](Nanos t) { clearFault(t, fault, hit); });
 }
 
-void World::heal(Nanos now, const FaultPlan& fault, const std::vector<int>& hit) {
-    log(now, What::fault, 0, -1, -1, 0, 0, fmt::format("ends {} {}", nameOf(fault.kind), fault.zone));
+void EmulatedDeployment::clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& hit) {
+    log(now, EventKind::fault, 0, -1, -1, 0, 0, fmt::format("ends {} {}", nameOf(fault.kind), fault.zone));
     if (fault.kind == FaultKind::wallStep) wallStep_ = 0;
     if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::holdUp)
         return driver_.processFault(fault, false);
-    if (fault.kind >= FaultKind::machineKill) return driver_.ail(fault, hit.at(0), false);
+    if (fault.kind >= FaultKind::machineKill) return driver_.injectMachineFault(fault, hit.at(0), false);
     for (const int s : hit) {
         Host& host = *hosts_[nth(s)];
         switch (fault.kind) {
@@ -1049,7 +1063,7 @@
         for (const ConnId id : across) breakOne(now, id);
     }
     if (fault.kind == K::cut || fault.kind == K::refuse || fault.kind == K::late) lookAtDoors(now);
-    if (fault.kind == K::spoil) now_.spoil = 0;
+    if (fault.kind == K::malformedResponses) now_.spoil = 0;
     if (fault.kind == K::originStop) revive(now, 0);
     if (fault.kind == K::originSlow) hosts_[0]->slow = 1;
     if (fault.kind == K::discoveryDown) discoveryDown_ = false;
--- a/src/testbed/emulator/emulated_deployment.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -22,15 +22,15 @@
 using ConnId = std::uint64_t;
 
 // A client's command, given to a router.
-struct Ask {
-    CommandId id = 0;
+struct ClientRequest {
+    RequestId id = 0;
     int router = 0;
-    int verb = 0;
-    int customer = -1;
+    int requestClass = 0;
+    int tenant = -1;
     std::string key;
     std::string mark;  // of a receipted one, the same with each try
-    Nanos giveUpAt = 0;
-    CommandId first = 0;  // the id of its first try
+    Nanos deadline = 0;
+    RequestId first = 0;  // the id of its first try
     int tries = 1;
     Nanos dueAt = 0;
     Nanos firstLimit = 0;  // of all tries together
@@ -38,10 +38,10 @@
 };
 
 // A relay as a server reads it.
-struct Call {
-    CommandId command = 0;
+struct ServerCall {
+    RequestId command = 0;
     std::string key;
-    std::string verb;
+    std::string requestClass;
     std::string mark;
     bool write = false;
     std::optional<std::int64_t> toldMs = {};  // `d` of its info list: the time that is left to the client
@@ -57,7 +57,7 @@
 // One state of one server as discovery tells it.
 struct ListLine {
     int server = 0;
-    Presence presence = Presence::ready;
+    EndpointState presence = EndpointState::ready;
     Nanos startedAt = 0;  // the world's time; 0 for long ago
     double held = 0;      // commands a core, where sizes move with load
 };
@@ -71,17 +71,17 @@
 using ListCallId = std::uint64_t;
 
 // How a server's address answers those who connect.
-enum class Door : std::uint8_t { open, refused, silent };
+enum class AddressState : std::uint8_t { open, refused, silent };
 
-class Driver {
+class Transport {
   public:
-    virtual ~Driver() = default;
-    virtual void ask(const Ask& ask) = 0;
-    virtual void leave(int router, CommandId id) = 0;
+    virtual ~Transport() = default;
+    virtual void ask(const ClientRequest& ask) = 0;
+    virtual void leave(int router, RequestId id) = 0;
     virtual void opened(ConnId conn, bool up) = 0;
     virtual void reply(ConnId conn, const Reply& reply) = 0;
     virtual void broke(ConnId conn) = 0;  // the connection is gone after this
-    virtual void door(int router, int door, Door state) = 0;
+    virtual void setAddressState(int router, int door, AddressState state) = 0;
     // What becomes of a call for the list: answered, answered 503, or its connection ended.
     virtual void listed(int router, ListCallId call, const List& list) = 0;
     virtual void listRefused(int router, ListCallId call) { listFailed(router, call); }
@@ -97,10 +97,10 @@
     virtual void processFault(const FaultPlan& /*fault*/, bool /*begins*/) {}
     // A fault of machines begins or ends; `machine` is drawn where the plan names none, below 0 for a
     // coordinator's.
-    virtual void ail(const FaultPlan& /*fault*/, int /*machine*/, bool /*begins*/) {}
+    virtual void injectMachineFault(const FaultPlan& /*fault*/, int /*machine*/, bool /*begins*/) {}
 };
 
-class World {
+class EmulatedDeployment {
   public:
     struct Server {
         std::string name;
@@ -114,8 +114,8 @@
         Nanos wallStep = 0;  // of the clock that its start was written down by
     };
 
-    World(const Scenario& scenario, std::uint64_t seed, Ledger& ledger, Driver& driver);
-    ~World();
+    EmulatedDeployment(const Scenario& scenario, std::uint64_t seed, EventLog& ledger, Transport& driver);
+    ~EmulatedDeployment();
 
     // Plays the first arrivals and the faults from `now` on; routers are up by then.
     void begin(Nanos now);
@@ -130,19 +130,19 @@
 
     // From routers, through the driver.
     ConnId connect(Nanos now, int router, int door);
-    void call(Nanos now, ConnId conn, const Call& call);
+    void call(Nanos now, ConnId conn, const ServerCall& call);
     void closed(Nanos now, ConnId conn);
     ListCallId watch(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait);
     void unwatch(ListCallId call);
     // `unsent` with a token: the router went while it had the command.
     enum class Told : std::uint8_t { answered, declined, terminated, unsent };
-    void told(Nanos now, CommandId id, Told how, const std::string& token, Nanos comeBack);
+    void told(Nanos now, RequestId id, Told how, const std::string& token, Nanos retryAfter);
     // A router's process has come up, or has ended.
     void routerUp(Nanos now, int router);
     void routerGone(Nanos now, int router);
     // It was told to stop, or is about to be killed: what it does not answer is no breach of its own.
     void routerLeaves(Nanos now, int router, Nanos since);
-    void note(Nanos now, What what, int router, std::int64_t number, const std::string& text) {
+    void note(Nanos now, EventKind what, int router, std::int64_t number, const std::string& text) {
         log(now, what, 0, router, -1, 0, number, text);
     }
 
@@ -154,7 +154,7 @@
     const std::string& routerZone(int router) const {
         return routers_[static_cast<std::size_t>(router)].zone;
     }
-    Door doorNow(int router, int door) const;
+    AddressState doorNow(int router, int door) const;
     Nanos delay(const std::string& from, const std::string& to);
     nlohmann::json head(std::uint64_t seed) const;
     const Scenario& scenario() const { return scenario_; }
@@ -165,7 +165,7 @@
     struct RunOut {
         std::uint64_t run = 0;
         ConnId conn = 0;
-        Call call;
+        ServerCall call;
         int server = 0;
         bool begun = false;
         bool hit = false;
@@ -201,7 +201,7 @@
         std::int64_t version;
         ListLine line;
     };
-    struct Influence {  // of faults, as a share or factor at this time
+    struct ActiveFaults {  // of faults, as a share or factor at this time
         double hotKey = 0, heavy = 0, scan = 0, load = 1, spoil = 0;
         double listRefused = 0;  // share of calls to discovery that are answered 503
         Nanos listLate = 0;      // added to each answer of discovery, a quarter less at random
@@ -210,12 +210,12 @@
 
     // clients
     void arrive(Nanos now);
-    void clientLeaves(Nanos now, CommandId id);
+    void clientLeaves(Nanos now, RequestId id);
     double rateAt(Nanos now);
-    void ask(Nanos now, Ask ask);
+    void ask(Nanos now, ClientRequest ask);
     std::string drawKey(Nanos now);
     int pickRouter();
-    void tryAgain(Nanos now, const Ask& last, Nanos after);
+    void tryAgain(Nanos now, const ClientRequest& last, Nanos after);
     // servers
     void addServer(Server server, Nanos now, bool cold);
     void arrived(Nanos now, std::uint64_t run);
@@ -233,7 +233,7 @@
     List wholeList() const;
     void heard(Nanos now, int router, const List& list);
     void tell(Nanos now, int router, const ListLine& line, std::int64_t version, bool counted);
-    void change(Nanos now, int server, Presence presence, Nanos after);
+    void change(Nanos now, int server, EndpointState presence, Nanos after);
     void weigh(Nanos now);  // lists what each cache holds
     void answerWatches(Nanos now);
     void answerCall(Nanos now, ListCallId call);
@@ -248,17 +248,17 @@
     bool isDiscoveryReachable() const { return !discoveryDown_ && !discoverySilent_; }
     // faults
     void plan(const FaultPlan& fault);
-    void play(Nanos now, const FaultPlan& fault);
-    void heal(Nanos now, const FaultPlan& fault, const std::vector<int>& hit);
+    void injectFault(Nanos now, const FaultPlan& fault);
+    void clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& hit);
     std::vector<int> drawCaches(int count);
-    void log(Nanos at, What what, std::uint64_t command, int router, int server, std::uint64_t run,
+    void log(Nanos at, EventKind what, std::uint64_t command, int router, int server, std::uint64_t run,
              std::int64_t number, std::string text = {});
 
     Scenario scenario_;
-    Ledger& ledger_;
-    Driver& driver_;
-    Agenda agenda_;
-    Chance arrivals_, keys_, net_, service_, faults_;
+    EventLog& ledger_;
+    Transport& driver_;
+    EventQueue agenda_;
+    Random arrivals_, keys_, net_, service_, faults_;
     Zipf zipf_;
     std::vector<Server> servers_;
     std::vector<std::unique_ptr<Host>> hosts_;
@@ -266,10 +266,10 @@
     std::vector<RouterState> routers_;
     std::unordered_map<ConnId, Conn> conns_;
     std::unordered_map<std::uint64_t, RunOut> runs_;
-    std::unordered_map<CommandId, Ask> open_;
-    std::unordered_map<CommandId, std::vector<int>> lacking_;  // caches that missed for an open command
-    std::unordered_map<CommandId, double> works_;
-    std::deque<CommandId> remembered_;
+    std::unordered_map<RequestId, ClientRequest> open_;
+    std::unordered_map<RequestId, std::vector<int>> lacking_;  // caches that missed for an open command
+    std::unordered_map<RequestId, double> works_;
+    std::deque<RequestId> remembered_;
     std::vector<Change> changes_;
     std::vector<ListLine> lines_;  // as discovery has them
     std::int64_t version_ = 1;
@@ -278,11 +278,11 @@
     Nanos discoveryReachableSince_ = 0;
     Nanos wallStep_ = 0;  // of all machines' one wall clock
     std::map<ListCallId, ListCall> listCalls_;
-    Influence now_;
+    ActiveFaults now_;
     std::uint64_t lastRun_ = 0, lastConn_ = 0, lastCall_ = 0, lastScan_ = 0;
     int lastReplaced_ = 0, discoveryDoor_ = 0, drifted_ = 0;
-    std::map<std::string, Marks> marks_;  // of each group that drops repeats
-    std::vector<int> order_;              // of the keys: rank to key
+    std::map<std::string, IdempotencyRecords> marks_;  // of each group that drops repeats
+    std::vector<int> order_;                           // of the keys: rank to key
     Nanos beganAt_ = 0;
     Nanos loadUntil_ = 0;
 };
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -16,11 +16,11 @@
 
 namespace poppyscale::testbed {
 
-struct BadLedger : std::runtime_error {
+struct EventLogError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-enum class What : std::uint8_t {
+enum class EventKind : std::uint8_t {
     server,    // there is one: text "NAME ZONE CELL origin|cache SPEED", number its start, 0 for long ago
     asked,     // a client gave a command to a router: text "VERB CUSTOMER KEY FIRST TRY", number its limit's
                // time, run the time it was due
@@ -48,9 +48,9 @@
     claims     // what a process says that it does: text "WHAT begins|ends", or "runs WHAT"; number when
 };
 
-struct Entry {
+struct LogEvent {
     Nanos at = 0;
-    What what = What::fault;
+    EventKind what = EventKind::fault;
     std::uint64_t command = 0;
     int router = -1;
     int server = -1;
@@ -59,22 +59,22 @@
     std::string text;
 };
 
-std::string_view wordOf(What what);
+std::string_view wordOf(EventKind what);
 // The word with number `at` of a text, "" past its end.
 std::string_view wordAt(std::string_view text, int at);
 
-class Ledger {
+class EventLog {
   public:
     // Without a path nothing is written; `watch` hears of each entry all the same.
-    explicit Ledger(const std::string& path = "");
-    ~Ledger();
-    Ledger(const Ledger&) = delete;
-    Ledger& operator=(const Ledger&) = delete;
+    explicit EventLog(const std::string& path = "");
+    ~EventLog();
+    EventLog(const EventLog&) = delete;
+    EventLog& operator=(const EventLog&) = delete;
 
     void head(const nlohmann::json& head);
-    void add(const Entry& entry);
+    void add(const LogEvent& entry);
     std::function<void(const nlohmann::json&)> watchHead;
-    std::function<void(const Entry&)> watch;
+    std::function<void(const LogEvent&)> watch;
 
   private:
     std::unique_ptr<std::FILE, int (*)(std::FILE*)> file_;
@@ -83,7 +83,7 @@
 };
 
 // Reads a log whole; throws BadLedger with the line that can't be read.
-void readLedger(const std::string& path, const std::function<void(const nlohmann::json&)>& head,
-                const std::function<void(const Entry&)>& visit);
+void readEventLog(const std::string& path, const std::function<void(const nlohmann::json&)>& head,
+                  const std::function<void(const LogEvent&)>& visit);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/event_queue.hpp
+++ b/src/testbed/emulator/event_queue.hpp
@@ -11,7 +11,7 @@
 
 namespace poppyscale::testbed {
 
-class Agenda {
+class EventQueue {
   public:
     void put(Nanos at, std::function<void(Nanos now)> what) {
         items_.push({std::max(at, reached_), ++last_, std::move(what)});
--- a/src/testbed/emulator/random.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -11,9 +11,9 @@
 
 namespace poppyscale::testbed {
 
-class Chance {
+class Random {
   public:
-    explicit Chance(std::uint64_t seed)
+    explicit Random(std::uint64_t seed)
         : source_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
     double part() { return std::generate_canonical<double, 32>(source_); }
@@ -55,7 +55,7 @@
         double sum = 0;
         for (int k = 0; k < keys; ++k) sums_.push_back(sum += std::pow(k + 1, -s));
     }
-    int draw(Chance& chance) const {
+    int draw(Random& chance) const {
         const auto at = std::upper_bound(sums_.begin(), sums_.end(), chance.part() * sums_.back());
         return static_cast<int>(std::min<std::ptrdiff_t>(at - sums_.begin(), std::ssize(sums_) - 1));
     }
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -13,12 +13,12 @@
 namespace poppyscale::testbed {
 
 // What can't be played; its text is "FILE:LINE: KEY: what is wrong".
-struct BadScenario : std::runtime_error {
+struct ScenarioError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-struct VerbPlan {
-    Verb verb;
+struct RequestClassPlan {
+    RequestClass requestClass;
     Nanos limit = 0;  // how long a client waits in all
     double share = 0;
     Nanos work = 0;  // on one core of speed 1, the mean
@@ -26,7 +26,7 @@
     bool write = false;
 };
 
-struct CustomerPlan {
+struct TenantPlan {
     std::string name;
     double share = 0;
     double quota = 0;  // commands a second
@@ -56,7 +56,7 @@
     double readWork = 1;  // of a fetch, times the verb's own work
 };
 
-struct ColdPlan {
+struct SlowStartPlan {
     double share = 1;  // of its capacity that a cache starts with
     Nanos ramp = 0;
     double tip = 1;
@@ -69,7 +69,7 @@
     Nanos noticeBack = 0;
     double perSecond = 0;  // calls it can answer
     Nanos limit = 0;       // a call that waits longer for its turn fails
-    Nanos askWithin = 0;
+    Nanos pollInterval = 0;
     // One call of a router at a time, the older one ends with 503; a call whose turn would come after `limit`
     // is answered 503 at once; an answer to a call that waited for a change takes a turn too.
     bool crowded = false;
@@ -105,7 +105,7 @@
     std::size_t memoryMb = 64;
     std::size_t descriptors = 512;
     std::size_t open = 0;
-    int relays = 1;
+    int attempts = 1;
     Nanos connectWithin = 0;
     Nanos idle = 0;
     Nanos notice = 0;   // in which the front sees that one has died
@@ -114,23 +114,23 @@
 };
 
 enum class FaultKind : std::uint8_t {
-    crash,          // caches die; connections reset, then refused; back cold under their id
-    hang,           // caches take and never answer
-    slow,           // caches run `by` times slower
-    errors,         // a share `by` of what caches are sent fails at once
-    replace,        // caches go for good, new ones come cold at the old address under new ids
-    drain,          // caches are told to drain, then leave; back after
-    cut,            // `zone` is silent to the routers of all others
-    refuse,         // caches refuse new connections
-    late,           // new connections to caches come up with the kernel's next try after the fault's end
-    leave,          // a share `by` of the clients that wait go at once
-    reset,          // a share `by` of commands has its connection reset while it is out
-    slowReader,     // commands reach caches later by `by` ms
-    deaf,           // one direction only: commands arrive, answers are lost
-    spoil,          // a share `by` of answers is noise
-    originStop,     // the origin dies and comes back
-    originSlow,     // runs `by` times slower
-    discoveryDown,  // calls fail
+    crash,               // caches die; connections reset, then refused; back cold under their id
+    hang,                // caches take and never answer
+    slow,                // caches run `by` times slower
+    errors,              // a share `by` of what caches are sent fails at once
+    replace,             // caches go for good, new ones come cold at the old address under new ids
+    drain,               // caches are told to drain, then leave; back after
+    cut,                 // `zone` is silent to the routers of all others
+    refuse,              // caches refuse new connections
+    late,                // new connections to caches come up with the kernel's next try after the fault's end
+    leave,               // a share `by` of the clients that wait go at once
+    reset,               // a share `by` of commands has its connection reset while it is out
+    slowReader,          // commands reach caches later by `by` ms
+    unresponsive,        // one direction only: commands arrive, answers are lost
+    malformedResponses,  // a share `by` of answers is noise
+    originStop,          // the origin dies and comes back
+    originSlow,          // runs `by` times slower
+    discoveryDown,       // calls fail
     discoverySilent,
     discoverySlow,    // its answers come `by` ms late, up to a quarter less at random
     discoveryRefuse,  // a share `by` of calls is answered 503
@@ -191,7 +191,7 @@
 };
 
 // A staged change in the middle of the day.
-struct RollPlan {
+struct RolloutScenario {
     bool there = false;
     Nanos at = 0;
     std::string change;  // same, a harm's name, or deaf, halved, misnamed: settings that are valid and bad
@@ -208,7 +208,7 @@
 struct Bounds {
     double goal = 0;           // share of commands answered within their goal, at least
     double answered = 0;       // within their limit
-    double relays = 1e9;       // a command, at most
+    double attempts = 1e9;     // a command, at most
     double apart = 1;          // between the goal shares of moved routers and the others, at most
     double sentOn = 1;         // of commands whose clients left waiting: share sent on 0.3 s later, at most
     double connections = 1e9;  // to caches and origin that are opened, a command, at most
@@ -229,15 +229,15 @@
     Nanos slack = 0;  // after a client's limit that an answer still counts
     RouterPlan routers;
     MachinePlan machines;
-    RollPlan roll;
+    RolloutScenario roll;
     NetworkPlan network;
     std::vector<CachePlan> caches;
-    ColdPlan cold;
+    SlowStartPlan cold;
     OriginPlan origin;
     DiscoveryPlan discovery;
     LoadPlan load;
-    std::vector<VerbPlan> verbs;
-    std::vector<CustomerPlan> customers;
+    std::vector<RequestClassPlan> requestClasses;
+    std::vector<TenantPlan> tenants;
     std::vector<FaultPlan> faults;
     Bounds bounds;
 
@@ -258,7 +258,7 @@
 std::string_view nameOf(FaultKind kind);
 
 // What the module is told of a scenario, and the same as the configuration that the program reads.
-Terms termsOf(const Scenario& scenario, int router, std::uint64_t seed);
+PolicySettings policySettingsOf(const Scenario& scenario, int router, std::uint64_t seed);
 struct RouterPlace {
     int index = 0;
     std::string name;
--- a/src/testbed/emulator/server_model.cpp
+++ b/src/testbed/emulator/server_model.cpp
@@ -5,11 +5,11 @@
 
 namespace poppyscale::testbed {
 
-bool Machine::withdraw(std::uint64_t job) {
+bool ServerModel::withdraw(std::uint64_t job) {
     return std::erase_if(waiting_, [&](const Job& j) { return j.id == job; }) > 0;
 }
 
-std::vector<Machine::Begun> Machine::begin(Nanos now, double pace) {
+std::vector<ServerModel::Begun> ServerModel::begin(Nanos now, double pace) {
     std::vector<Begun> begun;
     while (running_ < static_cast<int>(shape_.cores) && !waiting_.empty()) {
         const Job job = waiting_.front();
@@ -22,7 +22,7 @@
     return begun;
 }
 
-void Machine::clear() {
+void ServerModel::clear() {
     running_ = 0;
     debt_ = 0;
     waiting_.clear();
@@ -41,33 +41,33 @@
     return pieces_.empty() ? sum_ = 0 : sum_;
 }
 
-bool Kept::use(const std::string& key) {
+bool CacheContents::use(const std::string& key) {
     const auto it = at_.find(key);
     if (it == at_.end()) return false;
     order_.splice(order_.begin(), order_, it->second);
     return true;
 }
 
-void Kept::put(const std::string& key) {
+void CacheContents::put(const std::string& key) {
     if (use(key)) return;
     order_.push_front(key);
     at_[key] = order_.begin();
     if (order_.size() > most_) drop(std::string(order_.back()));
 }
 
-void Kept::drop(const std::string& key) {
+void CacheContents::drop(const std::string& key) {
     const auto it = at_.find(key);
     if (it == at_.end()) return;
     order_.erase(it->second);
     at_.erase(it);
 }
 
-void Kept::clear() {
+void CacheContents::clear() {
     order_.clear();
     at_.clear();
 }
 
-bool Marks::enter(Nanos now, const std::string& mark, Nanos until) {
+bool IdempotencyRecords::enter(Nanos now, const std::string& mark, Nanos until) {
     while (!order_.empty() && order_.front().until <= now) {
         const auto it = until_.find(order_.front().name);
         if (it != until_.end() && it->second <= now) until_.erase(it);
--- a/src/testbed/emulator/server_model.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -13,7 +13,7 @@
 
 namespace poppyscale::testbed {
 
-class Machine {
+class ServerModel {
   public:
     struct Shape {
         double cores = 1;
@@ -21,7 +21,7 @@
         int queue = 0;
         double thrash = 0;  // added to the time of what begins with the room full, as a share
     };
-    explicit Machine(const Shape& shape) : shape_(shape) {}
+    explicit ServerModel(const Shape& shape) : shape_(shape) {}
 
     struct Begun {
         std::uint64_t job;
@@ -74,9 +74,9 @@
 };
 
 // A bounded number of keys; the one used longest ago goes first.
-class Kept {
+class CacheContents {
   public:
-    explicit Kept(std::size_t most) : most_(most) {}
+    explicit CacheContents(std::size_t most) : most_(most) {}
     bool use(const std::string& key);
     void put(const std::string& key);
     void drop(const std::string& key);
@@ -90,7 +90,7 @@
 };
 
 // Marks of commands that have run, each for its time: what comes again by then gets the old receipt.
-class Marks {
+class IdempotencyRecords {
   public:
     // True when it is new, and kept from now on.
     bool enter(Nanos now, const std::string& mark, Nanos until);
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -87,19 +87,19 @@
 
 int runIt(const Wanted& wanted) {
     const Scenario s = scenarioFor(wanted);
-    Judge judge(kLiveTolerance);
+    Verdict judge(kLiveTolerance);
     LiveResult result;
     {
-        Ledger ledger(logPath(wanted));
+        EventLog ledger(logPath(wanted));
         judge.follow(ledger);
-        LiveWanted live;
+        LiveRunOptions live;
         live.program = wanted.program;
         live.operated = wanted.operated;
         live.ctl = wanted.ctl;
         live.changed = wanted.changed;
         if (!wanted.out.empty()) live.folder = wanted.out;
         live.progress = progressOf(s);
-        result = playLive(s, wanted.seed, ledger, live);
+        result = runLive(s, wanted.seed, ledger, live);
     }
     if (wanted.operated) {
         judge.extra("upgrades", result.upgrades);
@@ -120,9 +120,9 @@
 
 int simulateIt(const Wanted& wanted) {
     const Scenario s = scenarioFor(wanted);
-    Judge judge;
+    Verdict judge;
     {
-        Ledger ledger(logPath(wanted));
+        EventLog ledger(logPath(wanted));
         judge.follow(ledger);
         const SimResult result = simulate(s, wanted.seed, ledger, {progressOf(s), {}, {}, {}});
         judge.extra("sim_pace",
@@ -131,9 +131,9 @@
     return judge.close(wanted.out) ? kKept : kBroken;
 }
 
-int rollIt(const RollWanted& wanted) {
-    if (wanted.routers < wanted.machines) throw BadScenario("fewer routers than machines");
-    const RollPlayed p = playRoll(wanted);
+int rollIt(const RolloutRunOptions& wanted) {
+    if (wanted.routers < wanted.machines) throw ScenarioError("fewer routers than machines");
+    const RolloutRunResult p = runSimulatedRollout(wanted);
     if (!p.reason.empty()) fmt::print(stderr, "{}\n", p.reason);
     fmt::print(
         "stopped={:d} stage={} harmed={:.6f} went={:d} undone={:d} most={} instances={} after_s={:.1f} "
@@ -142,8 +142,8 @@
     return kKept;
 }
 
-int leaseIt(const LeasePlay& wanted) {
-    const LeasePlayed p = playLeases(wanted);
+int leaseIt(const LeaseRunOptions& wanted) {
+    const LeaseRunResult p = runSimulatedLeases(wanted);
     fmt::print(
         "overlaps={} fell={} changes={} acts={} late_refused={} kills={} without={:.6f} p50_s={:.3f} "
         "p99_s={:.3f} "
@@ -211,7 +211,7 @@
                                                            {"crash", Defect::crash},
                                                            {"tells-whole-time", Defect::tellsWholeTime}}));
     auto* comparing = app.add_subcommand("compare", "plays two routers on the same seeds in turn");
-    CompareWanted pair;
+    ComparisonOptions pair;
     std::vector<std::string> files;
     comparing->add_option("--a", pair.a, "a router's command line")->required();
     comparing->add_option("--b", pair.b, "another's")->required();
@@ -230,14 +230,14 @@
     serving->add_option("--program", wanted.program,
                         "the router's command line, build/poppyscale without it");
     auto* asking = app.add_subcommand("ask", "asks a router for a key, or writes one");
-    std::string address, verb;
+    std::string address, requestClass;
     std::vector<std::string> words;
     asking->add_option("address", address, "ADDRESS:PORT")->required();
     asking->add_option("words", words, "get KEY, or set KEY VALUE")->required();
-    asking->add_option("--verb", verb, "read for get, upload for set without it");
+    asking->add_option("--verb", requestClass, "read for get, upload for set without it");
     auto* rolling = app.add_subcommand(
         "roll", "a staged change over a fleet in virtual time, by the real coordinator and agents");
-    RollWanted roll;
+    RolloutRunOptions roll;
     std::string harm = "none";
     rolling->add_option("--seed", roll.seed, "everything drawn follows from it");
     rolling->add_option("--harm", harm, "none, declines, silent, slower, connections or presses");
@@ -250,14 +250,14 @@
     rolling->add_flag("--unstaged", roll.unstaged, "all, one after another, and nobody looks");
     rolling->add_flag("--tell", roll.tell, "what is seen and decided");
     auto* exploring = app.add_subcommand("explore", "every order of events on real deciders, up to bounds");
-    ExploreCall look;
+    ExplorationCommand look;
     exploring->add_option("what", look.what, "leases")->required();
     exploring->add_option("--without", look.without, "a guard that is left out, and has to be missed");
     exploring->add_option("--seconds", look.seconds, "40 without it")->check(CLI::Range(1.0, 100'000.0));
     exploring->add_option("--seed", look.seed, "of the random runs");
     auto* leasing =
         app.add_subcommand("leases", "leases of a whole fleet in virtual time, with all that fails");
-    LeasePlay leases;
+    LeaseRunOptions leases;
     std::string guard;
     leasing->add_option("--seed", leases.seed, "everything drawn follows from it");
     leasing->add_option("--routers", leases.routers, "300 without it")->check(CLI::Range(10, 2000));
@@ -295,11 +295,11 @@
     sloping->add_option("--seeds", series.seeds, "3 without it")->check(CLI::Range(1, 20));
     sloping->add_option("--factor", series.factor, "of the largest size, for the prediction; 4 without it")
         ->check(CLI::Range(0, 20));
-    series.options.hollowRouters = 100;
+    series.options.stubRouters = 100;
     series.options.caches = 300;
     series.options.zones = 10;
     series.options.changesPerSecond = 1;
-    sloping->add_option("--routers", series.options.hollowRouters, "100 without it")
+    sloping->add_option("--routers", series.options.stubRouters, "100 without it")
         ->check(CLI::Range(1, 10'000));
     sloping->add_option("--caches", series.options.caches, "300 without it")->check(CLI::Range(1, 100'000));
     sloping->add_option("--zones", series.options.zones, "10 without it")->check(CLI::Range(1, 1'000));
@@ -355,12 +355,12 @@
             wanted.routers = std::max(wanted.routers, 1);
             return serveByHand(scenarioFor(wanted), wanted.program), kKept;
         }
-        if (*asking) return fmt::print("{}\n", askByHand(address, words, verb)), kKept;
+        if (*asking) return fmt::print("{}\n", askByHand(address, words, requestClass)), kKept;
         if (*proxy) return serveProxy(policy, Defect::none);
         if (*faulty) return serveProxy(Policy::rendezvous, defect);
         if (*sim) return simulateIt(wanted);
         if (*rolling) {
-            roll.harm.kind = harmNamed(harm);
+            roll.harm.kind = defectNamed(harm);
             return rollIt(roll);
         }
         if (*leasing) {
--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 template <class Model>
-bool tell(const Model& start, const Explored<Model>& e, const std::string& bounds) {
+bool tell(const Model& start, const ExplorationResult<Model>& e, const std::string& bounds) {
     fmt::print("{}: states={} steps={} walks={} depth={}{} seconds={:.1f} steps_per_second={:.0f}\n", bounds,
                e.states, e.steps, e.walks, e.depth, e.all ? " (all there is)" : "", e.seconds,
                static_cast<double>(e.steps) / std::max(e.seconds, 1e-9));
@@ -30,10 +30,10 @@
 
 // Voters whose clocks run fast and holders whose clocks are slow: where a grant is shortest and a holder
 // believes longest. Then all sorts.
-bool exploreLeases(const ExploreCall& call) {
-    LeasesWanted wanted;
+bool exploreLeases(const ExplorationCommand& call) {
+    LeaseModelOptions wanted;
     if (!call.without.empty()) wanted.without = {lease::guardNamed(call.without)};
-    ExploreWanted how;
+    ExplorationOptions how;
     how.seed = call.seed;
     wanted.clocks = 0b00111;
     // Whole runs, in which something else happens than a fair order has next, once, twice ... times.
@@ -55,7 +55,7 @@
     }
     // Every order at all, from the start; then long random ones.
     wanted.deviations = -1;
-    wanted.ticks = LeasesWanted{}.ticks;
+    wanted.ticks = LeaseModelOptions{}.ticks;
     how = {};
     how.seed = call.seed;
     how.seconds = call.seconds * 0.25;
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-bool explore(const ExploreCall& call) {
+bool explore(const ExplorationCommand& call) {
     if (call.what == "leases") return exploreLeases(call);
     throw std::runtime_error(fmt::format("'{}' is none of: leases", call.what));
 }
--- a/src/testbed/model_checker/command.hpp
+++ b/src/testbed/model_checker/command.hpp
@@ -7,7 +7,7 @@
 
 namespace poppyscale::testbed {
 
-struct ExploreCall {
+struct ExplorationCommand {
     std::string what;     // leases
     std::string without;  // a guard that is left out, or empty
     double seconds = 40;
@@ -16,6 +16,6 @@
 
 // True when nothing was found. Prints bounds, states, and the run that breaks something. Throws
 // std::runtime_error for names that nobody knows.
-bool explore(const ExploreCall& call);
+bool explore(const ExplorationCommand& call);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -7,13 +7,13 @@
 namespace poppyscale::testbed {
 namespace {
 
-using lease::Answer;
-using lease::Ask;
 using lease::Fence;
-using lease::Guard;
+using lease::LeaseAnswer;
 using lease::LeaseId;
-using lease::Recall;
-using lease::Recalled;
+using lease::LeaseRequest;
+using lease::RecallAnswer;
+using lease::RecallRequest;
+using lease::Safeguard;
 
 // In a unit of their own: few ticks to a lease, so that few events are a run.
 constexpr Nanos kTick = 400;
@@ -23,17 +23,17 @@
 constexpr int kLongestOnTheWay = 10;  // ticks: over a lease's length on a slow clock
 constexpr int kRecoversWithin = 60;   // ticks, each quarantine and pause among them
 
-lease::Terms termsOf(const LeasesWanted& w) {
-    lease::Terms t;
+lease::LeaseSettings termsOf(const LeaseModelOptions& w) {
+    lease::LeaseSettings t;
     t.voters = 3;
-    t.length = 2'000;
+    t.duration = 2'000;
     t.rate = 0.25;
     t.margin = 50;
-    t.answerWithin = 800;
-    t.renewEvery = 500;
-    t.leastPause = 2;
-    t.longestPause = 4;
-    t.without = w.without;
+    t.answerTimeout = 800;
+    t.renewInterval = 500;
+    t.minBackoff = 2;
+    t.maxBackoff = 4;
+    t.disabledSafeguards = w.without;
     return t;
 }
 
@@ -41,15 +41,15 @@
 
 }  // namespace
 
-LeaseModel::LeaseModel(const LeasesWanted& wanted) : wanted_(wanted), terms_(termsOf(wanted)) {
-    voters_.resize(static_cast<std::size_t>(terms_.voters));
+LeaseModel::LeaseModel(const LeaseModelOptions& wanted) : wanted_(wanted), settings_(termsOf(wanted)) {
+    voters_.resize(static_cast<std::size_t>(settings_.voters));
     disks_.resize(voters_.size());
     for (Disk& d : disks_) d.voted = true;  // a group that has been founded
     for (int v = 0; v < voters(); ++v) startVoter(v);
     for (int h = 0; h < wanted_.holders; ++h) {
-        holders_.emplace_back(terms_, static_cast<lease::MemberId>(h + 1), 1);
+        holders_.emplace_back(settings_, static_cast<lease::MemberId>(h + 1), 1);
         stopped_.emplace_back();
-        holders_.back().want(localOf(voters() + h), kLease);
+        holders_.back().acquire(localOf(voters() + h), kLease);
         settle(voters() + h, true);
     }
 }
@@ -63,14 +63,15 @@
 void LeaseModel::startVoter(int v) {
     const Disk& d = disk(v);
     voters_[static_cast<std::size_t>(v)].emplace(
-        terms_, v, localOf(v), d.voted ? std::optional<lease::Records>(d.records) : std::nullopt);
+        settings_, v, localOf(v), d.voted ? std::optional<lease::GrantRecords>(d.records) : std::nullopt);
     settle(v, true);
 }
 
 void LeaseModel::startHolder(int process) {
-    holder(process) = lease::Holder(terms_, static_cast<lease::MemberId>(process - voters() + 1), ++lives_);
+    holder(process) =
+        lease::LeaseHolder(settings_, static_cast<lease::MemberId>(process - voters() + 1), ++lives_);
     stopped_[static_cast<std::size_t>(process - voters())].reset();
-    holder(process).want(localOf(process), kLease);
+    holder(process).acquire(localOf(process), kLease);
     settle(process, true);
 }
 
@@ -82,13 +83,13 @@
 void LeaseModel::settle(int process, bool syncs) {
     const Nanos local = localOf(process);
     if (!isVoter(process)) {
-        const auto wanted = holder(process).settle(local);
-        for (const auto& [v, ask] : wanted.asks) send(process, v, ask);
+        const auto wanted = holder(process).reconcile(local);
+        for (const auto& [v, ask] : wanted.requests) send(process, v, ask);
         for (const auto& [to, lease] : wanted.offers) send(process, voters() + to - 1, lease);
         return;
     }
     for (bool more = true; more;) {
-        auto wanted = voter(process).settle(local);
+        auto wanted = voter(process).reconcile(local);
         for (auto& [to, answer] : wanted.answers) send(process, voters() + to - 1, answer);
         for (auto& [to, recall] : wanted.recalls) send(process, to, recall);
         for (auto& [to, recalled] : wanted.recalled) send(process, to, std::move(recalled));
@@ -101,7 +102,7 @@
         d.voted = true;
         for (const auto& [lease, record] : d.pending) d.records[lease] = record;
         d.pending.clear();
-        voter(process).kept(local, std::exchange(d.ticket, 0));
+        voter(process).onPersisted(local, std::exchange(d.ticket, 0));
         more = true;
     }
 }
@@ -111,7 +112,7 @@
     d.voted = true;
     for (const auto& [lease, record] : d.pending) d.records[lease] = record;
     d.pending.clear();
-    voter(v).kept(localOf(v), std::exchange(d.ticket, 0));
+    voter(v).onPersisted(localOf(v), std::exchange(d.ticket, 0));
     settle(v, true);
 }
 
@@ -119,19 +120,21 @@
     const Nanos local = localOf(m.to);
     if (isVoter(m.to)) {
         auto& v = voter(m.to);
-        if (const auto* ask = std::get_if<Ask>(&m.body))
-            v.heard(local, static_cast<lease::MemberId>(m.from - voters() + 1), *ask);
-        if (std::holds_alternative<Recall>(m.body)) v.heard(local, m.from, Recall{});
-        if (const auto* said = std::get_if<Recalled>(&m.body)) v.heard(local, m.from, *said);
+        if (const auto* ask = std::get_if<LeaseRequest>(&m.body))
+            v.onRequest(local, static_cast<lease::MemberId>(m.from - voters() + 1), *ask);
+        if (std::holds_alternative<RecallRequest>(m.body)) v.onRequest(local, m.from, RecallRequest{});
+        if (const auto* said = std::get_if<RecallAnswer>(&m.body)) v.onRequest(local, m.from, *said);
     } else {
-        if (const auto* answer = std::get_if<Answer>(&m.body)) holder(m.to).heard(local, m.from, *answer);
-        if (const auto* offered = std::get_if<LeaseId>(&m.body)) holder(m.to).offered(local, *offered);
+        if (const auto* answer = std::get_if<LeaseAnswer>(&m.body))
+            holder(m.to).onAnswer(local, m.from, *answer);
+        if (const auto* offered = std::get_if<LeaseId>(&m.body))
+            holder(m.to).onTransferOffered(local, *offered);
     }
     settle(m.to, syncs);
 }
 
 bool LeaseModel::mayAct(int process) const {
-    return holder(process).act(localOf(process), kLease, kActLasts).has_value();
+    return holder(process).enterCriticalSection(localOf(process), kLease, kActLasts).has_value();
 }
 
 bool LeaseModel::acts(int process) const {
@@ -141,7 +144,7 @@
 
 bool LeaseModel::somebodyHolds() const {
     for (int p = voters(); p < count(); ++p)
-        if (holder(p).holds(localOf(p), kLease)) return true;
+        if (holder(p).isHolding(localOf(p), kLease)) return true;
     return false;
 }
 
@@ -225,7 +228,8 @@
     for (std::size_t i = 0; i < flight_.size(); ++i) {
         all.push_back(actionOf(i, What::deliver));
         if (wanted_.doubles > 0) all.push_back(actionOf(i, What::twice));
-        if (wanted_.slowSyncs > 0 && isVoter(flight_[i].to) && std::holds_alternative<Ask>(flight_[i].body))
+        if (wanted_.slowSyncs > 0 && isVoter(flight_[i].to) &&
+            std::holds_alternative<LeaseRequest>(flight_[i].body))
             all.push_back(actionOf(i, What::syncLater));
     }
     for (int v = 0; v < voters(); ++v) {
@@ -244,7 +248,7 @@
             all.push_back({What::act, p});
             if (wanted_.stops > 0) all.push_back({What::stopped, p});
         }
-        if (wanted_.letGos > 0 && holder(p).holds(localOf(p), kLease) && !acts(p)) {
+        if (wanted_.letGos > 0 && holder(p).isHolding(localOf(p), kLease) && !acts(p)) {
             all.push_back({What::letGo, p});
             all.push_back({What::handOn, p});
         }
@@ -277,8 +281,8 @@
 
 bool LeaseModel::play(const Action& a) {
     const auto spend = [](int& of) { return of > 0 && of-- > 0; };
-    const bool holds = !isVoter(a.who) && holder(a.who).holds(localOf(a.who), kLease);
-    const auto still = [&]() -> std::optional<lease::Act>& {
+    const bool holds = !isVoter(a.who) && holder(a.who).isHolding(localOf(a.who), kLease);
+    const auto still = [&]() -> std::optional<lease::CriticalSection>& {
         return stopped_[static_cast<std::size_t>(a.who - voters())];
     };
     switch (a.what) {
@@ -324,7 +328,7 @@
             // One after the other: of a majority that forgets at once nothing is promised but the quarantine.
             if (a.what == What::forget)
                 for (int v = 0; v < voters(); ++v)
-                    if (voter(v).state() != lease::Voter::State::voting) return false;
+                    if (voter(v).state() != lease::Acceptor::State::voting) return false;
             if (!spend(a.what == What::forget ? wanted_.forgets : wanted_.crashes)) return false;
             Disk& d = disk(a.who);
             d.pending.clear();
@@ -341,7 +345,7 @@
             return beginAct(a.who, holder(a.who).fence(kLease), false);
         case What::stopped:
             if (isVoter(a.who) || still() || !mayAct(a.who) || !spend(wanted_.stops)) return false;
-            still() = holder(a.who).act(localOf(a.who), kLease, kActLasts);
+            still() = holder(a.who).enterCriticalSection(localOf(a.who), kLease, kActLasts);
             return true;
         case What::goesOn: {
             if (isVoter(a.who) || !still()) return false;
@@ -353,15 +357,16 @@
         }
         case What::letGo:
             if (!holds || still() || acts(a.who) || !spend(wanted_.letGos)) return false;
-            holder(a.who).letGo(localOf(a.who), kLease);
+            holder(a.who).release(localOf(a.who), kLease);
             settle(a.who, true);
-            holder(a.who).want(localOf(a.who), kLease, 2);
+            holder(a.who).acquire(localOf(a.who), kLease, 2);
             return true;
         case What::handOn:
             if (!holds || still() || acts(a.who) || wanted_.holders < 2 || !spend(wanted_.letGos))
                 return false;
-            holder(a.who).handOn(localOf(a.who), kLease,
-                                 static_cast<lease::MemberId>((a.who - voters() + 1) % wanted_.holders + 1));
+            holder(a.who).transfer(
+                localOf(a.who), kLease,
+                static_cast<lease::MemberId>((a.who - voters() + 1) % wanted_.holders + 1));
             settle(a.who, true);
             return true;
     }
@@ -415,14 +420,14 @@
     for (const Message& m : flight_) {
         std::string one =
             fmt::format("{}>{}:{}:{}:", m.from, m.to, m.body.index(), (now_ - m.sentAt) / kTick);
-        if (const auto* ask = std::get_if<Ask>(&m.body))
-            one += fmt::format("{},{}.{},{},{}", static_cast<int>(ask->kind), ask->fence, ask->life,
+        if (const auto* ask = std::get_if<LeaseRequest>(&m.body))
+            one += fmt::format("{},{}.{},{},{}", static_cast<int>(ask->kind), ask->fence, ask->incarnation,
                                ask->stamp ? localOf(m.from) - ask->stamp : 0, ask->to);
-        if (const auto* a = std::get_if<Answer>(&m.body))
-            one += fmt::format("{}.{},{},{},{}", a->fence, a->life, localOf(m.to) - a->stamp, a->granted,
-                               a->highest);
-        if (const auto* r = std::get_if<Recalled>(&m.body)) {
-            one += r->remembers ? "y" : "n";
+        if (const auto* a = std::get_if<LeaseAnswer>(&m.body))
+            one += fmt::format("{}.{},{},{},{}", a->fence, a->incarnation, localOf(m.to) - a->stamp,
+                               a->granted, a->highest);
+        if (const auto* r = std::get_if<RecallAnswer>(&m.body)) {
+            one += r->hasState ? "y" : "n";
             for (const auto& [lease, record] : r->records) one += fmt::format("{},", record.highest);
         }
         flight.push_back(std::move(one));
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -15,8 +15,8 @@
 
 namespace poppyscale::testbed {
 
-struct LeasesWanted {
-    std::set<lease::Guard> without;
+struct LeaseModelOptions {
+    std::set<lease::Safeguard> without;
     int holders = 2;
     // Of each of them in one run, at most.
     int forgets = 1, crashes = 1, doubles = 1, stops = 1, letGos = 1, slowSyncs = 1;
@@ -56,7 +56,7 @@
         bool operator==(const Action&) const = default;
     };
 
-    explicit LeaseModel(const LeasesWanted& wanted);
+    explicit LeaseModel(const LeaseModelOptions& wanted);
 
     std::vector<Action> actions() const;
     bool apply(const Action& action);
@@ -69,7 +69,8 @@
     int changes() const { return changes_; }
 
   private:
-    using Body = std::variant<lease::Ask, lease::Answer, lease::Recall, lease::Recalled, lease::LeaseId>;
+    using Body = std::variant<lease::LeaseRequest, lease::LeaseAnswer, lease::RecallRequest,
+                              lease::RecallAnswer, lease::LeaseId>;
     struct Message {
         int from, to;  // voters first, then holders
         Body body;
@@ -78,9 +79,9 @@
     };
     struct Disk {
         bool voted = false;
-        lease::Records records;
+        lease::GrantRecords records;
         // Written and not synced.
-        lease::Records pending;
+        lease::GrantRecords pending;
         std::uint64_t ticket = 0;
     };
     struct Acting {
@@ -88,15 +89,15 @@
         lease::Fence fence;
         Nanos until;
     };
-    int voters() const { return terms_.voters; }
+    int voters() const { return settings_.voters; }
     bool isVoter(int process) const { return process < voters(); }
     int count() const { return voters() + wanted_.holders; }
     Nanos localOf(int process) const;
-    lease::Holder& holder(int process) { return holders_[static_cast<std::size_t>(process - voters())]; }
-    const lease::Holder& holder(int process) const {
+    lease::LeaseHolder& holder(int process) { return holders_[static_cast<std::size_t>(process - voters())]; }
+    const lease::LeaseHolder& holder(int process) const {
         return holders_[static_cast<std::size_t>(process - voters())];
     }
-    lease::Voter& voter(int process) { return *voters_[static_cast<std::size_t>(process)]; }
+    lease::Acceptor& voter(int process) { return *voters_[static_cast<std::size_t>(process)]; }
     Disk& disk(int process) { return disks_[static_cast<std::size_t>(process)]; }
     // What a fair order has next: what is due at a disk, an act, the oldest message, time.
     Action usual() const;
@@ -115,17 +116,17 @@
     bool acts(int process) const;  // one of its acts is not over
     bool somebodyHolds() const;
 
-    LeasesWanted wanted_;
-    lease::Terms terms_;
+    LeaseModelOptions wanted_;
+    lease::LeaseSettings settings_;
     Nanos now_ = 0;
     int tick_ = 0;
-    std::vector<std::optional<lease::Voter>> voters_;
+    std::vector<std::optional<lease::Acceptor>> voters_;
     std::vector<Disk> disks_;
-    std::vector<lease::Holder> holders_;
+    std::vector<lease::LeaseHolder> holders_;
     std::vector<Message> flight_;
     std::vector<Acting> acting_;
-    std::vector<std::optional<lease::Act>> stopped_;  // holders that were told so and stand still
-    lease::Fence seen_ = 0;                           // by who receives the acts
+    std::vector<std::optional<lease::CriticalSection>> stopped_;  // holders that were told so and stand still
+    lease::Fence seen_ = 0;                                       // by who receives the acts
     std::uint32_t lives_ = 1;
     int lastActor_ = -1, changes_ = 0;
     std::string broken_;
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -29,7 +29,7 @@
 
 namespace poppyscale::testbed {
 
-struct ExploreWanted {
+struct ExplorationOptions {
     double seconds = 40;
     std::uint64_t seed = 1;
     int walkLength = 120;              // of a random run
@@ -39,7 +39,7 @@
 };
 
 template <class Model>
-struct Explored {
+struct ExplorationResult {
     std::uint64_t states = 0, steps = 0, walks = 0;
     int depth = 0;     // to which every order was looked at
     bool all = false;  // there was nothing further
@@ -54,9 +54,9 @@
 class Explorer {
   public:
     using Action = typename Model::Action;
-    Explorer(Model start, const ExploreWanted& wanted) : start_(std::move(start)), wanted_(wanted) {}
+    Explorer(Model start, const ExplorationOptions& wanted) : start_(std::move(start)), wanted_(wanted) {}
 
-    Explored<Model> explore() {
+    ExplorationResult<Model> explore() {
         const auto began = Clock::now();
         breadth(began, wanted_.seconds * wanted_.breadth);
         if (wanted_.walks && out_.broken.empty() && !out_.all) walk(began, wanted_.seconds * 0.9);
@@ -179,8 +179,8 @@
     }
 
     Model start_;
-    ExploreWanted wanted_;
-    Explored<Model> out_;
+    ExplorationOptions wanted_;
+    ExplorationResult<Model> out_;
     std::unordered_set<XXH128_hash_t, Hash, Same> seen_;
 };
 
--- a/src/testbed/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -32,10 +32,10 @@
 
 }  // namespace
 
-double Played::of(const std::string& name) const {
+double RunResult::of(const std::string& name) const {
     for (const auto& [n, value] : figures)
         if (n == name) return value;
-    throw BadScenario("there is no figure '" + name + "'");
+    throw ScenarioError("there is no figure '" + name + "'");
 }
 
 double chanceOf(const std::vector<double>& differences) {
@@ -52,16 +52,16 @@
     return static_cast<double>(asFar) / static_cast<double>(all);
 }
 
-Played playOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program) {
+RunResult runOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program) {
     for (int tries = 1;; ++tries) {
-        Judge judge(kLiveTolerance);
-        Ledger ledger;
+        Verdict judge(kLiveTolerance);
+        EventLog ledger;
         judge.follow(ledger);
-        LiveWanted wanted;
+        LiveRunOptions wanted;
         wanted.program = program;
-        const LiveResult result = playLive(scenario, seed, ledger, wanted);
-        if (result.interrupted) throw CannotRun("interrupted");
-        Played played;
+        const LiveResult result = runLive(scenario, seed, ledger, wanted);
+        if (result.interrupted) throw RunError("interrupted");
+        RunResult played;
         played.broken = judge.verdict();
         played.figures = judge.figures().finish();
         played.figures.emplace_back("cpu_us", result.cpuSeconds * 1e6 / std::max(played.of("asked"), 1.0));
@@ -70,29 +70,29 @@
     }
 }
 
-bool compare(const std::vector<Scenario>& scenarios, const CompareWanted& wanted) {
+bool compare(const std::vector<Scenario>& scenarios, const ComparisonOptions& wanted) {
     const double level = kLevel / static_cast<double>(scenarios.size());
     if (2 * std::pow(0.5, wanted.plays) > level)
         fmt::print("{} plays can't tell a difference from noise over {} scenarios: {} are needed\n",
                    wanted.plays, scenarios.size(), static_cast<int>(std::ceil(std::log2(2 / level))));
     bool same = true;
     for (const Scenario& s : scenarios) {
-        std::vector<Played> a, b;
+        std::vector<RunResult> a, b;
         int late = 0;
         for (int i = 0; i < wanted.plays; ++i) {
             const auto seed = static_cast<std::uint64_t>(i + 1);
             // Who goes first changes, so that what the machine does meanwhile falls on both.
-            if (i % 2) b.push_back(playOnce(s, seed, wanted.b));
-            a.push_back(playOnce(s, seed, wanted.a));
-            if (i % 2 == 0) b.push_back(playOnce(s, seed, wanted.b));
+            if (i % 2) b.push_back(runOnce(s, seed, wanted.b));
+            a.push_back(runOnce(s, seed, wanted.a));
+            if (i % 2 == 0) b.push_back(runOnce(s, seed, wanted.b));
             late += a.back().late + b.back().late;
             fmt::print(stderr, "{}: {} of {} plays\n", s.name, i + 1, wanted.plays);
         }
         fmt::print("{}\n  {:<14}{:>10}{:>10}{:>10}{:>10}\n", s.name, "figure", "a", "b", "spread a",
                    "spread b");
-        const auto column = [](const std::vector<Played>& plays, const std::string& name) {
+        const auto column = [](const std::vector<RunResult>& plays, const std::string& name) {
             std::vector<double> all;
-            for (const Played& p : plays) all.push_back(p.of(name));
+            for (const RunResult& p : plays) all.push_back(p.of(name));
             return all;
         };
         for (const char* name : {"utility", "goal", "answered", "declined", "terminated", "p50_ms", "p99_ms",
@@ -100,8 +100,8 @@
             fmt::print("  {:<14}{:>10.4g}{:>10.4g}{:>10.2g}{:>10.2g}\n", name, median(column(a, name)),
                        median(column(b, name)), spread(column(a, name)), spread(column(b, name)));
         int brokenA = 0, brokenB = 0;
-        for (const Played& p : a) brokenA += !p.broken.empty();
-        for (const Played& p : b) brokenB += !p.broken.empty();
+        for (const RunResult& p : a) brokenA += !p.broken.empty();
+        for (const RunResult& p : b) brokenB += !p.broken.empty();
         std::vector<double> differences;
         const auto left = column(a, wanted.figure), right = column(b, wanted.figure);
         for (std::size_t i = 0; i < left.size(); ++i) differences.push_back(right[i] - left[i]);
@@ -118,8 +118,8 @@
 }
 
 void cost(const Scenario& scenario, std::uint64_t seed, const std::string& program, const std::string& lab) {
-    const Played router = playOnce(scenario, seed, program);
-    const Played proxy = playOnce(scenario, seed, lab + " proxy --policy pass-through");
+    const RunResult router = runOnce(scenario, seed, program);
+    const RunResult proxy = runOnce(scenario, seed, lab + " proxy --policy pass-through");
     const double ratio = router.of("cpu_us") / std::max(proxy.of("cpu_us"), 1e-9);
     fmt::print("router_us={:.1f} proxy_us={:.1f} ratio={:.3f} router_relays={:.3f} proxy_relays={:.3f}\n",
                router.of("cpu_us"), proxy.of("cpu_us"), ratio, router.of("relays"), proxy.of("relays"));
--- a/src/testbed/report/experiment.hpp
+++ b/src/testbed/report/experiment.hpp
@@ -11,21 +11,21 @@
 // How likely pairs that differ by nothing but chance would differ this much: all 2^n ways to turn them round.
 double chanceOf(const std::vector<double>& differences);
 
-struct Played {
+struct RunResult {
     std::vector<std::string> broken;
     std::vector<std::pair<std::string, double>> figures;
     bool late = false;
     double of(const std::string& name) const;
 };
-Played playOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program);
+RunResult runOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program);
 
-struct CompareWanted {
+struct ComparisonOptions {
     std::string a, b;
     int plays = 8;
     std::string figure = "utility";
 };
 // Prints a table for each scenario; true when none differs by more than noise.
-bool compare(const std::vector<Scenario>& scenarios, const CompareWanted& wanted);
+bool compare(const std::vector<Scenario>& scenarios, const ComparisonOptions& wanted);
 
 // CPU a command of `program` beside the pass-through proxy's, from one run of both.
 void cost(const Scenario& scenario, std::uint64_t seed, const std::string& program, const std::string& lab);
--- a/src/testbed/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -23,9 +23,9 @@
 }
 
 Figures::Figures(const nlohmann::json& head) : head_(head), coldLoad_(head) {
-    for (const auto& v : head_.at("verbs")) verbNames_.push_back(v.at("name").get<std::string>());
-    perVerb_.resize(verbNames_.size());
-    inGoalOfVerb_.resize(verbNames_.size());
+    for (const auto& v : head_.at("verbs")) requestClassNames_.push_back(v.at("name").get<std::string>());
+    perVerb_.resize(requestClassNames_.size());
+    inGoalOfVerb_.resize(requestClassNames_.size());
 }
 
 Figures::Second& Figures::second(Nanos at) {
@@ -34,26 +34,27 @@
     return seconds_[index];
 }
 
-void Figures::see(const Entry& e) {
+void Figures::see(const LogEvent& e) {
     coldLoad_.see(e);
-    if (e.what != What::server) lastAt_ = std::max(lastAt_, e.at);
+    if (e.what != EventKind::server) lastAt_ = std::max(lastAt_, e.at);
     const auto wishOf = [&]() -> Wish* {
         const auto first = firsts_.find(e.command);
         return first == firsts_.end() ? nullptr : &wishes_.at(first->second);
     };
     switch (e.what) {
-        case What::server:
+        case EventKind::server:
             names_.emplace_back(wordAt(e.text, 0));
             zones_.emplace_back(wordAt(e.text, 1));
             capacities_.push_back(std::atof(std::string(wordAt(e.text, 4)).c_str()));
             break;
-        case What::asked: {
+        case EventKind::asked: {
             const std::uint64_t first = std::strtoull(std::string(wordAt(e.text, 3)).c_str(), nullptr, 16);
             firsts_[e.command] = first;
             ++tries_;
             if (wordAt(e.text, 4) != "1") break;
-            const auto verb = std::find(verbNames_.begin(), verbNames_.end(), wordAt(e.text, 0));
-            const auto index = static_cast<int>(verb - verbNames_.begin());
+            const auto requestClass =
+                std::find(requestClassNames_.begin(), requestClassNames_.end(), wordAt(e.text, 0));
+            const auto index = static_cast<int>(requestClass - requestClassNames_.begin());
             const bool moved = e.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
             wishes_[first] = {index, static_cast<Nanos>(e.run), true, rolling_, moved};
             rollAsked_ += rolling_;
@@ -65,43 +66,44 @@
             ++second(e.at).asked;
             break;
         }
-        case What::answered:
+        case EventKind::answered:
             if (Wish* const wish = wishOf(); wish && std::exchange(wish->open, false)) {
-                const auto& verb = head_["verbs"][static_cast<std::size_t>(wish->verb)];
+                const auto& requestClass = head_["verbs"][static_cast<std::size_t>(wish->requestClass)];
                 const Nanos took = e.at - wish->dueAt;
-                const bool inGoal = took <= verb["goal"].get<Nanos>();
+                const bool withinObjective = took <= requestClass["goal"].get<Nanos>();
                 ++answered_;
-                inGoal_ += inGoal;
-                rollInGoal_ += inGoal && wish->rolling;
-                inGoalBy_[wish->moved] += inGoal;
-                inGoalOfVerb_[static_cast<std::size_t>(wish->verb)] += inGoal;
-                utility_ += verb["utility"].get<double>() * (inGoal ? 1 : verb["late"].get<double>());
+                inGoal_ += withinObjective;
+                rollInGoal_ += withinObjective && wish->rolling;
+                inGoalBy_[wish->moved] += withinObjective;
+                inGoalOfVerb_[static_cast<std::size_t>(wish->requestClass)] += withinObjective;
+                utility_ += requestClass["utility"].get<double>() *
+                            (withinObjective ? 1 : requestClass["late"].get<double>());
                 times_.add(took);
                 Second& s = second(e.at);
                 ++s.answered;
                 s.times.add(took);
             }
             break;
-        case What::declined:
+        case EventKind::declined:
             ++declined_;
             ++second(e.at).declined;
             break;
-        case What::terminated:
+        case EventKind::terminated:
             ++terminated_;
             ++second(e.at).terminated;
             break;
-        case What::unsent:
+        case EventKind::unsent:
             ++unsent_;
             break;
-        case What::silent:
+        case EventKind::silent:
             ++silent_;
             break;
-        case What::left:
+        case EventKind::left:
             if (relayed_.contains(e.command)) break;
             leftAt_[e.command] = e.at;
             ++leftWaiting_;
             break;
-        case What::sent: {
+        case EventKind::sent: {
             ++relays_;
             relayed_.insert(e.command);
             if (const auto left = leftAt_.find(e.command); left != leftAt_.end()) {
@@ -110,14 +112,14 @@
             }
             crossed_ += zones_.at(static_cast<std::size_t>(e.server)) != routerZones_[e.router];
             Second& s = second(e.at);
-            ++s.relays;
+            ++s.attempts;
             ++s.relaysOf[e.server];
             if (e.server != 0) break;
             originWork_ += static_cast<double>(e.number);
             s.originLoad += static_cast<double>(e.number) / kNanos / capacities_.at(0);
             break;
         }
-        case What::ended: {
+        case EventKind::ended: {
             const auto how = wordAt(e.text, 0);
             busy_ += how == "busy";
             errors_ += how == "error" || how == "spoilt";
@@ -127,21 +129,21 @@
             if (how == "miss") ++second(e.at).misses;
             break;
         }
-        case What::up:
+        case EventKind::up:
             routerZones_[e.router] = e.text;
             break;
-        case What::opened:
+        case EventKind::opened:
             ++opened_;
             break;
-        case What::fault:
+        case EventKind::fault:
             marks_.push_back({static_cast<double>(e.at) / kNanos, e.text});
             break;
-        case What::claims:
+        case EventKind::claims:
             if (e.text == "roll begins") rolling_ = true;
             if (e.text.starts_with("roll ends ")) rolled_ = e.text.substr(10);
             if (e.text.starts_with("change ")) changedNow_[e.router] = e.text == "change begins";
             break;
-        case What::late:
+        case EventKind::late:
             lateness_.add(e.number);
             break;
         default:
@@ -170,8 +172,8 @@
             {"errors", share(static_cast<double>(errors_), static_cast<double>(relays_))},
             {"origin_mean",
              capacities_.empty() || length <= 0 ? 0 : originWork_ / kNanos / capacities_[0] / length}};
-    for (std::size_t v = 0; v < verbNames_.size(); ++v)
-        all_.emplace_back("goal_" + verbNames_[v], share(inGoalOfVerb_[v], perVerb_[v]));
+    for (std::size_t v = 0; v < requestClassNames_.size(); ++v)
+        all_.emplace_back("goal_" + requestClassNames_[v], share(inGoalOfVerb_[v], perVerb_[v]));
     if (leftWaiting_ > 0) {
         all_.emplace_back("left_waiting", leftWaiting_);
         all_.emplace_back("sent_on", share(static_cast<double>(sentOn_), static_cast<double>(leftWaiting_)));
--- a/src/testbed/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -29,7 +29,7 @@
 class Figures {
   public:
     explicit Figures(const nlohmann::json& head);
-    void see(const Entry& entry);
+    void see(const LogEvent& entry);
     // After the last entry: all figures by name, in the order in which they are printed.
     const std::vector<std::pair<std::string, double>>& finish();
     double of(const std::string& name) const;
@@ -37,7 +37,7 @@
     std::vector<std::string> missed() const;
 
     struct Second {
-        int asked = 0, answered = 0, declined = 0, terminated = 0, relays = 0, misses = 0;
+        int asked = 0, answered = 0, declined = 0, terminated = 0, attempts = 0, misses = 0;
         double originLoad = 0;  // of its capacity
         Times times;
         std::map<int, int> relaysOf;  // by server
@@ -54,7 +54,7 @@
   private:
     // All tries of one command together.
     struct Wish {
-        int verb = 0;
+        int requestClass = 0;
         Nanos dueAt = 0;
         bool open = true;
         bool rolling = false;  // asked after a roll began
@@ -63,7 +63,7 @@
     Second& second(Nanos at);
 
     nlohmann::json head_;
-    std::vector<std::string> verbNames_;
+    std::vector<std::string> requestClassNames_;
     std::unordered_map<std::uint64_t, std::uint64_t> firsts_;  // of a try's id
     std::unordered_map<std::uint64_t, Wish> wishes_;
     std::vector<Second> seconds_;
@@ -88,7 +88,7 @@
     bool rolling_ = false;
     std::string rolled_;
     std::map<int, bool> changedNow_;
-    ColdLoad coldLoad_;
+    SlowStartLoad coldLoad_;
     std::vector<std::pair<std::string, double>> all_;
 };
 
--- a/src/testbed/report/page.cpp
+++ b/src/testbed/report/page.cpp
@@ -43,16 +43,16 @@
     const auto caches = static_cast<int>(figures.serverNames().size());
     double at = 0.5;
     for (Figures::Second& s : figures.seconds()) {
-        std::vector<int> relays;
+        std::vector<int> attempts;
         for (int c = 1; c < caches; ++c) {
             const auto it = s.relaysOf.find(c);
-            relays.push_back(it == s.relaysOf.end() ? 0 : it->second);
+            attempts.push_back(it == s.relaysOf.end() ? 0 : it->second);
         }
-        std::sort(relays.begin(), relays.end());
+        std::sort(attempts.begin(), attempts.end());
         const auto rank = [&](double part) {
-            return relays.empty()
+            return attempts.empty()
                        ? 0
-                       : relays[static_cast<std::size_t>(part * static_cast<double>(relays.size() - 1))];
+                       : attempts[static_cast<std::size_t>(part * static_cast<double>(attempts.size() - 1))];
         };
         out << fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}\n", at, s.asked, s.answered, s.declined,
                            s.terminated, s.times.ms(0.5), s.times.ms(0.99), s.times.ms(0.999), rank(0),
--- a/src/testbed/report/verdict.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -14,34 +14,34 @@
 
 }  // namespace
 
-void Judge::begin(const nlohmann::json& head) {
+void Verdict::begin(const nlohmann::json& head) {
     audit_ = std::make_unique<Audit>(head, tolerance_ ? tolerance_ : head.value("tolerance", Nanos{0}));
     figures_ = std::make_unique<Figures>(head);
 }
 
-void Judge::follow(Ledger& ledger) {
+void Verdict::follow(EventLog& ledger) {
     ledger.watchHead = [this](const nlohmann::json& head) { begin(head); };
-    ledger.watch = [this](const Entry& entry) { see(entry); };
+    ledger.watch = [this](const LogEvent& entry) { see(entry); };
 }
 
-void Judge::see(const Entry& entry) {
+void Verdict::see(const LogEvent& entry) {
     audit_->see(entry);
     figures_->see(entry);
 }
 
-std::vector<std::string> Judge::verdict() {
+std::vector<std::string> Verdict::verdict() {
     if (!std::exchange(finished_, true)) {
         breaches_ = audit_->finish();
         figures_->finish();
     }
     std::vector<std::string> broken;
-    for (const Breach& b : breaches_)
+    for (const Violation& b : breaches_)
         if (std::find(broken.begin(), broken.end(), b.rule) == broken.end()) broken.push_back(b.rule);
     for (auto& bound : figures_->missed()) broken.push_back(std::move(bound));
     return broken;
 }
 
-bool Judge::close(const std::string& out) {
+bool Verdict::close(const std::string& out) {
     const auto broken = verdict();
     for (std::size_t i = 0; i < std::min(breaches_.size(), kShown); ++i)
         fmt::print(stderr, "{} at {:.3f} s: {}\n", breaches_[i].rule,
@@ -52,7 +52,7 @@
         for (const auto& [name, value] : extras_) report["figures"][name] = value;
         report["verdict"] = broken.empty() ? "kept" : "broken";
         report["broken"] = broken;
-        for (const Breach& b : breaches_)
+        for (const Violation& b : breaches_)
             report["breaches"].push_back({{"rule", b.rule}, {"at_ns", b.at}, {"what", b.what}});
         std::ofstream(out + "/report.json") << report.dump(2) << '\n';
         writePage(out, *figures_, report);
@@ -70,10 +70,10 @@
 }
 
 bool judgeAgain(const std::string& dir) {
-    Judge judge;
-    readLedger(
+    Verdict judge;
+    readEventLog(
         dir + "/log.tsv", [&](const nlohmann::json& head) { judge.begin(head); },
-        [&](const Entry& e) { judge.see(e); });
+        [&](const LogEvent& e) { judge.see(e); });
     return judge.close("");
 }
 
--- a/src/testbed/report/verdict.hpp
+++ b/src/testbed/report/verdict.hpp
@@ -12,14 +12,14 @@
 
 namespace poppyscale::testbed {
 
-class Judge {
+class Verdict {
   public:
     // `tolerance` as the audit's.
-    explicit Judge(Nanos tolerance = 0) : tolerance_(tolerance) {}
+    explicit Verdict(Nanos tolerance = 0) : tolerance_(tolerance) {}
     // Before the ledger's head is written.
-    void follow(Ledger& ledger);
+    void follow(EventLog& ledger);
     void begin(const nlohmann::json& head);
-    void see(const Entry& entry);
+    void see(const LogEvent& entry);
     void extra(const std::string& name, double value) { extras_.emplace_back(name, value); }
 
     // All breaches and bounds that were not kept, each once; empty if all held.
@@ -27,14 +27,14 @@
     // Prints the line of figures and the verdict, writes the reports into `out` unless that is empty.
     bool close(const std::string& out);
     Figures& figures() { return *figures_; }
-    const std::vector<Breach>& breaches() const { return breaches_; }
+    const std::vector<Violation>& breaches() const { return breaches_; }
 
   private:
     Nanos tolerance_;
     std::unique_ptr<Audit> audit_;
     std::unique_ptr<Figures> figures_;
     std::vector<std::pair<std::string, double>> extras_;
-    std::vector<Breach> breaches_;
+    std::vector<Violation> breaches_;
     bool finished_ = false;
 };
 
--- a/src/testbed/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -14,46 +14,46 @@
 constexpr double kMostCount = 1e12;
 constexpr double kMostSize = 1e12;
 
-double count(config::Table& table, std::string_view key) {
-    return table.real(key, std::nullopt, kLeastCount, kMostCount);
+double count(config::TomlTable& table, std::string_view key) {
+    return table.number(key, std::nullopt, kLeastCount, kMostCount);
 }
 
 // `{ value = 32, unit = "MB" }`: a bound in another unit is an error and not silently a thousand times as
 // large.
-double bounded(config::Table& table, std::string_view key, std::string_view unit) {
+double bounded(config::TomlTable& table, std::string_view key, std::string_view unit) {
     double value = 0;
-    table.one(key, true, [&](config::Table& bound) {
-        value = bound.real("value", std::nullopt, 1e-9, kMostSize);
-        const std::string told = bound.text("unit", std::nullopt);
+    table.one(key, true, [&](config::TomlTable& bound) {
+        value = bound.number("value", std::nullopt, 1e-9, kMostSize);
+        const std::string told = bound.string("unit", std::nullopt);
         if (!told.empty() && told != unit)
             bound.problem("unit", fmt::format("is '{}' where '{}' is expected", told, unit));
     });
     return value;
 }
 
-Target readTargetTable(config::Table& root) {
+Target readTargetTable(config::TomlTable& root) {
     Target t;
-    t.name = root.text("name", std::nullopt);
-    root.one("fleet", true, [&](config::Table& fleet) {
+    t.name = root.string("name", std::nullopt);
+    root.one("fleet", true, [&](config::TomlTable& fleet) {
         t.routers = count(fleet, "routers");
         t.sites = count(fleet, "sites");
         t.caches = count(fleet, "caches");
         t.regions = count(fleet, "regions");
         t.zones = count(fleet, "zones");
     });
-    root.one("load", true, [&](config::Table& load) {
+    root.one("load", true, [&](config::TomlTable& load) {
         t.requestsPerSecond = count(load, "requests_per_second");
-        t.terabitsPerSecond = load.real("terabits_per_second", std::nullopt, 1e-6, 1e6);
+        t.terabitsPerSecond = load.number("terabits_per_second", std::nullopt, 1e-6, 1e6);
         t.objects = count(load, "objects");
-        t.purgesPerSecond = load.real("purges_per_second", std::nullopt);
-        t.changesPerDay = load.real("changes_per_day", std::nullopt);
+        t.purgesPerSecond = load.number("purges_per_second", std::nullopt);
+        t.changesPerDay = load.number("changes_per_day", std::nullopt);
     });
-    root.one("failures", true, [&](config::Table& failures) {
-        t.failuresPerDay = failures.real("machines_per_day", std::nullopt);
-        t.restartsPerDay = failures.real("restarts_per_day", std::nullopt);
-        t.partitionHours = failures.real("partition_hours", std::nullopt, 0, 1000);
+    root.one("failures", true, [&](config::TomlTable& failures) {
+        t.failuresPerDay = failures.number("machines_per_day", std::nullopt);
+        t.restartsPerDay = failures.number("restarts_per_day", std::nullopt);
+        t.partitionHours = failures.number("partition_hours", std::nullopt, 0, 1000);
     });
-    root.one("bounds", true, [&](config::Table& bounds) {
+    root.one("bounds", true, [&](config::TomlTable& bounds) {
         t.purgeSeconds = bounded(bounds, "purge", "s");
         t.inForceSeconds = bounded(bounds, "in_force", "s");
         t.routerProcessorPercent = bounded(bounds, "router_processor", "% of a core");
@@ -61,13 +61,13 @@
         t.routerKilobytesPerSecond = bounded(bounds, "router_bytes", "KB/s");
         t.controlMachines = bounded(bounds, "control", "machines");
     });
-    root.one("assumed", true, [&](config::Table& assumed) {
+    root.one("assumed", true, [&](config::TomlTable& assumed) {
         t.controlProcessorPercent = bounded(assumed, "control_processor", "% of a core");
         t.descriptors = count(assumed, "descriptors");
         t.connectionBytes = count(assumed, "connection_bytes");
         t.purgeBytes = count(assumed, "purge_bytes");
         t.callBytes = count(assumed, "call_bytes");
-        t.releaseHours = assumed.real("release_hours", std::nullopt, 0.01, 1000);
+        t.releaseHours = assumed.number("release_hours", std::nullopt, 0.01, 1000);
         t.rackCaches = count(assumed, "rack_caches");
     });
     return t;
@@ -79,29 +79,31 @@
     return it == all.end() ? nullptr : &*it;
 }
 
-std::string nonEmpty(config::Table& table, std::string_view key) {
-    const std::string value = table.text(key, std::nullopt);
+std::string nonEmpty(config::TomlTable& table, std::string_view key) {
+    const std::string value = table.string(key, std::nullopt);
     if (table.has(key) && value.empty()) table.problem(key, "is empty");
     return value;
 }
 
-void mustBe(config::Table& table, std::string_view key, std::string_view told, std::string_view expected) {
+void mustBe(config::TomlTable& table, std::string_view key, std::string_view told,
+            std::string_view expected) {
     if (told.empty() || told == expected) return;
     table.problem(key, fmt::format("is '{}' where '{}' is expected", told, expected));
 }
 
-Slope readSlope(config::Table& table) {
+Slope readSlope(config::TomlTable& table) {
     Slope s;
     s.name = nonEmpty(table, "name");
     s.unit = nonEmpty(table, "unit");
     s.of = nonEmpty(table, "of");
-    s.base = table.real("base", std::nullopt, -kMostSize, kMostSize);
-    s.value = table.real("value", std::nullopt, -kMostSize, kMostSize);
-    s.spread = table.real("spread", std::nullopt, 0, 100);
+    s.base = table.number("base", std::nullopt, -kMostSize, kMostSize);
+    s.value = table.number("value", std::nullopt, -kMostSize, kMostSize);
+    s.spread = table.number("spread", std::nullopt, 0, 100);
     s.largest = count(table, "largest");
     s.run = nonEmpty(table, "run");
-    if (table.has("at_largest")) s.atLargest = table.real("at_largest", std::nullopt, -kMostSize, kMostSize);
-    s.used = table.yes("used", true);
+    if (table.has("at_largest"))
+        s.atLargest = table.number("at_largest", std::nullopt, -kMostSize, kMostSize);
+    s.used = table.boolean("used", true);
     const KnownSlope* known = knownSlope(s.name);
     if (!known && !s.name.empty())
         table.problem("name", "'" + s.name + "' is not a slope that is known here");
@@ -113,11 +115,11 @@
 
 template <class Read>
 auto readFile(std::string_view toml, const std::string& file, Read read) {
-    config::Problems problems(file);
+    config::ConfigProblems problems(file);
     const auto parsed = config::parseToml(toml, file, problems);
-    decltype(read(std::declval<config::Table&>())) result;
+    decltype(read(std::declval<config::TomlTable&>())) result;
     if (parsed) {
-        config::Table root(*parsed, problems);
+        config::TomlTable root(*parsed, problems);
         result = read(root);
         root.finish();
     }
@@ -149,13 +151,13 @@
 }
 
 Target readTarget(std::string_view toml, const std::string& file) {
-    return readFile(toml, file, [](config::Table& root) { return readTargetTable(root); });
+    return readFile(toml, file, [](config::TomlTable& root) { return readTargetTable(root); });
 }
 
 Slopes readSlopes(std::string_view toml, const std::string& file) {
-    return readFile(toml, file, [](config::Table& root) {
+    return readFile(toml, file, [](config::TomlTable& root) {
         Slopes slopes;
-        root.each("slope", true, [&](config::Table& table) {
+        root.each("slope", true, [&](config::TomlTable& table) {
             const Slope slope = readSlope(table);
             const bool added = slopes.emplace(slope.name, slope).second;
             if (!added && !slope.name.empty()) table.problem("name", "'" + slope.name + "' is there twice");
--- a/src/testbed/scale/command.cpp
+++ b/src/testbed/scale/command.cpp
@@ -43,7 +43,7 @@
 Command::Command(CLI::App& app) {
     scale_ = app.add_subcommand("scale", "many routers before a list that changes, and what that costs");
     scale_->add_option("file", file_, "the scenario: events and bounds")->required();
-    scale_->add_option("--routers", options_.hollowRouters, "hollow ones")->check(CLI::Range(0, 100'000));
+    scale_->add_option("--routers", options_.stubRouters, "hollow ones")->check(CLI::Range(0, 100'000));
     scale_->add_option("--real", options_.realRouters, "beside them")->check(CLI::Range(0, 1'000));
     scale_->add_option("--caches", options_.caches, "cache servers")->check(CLI::Range(1, 100'000));
     scale_->add_option("--zones", options_.zones, "1 without it")->check(CLI::Range(1, 1'000));
@@ -87,7 +87,7 @@
         const ScaleScenario scenario = readScaleScenario(file_);
         options_.events = scenario.events;
         options_.bounds = scenario.bounds;
-    } catch (const BadScenario& problem) {
+    } catch (const ScenarioError& problem) {
         fmt::print(stderr, "{}\n", problem.what());
         return kBroken;
     }
@@ -109,7 +109,7 @@
     const auto playSide = [&](bool real) {
         Options side = options;
         side.realRouters = real ? compared_ : 0;
-        side.hollowRouters = real ? 0 : compared_;
+        side.stubRouters = real ? 0 : compared_;
         side.folder = options.folder + (real ? "/real" : "/hollow");
         Options idle = side;
         idle.folder += "-idle";
--- a/src/testbed/scale/discovery.cpp
+++ b/src/testbed/scale/discovery.cpp
@@ -30,7 +30,7 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-using transport::Loop;
+using transport::EventLoop;
 
 constexpr std::size_t kPoolBuffers = 16 * 1024;  // 256 MiB of answers that callers have not read
 constexpr Nanos kSecond = 1'000 * kMillisecond;
@@ -85,7 +85,7 @@
 class Discovery;
 
 // A caller: one call after the other on a connection.
-class Caller : private transport::Connection::Owner {
+class Caller : private transport::Connection::Handler {
   public:
     static constexpr int kNoRouter = -1;
     Caller(Discovery& discovery, int realRouter);
@@ -97,9 +97,9 @@
   private:
     enum class State : std::uint8_t { reading, waiting, heldBack, dropped };
 
-    void received(std::string_view bytes) override;
-    void ended() override;
-    void emptied() override;
+    void onData(std::string_view bytes) override;
+    void onClosed() override;
+    void onDrained() override;
     void readCalls();
     void called();
     void answer();
@@ -110,7 +110,7 @@
     Discovery& discovery_;
     int realRouter_;
     transport::Connection connection_;
-    transport::Alarm alarm_;
+    transport::Timer alarm_;
     HttpCall call_;
     std::string unread_;
     std::string body_;
@@ -123,8 +123,8 @@
     explicit Discovery(const DiscoveryOptions& options);
     int run();
 
-    Loop& loop() { return loop_; }
-    transport::Pool& pool() { return pool_; }
+    EventLoop& loop() { return loop_; }
+    transport::BufferPool& pool() { return pool_; }
     std::int64_t version() const { return list_.version(); }
     const std::string& answerFor(std::int64_t after);
     Nanos delay() const;
@@ -143,14 +143,14 @@
     void eachSecond();
     void finish();
     nlohmann::json totalsOf(const Traffic& traffic) const;
-    Nanos sinceBegin() const { return Loop::now() - beganAt_; }
+    Nanos sinceBegin() const { return EventLoop::now() - beganAt_; }
 
     DiscoveryOptions options_;
     std::vector<SlowPeriod> slow_;
-    Loop loop_;
-    transport::Pool pool_{kPoolBuffers};
+    EventLoop loop_;
+    transport::BufferPool pool_{kPoolBuffers};
     ServerList list_;
-    Chance chance_;
+    Random random_;
     std::ofstream changes_;
     std::ofstream records_;
     std::vector<std::unique_ptr<transport::Listener>> listeners_;
@@ -168,8 +168,8 @@
     double processorAtBegin_ = 0;
     double processorUsed_ = 0;
     Nanos measured_ = 0;
-    transport::Alarm changeAlarm_;
-    transport::Alarm secondAlarm_;
+    transport::Timer changeAlarm_;
+    transport::Timer secondAlarm_;
     transport::Signal beginSignal_;
     transport::Signal endSignal_;
     transport::Signal finishSignal_;
@@ -183,30 +183,30 @@
 
 bool Caller::accept(const std::function<bool(transport::Connection&)>& finish) {
     if (!finish(connection_)) return false;
-    connection_.read(true);
+    connection_.setReading(true);
     return true;
 }
 
-void Caller::received(std::string_view bytes) {
+void Caller::onData(std::string_view bytes) {
     if (state_ == State::dropped) return;
     discovery_.heard(realRouter_, bytes.size());
     unread_.append(bytes);
-    if (unread_.size() > kMostUnread) connection_.read(false);
+    if (unread_.size() > kMostUnread) connection_.setReading(false);
     readCalls();
 }
 
-void Caller::emptied() { readCalls(); }
+void Caller::onDrained() { readCalls(); }
 
 // A caller that does not read its answers gets no further one: what it asks stays unread.
 void Caller::readCalls() {
-    while (state_ == State::reading && !unread_.empty() && connection_.unsent() == 0) {
+    while (state_ == State::reading && !unread_.empty() && connection_.unsentBytes() == 0) {
         std::string_view rest = unread_;
         const HttpCall::State state = call_.feed(rest);
         unread_.erase(0, unread_.size() - rest.size());
         if (state == HttpCall::State::broken) return drop();
         if (state == HttpCall::State::whole) called();
     }
-    if (state_ != State::dropped && unread_.empty()) connection_.read(true);
+    if (state_ != State::dropped && unread_.empty()) connection_.setReading(true);
 }
 
 void Caller::called() {
@@ -216,7 +216,7 @@
     discovery_.called(realRouter_, after_);
     if (after_ != discovery_.version() || wait == 0) return answer();
     state_ = State::waiting;
-    alarm_.set(Loop::now() + wait);
+    alarm_.start(EventLoop::now() + wait);
 }
 
 void Caller::listChanged() {
@@ -238,11 +238,11 @@
     const Nanos delay = discovery_.delay();
     if (delay == 0) return send();
     state_ = State::heldBack;
-    alarm_.set(Loop::now() + delay);
+    alarm_.start(EventLoop::now() + delay);
 }
 
 void Caller::send() {
-    alarm_.clear();
+    alarm_.stop();
     state_ = State::reading;
     const std::string text = httpAnswer(200, "Content-Type: application/json\r\n", body_);
     body_ = {};
@@ -250,20 +250,20 @@
     if (!connection_.write(text)) drop();
 }
 
-void Caller::ended() { drop(); }
+void Caller::onClosed() { drop(); }
 
 void Caller::drop() {
     if (state_ == State::dropped) return;
     state_ = State::dropped;
-    alarm_.clear();
-    connection_.read(false);
+    alarm_.stop();
+    connection_.setReading(false);
     discovery_.drop(*this);
 }
 
 Discovery::Discovery(const DiscoveryOptions& options)
     : options_(options),
       list_(options.caches, options.zones, options.seed, unixMs()),
-      chance_(options.seed + 1),
+      random_(options.seed + 1),
       changes_(options.folder + "/changes.tsv"),
       records_(options.folder + "/real.records", std::ios::binary),
       saidByReal_(static_cast<std::size_t>(options.realRouters)),
@@ -304,17 +304,17 @@
 }
 
 int Discovery::run() {
-    loop_.eachTurn([this] { dropped_.clear(); });
+    loop_.onIteration([this] { dropped_.clear(); });
     loop_.run();
     return 0;
 }
 
 void Discovery::begin() {
-    beganAt_ = Loop::now();
+    beganAt_ = EventLoop::now();
     processorAtBegin_ = ownProcessorSeconds();
     measuring_ = true;
     older_ = list_.whole();
-    secondAlarm_.set(beganAt_ + kSecond);
+    secondAlarm_.start(beganAt_ + kSecond);
     nextChange();
 }
 
@@ -323,14 +323,14 @@
     measured_ = sinceBegin();
     processorUsed_ = ownProcessorSeconds() - processorAtBegin_;
     measuring_ = false;
-    changeAlarm_.clear();
-    secondAlarm_.clear();
+    changeAlarm_.stop();
+    secondAlarm_.stop();
 }
 
 void Discovery::nextChange() {
     if (options_.changesPerSecond <= 0) return;
-    const double jitter = 0.5 + chance_.part();
-    changeAlarm_.set(Loop::now() + static_cast<Nanos>(jitter * 1e9 / options_.changesPerSecond));
+    const double jitter = 0.5 + random_.part();
+    changeAlarm_.start(EventLoop::now() + static_cast<Nanos>(jitter * 1e9 / options_.changesPerSecond));
 }
 
 void Discovery::change() {
@@ -405,7 +405,7 @@
 void Discovery::drop(Caller& caller) { dropped_.splice(dropped_.end(), callers_, caller.self); }
 
 void Discovery::eachSecond() {
-    secondAlarm_.set(Loop::now() + kSecond);
+    secondAlarm_.start(EventLoop::now() + kSecond);
     for (Traffic& traffic : real_) traffic.endSecond();
     all_.endSecond();
 }
--- a/src/testbed/scale/limits.cpp
+++ b/src/testbed/scale/limits.cpp
@@ -33,7 +33,7 @@
         event.kind == EventKind::killDistributor || event.kind == EventKind::stopDistributor;
     if (needsDistributor && options.distributors == 0)
         throw std::runtime_error("event " + name + ": there is no distributor in this run");
-    if (event.kind == EventKind::restartRouters && options.hollowRouters == 0)
+    if (event.kind == EventKind::restartRouters && options.stubRouters == 0)
         throw std::runtime_error("event " + name + ": there is no hollow router in this run");
     if (event.at + event.length > options.length)
         throw std::runtime_error(fmt::format("event {}: ends at {:.1f} s, after the measured {:.1f} s", name,
@@ -45,10 +45,10 @@
 
 Demand demandOf(const Options& options) {
     const double caches = options.caches;
-    const int routers = options.hollowRouters + options.realRouters;
+    const int routers = options.stubRouters + options.realRouters;
     const double changes = options.changesPerSecond * static_cast<double>(options.length) / 1e9;
     Demand demand;
-    demand.memoryKib += options.hollowRouters * (kHollowRouter + kHollowRouterPerCache * caches);
+    demand.memoryKib += options.stubRouters * (kHollowRouter + kHollowRouterPerCache * caches);
     demand.memoryKib += options.realRouters * (kRealRouter + kRealRouterPerCache * caches);
     demand.memoryKib += (1 + options.distributors) * (kControl + kControlPerCache * caches);
     demand.memoryKib += routers * (kControlPerRouter + kRecordPerChange * changes);
@@ -58,7 +58,7 @@
 }
 
 void refuseWhatCantBe(const Options& options) {
-    if (options.hollowRouters + options.realRouters < 1) throw std::runtime_error("a run needs a router");
+    if (options.stubRouters + options.realRouters < 1) throw std::runtime_error("a run needs a router");
     if (options.caches < 1) throw std::runtime_error("a run needs a cache server");
     if (options.zones < 1) throw std::runtime_error("a run needs a zone");
     if (options.length <= 0) throw std::runtime_error("a run needs some seconds");
@@ -69,7 +69,7 @@
             "real routers behind distributors: not built, since what is in force there is read from their "
             "calls to discovery");
     for (const Event& event : options.events) refuseEvent(options, event);
-    if (options.hollowRouters > 0) programPath("poppyscale_stub_routers");
+    if (options.stubRouters > 0) programPath("poppyscale_stub_routers");
     if (options.realRouters > 0) programPath("poppyscale");
     if (options.distributors > 0) programPath("poppyscale_endpoint_distributor");
     const Demand demand = demandOf(options);
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -38,13 +38,13 @@
 double heapKib() { return static_cast<double>(mallinfo2().uordblks) / 1024; }
 
 // Keeps the last attempt, which the caller ends.
-class AnsweringHost : public Host {
+class AnsweringHost : public PolicyHost {
   public:
-    void relay(CommandId, std::string_view, Nanos, Nanos) override { attempted = true; }
-    void decline(CommandId, Nanos) override { ++refused; }
-    void terminate(CommandId) override { ++refused; }
-    void wake(Nanos) override {}
-    void subscribe() override {}
+    void startAttempt(RequestId, std::string_view, Nanos, Nanos) override { attempted = true; }
+    void reject(RequestId, Nanos) override { ++refused; }
+    void fail(RequestId) override { ++refused; }
+    void scheduleWakeup(Nanos) override {}
+    void pollEndpoints() override {}
     void log(std::string_view) override {}
 
     bool attempted = false;
@@ -53,42 +53,42 @@
 
 std::string zoneName(int cache, int zones) { return fmt::format("zone-{:02}", cache % zones); }
 
-Listed endpoint(int cache, int zones) {
-    Listed listed;
+Endpoint endpoint(int cache, int zones) {
+    Endpoint listed;
     listed.name = fmt::format("cache-{:06}", cache);
     listed.zone = zoneName(cache, zones);
     listed.shape = "store";
     listed.cell = cache % zones;
-    listed.size = 1 + cache % 4;
+    listed.weight = 1 + cache % 4;
     return listed;
 }
 
-std::vector<Listed> wholeList(const ModuleOptions& o) {
-    std::vector<Listed> list;
+std::vector<Endpoint> wholeList(const ModuleOptions& o) {
+    std::vector<Endpoint> list;
     for (int i = 0; i < o.caches; ++i) list.push_back(endpoint(i, o.zones));
     return list;
 }
 
-Terms termsOf(const ModuleOptions& o) {
-    Terms terms;
+PolicySettings termsOf(const ModuleOptions& o) {
+    PolicySettings terms;
     terms.seed = o.seed;
-    terms.routers = o.routers;
+    terms.routerCount = o.routers;
     terms.zone = zoneName(0, o.zones);
-    terms.crossPrice = 0.05;
-    terms.comeBackAllowed = true;
-    terms.maxRelays = 3;
-    terms.maxComeBack = kSecond;
-    terms.askWithin = 5 * kSecond;
-    terms.ramp = 30 * kSecond;
-    terms.startShare = 0.1;
-    terms.tipMultiple = 2;
-    terms.fallSpan = kSecond;
-    Verb read;
+    terms.crossZoneCost = 0.05;
+    terms.retryAfterAllowed = true;
+    terms.maxAttempts = 3;
+    terms.maxRetryAfter = kSecond;
+    terms.pollInterval = 5 * kSecond;
+    terms.rampDuration = 30 * kSecond;
+    terms.initialFraction = 0.1;
+    terms.overloadMultiple = 2;
+    terms.overloadWindow = kSecond;
+    RequestClass read;
     read.name = "read";
-    read.effect = Effect::pure;
-    read.goal = kLatencyTarget;
-    read.limit = kTimeout;
-    terms.verbs = {read};
+    read.idempotency = Idempotency::safe;
+    read.latencyObjective = kLatencyTarget;
+    read.timeout = kTimeout;
+    terms.requestClasses = {read};
     return terms;
 }
 
@@ -117,64 +117,64 @@
 
     void request(std::string_view key) {
         now_ += gap_;
-        Arrival arrival;
+        IncomingRequest arrival;
         arrival.id = ++id_;
-        arrival.verb = "read";
+        arrival.requestClass = "read";
         arrival.key = key;
-        arrival.giveUpAt = now_ + kTimeout;
+        arrival.deadline = now_ + kTimeout;
         host_.attempted = false;
-        router_.arrival(now_, arrival);
-        router_.settle(now_);
+        router_.onRequest(now_, arrival);
+        router_.reconcile(now_);
         if (!host_.attempted) return;
-        RelayEnd end;
+        AttemptResult end;
         end.id = id_;
-        end.over = true;
-        end.spent = kAnswerTime;
-        router_.ended(now_, end);
-        router_.settle(now_);
+        end.requestCompleted = true;
+        end.duration = kAnswerTime;
+        router_.onAttemptEnded(now_, end);
+        router_.reconcile(now_);
     }
-    void news(NewsKind kind, const std::vector<Listed>& entries) {
-        router_.news(now_, kind, entries);
-        router_.settle(now_);
+    void news(EndpointUpdateKind kind, const std::vector<Endpoint>& entries) {
+        router_.onEndpointUpdate(now_, kind, entries);
+        router_.reconcile(now_);
     }
     int refused() const { return host_.refused; }
 
   private:
     Nanos gap_;
     Nanos now_ = kClockStart;
-    CommandId id_ = 0;
+    RequestId id_ = 0;
     AnsweringHost host_;
-    Router router_;
+    RoutingPolicy router_;
 };
 
-std::string entryJson(const Listed& e) {
+std::string entryJson(const Endpoint& e) {
     return fmt::format(
         R"({{"id":"{}","state":"Ready","zone":"{}","kind":"{}","cell":{},"weight":{},"addr":"10.{}.{}.{}:6379","started_ms":1764633600000}})",
-        e.name, e.zone, e.shape, e.cell, e.size, e.cell, e.cell * 7 % 250, e.cell * 13 % 250);
+        e.name, e.zone, e.shape, e.cell, e.weight, e.cell, e.cell * 7 % 250, e.cell * 13 % 250);
 }
 
-std::string rosterJson(const std::vector<Listed>& entries, bool full) {
+std::string rosterJson(const std::vector<Endpoint>& entries, bool full) {
     std::string json = fmt::format(R"({{"version":1234567,"full":{},"servers":[)", full);
-    for (const Listed& e : entries) {
+    for (const Endpoint& e : entries) {
         if (json.back() != '[') json += ',';
         json += entryJson(e);
     }
     return json + "]}";
 }
 
-void measureList(const ModuleOptions& o, const std::vector<Listed>& list, ModuleCost& cost) {
+void measureList(const ModuleOptions& o, const std::vector<Endpoint>& list, ModuleCost& cost) {
     const std::string json = rosterJson(list, true);
     cost.listBytes = static_cast<double>(json.size());
     std::vector<double> parsing;
     std::vector<double> taking;
     for (int i = 0; i < kRepeatsOfList; ++i) {
         const double start = threadMicros();
-        const protocol::Roster roster = protocol::readRoster(json);
+        const protocol::EndpointList roster = protocol::readEndpointList(json);
         parsing.push_back(threadMicros() - start);
-        if (roster.places.size() != list.size()) throw std::logic_error("the list was not read whole");
+        if (roster.entries.size() != list.size()) throw std::logic_error("the list was not read whole");
         Asked asked(o);
         const double taken = threadMicros();
-        asked.news(NewsKind::whole, list);
+        asked.news(EndpointUpdateKind::complete, list);
         asked.request("object/first");
         taking.push_back(threadMicros() - taken);
     }
@@ -187,10 +187,10 @@
                       Asked& asked) {
     std::vector<double> times;
     for (int i = 0; i < o.changes; ++i) {
-        Listed changed = endpoint(i / 2 % o.caches, o.zones);
-        changed.presence = i % 2 == 0 ? Presence::gone : Presence::ready;
+        Endpoint changed = endpoint(i / 2 % o.caches, o.zones);
+        changed.state = i % 2 == 0 ? EndpointState::removed : EndpointState::ready;
         const double start = threadMicros();
-        asked.news(NewsKind::changes, {changed});
+        asked.news(EndpointUpdateKind::delta, {changed});
         asked.request(keys[i % keys.size()]);
         times.push_back(threadMicros() - start);
     }
@@ -203,12 +203,12 @@
     if (o.caches < 2 || o.zones < 1 || o.requests < 1 || o.changes < 1 || !(o.requestsPerSecond > 0))
         throw std::invalid_argument("two caches, a zone, a request and a change are the least to measure");
     ModuleCost cost;
-    const std::vector<Listed> list = wholeList(o);
+    const std::vector<Endpoint> list = wholeList(o);
     measureList(o, list, cost);
     const std::vector<std::string> keys = drawKeys(o);
     const double before = heapKib();
     Asked asked(o);
-    asked.news(NewsKind::whole, list);
+    asked.news(EndpointUpdateKind::complete, list);
     asked.request(keys.front());
     cost.listMemoryKib = heapKib() - before;
     const double start = threadMicros();
--- a/src/testbed/scale/processes.cpp
+++ b/src/testbed/scale/processes.cpp
@@ -53,7 +53,7 @@
     using nlohmann::json;
     const json read{{"name", "read"},           {"effect", "free"}, {"responseGoalUs", 30'000},
                     {"timeLimitUs", 2'000'000}, {"utility", 1.0},   {"lateUtility", 0.3}};
-    const json settings{{"replicasOfMe", std::max(options.hollowRouters + options.realRouters, 1)},
+    const json settings{{"replicasOfMe", std::max(options.stubRouters + options.realRouters, 1)},
                         {"membershipMode", "on_request"},
                         {"shapes", {"cache", "origin"}},
                         {"familyInfo", {{"mode", "aside"}, {"originKind", 1}}},
@@ -101,7 +101,7 @@
 
 std::vector<HollowProcess> startHollow(const Options& options, const std::vector<int>& ports) {
     std::vector<HollowProcess> all;
-    if (options.hollowRouters == 0) return all;
+    if (options.stubRouters == 0) return all;
     const std::string configuration = options.folder + "/hollow-router.json";
     std::ofstream(configuration) << routerConfiguration(options, 0, "127.0.0.1:0", "") << '\n';
     std::string shared = fmt::format(" --config '{}' --folder '{}' --zones {} --seed {}", configuration,
@@ -109,8 +109,8 @@
     for (const int port : ports) shared += fmt::format(" --upstream 127.0.0.1:{}", port);
     shared += restartArguments(options);
     if (options.without == "apply") shared += " --without apply";
-    for (int first = 0; first < options.hollowRouters; first += kRoutersPerProcess) {
-        const int routers = std::min(kRoutersPerProcess, options.hollowRouters - first);
+    for (int first = 0; first < options.stubRouters; first += kRoutersPerProcess) {
+        const int routers = std::min(kRoutersPerProcess, options.stubRouters - first);
         const auto index = all.size();
         const std::string command =
             fmt::format("'{}'{} --index {} --first {} --routers {}", programPath("poppyscale_stub_routers"),
@@ -141,7 +141,7 @@
         "[distributor]\nname = \"distributor-{}\"\nlisten = \"127.0.0.1:{}\"\nupstreams = "
         "[\"127.0.0.1:{}\"]\nwait_ms = {}\nbatch_ms = {}\nmax_readers = {}\n",
         index, port, discoveryPort, kDistributorWaitMs, kDistributorBatchMs,
-        options.hollowRouters + options.realRouters + 16);
+        options.stubRouters + options.realRouters + 16);
     return std::make_unique<Process>(
         fmt::format("'{}' --config '{}'", programPath("poppyscale_endpoint_distributor"), path),
         std::vector<std::pair<std::string, std::string>>{},
--- a/src/testbed/scale/record.hpp
+++ b/src/testbed/scale/record.hpp
@@ -21,8 +21,8 @@
 static_assert(sizeof(ForceRecord) == 32);
 
 // The digest of a list is the sum of its entries', so that it follows each change at the cost of that entry.
-inline std::uint64_t entryDigest(std::string_view id, Presence presence, std::int64_t startedMs) {
-    if (presence == Presence::gone) return 0;
+inline std::uint64_t entryDigest(std::string_view id, EndpointState presence, std::int64_t startedMs) {
+    if (presence == EndpointState::removed) return 0;
     constexpr std::uint64_t kFnvPrime = 0x100000001b3;
     std::uint64_t hash = 0xcbf29ce484222325;
     const auto mix = [&hash](std::uint64_t byte) { hash = (hash ^ byte) * kFnvPrime; };
--- a/src/testbed/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -333,7 +333,7 @@
     for (const auto& records : readRecords(path("real.records"), 0, options_.realRouters))
         judged.add(records);
     Result result;
-    result.routers = options_.hollowRouters + options_.realRouters;
+    result.routers = options_.stubRouters + options_.realRouters;
     result.caches = options_.caches;
     result.measuredSeconds = seconds_;
     result.inForceP50Ms = judged.quantileMs(0.5);
@@ -373,7 +373,7 @@
     for (const double used : realProcessor_)
         result.realProcessorShare += used / seconds_ / static_cast<double>(options_.realRouters);
     result.realMemoryKib = realMemoryKib_;
-    if (options_.hollowRouters > 0) return;
+    if (options_.stubRouters > 0) return;
     result.routerBytesPerSecond = result.realBytesPerSecond;
     result.routerProcessorShare = result.realProcessorShare;
     result.routerMemoryKib = result.realMemoryKib;
@@ -381,7 +381,7 @@
 }
 
 void Run::addHollow(Result& result) const {
-    const auto routers = static_cast<double>(options_.hollowRouters);
+    const auto routers = static_cast<double>(options_.stubRouters);
     for (std::size_t i = 0; i < hollow_.size(); ++i) {
         const auto totals = readJson(path(fmt::format("hollow-{}.json", i)));
         const double seconds = std::max(totals.at("seconds").get<double>(), 1e-3);
@@ -404,7 +404,7 @@
     result.controlMemoryKib += distributorMemoryKib_;
     // Each call of a router is answered once.
     result.controlMessagesPerSecond +=
-        result.routerMessagesPerSecond * static_cast<double>(options_.hollowRouters);
+        result.routerMessagesPerSecond * static_cast<double>(options_.stubRouters);
 }
 
 void Run::judgeBounds(Result& result, const InForce& judged) const {
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -40,7 +40,7 @@
 };
 
 struct Options {
-    int hollowRouters = 0;
+    int stubRouters = 0;
     int realRouters = 0;
     int caches = 0;
     int zones = 1;
--- a/src/testbed/scale/scenario.cpp
+++ b/src/testbed/scale/scenario.cpp
@@ -9,7 +9,7 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-using config::Table;
+using config::TomlTable;
 
 const config::Words<EventKind>& eventNames() {
     static const config::Words<EventKind> names{{"kill_distributor", EventKind::killDistributor},
@@ -22,41 +22,41 @@
     return names;
 }
 
-void readEvent(Table& table, ScaleScenario& scenario) {
+void readEvent(TomlTable& table, ScaleScenario& scenario) {
     Event event;
     event.kind = table.word("kind", eventNames(), std::optional<EventKind>{});
     event.at = table.millis("at_ms", std::nullopt);
     const bool hasLength = event.kind != EventKind::restartRouters;
     if (hasLength) event.length = table.millis("length_ms", std::nullopt);
     if (event.kind == EventKind::slowDiscovery) event.delay = table.millis("delay_ms", std::nullopt);
-    if (event.kind == EventKind::restartRouters) event.part = table.part("part", 0.1);
+    if (event.kind == EventKind::restartRouters) event.part = table.fraction("part", 0.1);
     scenario.events.push_back(event);
 }
 
-void readBounds(Table& table, Bounds& bounds) {
+void readBounds(TomlTable& table, Bounds& bounds) {
     bounds.inForce = table.millis("in_force_ms", 0.0);
     bounds.inForceThroughLoss = table.millis("in_force_through_loss_ms", 0.0);
-    bounds.routerBytesPerSecond = table.real("router_bytes_per_second", 0.0);
-    bounds.routerProcessorShare = table.part("router_cpu_share", 0.0);
-    bounds.routerMemoryKib = table.real("router_memory_kib", 0.0);
+    bounds.routerBytesPerSecond = table.number("router_bytes_per_second", 0.0);
+    bounds.routerProcessorShare = table.fraction("router_cpu_share", 0.0);
+    bounds.routerMemoryKib = table.number("router_memory_kib", 0.0);
 }
 
 }  // namespace
 
 ScaleScenario readScaleScenario(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    if (!file) throw BadScenario(path + ": can't be read");
+    if (!file) throw ScenarioError(path + ": can't be read");
     const std::string content{std::istreambuf_iterator<char>(file), {}};
-    config::Problems problems(path);
+    config::ConfigProblems problems(path);
     ScaleScenario scenario;
     const auto parsed = config::parseToml(content, path, problems);
     if (parsed) {
-        Table table(*parsed, problems);
-        table.one("bounds", false, [&](Table& bounds) { readBounds(bounds, scenario.bounds); });
-        table.each("events", false, [&](Table& event) { readEvent(event, scenario); });
+        TomlTable table(*parsed, problems);
+        table.one("bounds", false, [&](TomlTable& bounds) { readBounds(bounds, scenario.bounds); });
+        table.each("events", false, [&](TomlTable& event) { readEvent(event, scenario); });
         table.finish();
     }
-    if (!problems.none()) throw BadScenario(problems.text());
+    if (!problems.none()) throw ScenarioError(problems.text());
     return scenario;
 }
 
--- a/src/testbed/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -15,13 +15,13 @@
 // A caller that is further behind is told the whole list.
 constexpr std::int64_t kMostVersionsBehind = 5'000;
 
-constexpr std::string_view stateOf(Presence presence) {
+constexpr std::string_view stateOf(EndpointState presence) {
     switch (presence) {
-        case Presence::ready:
+        case EndpointState::ready:
             return "Ready";
-        case Presence::draining:
+        case EndpointState::draining:
             return "Terminating";
-        case Presence::gone:
+        case EndpointState::removed:
             break;
     }
     return "Gone";
@@ -30,8 +30,8 @@
 }  // namespace
 
 ServerList::ServerList(int caches, int zones, std::uint64_t seed, std::int64_t startedMs)
-    : caches_(caches), zones_(zones), chance_(seed) {
-    for (int i = 0; i < caches; ++i) add(startedMs - chance_.below(1'000'000'000));
+    : caches_(caches), zones_(zones), random_(seed) {
+    for (int i = 0; i < caches; ++i) add(startedMs - random_.below(1'000'000'000));
     version_ = 1;
     for (Server& server : servers_) server.changedIn = version_;
 }
@@ -40,43 +40,43 @@
     const std::size_t number = servers_.size();
     const auto zone = number % static_cast<std::size_t>(zones_);
     Server server;
-    server.id = fmt::format("cache-{:08x}-{}", chance_.word() >> 32, number);
+    server.id = fmt::format("cache-{:08x}-{}", random_.word() >> 32, number);
     server.fixed = fmt::format(
         R"({{"id":"{}","addr":"10.{}.{}.{}:6379","zone":"zone-{}","kind":"cache","cell":{},"weight":1.0)",
         server.id, zone % 250, number / 250 % 250, number % 250 + 1, zone, number);
-    server.presence = Presence::gone;
+    server.presence = EndpointState::removed;
     servers_.push_back(std::move(server));
-    set(number, Presence::ready, startedMs);
+    set(number, EndpointState::ready, startedMs);
     return number;
 }
 
-void ServerList::set(std::size_t index, Presence presence, std::int64_t startedMs) {
+void ServerList::set(std::size_t index, EndpointState presence, std::int64_t startedMs) {
     Server& server = servers_[index];
     digest_ -= entryDigest(server.id, server.presence, server.startedMs);
-    present_ -= server.presence != Presence::gone ? 1 : 0;
+    present_ -= server.presence != EndpointState::removed ? 1 : 0;
     server.presence = presence;
     server.startedMs = startedMs;
     digest_ += entryDigest(server.id, server.presence, server.startedMs);
-    present_ += server.presence != Presence::gone ? 1 : 0;
+    present_ += server.presence != EndpointState::removed ? 1 : 0;
 }
 
 std::size_t ServerList::anyReady() {
     std::size_t index = 0;
     do {
-        index = static_cast<std::size_t>(chance_.below(static_cast<int>(servers_.size())));
-    } while (servers_[index].presence != Presence::ready);
+        index = static_cast<std::size_t>(random_.below(static_cast<int>(servers_.size())));
+    } while (servers_[index].presence != EndpointState::ready);
     return index;
 }
 
 std::string_view ServerList::change(std::int64_t nowMs) {
     std::size_t index = 0;
     std::string_view kind;
-    const double drawn = chance_.part();
+    const double drawn = random_.part();
     const bool few = present_ < static_cast<std::size_t>(caches_);
     if (drawn < kRestarts) {
         kind = "restart";
         index = anyReady();
-        set(index, Presence::ready, std::max(nowMs, servers_[index].startedMs + 1));
+        set(index, EndpointState::ready, std::max(nowMs, servers_[index].startedMs + 1));
     } else if (drawn < kRestarts + kNew && few) {
         kind = "new";
         index = add(nowMs);
@@ -84,11 +84,11 @@
         kind = "gone";
         index = draining_.front();
         draining_.erase(draining_.begin());
-        set(index, Presence::gone, servers_[index].startedMs);
+        set(index, EndpointState::removed, servers_[index].startedMs);
     } else {
         kind = "drain";
         index = anyReady();
-        set(index, Presence::draining, servers_[index].startedMs);
+        set(index, EndpointState::draining, servers_[index].startedMs);
         draining_.push_back(index);
     }
     ++version_;
@@ -106,7 +106,7 @@
     std::string json = fmt::format(R"({{"version":{},"full":true,"servers":[)", version_);
     bool first = true;
     for (const Server& server : servers_) {
-        if (server.presence == Presence::gone) continue;
+        if (server.presence == EndpointState::removed) continue;
         if (!first) json += ',';
         first = false;
         json += entryJson(server);
--- a/src/testbed/scale/server_list.hpp
+++ b/src/testbed/scale/server_list.hpp
@@ -34,19 +34,19 @@
     struct Server {
         std::string id;
         std::string fixed;  // the part of its JSON that never changes
-        Presence presence = Presence::ready;
+        EndpointState presence = EndpointState::ready;
         std::int64_t startedMs = 0;
         std::int64_t changedIn = 0;  // version
     };
 
     std::size_t add(std::int64_t startedMs);
-    void set(std::size_t index, Presence presence, std::int64_t startedMs);
+    void set(std::size_t index, EndpointState presence, std::int64_t startedMs);
     std::size_t anyReady();
     std::string entryJson(const Server& server) const;
 
     int caches_;
     int zones_;
-    Chance chance_;
+    Random random_;
     std::vector<Server> servers_;        // by number; those that are gone stay
     std::vector<std::size_t> draining_;  // the longest first
     std::vector<std::size_t> changed_;   // server of each version after the first
--- a/src/testbed/scale/slopes.cpp
+++ b/src/testbed/scale/slopes.cpp
@@ -57,7 +57,7 @@
     Options options = series.options;
     options.seed = seed;
     if (series.varied == Varied::routers)
-        options.hollowRouters = static_cast<int>(std::lround(size)) - options.realRouters;
+        options.stubRouters = static_cast<int>(std::lround(size)) - options.realRouters;
     if (series.varied == Varied::caches) options.caches = static_cast<int>(std::lround(size));
     if (series.varied == Varied::rate) options.changesPerSecond = size;
     if (!options.folder.empty())
--- a/src/testbed/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -55,15 +55,15 @@
 };
 
 Played play(const Wanted& wanted, const Scenario& day, std::uint64_t seed, const std::string& folder) {
-    Judge judge(kLiveTolerance);
+    Verdict judge(kLiveTolerance);
     LiveResult result;
     {
-        Ledger ledger(folder + "/log.tsv");
+        EventLog ledger(folder + "/log.tsv");
         judge.follow(ledger);
-        LiveWanted live;
+        LiveRunOptions live;
         live.program = wanted.program;
         live.folder = folder;
-        result = playLive(day, seed, ledger, live);
+        result = runLive(day, seed, ledger, live);
     }
     judge.extra("late_part", result.latePart);
     fmt::print("seed {}: faults{}\nseed {}: happened", seed, listOf(day), seed);
--- a/src/testbed/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -55,8 +55,8 @@
     FaultKind::leave,
     FaultKind::reset,
     FaultKind::slowReader,
-    FaultKind::deaf,
-    FaultKind::spoil,
+    FaultKind::unresponsive,
+    FaultKind::malformedResponses,
     FaultKind::originSlow,
     FaultKind::discoveryDown,
     FaultKind::discoverySilent,
@@ -79,14 +79,14 @@
 
 class Draw {
   public:
-    Draw(const Scenario& base, std::uint64_t seed) : day_(base), chance_(seed) {
+    Draw(const Scenario& base, std::uint64_t seed) : day_(base), random_(seed) {
         day_.name = fmt::format("{}-{}", base.name, seed);
     }
 
     Scenario day() {
-        if (chance_.yes(kCrowdedDays)) crowd();
+        if (random_.yes(kCrowdedDays)) crowd();
         const Nanos end = day_.length - kQuietEnd;
-        for (Nanos at = kQuietStart; at < end; at += chance_.gap(kFaultsPerSecond)) add(at, end);
+        for (Nanos at = kQuietStart; at < end; at += random_.gap(kFaultsPerSecond)) add(at, end);
         return day_;
     }
 
@@ -96,12 +96,12 @@
         day_.discovery.crowded = true;
         day_.discovery.perSecond = day_.routers.count / between(kShortestTurns, kLongestTurns);
     }
-    double between(double least, double most) { return least + chance_.part() * (most - least); }
-    int someCaches() { return 1 + chance_.below(std::max(day_.cacheCount() / 5, 1)); }
+    double between(double least, double most) { return least + random_.part() * (most - least); }
+    int someCaches() { return 1 + random_.below(std::max(day_.cacheCount() / 5, 1)); }
 
     void add(Nanos at, Nanos end) {
         FaultPlan fault;
-        fault.kind = kKinds[static_cast<std::size_t>(chance_.below(static_cast<int>(kKinds.size())))];
+        fault.kind = kKinds[static_cast<std::size_t>(random_.below(static_cast<int>(kKinds.size())))];
         fault.at = at;
         const auto span = static_cast<Nanos>(between(kShortestFault, kLongestFault));
         fault.length = std::max(std::min(span, end - at), kMillisecond);
@@ -133,7 +133,7 @@
                 break;
             case FaultKind::errors:
             case FaultKind::reset:
-            case FaultKind::spoil:
+            case FaultKind::malformedResponses:
                 fault.by = between(0.02, 0.3);
                 break;
             case FaultKind::leave:
@@ -144,7 +144,7 @@
                 break;
             case FaultKind::cut: {
                 const auto zones = static_cast<int>(day_.network.zones.size());
-                fault.zone = day_.network.zones[static_cast<std::size_t>(chance_.below(zones))];
+                fault.zone = day_.network.zones[static_cast<std::size_t>(random_.below(zones))];
                 fault.length = std::min(fault.length, 5 * kSecond);
                 break;
             }
@@ -159,11 +159,11 @@
                 fault.length = 0;
                 break;
             case FaultKind::routerKill:
-                fault.count = 1 + chance_.below(std::max(day_.routers.count / 4, 1));
+                fault.count = 1 + random_.below(std::max(day_.routers.count / 4, 1));
                 fault.length = 0;
                 break;
             case FaultKind::callsFail: {
-                const auto& one = kCallFaults[chance_.below(static_cast<int>(std::size(kCallFaults)))];
+                const auto& one = kCallFaults[random_.below(static_cast<int>(std::size(kCallFaults)))];
                 fault.call = one.call;
                 fault.way = one.way;
                 fault.by = between(one.most / 10, one.most);
@@ -171,7 +171,7 @@
             }
             case FaultKind::wallStep: {
                 constexpr double kSteps[]{-3.6e6, -7e3, -1.5e3, 1.5e3, 7e3, 3.6e6};  // ms
-                fault.by = kSteps[chance_.below(static_cast<int>(std::size(kSteps)))];
+                fault.by = kSteps[random_.below(static_cast<int>(std::size(kSteps)))];
                 break;
             }
             case FaultKind::holdUp:
@@ -183,7 +183,7 @@
     }
 
     Scenario day_;
-    Chance chance_;
+    Random random_;
 };
 
 }  // namespace
--- a/src/testbed/stub_routers/main.cpp
+++ b/src/testbed/stub_routers/main.cpp
@@ -25,8 +25,8 @@
 namespace {
 
 using namespace poppyscale;
-using testbed::stub_routers::HollowRouter;
-using transport::Loop;
+using testbed::stub_routers::StubRouter;
+using transport::EventLoop;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 constexpr int kLoseEveryList = 50;  // by the known mistake "apply"
@@ -60,14 +60,14 @@
     return {static_cast<Nanos>(ms * kMillisecond), part};
 }
 
-class Hollow {
+class StubRouters {
   public:
-    explicit Hollow(const Options& options);
+    explicit StubRouters(const Options& options);
     void run() { loop_.run(); }
 
   private:
     std::vector<std::string> sourcesOf(int router) const;
-    protocol::Start startOf(int router, const nlohmann::json& configuration) const;
+    protocol::StartupConfig startOf(int router, const nlohmann::json& configuration) const;
     void turn();
     void begin();
     void end();
@@ -81,11 +81,11 @@
     }
 
     Options options_;
-    Loop loop_;
-    transport::Pool pool_{kPoolBuffers};
-    std::vector<std::unique_ptr<HollowRouter>> routers_;
+    EventLoop loop_;
+    transport::BufferPool pool_{kPoolBuffers};
+    std::vector<std::unique_ptr<StubRouter>> routers_;
     std::vector<Restart> restarts_;  // the next one last
-    std::mt19937 chance_;
+    std::mt19937 random_;
     std::ofstream records_;
     testbed::stub_routers::SocketMeter meter_;
     bool ready_ = false;
@@ -97,16 +97,16 @@
     double memoryBefore_ = 0;
     std::uint64_t callsAtBegin_ = 0;
     std::uint64_t callsMeasured_ = 0;
-    transport::Alarm secondAlarm_;
-    transport::Alarm restartAlarm_;
+    transport::Timer secondAlarm_;
+    transport::Timer restartAlarm_;
     transport::Signal beginSignal_;
     transport::Signal endSignal_;
     transport::Signal finishSignal_;
 };
 
-Hollow::Hollow(const Options& options)
+StubRouters::StubRouters(const Options& options)
     : options_(options),
-      chance_(
+      random_(
           static_cast<std::mt19937::result_type>(options.seed + static_cast<std::uint64_t>(options.index))),
       records_(pathOf("records"), std::ios::binary),
       secondAlarm_(loop_, [this] { eachSecond(); }),
@@ -123,14 +123,14 @@
     memoryBefore_ = testbed::scale::residentKibOf(::getpid());
     for (int i = 0; i < options.routers; ++i) {
         const int router = options.first + i;
-        routers_.push_back(std::make_unique<HollowRouter>(loop_, pool_, static_cast<std::uint32_t>(router),
-                                                          startOf(router, configuration), sourcesOf(router),
-                                                          loseEveryList));
+        routers_.push_back(std::make_unique<StubRouter>(loop_, pool_, static_cast<std::uint32_t>(router),
+                                                        startOf(router, configuration), sourcesOf(router),
+                                                        loseEveryList));
     }
-    loop_.eachTurn([this] { turn(); });
+    loop_.onIteration([this] { turn(); });
 }
 
-std::vector<std::string> Hollow::sourcesOf(int router) const {
+std::vector<std::string> StubRouters::sourcesOf(int router) const {
     const auto& all = options_.upstreams;
     std::vector<std::string> sources;
     for (std::size_t i = 0; i < std::min(all.size(), kSourcesOfRouter); ++i)
@@ -138,16 +138,16 @@
     return sources;
 }
 
-protocol::Start Hollow::startOf(int router, const nlohmann::json& configuration) const {
+protocol::StartupConfig StubRouters::startOf(int router, const nlohmann::json& configuration) const {
     nlohmann::json own = configuration;
     own["name"] = fmt::format("hollow-{}", router);
     own["seed"] = fmt::format("{:016x}", options_.seed * 1'000'003 + static_cast<std::uint64_t>(router));
     own["discovery"] = sourcesOf(router).front();
     own["settings"]["myZone"] = fmt::format("zone-{}", router % options_.zones);
-    return protocol::readStart(own.dump());
+    return protocol::readStartupConfig(own.dump());
 }
 
-void Hollow::turn() {
+void StubRouters::turn() {
     for (const auto& router : routers_) {
         const auto record = router->turn();
         if (record) records_.write(reinterpret_cast<const char*>(&*record), sizeof *record);
@@ -157,54 +157,54 @@
     if (ready_) std::ofstream(pathOf("ready")) << routers_.size() << '\n';
 }
 
-std::uint64_t Hollow::calls() const {
+std::uint64_t StubRouters::calls() const {
     std::uint64_t sum = 0;
     for (const auto& router : routers_) sum += router->calls();
     return sum;
 }
 
-void Hollow::begin() {
-    beganAt_ = Loop::now();
+void StubRouters::begin() {
+    beganAt_ = EventLoop::now();
     measuring_ = true;
     callsAtBegin_ = calls();
     meter_.begin(beganAt_);
     processorAtBegin_ = testbed::scale::ownProcessorSeconds();
-    secondAlarm_.set(beganAt_ + kSecond);
+    secondAlarm_.start(beganAt_ + kSecond);
     setRestartAlarm();
 }
 
-void Hollow::eachSecond() {
-    secondAlarm_.set(Loop::now() + kSecond);
-    meter_.look(Loop::now());
+void StubRouters::eachSecond() {
+    secondAlarm_.start(EventLoop::now() + kSecond);
+    meter_.look(EventLoop::now());
 }
 
-void Hollow::setRestartAlarm() {
-    if (!restarts_.empty()) restartAlarm_.set(beganAt_ + restarts_.back().at);
+void StubRouters::setRestartAlarm() {
+    if (!restarts_.empty()) restartAlarm_.start(beganAt_ + restarts_.back().at);
 }
 
-void Hollow::restartDue() {
+void StubRouters::restartDue() {
     const auto count = static_cast<std::size_t>(restarts_.back().part * static_cast<double>(routers_.size()));
     restarts_.pop_back();
     std::vector<std::size_t> order(routers_.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-    std::shuffle(order.begin(), order.end(), chance_);
+    std::shuffle(order.begin(), order.end(), random_);
     for (std::size_t i = 0; i < std::max<std::size_t>(count, 1); ++i) routers_[order[i]]->restart();
     setRestartAlarm();
 }
 
-void Hollow::end() {
+void StubRouters::end() {
     if (!measuring_) return;
     measuring_ = false;
-    const Nanos now = Loop::now();
+    const Nanos now = EventLoop::now();
     processorUsed_ = testbed::scale::ownProcessorSeconds() - processorAtBegin_;
     measured_ = now - beganAt_;
     meter_.look(now);
     callsMeasured_ = calls() - callsAtBegin_;
-    secondAlarm_.clear();
-    restartAlarm_.clear();
+    secondAlarm_.stop();
+    restartAlarm_.stop();
 }
 
-void Hollow::finish() {
+void StubRouters::finish() {
     end();
     records_.flush();
     std::uint64_t fallen = 0;
@@ -246,7 +246,7 @@
     CLI11_PARSE(app, argc, argv);
     std::signal(SIGPIPE, SIG_IGN);  // an upstream that has gone shows in what the write returns
     try {
-        Hollow(options).run();
+        StubRouters(options).run();
     } catch (const std::exception& problem) {
         fmt::print(stderr, "poppyscale_stub_routers: {}\n", problem.what());
         return 1;
--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -16,28 +16,30 @@
 
 void ignoreLog(std::string_view /*text*/) {}
 
-std::size_t mostConnections(const protocol::Start& start) { return start.descriptors * 2 / 5; }
+std::size_t mostConnections(const protocol::StartupConfig& start) { return start.maxDescriptors * 2 / 5; }
 
 }  // namespace
 
-ObservedCore::ObservedCore(transport::Loop& loop, transport::Pool& pool, const protocol::Start& start,
-                           int loseEveryList, std::uint64_t listsBefore)
-    : proxy::Core(loop, pool, start, mostConnections(start), ignoreLog),
+ObservedDispatcher::ObservedDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
+                                       const protocol::StartupConfig& start, int loseEveryList,
+                                       std::uint64_t listsBefore)
+    : proxy::RequestDispatcher(loop, pool, start, mostConnections(start), ignoreLog),
       loseEveryList_(loseEveryList),
       lists_(listsBefore) {}
 
-void ObservedCore::listed(NewsKind kind, const protocol::Roster& roster) {
-    const bool hasChanges = kind == NewsKind::changes && !roster.places.empty();
+void ObservedDispatcher::onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster) {
+    const bool hasChanges = kind == EndpointUpdateKind::delta && !roster.entries.empty();
     if (hasChanges) ++lists_;
     const bool isTurn = loseEveryList_ > 0 && lists_ % static_cast<std::uint64_t>(loseEveryList_) == 0;
     if (hasChanges && isTurn) return;
-    Core::listed(kind, roster);
+    RequestDispatcher::onEndpointList(kind, roster);
     image_.apply(kind, roster);
     version_ = roster.version;
 }
 
-HollowRouter::HollowRouter(transport::Loop& loop, transport::Pool& pool, std::uint32_t number,
-                           protocol::Start start, const std::vector<std::string>& sources, int loseEveryList)
+StubRouter::StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t number,
+                       protocol::StartupConfig start, const std::vector<std::string>& sources,
+                       int loseEveryList)
     : loop_(loop), pool_(pool), number_(number), start_(std::move(start)), loseEveryList_(loseEveryList) {
     for (const std::string& source : sources) {
         const auto address = transport::parseAddress(source);
@@ -47,28 +49,29 @@
     this->start();
 }
 
-void HollowRouter::start() {
-    core_ = std::make_unique<ObservedCore>(loop_, pool_, start_, loseEveryList_, number_);
-    discovery::Watch::Settings settings;
+void StubRouter::start() {
+    core_ = std::make_unique<ObservedDispatcher>(loop_, pool_, start_, loseEveryList_, number_);
+    discovery::EndpointWatcher::Settings settings;
     settings.sources = sources_;
-    settings.sourceSeed = settings.seed = start_.terms.seed;
-    settings.longestWait = std::clamp(start_.watchFor, kLeastWait, kMostWait);
-    settings.routers = start_.terms.routers;
-    settings.longestList = start_.memory / kListPart;
-    watch_ = std::make_unique<discovery::Watch>(loop_, pool_, *core_, std::move(settings), ignoreLog);
-    core_->askForList = [this] { watch_->want(); };
+    settings.sourceSeed = settings.seed = start_.policy.seed;
+    settings.maxPollWait = std::clamp(start_.pollWait, kLeastWait, kMostWait);
+    settings.routerCount = start_.policy.routerCount;
+    settings.maxListBytes = start_.memoryLimitBytes / kListPart;
+    watch_ =
+        std::make_unique<discovery::EndpointWatcher>(loop_, pool_, *core_, std::move(settings), ignoreLog);
+    core_->requestPoll = [this] { watch_->start(); };
 }
 
-void HollowRouter::restart() {
-    callsBefore_ += watch_->calls();
+void StubRouter::restart() {
+    callsBefore_ += watch_->pollCount();
     watch_.reset();
     core_.reset();
     inForce_ = 0;
     start();
 }
 
-std::optional<scale::ForceRecord> HollowRouter::turn() {
-    core_->turn();
+std::optional<scale::ForceRecord> StubRouter::turn() {
+    core_->runIteration();
     if (core_->version() == inForce_) return std::nullopt;
     inForce_ = core_->version();
     if (inForce_ < highest_) ++fallen_;
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -18,20 +18,20 @@
 namespace poppyscale::testbed::stub_routers {
 
 // The core itself, and what it was handed.
-class ObservedCore : public proxy::Core {
+class ObservedDispatcher : public proxy::RequestDispatcher {
   public:
     // By a known mistake every `loseEveryList`th list of changes is lost, 0 for none. `listsBefore` of them
     // are taken as counted, so that not all routers lose the same.
-    ObservedCore(transport::Loop& loop, transport::Pool& pool, const protocol::Start& start,
-                 int loseEveryList, std::uint64_t listsBefore);
+    ObservedDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
+                       const protocol::StartupConfig& start, int loseEveryList, std::uint64_t listsBefore);
 
-    void listed(NewsKind kind, const protocol::Roster& roster) override;
+    void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster) override;
 
     // Of the list that was handed over last; 0 without one.
     std::int64_t version() const { return version_; }
     std::uint64_t digest() const { return image_.digest(); }
     // Whether the decision module holds the servers that it was handed.
-    bool moduleAgrees() { return image_.agrees(beliefs()); }
+    bool moduleAgrees() { return image_.agrees(endpointStatuses()); }
 
   private:
     ListImage image_;
@@ -40,11 +40,11 @@
     std::uint64_t lists_;
 };
 
-class HollowRouter {
+class StubRouter {
   public:
     // `sources` are discovery alone or distributors, each ADDRESS:PORT.
-    HollowRouter(transport::Loop& loop, transport::Pool& pool, std::uint32_t number, protocol::Start start,
-                 const std::vector<std::string>& sources, int loseEveryList);
+    StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t number,
+               protocol::StartupConfig start, const std::vector<std::string>& sources, int loseEveryList);
 
     // Forgets its list and connects anew, as a new process does.
     void restart();
@@ -54,19 +54,19 @@
     bool hasList() const { return inForce_ > 0; }
     bool moduleAgrees() { return core_->moduleAgrees(); }
     std::uint64_t versionsFallen() const { return fallen_; }
-    std::uint64_t calls() const { return callsBefore_ + watch_->calls(); }
+    std::uint64_t calls() const { return callsBefore_ + watch_->pollCount(); }
 
   private:
     void start();
 
-    transport::Loop& loop_;
-    transport::Pool& pool_;
+    transport::EventLoop& loop_;
+    transport::BufferPool& pool_;
     std::uint32_t number_;
-    protocol::Start start_;
+    protocol::StartupConfig start_;
     std::vector<discovery::DiscoveryAddress> sources_;
     int loseEveryList_;
-    std::unique_ptr<ObservedCore> core_;
-    std::unique_ptr<discovery::Watch> watch_;
+    std::unique_ptr<ObservedDispatcher> core_;
+    std::unique_ptr<discovery::EndpointWatcher> watch_;
     std::int64_t inForce_ = 0;  // version
     std::int64_t highest_ = 0;
     std::uint64_t fallen_ = 0;
--- a/src/transport/buffer_pool.hpp
+++ b/src/transport/buffer_pool.hpp
@@ -13,9 +13,9 @@
 constexpr std::size_t kBufferSize = 16 * 1024;
 using Buffer = std::array<char, kBufferSize>;
 
-class Pool {
+class BufferPool {
   public:
-    explicit Pool(std::size_t most) : most_(most) {}
+    explicit BufferPool(std::size_t most) : most_(most) {}
 
     // Null when all are taken. What is given back before the next event may go past the bound: peers that
     // don't read must not keep the others from being heard.
@@ -29,9 +29,9 @@
         free_.pop_back();
         return buffer;
     }
-    std::size_t left() const { return most_ - std::min(made_ - free_.size(), most_); }
-    std::size_t most() const { return most_; }
-    void bound(std::size_t most) { most_ = most; }
+    std::size_t available() const { return most_ - std::min(made_ - free_.size(), most_); }
+    std::size_t capacity() const { return most_; }
+    void setCapacity(std::size_t most) { most_ = most; }
     void give(std::unique_ptr<Buffer> buffer) { free_.push_back(std::move(buffer)); }
 
   private:
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -43,9 +43,9 @@
     const Kind kind;
     uv_connect_t connect{};
     uv_shutdown_t shutdown{};
-    Pool& pool;
+    BufferPool& pool;
     uv_write_t write{};
-    Owner* owner;
+    Handler* owner;
     std::unique_ptr<Buffer> reading;
     // What the kernel has not taken yet; libuv has the first piece of it, and small ones share a buffer.
     std::deque<Piece> queue;
@@ -54,7 +54,9 @@
     std::uint64_t sent = 0;
     bool finished = false;
 
-    Handle(Pool& pool, Owner& owner, Kind kind) : kind(kind), pool(pool), owner(&owner) { write.data = this; }
+    Handle(BufferPool& pool, Handler& owner, Kind kind) : kind(kind), pool(pool), owner(&owner) {
+        write.data = this;
+    }
     ~Handle() {
         if (reading) pool.give(std::move(reading));
         for (Piece& piece : queue) pool.give(std::move(piece.buffer));
@@ -115,12 +117,12 @@
         pool.give(std::move(queue.front().buffer));
         queue.pop_front();
         if (!owner) return;
-        if (status < 0 || (!queue.empty() && !writeFirst())) return owner->ended();
-        if (queue.empty()) owner->emptied();
+        if (status < 0 || (!queue.empty() && !writeFirst())) return owner->onClosed();
+        if (queue.empty()) owner->onDrained();
     }
 };
 
-Connection::Connection(Loop& loop, Pool& pool, Owner& owner, Kind kind)
+Connection::Connection(EventLoop& loop, BufferPool& pool, Handler& owner, Kind kind)
     : handle_(new Handle(pool, owner, kind)) {
     if (kind == Kind::tcp)
         uv_tcp_init(loop.raw(), &handle_->socket.tcp);
@@ -134,14 +136,14 @@
     uv_close(handle_->handle(), [](uv_handle_t* h) { delete static_cast<Handle*>(h->data); });
 }
 
-bool Connection::open(const Address& to) {
+bool Connection::connect(const Address& to) {
     handle_->connect.data = handle_;
     return uv_tcp_connect(&handle_->connect, &handle_->socket.tcp, reinterpret_cast<const sockaddr*>(&to),
                           [](uv_connect_t* request, int status) {
                               Handle& handle = Handle::of(request->data);
                               if (!handle.owner) return;
                               if (status == 0) handle.atOnce();
-                              handle.owner->opened(status == 0);
+                              handle.owner->onConnected(status == 0);
                           }) == 0;
 }
 
@@ -153,7 +155,7 @@
     return true;
 }
 
-void Connection::read(bool on) {
+void Connection::setReading(bool on) {
     if (!on) return void(uv_read_stop(handle_->stream()));
     uv_read_start(
         handle_->stream(),
@@ -170,9 +172,9 @@
             auto buffer = std::move(handle.reading);
             if (count == UV_EOF) handle.finished = handle.unbroken();
             if (handle.owner && count > 0)
-                handle.owner->received({buffer->data(), static_cast<std::size_t>(count)});
+                handle.owner->onData({buffer->data(), static_cast<std::size_t>(count)});
             else if (handle.owner && count < 0)
-                handle.owner->ended();
+                handle.owner->onClosed();
             if (buffer) handle.pool.give(std::move(buffer));
         });
 }
@@ -190,11 +192,11 @@
     return handle_->enqueue(bytes);
 }
 
-std::size_t Connection::unsent() const { return handle_->unsent(); }
+std::size_t Connection::unsentBytes() const { return handle_->unsent(); }
 
-std::uint64_t Connection::sent() const { return handle_->sent; }
+std::uint64_t Connection::sentBytes() const { return handle_->sent; }
 
-void Connection::finishSending() {
+void Connection::shutdownWrite() {
     uv_shutdown(&handle_->shutdown, handle_->stream(), [](uv_shutdown_t*, int) {});
 }
 
@@ -210,15 +212,15 @@
     return uv_fileno(handle_->handle(), &descriptor) == 0 ? descriptor : -1;
 }
 
-bool Connection::finished() const { return handle_->finished; }
+bool Connection::hasPeerFinished() const { return handle_->finished; }
 
-bool Connection::left() const {
+bool Connection::hasPeerClosed() const {
     pollfd at{descriptor(), POLLRDHUP, 0};
     return at.fd < 0 || ::poll(&at, 1, 0) > 0;
 }
 
-bool Connection::bytesWait() const { return peek() > 0; }
+bool Connection::hasUnreadBytes() const { return peek() > 0; }
 
-bool Connection::quiet() const { return peek() < 0 && (errno == EAGAIN || errno == EWOULDBLOCK); }
+bool Connection::isIdle() const { return peek() < 0 && (errno == EAGAIN || errno == EWOULDBLOCK); }
 
 }  // namespace poppyscale::transport
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -22,34 +22,34 @@
 
 class Connection {
   public:
-    class Owner {
+    class Handler {
       public:
-        virtual ~Owner() = default;
-        virtual void opened(bool /*up*/) {}
-        virtual void received(std::string_view bytes) = 0;
-        virtual void ended() = 0;  // by the peer or by an error
-        virtual void emptied() {}  // all that was written is with the kernel
+        virtual ~Handler() = default;
+        virtual void onConnected(bool /*up*/) {}
+        virtual void onData(std::string_view bytes) = 0;
+        virtual void onClosed() = 0;  // by the peer or by an error
+        virtual void onDrained() {}   // all that was written is with the kernel
     };
 
     enum class Kind : std::uint8_t { tcp, local };
-    Connection(Loop& loop, Pool& pool, Owner& owner, Kind kind = Kind::tcp);
+    Connection(EventLoop& loop, BufferPool& pool, Handler& owner, Kind kind = Kind::tcp);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    bool open(const Address& to);  // then `opened`
-    bool adopt(int descriptor);    // one accepted, or connected, by hand
-    void read(bool on);
+    bool connect(const Address& to);  // then `opened`
+    bool adopt(int descriptor);       // one accepted, or connected, by hand
+    void setReading(bool on);
     // False when the peer is gone or the pool is empty; the connection is of no further use then.
     bool write(std::string_view bytes);
-    std::size_t unsent() const;
-    std::uint64_t sent() const;  // bytes in all that the kernel has taken
-    void finishSending();        // after what is written; reading goes on
-    bool bytesWait() const;      // something stands in the kernel that was not read
-    bool quiet() const;          // nothing does, and the peer has not ended it either
-    bool finished() const;       // the peer has said its end, and was not cut off
+    std::size_t unsentBytes() const;
+    std::uint64_t sentBytes() const;  // bytes in all that the kernel has taken
+    void shutdownWrite();             // after what is written; reading goes on
+    bool hasUnreadBytes() const;      // something stands in the kernel that was not read
+    bool isIdle() const;              // nothing does, and the peer has not ended it either
+    bool hasPeerFinished() const;     // the peer has said its end, and was not cut off
     // The peer has ended or reset it, which is known before what came ahead of that is read.
-    bool left() const;
+    bool hasPeerClosed() const;
 
     int descriptor() const;  // of the system; below 0 without one
 
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Loop::Loop() {
+EventLoop::EventLoop() {
     if (uv_loop_init(&loop_) != 0) throw std::bad_alloc();
     uv_prepare_init(&loop_, &prepare_);
     uv_check_init(&loop_, &check_);
@@ -20,7 +20,7 @@
     prepare_.data = check_.data = timer_.data = this;
 }
 
-Loop::~Loop() {
+EventLoop::~EventLoop() {
     for (auto* handle : {reinterpret_cast<uv_handle_t*>(&prepare_), reinterpret_cast<uv_handle_t*>(&check_),
                          reinterpret_cast<uv_handle_t*>(&timer_)})
         uv_close(handle, nullptr);
@@ -30,18 +30,18 @@
     uv_loop_close(&loop_);
 }
 
-Nanos Loop::now() { return static_cast<Nanos>(uv_hrtime()) + kSetForward; }
+Nanos EventLoop::now() { return static_cast<Nanos>(uv_hrtime()) + kSetForward; }
 
-void Loop::run() {
-    uv_prepare_start(&prepare_, [](uv_prepare_t* h) { static_cast<Loop*>(h->data)->beforePoll(); });
-    uv_check_start(&check_, [](uv_check_t* h) { static_cast<Loop*>(h->data)->afterPoll(); });
+void EventLoop::run() {
+    uv_prepare_start(&prepare_, [](uv_prepare_t* h) { static_cast<EventLoop*>(h->data)->beforePoll(); });
+    uv_check_start(&check_, [](uv_check_t* h) { static_cast<EventLoop*>(h->data)->afterPoll(); });
     uv_run(&loop_, UV_RUN_DEFAULT);
     uv_prepare_stop(&prepare_);
     uv_check_stop(&check_);
     uv_timer_stop(&timer_);
 }
 
-void Loop::beforePoll() {
+void EventLoop::beforePoll() {
     if (handOver_) handOver_();
     // The timer only ends the poll: alarms ring after it, so that an answer that has come in is read before
     // its relay is given up. libuv counts whole milliseconds from a time it keeps; too early a one is set
@@ -60,14 +60,14 @@
     reading_ = true;
 }
 
-Nanos Loop::arrivedBy() const {
+Nanos EventLoop::earliestArrival() const {
     const Nanos at = now();
     if (!reading_) return at;
     if (arrivedBy_) return arrivedBy_;
     return at - pollDue_ > kHeldUp ? pollDue_ : at;
 }
 
-void Loop::afterPoll() {
+void EventLoop::afterPoll() {
     reading_ = false;
     // Held up in the poll, libuv may have come back from it without reading anything: what has come by then
     // is read first, in a turn that does not wait.
@@ -75,15 +75,15 @@
     const bool heldUp = at - pollDue_ > kHeldUp;
     polledAt_ = heldUp ? pollDue_ : at;
     unread_ = heldUp && !unread_;
-    if (!unread_) ring();
+    if (!unread_) fireTimers();
     if (handOver_) handOver_();
 }
 
-void Loop::ring() {
+void EventLoop::fireTimers() {
     // What rings may set alarms: those that fall due at once wait for the next turn.
     const Nanos until = now();
     while (!alarms_.empty() && alarms_.begin()->first <= until) {
-        Alarm* const alarm = alarms_.begin()->second;
+        Timer* const alarm = alarms_.begin()->second;
         alarms_.erase(alarms_.begin());
         alarm->at_ = 0;
         const auto ring = alarm->ring_;  // the alarm may be destroyed by what it rings for
@@ -91,20 +91,20 @@
     }
 }
 
-void Alarm::set(Nanos at) {
+void Timer::start(Nanos at) {
     if (at == at_) return;
-    clear();
+    stop();
     at_ = std::max<Nanos>(at, 1);
     loop_.alarms_.emplace(at_, this);
 }
 
-void Alarm::clear() {
+void Timer::stop() {
     if (at_ == 0) return;
     loop_.alarms_.erase({at_, this});
     at_ = 0;
 }
 
-Signal::Signal(Loop& loop, int number, std::function<void()> come)
+Signal::Signal(EventLoop& loop, int number, std::function<void()> come)
     : handle_(new uv_signal_t{}), come_(std::move(come)) {
     uv_signal_init(loop.raw(), handle_);
     handle_->data = this;
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -25,7 +25,7 @@
 
 // libuv's own listener closes all who wait in the backlog where the system has no descriptor left for a
 // moment: they have sent requests by then. So the socket is polled, and accepted on here.
-Listener::Listener(Loop& loop, Admit admit, Connection::Kind kind)
+Listener::Listener(EventLoop& loop, AcceptHandler admit, Connection::Kind kind)
     : loop_(loop), admit_(std::move(admit)), kind_(kind), retry_(loop, [this] { watch(true); }) {}
 
 Listener::~Listener() {
@@ -69,12 +69,12 @@
     return begin();
 }
 
-std::string Listener::listenOn(int descriptor) {
+std::string Listener::adopt(int descriptor) {
     descriptor_ = descriptor;
     return begin();
 }
 
-std::string Listener::listenAt(const std::string& path) {
+std::string Listener::listenAtPath(const std::string& path) {
     const std::string fresh = path + "." + std::to_string(::getpid());
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
@@ -121,11 +121,11 @@
 
 void Listener::rest(int error) {
     watch(false);
-    retry_.set(Loop::now() + kPauseWhenExhausted);
+    retry_.start(EventLoop::now() + kPauseWhenExhausted);
     if (exhausted_) exhausted_(std::strerror(error));
 }
 
-void Listener::takeBacklog() {
+void Listener::acceptBacklog() {
     for (int failures = 0; descriptor_ >= 0 && failures < kMostFailuresOfBacklog;) {
         const Accepted result = acceptOne();
         if (result == Accepted::none) return;
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -13,28 +13,28 @@
 class Listener {
   public:
     // `admit` gets the connection half made and finishes it with `accept` or `adopt`.
-    using Admit = std::function<void(const std::function<bool(Connection&)>& finish)>;
+    using AcceptHandler = std::function<void(const std::function<bool(Connection&)>& finish)>;
     // The system has nothing left for another connection, for the reason given: whoever waits stays in the
     // backlog, and is accepted once that is over. Told with each pause that this makes.
-    using Exhausted = std::function<void(std::string_view why)>;
+    using ExhaustionHandler = std::function<void(std::string_view why)>;
 
-    Listener(Loop& loop, Admit admit, Connection::Kind kind = Connection::Kind::tcp);
+    Listener(EventLoop& loop, AcceptHandler admit, Connection::Kind kind = Connection::Kind::tcp);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    void whenExhausted(Exhausted told) { exhausted_ = std::move(told); }
+    void onExhausted(ExhaustionHandler told) { exhausted_ = std::move(told); }
 
     // Empty when it listens, else what the system said.
     std::string listen(const Address& at);
     // A Unix socket that only its owner may open. What a process that has died left at that path goes; a
     // living one's is taken over in one step, so that nobody finds the path empty in between.
-    std::string listenAt(const std::string& path);
+    std::string listenAtPath(const std::string& path);
     // On a socket that another process has bound; it is ours from now on.
-    std::string listenOn(int descriptor);
+    std::string adopt(int descriptor);
     int descriptor() const { return descriptor_; }
     // Takes what stands in the backlog: the kernel has accepted it, so its clients count on an answer.
-    void takeBacklog();
+    void acceptBacklog();
 
   private:
     // Of accepting one connection. `none`: nobody waits.
@@ -47,13 +47,13 @@
     Accepted acceptOne();
     void rest(int error);
 
-    Loop& loop_;
-    Admit admit_;
-    Exhausted exhausted_;
+    EventLoop& loop_;
+    AcceptHandler admit_;
+    ExhaustionHandler exhausted_;
     Connection::Kind kind_;
     int descriptor_ = -1;
     uv_poll_t* poll_ = nullptr;  // of the loop's: told when somebody waits
-    Alarm retry_;                // rings when accepting is tried again after a failure
+    Timer retry_;                // rings when accepting is tried again after a failure
 };
 
 }  // namespace poppyscale::transport
--- a/tests/attempt_deadline_test.cpp
+++ b/tests/attempt_deadline_test.cpp
@@ -22,15 +22,15 @@
 nlohmann::json patientStart() {
     auto start = smallStart();
     start["settings"]["allowed"]["connectTimeoutUs"] = 5'000'000;
-    for (auto& verb : start["settings"]["verbs"]) {
-        verb["responseGoalUs"] = 3'000'000;
-        verb["timeLimitUs"] = 6'000'000;
+    for (auto& requestClass : start["settings"]["verbs"]) {
+        requestClass["responseGoalUs"] = 3'000'000;
+        requestClass["timeLimitUs"] = 6'000'000;
     }
     return start;
 }
 
-std::string infoOf(const std::string& verb, const std::string& key) {
-    return "c=" + verb + ",t=north,d=" + std::to_string(kClientTime) + ",k=" + key;
+std::string infoOf(const std::string& requestClass, const std::string& key) {
+    return "c=" + requestClass + ",t=north,d=" + std::to_string(kClientTime) + ",k=" + key;
 }
 
 long passedSince(Clock::time_point since) {
@@ -44,13 +44,13 @@
 }
 
 // The time that an attempt at the origin tells, and that the rest of the list has gone on as it came.
-long toldToOrigin(Socket& origin, const std::string& key, const std::string& verb) {
+long toldToOrigin(Socket& origin, const std::string& key, const std::string& requestClass) {
     for (const auto& line : origin.head()) {
         const std::string name = "X-Call-Info: ";
         if (!line.starts_with(name)) continue;
         const std::string info = line.substr(name.size());
         const long told = timeToldIn(info);
-        CHECK(info == "c=" + verb + ",t=north,d=" + std::to_string(told) + ",k=" + key);
+        CHECK(info == "c=" + requestClass + ",t=north,d=" + std::to_string(told) + ",k=" + key);
         return told;
     }
     return -1;
@@ -111,13 +111,13 @@
 }
 
 TEST_CASE("a write that the origin turns away tells the time that is left when it is tried again") {
-    for (const std::string verb : {"mark", "pay"}) {
-        CAPTURE(verb);
+    for (const std::string requestClass : {"mark", "pay"}) {
+        CAPTURE(requestClass);
         Stage stage(1, patientStart());
         Socket client = stage.client();
-        client.say(set("k", infoOf(verb, "k")));
+        client.say(set("k", infoOf(requestClass, "k")));
         Socket origin = stage.origin.accept();
-        const long first = toldToOrigin(origin, "k", verb);
+        const long first = toldToOrigin(origin, "k", requestClass);
         const auto routerHasIt = Clock::now();
         CHECK(first > 0);
         CHECK(first <= kClientTime);
@@ -129,7 +129,7 @@
         // Whether it is tried again is the router's to choose; what is told then isn't.
         if (!client.quiet(300)) continue;
         Socket again = stage.origin.accept();
-        const long told = toldToOrigin(again, "k", verb);
+        const long told = toldToOrigin(again, "k", requestClass);
         CHECK(told > 0);
         CHECK(told <= kClientTime - passed);
     }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -295,7 +295,7 @@
     series.options.caches = 300;
     series.options.folder = "runs";
     const scale::Options options = scale::optionsAt(series, 50, 7);
-    CHECK(options.hollowRouters == 48);
+    CHECK(options.stubRouters == 48);
     CHECK(options.realRouters == 2);
     CHECK(options.caches == 300);
     CHECK(options.seed == 7);
@@ -307,7 +307,7 @@
     std::vector<int> played;
     const auto grows = [&](double exponent) {
         return [&played, exponent](const scale::Options& o) {
-            const double routers = o.hollowRouters + o.realRouters;
+            const double routers = o.stubRouters + o.realRouters;
             played.push_back(static_cast<int>(routers));
             scale::Result result;
             result.controlProcessorShare = 0.001 * std::pow(routers, exponent);
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -44,7 +44,7 @@
 }
 
 // A connection the router opened to a stand-in; blocks until it is opened.
-Socket acceptWithRequest(Door& door, std::string& key) {
+Socket acceptWithRequest(TestServer& door, std::string& key) {
     Socket connection = door.accept();
     const auto words = connection.command();
     if (words.size() > 1) key = words[1];
@@ -73,7 +73,7 @@
 class AttemptWatch {
   public:
     explicit AttemptWatch(Stage& stage) {
-        for (Door& cache : stage.caches) doors_.push_back(&cache);
+        for (TestServer& cache : stage.caches) doors_.push_back(&cache);
         doors_.push_back(&stage.origin);
     }
     // A connection on which further attempts may come.
@@ -92,7 +92,7 @@
   private:
     // Whether bytes of an attempt came within a millisecond.
     bool poll() {
-        for (Door* door : doors_)
+        for (TestServer* door : doors_)
             while (!door->quiet(0)) connections_.push_back(door->accept());
         bool attempt = false;
         for (auto it = connections_.begin(); it != connections_.end();) {
@@ -107,7 +107,7 @@
         return attempt;
     }
 
-    std::vector<Door*> doors_;
+    std::vector<TestServer*> doors_;
     std::list<Socket> connections_;
 };
 
@@ -118,7 +118,7 @@
 }
 
 // Attempts of a client's requests that wait for the stand-in's answers, at most `count` of them.
-std::list<Socket> acceptAttempts(Door& door, std::size_t count) {
+std::list<Socket> acceptAttempts(TestServer& door, std::size_t count) {
     std::list<Socket> attempts;
     std::string key;
     while (attempts.size() < count && !door.quiet(200)) attempts.push_back(acceptWithRequest(door, key));
--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -230,7 +230,7 @@
             if (*descriptor >= 0) close(std::exchange(*descriptor, -1));
     }
 
-    Place place_;
+    ReservedPort place_;
     const std::vector<Step> steps_;
     const std::string changes_;
     const milliseconds perCall_;
@@ -314,8 +314,8 @@
                                 {entryOf("c0", cache)})) {}
 
     std::string name;
-    Door cache;
-    Place place;
+    TestServer cache;
+    ReservedPort place;
     FailingDiscovery discovery;
     Program program;
 };
@@ -409,15 +409,15 @@
 TEST_CASE("forty routers that lost one discovery have its list within 6 s, one call served after the other") {
     constexpr std::size_t kRouters = 40;
     constexpr auto kPerCall = 20ms;
-    Door cache;
+    TestServer cache;
     FailingDiscovery discovery({{Failure::unavailable, 6s}, {Failure::refused, 4s}},
                                changesTo({entryOf("c1", cache)}), kPerCall);
-    std::vector<std::unique_ptr<Place>> places;
+    std::vector<std::unique_ptr<ReservedPort>> places;
     std::vector<std::unique_ptr<Program>> routers;
     for (std::size_t i = 0; i < kRouters; ++i) {
         auto start = patientStart("on_request");
         start["seed"] = std::to_string(1000 + i);
-        places.push_back(std::make_unique<Place>());
+        places.push_back(std::make_unique<ReservedPort>());
         routers.push_back(std::make_unique<Program>(
             configuration(start, places.back()->port, discovery.address(), {entryOf("c0", cache)})));
     }
@@ -431,8 +431,8 @@
 
 TEST_CASE("idle clients fill the descriptors while discovery is down, and all works again when it returns") {
     constexpr std::size_t kDescriptors = 128;
-    Door oldCache, newCache, origin;
-    Place place, consolePlace;
+    TestServer oldCache, newCache, origin;
+    ReservedPort place, consolePlace;
     FailingDiscovery discovery({{Failure::refused, 9s}},
                                changesTo({entryOf("origin", origin, "origin"), entryOf("c1", newCache)}));
     auto start = patientStart("on_request");
