--- a/tests/endpoint_distribution_test.cpp
+++ b/tests/endpoint_distribution_test.cpp
@@ -50,9 +50,9 @@
 using Servers = std::map<std::string, std::string>;
 
 void applyTo(Servers& servers, const ListUpdate& told) {
-    if (told.full) servers.clear();
+    if (told.isComplete) servers.clear();
     for (const ServerEntry& entry : told.entries) {
-        if (entry.gone)
+        if (entry.isRemoved)
             servers.erase(entry.id);
         else
             servers[entry.id] = entry.text;
@@ -61,17 +61,17 @@
 
 std::set<std::string> idsOf(const ListUpdate& told) {
     std::set<std::string> ids;
-    for (const ServerEntry& entry : told.entries) ids.insert((entry.gone ? "-" : "") + entry.id);
+    for (const ServerEntry& entry : told.entries) ids.insert((entry.isRemoved ? "-" : "") + entry.id);
     return ids;
 }
 
 using Ids = std::set<std::string>;
 
 // Writes down what it is asked for. Readers take their answers at once, unless they are made slow.
-struct ScriptedHost : endpoint_distribution::Host {
+struct ScriptedHost : endpoint_distribution::DistributorHost {
     struct Told {
         ReaderId reader;
-        Answer answer;
+        ListResponse answer;
         Nanos at;
     };
     struct Asked {
@@ -80,17 +80,17 @@
         Nanos wait;
         Nanos at;
     };
-    std::size_t answer(ReaderId reader, const Answer& answer) override {
+    std::size_t sendResponse(ReaderId reader, const ListResponse& answer) override {
         told.push_back({reader, answer, now});
         if (!slow.contains(reader)) return 0;
         unsent[reader] += answer.body->size();
         return unsent[reader];
     }
-    void askUpstream(std::size_t index, std::optional<Version> after, Nanos wait) override {
+    void pollUpstream(std::size_t index, std::optional<Version> after, Nanos wait) override {
         asked.push_back({index, after, wait, now});
     }
     void closeReader(ReaderId reader, CloseReason reason) override { closed[reader] = reason; }
-    void wakeAt(Nanos at) override { wake = at; }
+    void scheduleWakeup(Nanos at) override { wake = at; }
     void log(std::string_view text) override { logs.emplace_back(text); }
 
     Nanos now = 0;
@@ -122,21 +122,21 @@
     void pass(Nanos duration) { goTo(now + duration); }
     void upstreamTells(ListUpdate told, Nanos age = 0) {
         host.now = now;
-        distributor.upstreamAnswered(now, std::move(told), age);
+        distributor.onUpstreamResponse(now, std::move(told), age);
         reconcile();
     }
     void upstreamFails(Distributor::Failure failure = Distributor::Failure::unreachable) {
-        distributor.upstreamFailed(now, failure, "scripted");
+        distributor.onUpstreamFailed(now, failure, "scripted");
         reconcile();
     }
     void ask(ReaderId reader, std::optional<Version> after, Nanos wait = 10 * kSecond) {
-        if (known.insert(reader).second) distributor.readerConnected(now, reader);
-        distributor.readerAsks(now, reader, {after, wait});
+        if (known.insert(reader).second) distributor.onReaderConnected(now, reader);
+        distributor.onReaderPoll(now, reader, {after, wait});
         reconcile();
     }
     // The last answer to that reader; none if there has been none since the last call.
-    std::optional<Answer> take(ReaderId reader) {
-        std::optional<Answer> last;
+    std::optional<ListResponse> take(ReaderId reader) {
+        std::optional<ListResponse> last;
         for (const auto& told : host.told)
             if (told.reader == reader) last = told.answer;
         std::erase_if(host.told, [reader](const auto& told) { return told.reader == reader; });
@@ -156,10 +156,10 @@
     std::set<ReaderId> known;
 };
 
-Options optionsOf(std::size_t upstreams, std::set<Guard> without = {}) {
+Options optionsOf(std::size_t upstreams, std::set<Safeguard> without = {}) {
     Options options;
     options.upstreams = upstreams;
-    options.without = std::move(without);
+    options.disabledSafeguards = std::move(without);
     return options;
 }
 
@@ -174,15 +174,15 @@
         odd + " , " + entryText("b") + R"(],"version":3,"y":[[]]})";
     const auto read = readListUpdate(text);
     CHECK(read.version == 3);
-    CHECK(read.full);
+    CHECK(read.isComplete);
     REQUIRE(read.entries.size() == 2);
     CHECK(read.entries[0].id == "a}\"]{[");
     CHECK(read.entries[0].text == odd);
     CHECK(read.entries[1].text == entryText("b"));
     ListState state(10);
     state.apply(read);
-    CHECK(state.whole()->find(odd) != std::string::npos);
-    CHECK(readListUpdate(*state.whole()).entries.size() == 2);
+    CHECK(state.completeList()->find(odd) != std::string::npos);
+    CHECK(readListUpdate(*state.completeList()).entries.size() == 2);
 }
 
 TEST_CASE("what a router would refuse as a list is refused") {
@@ -193,7 +193,7 @@
           R"({"version":1,"full":true,"servers":[{"id":"","state":"Ready"}]})",
           R"({"version":1,"full":true,"\u0073ervers":[{"id":"a","state":"Ready"}]})"}) {
         CAPTURE(spoilt);
-        CHECK_THROWS_AS(readListUpdate(spoilt), protocol::Malformed);
+        CHECK_THROWS_AS(readListUpdate(spoilt), protocol::ParseError);
     }
 }
 
@@ -203,17 +203,17 @@
     state.apply(update(6, false, {entryText("a", 2)}));
     state.apply(update(7, false, {entryText("a", 3), entryText("d")}));
     state.apply(update(8, false, {entryText("b", 1, "Gone")}));
-    CHECK(idsOf(readListUpdate(*state.since(5))) == Ids{"a", "d", "-b"});
-    CHECK(idsOf(readListUpdate(*state.since(6))) == Ids{"a", "d", "-b"});
-    CHECK(idsOf(readListUpdate(*state.since(7))) == Ids{"-b"});
-    CHECK(idsOf(readListUpdate(*state.since(8))).empty());
-    CHECK(readListUpdate(*state.since(4)).full);
-    CHECK(idsOf(readListUpdate(*state.whole())) == Ids{"a", "c", "d"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(5))) == Ids{"a", "d", "-b"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(6))) == Ids{"a", "d", "-b"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(7))) == Ids{"-b"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(8))).empty());
+    CHECK(readListUpdate(*state.changesSince(4)).isComplete);
+    CHECK(idsOf(readListUpdate(*state.completeList())) == Ids{"a", "c", "d"});
     // Removed by a whole list that does not name it, and back again.
     state.apply(update(9, true, {entryText("c"), entryText("d")}));
-    CHECK(idsOf(readListUpdate(*state.since(8))) == Ids{"-a"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(8))) == Ids{"-a"});
     state.apply(update(10, false, {entryText("a", 4)}));
-    CHECK(idsOf(readListUpdate(*state.since(8))) == Ids{"a"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(8))) == Ids{"a"});
     CHECK(state.tombstones() == 1);
 }
 
@@ -221,11 +221,11 @@
     ListState state(10);
     state.apply(update(5, true, {entryText("a")}));
     state.apply(update(6, false, {entryText("a", 2)}));
-    CHECK(state.since(5) == state.since(5));
-    CHECK(state.whole() == state.whole());
-    const auto before = state.since(5);
+    CHECK(state.changesSince(5) == state.changesSince(5));
+    CHECK(state.completeList() == state.completeList());
+    const auto before = state.changesSince(5);
     state.apply(update(7, false, {entryText("a", 3)}));
-    CHECK(state.since(5) != before);
+    CHECK(state.changesSince(5) != before);
     CHECK(readListUpdate(*before).version == 6);
 }
 
@@ -234,11 +234,11 @@
     state.apply(update(1, true, {entryText("a"), entryText("b"), entryText("c"), entryText("d")}));
     state.apply(update(2, false, {entryText("a", 1, "Gone")}));
     state.apply(update(3, false, {entryText("b", 1, "Gone")}));
-    CHECK(idsOf(readListUpdate(*state.since(1))) == Ids{"-a", "-b"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(1))) == Ids{"-a", "-b"});
     state.apply(update(4, false, {entryText("c", 1, "Gone")}));
     CHECK(state.tombstones() == 2);
-    CHECK(readListUpdate(*state.since(1)).full);
-    CHECK(idsOf(readListUpdate(*state.since(2))) == Ids{"-b", "-c"});
+    CHECK(readListUpdate(*state.changesSince(1)).isComplete);
+    CHECK(idsOf(readListUpdate(*state.changesSince(2))) == Ids{"-b", "-c"});
 }
 
 TEST_CASE("a server that is told again as it is here has changed all the same for who saw it in between") {
@@ -247,7 +247,7 @@
     state.apply(update(11, false, {entryText("b", 1, "Gone")}));
     // Weight 2 in version 12, back in 13; there in 12, gone again in 13.
     state.apply(update(13, false, {entryText("a", 1), entryText("b", 1, "Gone")}));
-    CHECK(idsOf(readListUpdate(*state.since(12))) == Ids{"a", "-b"});
+    CHECK(idsOf(readListUpdate(*state.changesSince(12))) == Ids{"a", "-b"});
 }
 
 TEST_CASE("nothing is told as changes since a version that a whole list leapt over") {
@@ -255,9 +255,9 @@
         ListState state(10, {mindsGaps, true});
         state.apply(update(10, true, {entryText("a")}));
         state.apply(update(14, true, {entryText("a"), entryText("b")}));
-        CHECK(idsOf(readListUpdate(*state.since(10))) == Ids{"b"});
-        CHECK(idsOf(readListUpdate(*state.since(14))).empty());
-        return readListUpdate(*state.since(12)).full;
+        CHECK(idsOf(readListUpdate(*state.changesSince(10))) == Ids{"b"});
+        CHECK(idsOf(readListUpdate(*state.changesSince(14))).empty());
+        return readListUpdate(*state.changesSince(12)).isComplete;
     };
     CHECK(play(true));
     CHECK_FALSE(play(false));
@@ -275,14 +275,14 @@
     stage.upstreamTells(update(5, true, {entryText("a")}));
     CHECK(*stage.lastAsked().after == 5);
     stage.ask(2, std::nullopt);
-    CHECK(stage.takeList(2).full);
+    CHECK(stage.takeList(2).isComplete);
     stage.ask(2, 5);
     CHECK_FALSE(stage.take(2));
     stage.pass(100 * ms);
     stage.upstreamTells(update(6, false, {entryText("a", 2)}));
     const auto told = stage.takeList(2);
     CHECK(told.version == 6);
-    CHECK_FALSE(told.full);
+    CHECK_FALSE(told.isComplete);
     CHECK(idsOf(told) == Ids{"a"});
     // At the end of its wait: nothing has changed.
     stage.ask(2, 6, 300 * ms);
@@ -293,7 +293,7 @@
 }
 
 TEST_CASE("a reader that is ahead is parked until the list is past it, and is never told a lower version") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Stage stage(optionsOf(1, std::move(without)));
         stage.upstreamTells(update(5, true, {entryText("a")}));
         stage.ask(1, 7, 2 * kSecond);
@@ -308,14 +308,14 @@
         stage.pass(100 * ms);
         const auto last = stage.take(1);
         const bool toldLater = last && readListUpdate(*last->body).version == 8;
-        return first.version == 7 && !first.full && first.entries.empty() && !toldEarly && toldLater;
+        return first.version == 7 && !first.isComplete && first.entries.empty() && !toldEarly && toldLater;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::versionGuard}));
+    CHECK_FALSE(play({Safeguard::versionGuard}));
 }
 
 TEST_CASE("an older list is refused while any upstream has not told an older one") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Stage stage(optionsOf(2, std::move(without)));
         stage.upstreamTells(update(9, true, {entryText("a")}));
         stage.ask(1, 9);
@@ -333,7 +333,7 @@
                stage.distributor.status(stage.now).epochs == 0;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::olderList}));
+    CHECK_FALSE(play({Safeguard::olderList}));
 }
 
 TEST_CASE("when every upstream has lost what it knew a new epoch begins, and readers get the whole list") {
@@ -356,15 +356,15 @@
     stage.pass(kEpochGrace);
     const auto told = stage.takeList(1);
     CHECK(told.version == 4);
-    CHECK(told.full);
+    CHECK(told.isComplete);
     CHECK(idsOf(told) == Ids{"c"});
     // One of before the epoch, whatever its version, gets the whole list.
     stage.ask(2, 3);
-    CHECK(stage.takeList(2).full);
+    CHECK(stage.takeList(2).isComplete);
 }
 
 TEST_CASE("a version that no upstream knows any more is found out, though the distributor never had it") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Options options = optionsOf(2, std::move(without));
         options.upstreamWait = 1 * kSecond;
         Stage stage(options);
@@ -378,13 +378,13 @@
                 if (callIsOver) stage.upstreamTells(update(5, false, {}));
             }
             const auto answer = stage.takeList(1);
-            if (answer.full) told = stage.now;
-            CHECK((answer.full || answer.version == 100'000));
+            if (answer.isComplete) told = stage.now;
+            CHECK((answer.isComplete || answer.version == 100'000));
         }
         return told > options.upstreamWait + kAheadPatience;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::aheadCheck}));
+    CHECK_FALSE(play({Safeguard::aheadCheck}));
 }
 
 TEST_CASE(
@@ -410,7 +410,7 @@
 }
 
 TEST_CASE("a failure moves to the next upstream and goes on from the version that is here") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Stage stage(optionsOf(2, std::move(without)));
         stage.upstreamTells(update(5, true, {entryText("a")}));
         stage.upstreamFails();
@@ -418,30 +418,30 @@
         const auto asked = stage.lastAsked();
         CHECK(asked.after == std::optional<Version>(5));
         CHECK(asked.wait == 0);
-        CHECK(stage.distributor.status(stage.now).trouble == "scripted");
+        CHECK(stage.distributor.status(stage.now).lastFailure == "scripted");
         stage.upstreamTells(update(5, false, {}));
-        CHECK(stage.distributor.status(stage.now).trouble.empty());
+        CHECK(stage.distributor.status(stage.now).lastFailure.empty());
         CHECK(stage.lastAsked().wait >= 5 * kSecond);
         return asked.index == 1;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::failOver}));
+    CHECK_FALSE(play({Safeguard::failOver}));
 }
 
 TEST_CASE("an upstream that says nothing is left in time; what it says after that is not heard") {
     Stage stage(optionsOf(2));
     stage.upstreamTells(update(5, true, {entryText("a")}));
-    const Nanos due = stage.lastAsked().wait + kAnswerWithin;
+    const Nanos due = stage.lastAsked().wait + kResponseTimeout;
     stage.pass(due - 1);
-    CHECK(stage.distributor.status(stage.now).trouble.empty());
+    CHECK(stage.distributor.status(stage.now).lastFailure.empty());
     stage.pass(1);
-    CHECK(stage.distributor.status(stage.now).trouble == "no answer in time");
+    CHECK(stage.distributor.status(stage.now).lastFailure == "no answer in time");
     stage.upstreamTells(update(6, false, {entryText("a", 2)}));
     CHECK(stage.distributor.version() == 5);
 }
 
 TEST_CASE("a discovery that is slow to answer is given the time it needs, and less again when it is quick") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Options options = optionsOf(1, std::move(without));
         options.upstreamWait = 1 * kSecond;
         Stage stage(options);
@@ -463,7 +463,7 @@
         return stage.now - toldAt < 10 * kSecond && longest < 12 * kSecond;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::patience}));
+    CHECK_FALSE(play({Safeguard::patience}));
     Options options = optionsOf(1);
     options.upstreamWait = 1 * kSecond;
     Stage stage(options);
@@ -477,30 +477,30 @@
     const auto isLeftAfter = [&](Nanos time) {
         stage.upstreamTells(update(1, false, {}));
         stage.pass(stage.lastAsked().wait + time);
-        return !stage.distributor.status(stage.now).trouble.empty();
+        return !stage.distributor.status(stage.now).lastFailure.empty();
     };
-    answerInTime(kPatienceKept / 2);
-    CHECK_FALSE(isLeftAfter(kMaxAnswerWithin - 1));
-    answerInTime(2 * kPatienceKept);
-    CHECK(isLeftAfter(kAnswerWithin));
+    answerInTime(kResponseTimeoutRetention / 2);
+    CHECK_FALSE(isLeftAfter(kMaxResponseTimeout - 1));
+    answerInTime(2 * kResponseTimeoutRetention);
+    CHECK(isLeftAfter(kResponseTimeout));
 }
 
 TEST_CASE("spoilt changes are not asked for again: the whole list is") {
     Stage stage(optionsOf(1));
     stage.upstreamTells(update(5, true, {entryText("a")}));
-    stage.upstreamFails(Distributor::Failure::spoilt);
+    stage.upstreamFails(Distributor::Failure::malformed);
     stage.pass(kMinBackoff);
     CHECK_FALSE(stage.lastAsked().after);
     // Where there is no list, changes are spoilt too.
     Stage fresh(optionsOf(1));
     fresh.upstreamTells(update(5, false, {entryText("a")}));
-    CHECK_FALSE(fresh.distributor.status(fresh.now).trouble.empty());
+    CHECK_FALSE(fresh.distributor.status(fresh.now).lastFailure.empty());
     CHECK(fresh.distributor.version() == 0);
 }
 
 TEST_CASE(
     "pauses grow from 100 ms to a second, are cut among the upstreams, and differ between distributors") {
-    const auto pausesOf = [](std::size_t upstreams, std::uint64_t seed, std::set<Guard> without) {
+    const auto pausesOf = [](std::size_t upstreams, std::uint64_t seed, std::set<Safeguard> without) {
         Options options = optionsOf(upstreams, std::move(without));
         options.seed = seed;
         Stage stage(options);
@@ -524,7 +524,7 @@
     CHECK(pausesOf(4, 1, {}).back() <= kMaxBackoff / 4);
     CHECK(pausesOf(1, 1, {}) != pausesOf(1, 2, {}));
     // Known mistake: all distributors come back at the same moments.
-    CHECK(pausesOf(1, 1, {Guard::backoffJitter}) == pausesOf(1, 2, {Guard::backoffJitter}));
+    CHECK(pausesOf(1, 1, {Safeguard::backoffJitter}) == pausesOf(1, 2, {Safeguard::backoffJitter}));
 }
 
 TEST_CASE("readers are answered while no upstream can be reached, and the list's age is told") {
@@ -544,7 +544,7 @@
 }
 
 TEST_CASE("an upstream whose own list is old is left, and what it tells is taken") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Stage stage(optionsOf(2, std::move(without)));
         stage.upstreamTells(update(5, true, {entryText("a")}));
         stage.upstreamTells(update(6, false, {entryText("b")}), 13 * kSecond);
@@ -553,11 +553,11 @@
         return stage.lastAsked().index == 1;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::staleUpstream}));
+    CHECK_FALSE(play({Safeguard::staleUpstream}));
 }
 
 TEST_CASE("changes within a batch are told together, and a reader is answered once in a batch at most") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Options options = optionsOf(1, std::move(without));
         options.batch = 50 * ms;
         Stage stage(options);
@@ -587,7 +587,7 @@
         return answers <= 201;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::batching}));
+    CHECK_FALSE(play({Safeguard::batching}));
 }
 
 TEST_CASE("a reader that asks the same again and again is answered once in a batch") {
@@ -608,7 +608,7 @@
 }
 
 TEST_CASE("a reader that does not take its answer is answered no more, and is closed in bounded time") {
-    const auto play = [](std::set<Guard> without) {
+    const auto play = [](std::set<Safeguard> without) {
         Options options = optionsOf(1, std::move(without));
         options.maxUnsent = 1'000;
         Stage stage(options);
@@ -631,7 +631,7 @@
         return bounded && closed && stage.distributor.status(stage.now).slowReadersClosed == 2;
     };
     CHECK(play({}));
-    CHECK_FALSE(play({Guard::slowReaderBound}));
+    CHECK_FALSE(play({Safeguard::slowReaderBound}));
 }
 
 TEST_CASE("a reader that takes its answer late is answered again after that") {
@@ -643,12 +643,12 @@
     stage.ask(1, 1, 200 * ms);
     stage.pass(3 * kSecond);
     CHECK_FALSE(stage.take(1));
-    stage.distributor.readerSent(stage.now, 1, 0);
+    stage.distributor.onReaderBytesSent(stage.now, 1, 0);
     stage.host.slow.clear();
     stage.pass(200 * ms);
     CHECK(stage.takeList(1).version == 1);
     CHECK(stage.host.closed.empty());
-    stage.pass(kIdleWithin);
+    stage.pass(kIdleTimeout);
     CHECK(stage.host.closed.at(1) == CloseReason::idle);
 }
 
@@ -666,10 +666,10 @@
     CHECK(refused->retryAfterSeconds == 1);
     CHECK(refused->close);
     CHECK(stage.distributor.status(stage.now).readers == 2);
-    stage.distributor.readerLeaves(stage.now, 3);
-    stage.distributor.readerLeaves(stage.now, 1);
+    stage.distributor.onReaderClosed(stage.now, 3);
+    stage.distributor.onReaderClosed(stage.now, 1);
     stage.ask(4, std::nullopt);
-    CHECK(stage.takeList(4).full);
+    CHECK(stage.takeList(4).isComplete);
 }
 
 TEST_CASE("at the end all who wait are answered, none with a lower version") {
@@ -687,7 +687,7 @@
 }
 
 TEST_CASE("guards have names") {
-    CHECK(guardNamed("version-guard") == Guard::versionGuard);
+    CHECK(guardNamed("version-guard") == Safeguard::versionGuard);
     CHECK_THROWS_WITH(guardNamed("none"), doctest::Contains("tombstones"));
 }
 
@@ -741,7 +741,7 @@
 // that go from one distributor to the other, lose what they know, or leave. Then all heals.
 class RandomRun {
   public:
-    RandomRun(std::uint64_t seed, std::size_t readers, int steps, const std::set<Guard>& without)
+    RandomRun(std::uint64_t seed, std::size_t readers, int steps, const std::set<Safeguard>& without)
         : random_(seed), steps_(steps), readers_(readers) {
         for (std::size_t i = 0; i < 2; ++i) {
             Options options = optionsOf(2, without);
@@ -757,7 +757,7 @@
         for (int step = 0; step < steps_; ++step) turn(step < steps_ * 9 / 10);
         for (const Reader& reader : readers_) result_.behind += reader.version != discovery_.version();
         for (const auto& stage : stages_) {
-            const Status status = stage->distributor.status(stage->now);
+            const DistributorStatus status = stage->distributor.status(stage->now);
             result_.epochs += status.epochs;
             result_.refusedFalls += status.versionFallsRefused;
         }
@@ -813,7 +813,7 @@
         heard_[&stage] = stage.host.asked.size();
         if (troubled && chance(15))
             return stage.upstreamFails(chance(2) ? Distributor::Failure::unreachable
-                                                 : Distributor::Failure::spoilt);
+                                                 : Distributor::Failure::malformed);
         const bool tellsWhole = !asked.after || *asked.after > newest || chance(20);
         stage.upstreamTells(discovery_.answer(tellsWhole ? std::nullopt : asked.after, newest));
     }
@@ -831,7 +831,7 @@
     void move(std::size_t r) {
         Reader& reader = readers_[r];
         Stage& stage = *stages_[reader.stage];
-        stage.distributor.readerLeaves(stage.now, reader.connection);
+        stage.distributor.onReaderClosed(stage.now, reader.connection);
         owners_.erase(reader.connection);
         reader.connection = 0;
         reader.stage = random_() % stages_.size();
@@ -915,7 +915,8 @@
         CHECK(result.wrong == 0);
         CHECK(result.behind == 0);
     }
-    for (const Guard guard : {Guard::versionGuard, Guard::olderList, Guard::tombstones, Guard::gaps}) {
+    for (const Safeguard guard :
+         {Safeguard::versionGuard, Safeguard::olderList, Safeguard::tombstones, Safeguard::gaps}) {
         CAPTURE(static_cast<int>(guard));
         bool found = false;
         std::uint64_t seed = 0;
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -147,7 +147,7 @@
         return told.dump();
     }
 
-    std::optional<Door> door_;
+    std::optional<TestServer> door_;
     std::thread thread_;
     std::atomic<bool> ends_ = false;
     std::atomic<Mode> mode_ = Mode::good;
@@ -266,7 +266,7 @@
     }
 
   private:
-    Place place_;
+    ReservedPort place_;
     std::string folder_;
     pid_t pid_ = -1;
 
@@ -332,12 +332,12 @@
     "a router that asks a distributor goes by what discovery changes, also when the distributor is killed") {
     Discovery discovery;
     auto start = smallStart();
-    std::vector<Door> caches(2);
-    Door origin;
+    std::vector<TestServer> caches(2);
+    TestServer origin;
     discovery.set(entryOf("origin", origin, "origin"));
     discovery.set(entryOf("c0", caches[0]));
     DistributorProcess distributor("d1", {discovery.address()});
-    Place place;
+    ReservedPort place;
     start["listen"] = addressOf(place.port);
     start["discovery"] = distributor.address();
     start["known"] = {{"version", 1},
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -169,7 +169,7 @@
         peer.socket.say(answer);
     }
 
-    Door door_, origin_, cache_;
+    TestServer door_, origin_, cache_;
     const std::string address_ = door_.address();
     mutable std::mutex mutex_;
     std::list<Peer> peers_;
@@ -230,8 +230,8 @@
     nlohmann::json list() const { return nlohmann::json::parse(status("--json")).at("list"); }
     bool logs(const std::string& text) const { return program.log().find(text) != std::string::npos; }
 
-    Door discovery;
-    Place place;
+    TestServer discovery;
+    ReservedPort place;
     Program program;
 };
 
@@ -300,8 +300,8 @@
 };
 
 std::string problemsOf(const std::string& text, bool platform) {
-    config::Problems problems("op.toml");
-    config::readPlan(text, "op.toml", platform, problems);
+    config::ConfigProblems problems("op.toml");
+    config::readOperatorConfig(text, "op.toml", platform, problems);
     return problems.text();
 }
 
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -27,91 +27,94 @@
 
 constexpr Nanos ms = 1'000'000;
 
-struct Told {
-    char what;  // r relay, d decline, t terminate
-    CommandId id;
+struct RecordedAction {
+    char kind;  // r relay, d decline, t terminate
+    RequestId id;
     std::string cache;
     Nanos at;
-    Nanos startBy = kNever;
+    Nanos latestStart = kNever;
 };
 
-struct FakeHost : Host {
-    void relay(CommandId id, std::string_view cache, Nanos giveUpAt, Nanos startBy) override {
-        told.push_back({'r', id, std::string(cache), giveUpAt, startBy});
+struct FakeHost : PolicyHost {
+    void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override {
+        actions.push_back({'r', id, std::string(cache), deadline, latestStart});
     }
-    void decline(CommandId id, Nanos comeBack) override { told.push_back({'d', id, "", comeBack}); }
-    void terminate(CommandId id) override { told.push_back({'t', id, "", 0}); }
-    void wake(Nanos at) override { wakes.push_back(at); }
-    void subscribe() override { ++subscriptions; }
+    void reject(RequestId id, Nanos retryAfter) override { actions.push_back({'d', id, "", retryAfter}); }
+    void fail(RequestId id) override { actions.push_back({'t', id, "", 0}); }
+    void scheduleWakeup(Nanos at) override { wakes.push_back(at); }
+    void pollEndpoints() override { ++polls; }
     void log(std::string_view text) override { logs.emplace_back(text); }
 
-    std::vector<Told> told;
+    std::vector<RecordedAction> actions;
     std::vector<Nanos> wakes;
     std::vector<std::string> logs;
-    int subscriptions = 0;
+    int polls = 0;
 };
 
-inline Terms smallTerms(bool aside) {
-    Terms t;
+inline PolicySettings smallPolicySettings(bool aside) {
+    PolicySettings t;
     t.seed = 7;
-    t.aside = aside;
+    t.cacheAside = aside;
     t.originShape = "store";
-    t.maxRelays = 3;
-    t.startShare = 0.2;
-    t.ramp = 10'000 * ms;
-    t.tipMultiple = 3;
-    t.fallSpan = 1'000 * ms;
-    t.verbs = {{"read", Effect::pure, Group::all, 0, 500 * ms, 1},
-               {"mark", Effect::receipted, Group::zone, 2'000 * ms, 500 * ms, 1},
-               {"pay", Effect::effectful, Group::all, 0, 500 * ms, 4}};
+    t.maxAttempts = 3;
+    t.initialFraction = 0.2;
+    t.rampDuration = 10'000 * ms;
+    t.overloadMultiple = 3;
+    t.overloadWindow = 1'000 * ms;
+    t.requestClasses = {
+        {"read", Idempotency::safe, DeduplicationScope::all, 0, 500 * ms, 1},
+        {"mark", Idempotency::idempotentWithKey, DeduplicationScope::zone, 2'000 * ms, 500 * ms, 1},
+        {"pay", Idempotency::nonIdempotent, DeduplicationScope::all, 0, 500 * ms, 4}};
     return t;
 }
 
 // A router with caches a, b, c ... and, in aside mode, the origin.
-struct World {
-    explicit World(bool aside = false, int caches = 4) : World(smallTerms(aside), caches) {}
-    World(const Terms& terms, int caches = 4) : router(terms, host, 0) {
+struct PolicyFixture {
+    explicit PolicyFixture(bool aside = false, int caches = 4)
+        : PolicyFixture(smallPolicySettings(aside), caches) {}
+    PolicyFixture(const PolicySettings& terms, int caches = 4) : policy(terms, host, 0) {
         for (int i = 0; i < caches; ++i)
             list.push_back({std::string(1, static_cast<char>('a' + i)), "z", "m"});
-        if (terms.aside) list.push_back({"origin", "z", "store"});
-        router.news(0, NewsKind::cached, list);
-        router.settle(0);
+        if (terms.cacheAside) list.push_back({"origin", "z", "store"});
+        policy.onEndpointUpdate(0, EndpointUpdateKind::cached, list);
+        policy.reconcile(0);
     }
     // Sends a command and returns where its relay went ("" when none did).
-    std::string ask(CommandId id, std::string_view key = "k", std::string_view verb = "read",
-                    bool write = false, std::string_view customer = "") {
-        const auto before = host.told.size();
-        router.arrival(now, {id, verb, customer, key, now + 2'000 * ms, write});
-        router.settle(now);
+    std::string ask(RequestId id, std::string_view key = "k", std::string_view requestClass = "read",
+                    bool write = false, std::string_view tenant = "") {
+        const auto before = host.actions.size();
+        policy.onRequest(now, {id, requestClass, tenant, key, now + 2'000 * ms, write});
+        policy.reconcile(now);
         return since(before);
     }
     // Ends a relay and returns where the next one went, "declined", "terminated", or "".
-    std::string end(CommandId id, int relay, Ending ending, bool over = false, Nanos spent = 20 * ms) {
-        const auto before = host.told.size();
-        router.ended(now, {id, relay, ending, over || ending == Ending::answered, spent});
-        router.settle(now);
+    std::string end(RequestId id, int attempt, AttemptOutcome ending, bool over = false,
+                    Nanos spent = 20 * ms) {
+        const auto before = host.actions.size();
+        policy.onAttemptEnded(now, {id, attempt, ending, over || ending == AttemptOutcome::succeeded, spent});
+        policy.reconcile(now);
         return since(before);
     }
     std::string since(std::size_t before) const {
-        if (host.told.size() <= before) return "";
-        const Told& t = host.told[before];
-        return t.what == 'r' ? t.cache : t.what == 'd' ? "declined" : "terminated";
+        if (host.actions.size() <= before) return "";
+        const RecordedAction& t = host.actions[before];
+        return t.kind == 'r' ? t.cache : t.kind == 'd' ? "declined" : "terminated";
     }
     // Asks and answers at once; returns the cache that served it.
-    std::string serve(CommandId id, std::string_view key) {
+    std::string serve(RequestId id, std::string_view key) {
         const std::string where = ask(id, key);
-        end(id, 0, Ending::answered);
+        end(id, 0, AttemptOutcome::succeeded);
         return where;
     }
-    std::size_t finals(CommandId id) const {
+    std::size_t finals(RequestId id) const {
         std::size_t n = 0;
-        for (const Told& t : host.told) n += t.id == id && t.what != 'r';
+        for (const RecordedAction& t : host.actions) n += t.id == id && t.kind != 'r';
         return n;
     }
 
     FakeHost host;
-    Router router;
-    std::vector<Listed> list;
+    RoutingPolicy policy;
+    std::vector<Endpoint> list;
     Nanos now = 1 * ms;
 };
 
@@ -242,10 +245,11 @@
 };
 
 // A cache, the origin or discovery: where the router connects to.
-class Door {
+class TestServer {
   public:
     // `everywhere`: at all addresses of loopback, each a server of its own to the router.
-    explicit Door(bool everywhere = false) : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    explicit TestServer(bool everywhere = false)
+        : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         auto at = loopback(0);
         if (everywhere) at.sin_addr.s_addr = htonl(INADDR_ANY);
         socklen_t size = sizeof at;
@@ -254,11 +258,11 @@
             throw std::runtime_error("no port to listen on");
         port = ntohs(at.sin_port);
     }
-    Door(Door&& other) noexcept
+    TestServer(TestServer&& other) noexcept
         : port(other.port),
           descriptor_(std::exchange(other.descriptor_, -1)),
           filler_(std::exchange(other.filler_, -1)) {}
-    ~Door() { shut(); }
+    ~TestServer() { shut(); }
     void shut() {
         if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
         if (filler_ >= 0) close(std::exchange(filler_, -1));
@@ -294,9 +298,9 @@
 
 // A port for a router: bound for as long as this lives and never listened on, so that no other story is given
 // it before the router takes it, which binds beside this.
-class Place {
+class ReservedPort {
   public:
-    Place() : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    ReservedPort() : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         const int yes = 1;
         setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
         auto at = loopback(0);
@@ -306,9 +310,9 @@
             throw std::runtime_error("no port for a router");
         port = ntohs(at.sin_port);
     }
-    ~Place() { close(descriptor_); }
-    Place(const Place&) = delete;
-    Place& operator=(const Place&) = delete;
+    ~ReservedPort() { close(descriptor_); }
+    ReservedPort(const ReservedPort&) = delete;
+    ReservedPort& operator=(const ReservedPort&) = delete;
 
     std::uint16_t port = 0;
 
@@ -331,7 +335,7 @@
         {"effect":"single_shot","name":"pay","responseGoalUs":500000,"timeLimitUs":1000000,"utility":4.0}]}})");
 }
 
-inline nlohmann::json entryOf(std::string id, const Door& door, std::string kind = "m",
+inline nlohmann::json entryOf(std::string id, const TestServer& door, std::string kind = "m",
                               std::string state = "Ready", std::int64_t startedMs = 0) {
     return {{"id", id},  {"addr", door.address()}, {"zone", "a"},   {"kind", kind},
             {"cell", 0}, {"state", state},         {"weight", 1.0}, {"started_ms", startedMs}};
@@ -424,10 +428,10 @@
         return start.dump();
     }
 
-    Door discovery;
-    Door origin;
-    std::vector<Door> caches;
-    Place place;
+    TestServer discovery;
+    TestServer origin;
+    std::vector<TestServer> caches;
+    ReservedPort place;
     std::uint16_t port;
     Program program;
 };
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -70,7 +70,7 @@
         return Socket(console_.port).say(line + "\n").line("\n");
     }
     nlohmann::json askAdmin(const std::string& what) const {
-        return ctl::ask(program_.folder() + "/admin.sock", {{"do", what}}, kAnswerWithinMs);
+        return ctl::sendRequest(program_.folder() + "/admin.sock", {{"do", what}}, kAnswerWithinMs);
     }
     // Whether soon exactly `count` servers are listed, all of that group. Asks rarely: such long answers take
     // the test a while to read.
@@ -106,8 +106,8 @@
         return config;
     }
 
-    Door discovery_, origin_, cache_;
-    Place place_, console_;
+    TestServer discovery_, origin_, cache_;
+    ReservedPort place_, console_;
     int version_ = 7;
     Program program_;
     Socket discoveryLink_{-1};
@@ -115,18 +115,18 @@
 
 // Of the process at an operator's socket; 0 while none listens there, as between two of a hand-over.
 pid_t pidAt(const std::string& socket) try {
-    return ctl::ask(socket, {{"do", "status"}}, kAnswerWithinMs).value("pid", 0);
-} catch (const ctl::Unreached&) {
+    return ctl::sendRequest(socket, {{"do", "status"}}, kAnswerWithinMs).value("pid", 0);
+} catch (const ctl::Unreachable&) {
     return 0;
 }
 
 // Operators' words with so many servers out, each id of that length.
-process::Words wordsOut(int count, std::size_t idLength) {
-    process::Words words;
+process::OperatorState wordsOut(int count, std::size_t idLength) {
+    process::OperatorState words;
     for (int i = 0; i < count; ++i) {
         std::string id = serverId("out", i);
         id.resize(idLength, 'x');
-        CHECK(words.take("out " + id));
+        CHECK(words.apply("out " + id));
     }
     return words;
 }
@@ -162,33 +162,35 @@
 }
 
 TEST_CASE("1,500 servers with the longest ids are out, on file and in the process that comes next") {
-    const process::Words words = wordsOut(kServers, 256);
-    REQUIRE(words.out.size() == kServers);
+    const process::OperatorState words = wordsOut(kServers, 256);
+    REQUIRE(words.ejectedServers.size() == kServers);
     Folder folder;
     const std::string path = folder.path + "/poppyscale-n0.words";
-    REQUIRE(process::WordsFile(path).write(words).empty());
-    process::Words read;
-    CHECK(process::WordsFile(path).read(read).empty());
+    REQUIRE(process::OperatorStateFile(path).write(words).empty());
+    process::OperatorState read;
+    CHECK(process::OperatorStateFile(path).read(read).empty());
     CHECK(read == words);
 
-    Door discovery, origin, listening;
-    const Place firstConsole, secondConsole;
+    TestServer discovery, origin, listening;
+    const ReservedPort firstConsole, secondConsole;
     nlohmann::json config = smallStart();
     config["listen"] = listening.address();
     config["discovery"] = discovery.address();
     config["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("origin", origin, "origin")}}};
-    const auto start = [&](const Place& console) {
+    const auto start = [&](const ReservedPort& console) {
         config["console"] = "127.0.0.1:" + std::to_string(console.port);
         return std::make_unique<Program>(config.dump(), "", listening.descriptor(), folder.path);
     };
-    const auto statusOf = [](const Place& console) {
+    const auto statusOf = [](const ReservedPort& console) {
         return Socket(console.port).say("status\n").line("\n");
     };
-    const auto hasAll = [&](const Place& console) {
+    const auto hasAll = [&](const ReservedPort& console) {
         return becomesTrue([&] {
             const std::string status = statusOf(console);
-            return status.starts_with("ACK") && status.find(*words.out.begin()) != std::string::npos &&
-                   status.find(*words.out.rbegin()) != std::string::npos && status.size() > kServers * 256;
+            return status.starts_with("ACK") &&
+                   status.find(*words.ejectedServers.begin()) != std::string::npos &&
+                   status.find(*words.ejectedServers.rbegin()) != std::string::npos &&
+                   status.size() > kServers * 256;
         });
     };
     const auto first = start(firstConsole);
@@ -200,19 +202,19 @@
 }
 
 TEST_CASE("what operators say is refused where there is no room for it, instead of passed over") {
-    process::Words words;
+    process::OperatorState words;
     int taken = 0;
-    while (words.take("out " + serverId("out", taken))) ++taken;
+    while (words.apply("out " + serverId("out", taken))) ++taken;
     CHECK(taken > 4'000);
-    CHECK(words.out.size() == static_cast<std::size_t>(taken));
-    CHECK(words.take("out " + serverId("out", 0)));  // which is out already
-    CHECK(words.take("in " + serverId("out", 0)));
-    CHECK(words.take("out " + serverId("out", taken)));
+    CHECK(words.ejectedServers.size() == static_cast<std::size_t>(taken));
+    CHECK(words.apply("out " + serverId("out", 0)));  // which is out already
+    CHECK(words.apply("in " + serverId("out", 0)));
+    CHECK(words.apply("out " + serverId("out", taken)));
 }
 
 TEST_CASE("a process that has 3,100 servers in its file hands over to another one") {
-    Door origin, cache;
-    const Place place;
+    TestServer origin, cache;
+    const ReservedPort place;
     std::string file =
         "[admin]\nsocket = \"{}/admin.sock\"\n[instance]\nname = \"n0\"\nlisten = \"127.0.0.1:" +
         std::to_string(place.port) +
@@ -225,20 +227,20 @@
     Program program("", file);
     const std::string socket = program.folder() + "/admin.sock";
     REQUIRE(becomesTrue([&] { return std::filesystem::exists(socket); }));
-    const auto described = ctl::ask(socket, {{"do", "status"}}, kAnswerWithinMs).at("described");
+    const auto described = ctl::sendRequest(socket, {{"do", "status"}}, kAnswerWithinMs).at("described");
     CHECK(described.get<std::string>().size() > 250'000);  // more than a local socket holds at once
-    const auto answer = ctl::ask(socket, {{"do", "upgrade"}}, kAnswerWithinMs);
+    const auto answer = ctl::sendRequest(socket, {{"do", "upgrade"}}, kAnswerWithinMs);
     CAPTURE(answer.dump());
     REQUIRE(answer.contains("taken_over_by"));
     const pid_t successor = answer.at("taken_over_by");
     CHECK(becomesTrue([&] { return pidAt(socket) == successor; }));
-    CHECK(ctl::ask(socket, {{"do", "figures"}}, kAnswerWithinMs).at("caches_listed") == kManyServers);
+    CHECK(ctl::sendRequest(socket, {{"do", "figures"}}, kAnswerWithinMs).at("caches_listed") == kManyServers);
     kill(successor, SIGKILL);
 }
 
 TEST_CASE("servers that are gone are remembered up to a number of bytes, the latest the longest") {
     constexpr std::size_t kCapacity = 16'000'000 / 32;  // with the least memory
-    discovery::KnownServers known(kCapacity);
+    discovery::RemovedEndpoints known(kCapacity);
     const auto longId = [](int number) { return serverId("gone", number) + std::string(237, 'x'); };
     REQUIRE(longId(0).size() >= 256);
     for (int i = 0; i < 1'024; ++i) known.add(longId(i));
@@ -258,19 +260,19 @@
     const auto list = [](const std::string& servers) {
         return R"({"other": [[{"servers": [{}]}]], "version": 3, "full": true, "servers": )" + servers + "}";
     };
-    const auto roster = protocol::readRoster(list(
+    const auto roster = protocol::readEndpointList(list(
         R"([{"id": "c0", "tags": [[1], {"id": "x"}], "state": "Ready", "weight": [2, [3]], "cell": 4}])"));
-    REQUIRE(roster.places.size() == 1);
+    REQUIRE(roster.entries.size() == 1);
     CHECK(roster.version == 3);
-    CHECK(roster.places[0].listed.name == "c0");
-    CHECK(roster.places[0].listed.cell == 4);
-    CHECK(roster.places[0].listed.size == 0);  // not told
+    CHECK(roster.entries[0].endpoint.name == "c0");
+    CHECK(roster.entries[0].endpoint.cell == 4);
+    CHECK(roster.entries[0].endpoint.weight == 0);  // not told
     for (const char* wrong :
          {"[7]", "[[]]", "{\"c0\": {}}", "7", "null", "[{}]", "[{\"id\": [], \"state\": \"Ready\"}]"})
-        CHECK_THROWS_AS(protocol::readRoster(list(wrong)), protocol::Malformed);
-    CHECK(protocol::readRoster(list("[]")).places.empty());
-    CHECK_THROWS_AS(protocol::readRoster(R"({"version": 3, "full": true})"), protocol::Malformed);
-    CHECK_THROWS_AS(protocol::readRoster(R"([{"version": 3}])"), protocol::Malformed);
+        CHECK_THROWS_AS(protocol::readEndpointList(list(wrong)), protocol::ParseError);
+    CHECK(protocol::readEndpointList(list("[]")).entries.empty());
+    CHECK_THROWS_AS(protocol::readEndpointList(R"({"version": 3, "full": true})"), protocol::ParseError);
+    CHECK_THROWS_AS(protocol::readEndpointList(R"([{"version": 3}])"), protocol::ParseError);
 }
 
 TEST_CASE("an agent keeps 1,500 instances, and a rollout changes as many at a time") {
@@ -279,9 +281,9 @@
     std::ofstream(form) << "# {name} {listen} {socket}\n";
     std::ofstream(fleet) << "count = 1500\nbatch = 1100\nprogram = \"/bin/true\"\nfolder = \"" << folder.path
                          << "\"\nfirst_port = 7000\noperator = \"" << form << "\"\n";
-    const ctl::Description description = ctl::readDescription(fleet);
-    CHECK(description.terms.count == kServers);
-    CHECK(description.terms.batch == 1'100);
+    const ctl::FleetDescription description = ctl::readFleetDescription(fleet);
+    CHECK(description.supervisor.instanceCount == kServers);
+    CHECK(description.supervisor.batchSize == 1'100);
 
     std::string plan =
         "[change]\nprogram = \"/bin/true\"\n[stage]\nbatch = 1500\n[back]\nbatch = 1500\n"
@@ -289,10 +291,10 @@
     for (int i = 0; i < kServers; ++i)
         plan +=
             "[[agents]]\nname = \"" + serverId("m", i) + "\"\nsocket = \"/run/" + serverId("m", i) + "\"\n";
-    config::Problems problems("plan.toml");
-    const rollout::Plan read = rollout::readPlan(plan, "plan.toml", problems);
+    config::ConfigProblems problems("plan.toml");
+    const rollout::RolloutPlan read = rollout::readRolloutPlan(plan, "plan.toml", problems);
     CHECK(problems.none());
     CHECK(read.agents.size() == kServers);
-    CHECK(read.batch == kServers);
-    CHECK(read.backBatch == kServers);
+    CHECK(read.batchSize == kServers);
+    CHECK(read.rollbackBatchSize == kServers);
 }
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -29,21 +29,21 @@
 
 struct Read {
     std::string value;
-    protocol::Decoder::State state = protocol::Decoder::State::more;
+    protocol::RespDecoder::State state = protocol::RespDecoder::State::more;
     std::size_t told = 0;
 };
-Read readInPieces(protocol::Decoder& decoder, const std::string& text, std::size_t size) {
-    using State = protocol::Decoder::State;
+Read readInPieces(protocol::RespDecoder& decoder, const std::string& text, std::size_t size) {
+    using State = protocol::RespDecoder::State;
     Read read;
-    for (std::size_t at = 0; at < text.size() && read.state != State::broken; at += size) {
+    for (std::size_t at = 0; at < text.size() && read.state != State::malformed; at += size) {
         std::string_view bytes = std::string_view(text).substr(at, size);
         do {
             read.state = decoder.feed(bytes);
-            if (read.state == State::longBegins) read.told = decoder.longLength();
-            if (read.state == State::longPiece) read.value += decoder.piece();
-        } while (read.state == State::longBegins || read.state == State::longPiece ||
-                 (read.state == State::whole && !bytes.empty()));
-        CHECK(decoder.held() < 1024);
+            if (read.state == State::streamBegins) read.told = decoder.streamedLength();
+            if (read.state == State::streamChunk) read.value += decoder.chunk();
+        } while (read.state == State::streamBegins || read.state == State::streamChunk ||
+                 (read.state == State::complete && !bytes.empty()));
+        CHECK(decoder.bufferedBytes() < 1024);
     }
     return read;
 }
@@ -61,57 +61,57 @@
 
 TEST_CASE(
     "a long bulk string comes whole however it is cut, and keeps its last byte until its end is right") {
-    using State = protocol::Decoder::State;
-    const protocol::Decoder::Bounds answers{64 * 1024, 16, 3, 128 * 1024, false, 4 * kMebi, 0};
+    using State = protocol::RespDecoder::State;
+    const protocol::RespDecoder::Limits answers{64 * 1024, 16, 3, 128 * 1024, false, 4 * kMebi, 0};
     const std::string value = longValue(70'001);
     for (const std::size_t size : {1UL, 2UL, 3UL, 17UL, 65'536UL, 1'000'000UL}) {
-        protocol::Decoder decoder(answers);
+        protocol::RespDecoder decoder(answers);
         const Read read = readInPieces(decoder, hit(value) + hit("short"), size);
         CHECK(read.told == value.size());
         CHECK(same(read.value, value));
-        CHECK(read.state == State::whole);
+        CHECK(read.state == State::complete);
     }
     for (std::size_t cut = hit(value).size() - 30; cut < hit(value).size(); ++cut) {
-        protocol::Decoder decoder(answers);
+        protocol::RespDecoder decoder(answers);
         std::string first = hit(value).substr(0, cut);
         CHECK(readInPieces(decoder, first, first.size()).state == State::more);
     }
     std::string spoilt = hit(value);
     spoilt.replace(spoilt.find("\r\n$3\r\nhit"), 2, "xx");
-    protocol::Decoder decoder(answers);
+    protocol::RespDecoder decoder(answers);
     const Read read = readInPieces(decoder, spoilt, 4'096);
-    CHECK(read.state == State::broken);
+    CHECK(read.state == State::malformed);
     CHECK(same(read.value, value.substr(0, value.size() - 1)));
     for (const char* length : {"4194305", "3000000000", "-5", "99999999999999999999", "7x"}) {
-        protocol::Decoder other(answers);
-        CHECK(readInPieces(other, "*3\r\n$" + std::string(length) + "\r\nabc", 64).state == State::broken);
+        protocol::RespDecoder other(answers);
+        CHECK(readInPieces(other, "*3\r\n$" + std::string(length) + "\r\nabc", 64).state == State::malformed);
     }
     // Only in its place: no long key, no long word of how a read went.
-    protocol::Decoder elsewhere(answers);
-    CHECK(readInPieces(elsewhere, "*3\r\n$1\r\nv\r\n$70001\r\n", 64).state == State::broken);
+    protocol::RespDecoder elsewhere(answers);
+    CHECK(readInPieces(elsewhere, "*3\r\n$1\r\nv\r\n$70001\r\n", 64).state == State::malformed);
 }
 
 TEST_CASE("a long HTTP body comes in pieces; over 4 MiB, without a length or of an error it is broken") {
-    using State = protocol::HttpAnswer::State;
+    using State = protocol::HttpResponse::State;
     const std::string value = longValue(100'000);
     for (const std::size_t size : {1UL, 7UL, 50'000UL, 200'000UL}) {
-        protocol::HttpAnswer answer(64 * 1024, 4 * kMebi);
+        protocol::HttpResponse answer(64 * 1024, 4 * kMebi);
         const std::string text = http(200, value);
         std::string got;
         auto state = State::more;
         for (std::size_t at = 0; at < text.size() && state == State::more; at += size) {
             state = answer.feed(std::string_view(text).substr(at, size));
-            got += answer.piece();
+            got += answer.chunk();
         }
-        CHECK(state == State::whole);
+        CHECK(state == State::complete);
         CHECK(same(got, value));
-        CHECK(answer.longLength() == value.size());
+        CHECK(answer.streamedLength() == value.size());
     }
     for (const std::string& text :
          {http(500, value), "HTTP/1.1 200 x\r\nContent-Length: 4194305\r\n\r\n" + value,
           "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n186A0\r\n" + value + "\r\n0\r\n\r\n"}) {
-        protocol::HttpAnswer answer(64 * 1024, 4 * kMebi);
-        CHECK(answer.feed(text) == State::broken);
+        protocol::HttpResponse answer(64 * 1024, 4 * kMebi);
+        CHECK(answer.feed(text) == State::malformed);
     }
 }
 
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -31,7 +31,7 @@
              {entryOf("origin", origin, "origin"), entryOf("c0", caches[0]), entryOf("c1", caches[1])}}};
     }
     struct Router {
-        std::unique_ptr<Place> place;
+        std::unique_ptr<ReservedPort> place;
         std::uint16_t console;
         Program program;
         bool soonSays(const std::string& yes) const {
@@ -43,7 +43,7 @@
         }
     };
     std::unique_ptr<Router> start() {
-        auto console = std::make_unique<Place>();
+        auto console = std::make_unique<ReservedPort>();
         const std::uint16_t port = console->port;
         config["console"] = "127.0.0.1:" + std::to_string(port);
         std::unique_ptr<Router> made(
@@ -62,9 +62,9 @@
         ~Folder() { std::filesystem::remove_all(path); }
         std::string path;
     } tmp;
-    Door discovery, origin, listening;
-    std::array<Door, 2> caches;
-    Place place;
+    TestServer discovery, origin, listening;
+    std::array<TestServer, 2> caches;
+    ReservedPort place;
     bool passed;
     std::uint16_t port;
     nlohmann::json config;
@@ -101,17 +101,17 @@
 }  // namespace
 
 TEST_CASE("a line at the console is a call or words why it is none") {
-    using Kind = control::Call::Kind;
+    using Kind = control::ConsoleCommand::Kind;
     std::string wrong;
-    CHECK(control::readCall("status\r", wrong)->kind == Kind::status);
-    CHECK(control::readCall("maint-on  s-5be2a07c ", wrong)->server == "s-5be2a07c");
-    CHECK(control::readCall("maint-off c0", wrong)->kind == Kind::lift);
-    CHECK(control::readCall("standby", wrong)->kind == Kind::standby);
-    CHECK(control::readCall("active", wrong)->kind == Kind::active);
+    CHECK(control::readConsoleCommand("status\r", wrong)->kind == Kind::status);
+    CHECK(control::readConsoleCommand("maint-on  s-5be2a07c ", wrong)->server == "s-5be2a07c");
+    CHECK(control::readConsoleCommand("maint-off c0", wrong)->kind == Kind::restore);
+    CHECK(control::readConsoleCommand("standby", wrong)->kind == Kind::standby);
+    CHECK(control::readConsoleCommand("active", wrong)->kind == Kind::active);
     for (const char* line :
          {"", " ", "dance", "STATUS", "maint-on", "maint-on a b", "status now", "\xff\x01", "*1"}) {
         wrong.clear();
-        CHECK(!control::readCall(line, wrong));
+        CHECK(!control::readConsoleCommand(line, wrong));
         CHECK(!wrong.empty());
     }
 }
@@ -222,7 +222,7 @@
     for (const char* said : {"four", "-1", "99", "1", ""}) {
         setenv("ROUTER_PASSED_SOCKET", said, 1);
         Site site;
-        const Place console;
+        const ReservedPort console;
         site.config["console"] = "127.0.0.1:" + std::to_string(console.port);
         Program program(site.config.dump());
         CHECK(program.exitCode() == 1);
@@ -238,24 +238,27 @@
 
 TEST_CASE("operators' words on file: what can be read holds, whatever is wrong with the rest") {
     const auto read = [](const std::string& text, const std::string& problem) {
-        process::Words words;
-        CHECK(words.read(text).find(problem) != std::string::npos);
-        CHECK(words.read(text).empty() == problem.empty());
+        process::OperatorState words;
+        CHECK(words.parse(text).find(problem) != std::string::npos);
+        CHECK(words.parse(text).empty() == problem.empty());
         return words;
     };
-    process::Words words{{"c0", "s-5be2a07c"}, true};
-    CHECK(read(words.text(), "") == words);
-    CHECK(read("", "") == process::Words{});
-    CHECK(read("poppyscale words 1\nout c0\nout s-5b", "cut short").out == std::set<std::string>{"c0"});
-    CHECK(read("poppyscale words 2\nout c0\nfrobnicate 7\nstandby\n", "another version").out.contains("c0"));
-    CHECK(read("poppyscale words 1\nout \nout a b\nout \x01\nout c1\n", "can't be read").out.size() == 1);
-    CHECK(read(std::string(2'000'000, '\n'), "too long") == process::Words{});
-    CHECK(read(std::string("\0\xff\x80\n", 4), "nonsense") == process::Words{});
-    CHECK(words.take("in c0"));
-    CHECK(words.take("active"));
-    CHECK(words == process::Words{{"s-5be2a07c"}, false});
-    CHECK(!words.take("in"));
-    CHECK(!words.take("out"));
+    process::OperatorState words{{"c0", "s-5be2a07c"}, true};
+    CHECK(read(words.serialize(), "") == words);
+    CHECK(read("", "") == process::OperatorState{});
+    CHECK(read("poppyscale words 1\nout c0\nout s-5b", "cut short").ejectedServers ==
+          std::set<std::string>{"c0"});
+    CHECK(read("poppyscale words 2\nout c0\nfrobnicate 7\nstandby\n", "another version")
+              .ejectedServers.contains("c0"));
+    CHECK(read("poppyscale words 1\nout \nout a b\nout \x01\nout c1\n", "can't be read")
+              .ejectedServers.size() == 1);
+    CHECK(read(std::string(2'000'000, '\n'), "too long") == process::OperatorState{});
+    CHECK(read(std::string("\0\xff\x80\n", 4), "nonsense") == process::OperatorState{});
+    CHECK(words.apply("in c0"));
+    CHECK(words.apply("active"));
+    CHECK(words == process::OperatorState{{"s-5be2a07c"}, false});
+    CHECK(!words.apply("in"));
+    CHECK(!words.apply("out"));
 }
 
 TEST_CASE("a word that can't be written down is refused and holds nowhere; what is there already goes on") {
--- a/tests/rollout_agent_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -29,7 +29,7 @@
           }) {
         thread_ = std::jthread([this](const std::stop_token& stop) {
             while (!stop.stop_requested()) {
-                door_.turn();
+                door_.runIteration();
                 usleep(5'000);
             }
         });
@@ -41,13 +41,13 @@
     static json usual() {
         rollout::Report r;
         r.instances.push_back(
-            {"r0", "north", rollout::Stand::before, true, 60'000 * kMillisecond, 0, "", {}});
+            {"r0", "north", rollout::InstanceState::original, true, 60'000 * kMillisecond, 0, "", {}});
         return rollout::toJson(r, {json{{"format", 1}}});
     }
     std::string heard;
 
   private:
-    ctl::Door door_;
+    ctl::ControlListener door_;
     std::jthread thread_;
 };
 
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -109,8 +109,8 @@
         bool open = false;
     };
 
-    Door discovery, origin, cache;
-    Place place;
+    TestServer discovery, origin, cache;
+    ReservedPort place;
     std::uint16_t port;
     Program program;
 };
@@ -120,8 +120,8 @@
     "[[verbs]]\nname = \"pay\"\neffect = \"effectful\"\ngoal_ms = 500\nlimit_ms = 2000\n";
 
 std::string problemsOf(const std::string& text, bool platform) {
-    config::Problems problems("op.toml");
-    config::readPlan(text, "op.toml", platform, problems);
+    config::ConfigProblems problems("op.toml");
+    config::readOperatorConfig(text, "op.toml", platform, problems);
     return problems.text();
 }
 
@@ -168,13 +168,13 @@
     CHECK(cache.command().at(1) == "plum");
     cache.say(hit("V"));
     CHECK(client.answer() == "V");
-    const Door other;
+    const TestServer other;
     std::string file = d.whole(kVerbs);
     file.replace(file.find(d.cache.address()), d.cache.address().size(), other.address());
     d.program.operate(file);
     CHECK(d.ask({{"do", "reload"}}).contains("changed"));
     client.say(get("pear"));
-    Socket next = const_cast<Door&>(other).accept();
+    Socket next = const_cast<TestServer&>(other).accept();
     CHECK(next.command().at(1) == "pear");
     next.say(hit("W"));
     CHECK(client.answer() == "W");
@@ -219,11 +219,12 @@
     Socket read = d.cache.accept();
     read.command();
     auto anew = d.platform(start);
-    auto& verbs = anew["settings"]["verbs"];
-    verbs[0]["name"] = "pay";  // what was effectful may now be repeated, and the other way round
-    verbs[2]["name"] = "read";
-    verbs[1]["name"] = "marks";
-    for (auto& verb : verbs) verb["timeLimitUs"] = 60'000, verb["responseGoalUs"] = 20'000;
+    auto& requestClasses = anew["settings"]["verbs"];
+    requestClasses[0]["name"] = "pay";  // what was effectful may now be repeated, and the other way round
+    requestClasses[2]["name"] = "read";
+    requestClasses[1]["name"] = "marks";
+    for (auto& requestClass : requestClasses)
+        requestClass["timeLimitUs"] = 60'000, requestClass["responseGoalUs"] = 20'000;
     std::swap(anew["settings"]["orgs"][0]["quotaPerS"], anew["settings"]["orgs"][1]["quotaPerS"]);
     d.program.configure(anew.dump());
     CHECK(d.ask({{"do", "reload"}}).contains("changed"));
@@ -256,9 +257,10 @@
             Socket origin = d.origin.accept();
             origin.head();
             auto anew = d.platform(smallStart());
-            auto& verbs = anew["settings"]["verbs"];
-            for (auto& verb : verbs) verb["timeLimitUs"] = 60'000, verb["responseGoalUs"] = 20'000;
-            verbs[2]["name"] = "was pay";
+            auto& requestClasses = anew["settings"]["verbs"];
+            for (auto& requestClass : requestClasses)
+                requestClass["timeLimitUs"] = 60'000, requestClass["responseGoalUs"] = 20'000;
+            requestClasses[2]["name"] = "was pay";
             d.program.configure(broken ? "{" : anew.dump());
             d.program.signal(SIGTERM);
             REQUIRE(soon([&] { return d.program.log().find("was told to stop") != std::string::npos; }));
@@ -623,7 +625,7 @@
     }
     static int freePorts() {
         for (int tries = 0;; ++tries) {
-            const Door first;
+            const TestServer first;
             sockaddr_in one = loopback(static_cast<std::uint16_t>(first.port + 1));
             sockaddr_in two = loopback(static_cast<std::uint16_t>(first.port + 2));
             const int a = socket(AF_INET, SOCK_STREAM, 0), b = socket(AF_INET, SOCK_STREAM, 0);
@@ -667,7 +669,7 @@
         std::ifstream file(folder + "/keeper.log");
         return std::string{std::istreambuf_iterator<char>(file), {}}.find(words) != std::string::npos;
     }
-    Door origin, cache;
+    TestServer origin, cache;
     std::string folder;
     int firstPort = 0;
     pid_t pid = -1;
@@ -840,7 +842,7 @@
 }
 
 TEST_CASE("a reload of a list of 2,000 caches under load loses nothing and holds no client up for long") {
-    Door many(true);
+    TestServer many(true);
     const auto listOf = [&](int count, int from) {
         std::string servers;
         for (int i = 0; i < count; ++i)
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -41,36 +41,38 @@
 
 // One cache's connections without a program round them. Notes how relays end, and stops the loop for the
 // story to go on.
-struct Bare : proxy::RelayOwner {
+struct Bare : proxy::AttemptHandler {
     explicit Bare(std::size_t mostHeld)
         : links{loop, pool, *this, guard, 8, 1'000 * ms, 200 * ms, {}, mostHeld} {
-        loop.eachTurn([this] { links.tend(); });
-        cache.listed(Presence::ready, transport::parseAddress(door.address()), door.address());
+        loop.onIteration([this] { links.serveWaiting(); });
+        cache.updateEndpoint(EndpointState::ready, transport::parseAddress(door.address()), door.address());
     }
-    proxy::Taker* relayGives(proxy::Relay&, std::size_t, proxy::Giver&) override { return nullptr; }
-    bool awaited(proxy::Relay&) override { return true; }
-    void relayEnded(proxy::Relay&, protocol::Outcome outcome) override {
-        endings.push_back(outcome.ending);
+    proxy::BodySink* onStreamBegins(proxy::Attempt&, std::size_t, proxy::BodySource&) override {
+        return nullptr;
+    }
+    bool isAwaited(proxy::Attempt&) override { return true; }
+    void onAttemptEnded(proxy::Attempt&, protocol::AttemptResponse outcome) override {
+        endings.push_back(outcome.outcome);
         loop.stop();
     }
     // Sends the relay and lets the loop run for a moment.
-    void send(proxy::Relay& relay) {
-        relay.giveUpAt = transport::Loop::now() + 5'000 * ms;
-        transport::Alarm pause(loop, [this] { loop.stop(); });
-        pause.set(transport::Loop::now() + 100 * ms);
-        cache.send(relay);
+    void send(proxy::Attempt& attempt) {
+        attempt.deadline = transport::EventLoop::now() + 5'000 * ms;
+        transport::Timer pause(loop, [this] { loop.stop(); });
+        pause.start(transport::EventLoop::now() + 100 * ms);
+        cache.send(attempt);
         loop.run();
     }
 
-    transport::Pool pool{64};
-    transport::Loop loop;
-    proxy::Guard guard{[this](std::string_view text) { violations.emplace_back(text); }};
+    transport::BufferPool pool{64};
+    transport::EventLoop loop;
+    proxy::InvariantGuard guard{[this](std::string_view text) { violations.emplace_back(text); }};
     std::vector<std::string> violations;
-    proxy::Links links;
-    Door door;
-    proxy::Upstream cache{links, false};
-    protocol::Command said;
-    std::vector<Ending> endings;
+    proxy::ConnectionPool links;
+    TestServer door;
+    proxy::UpstreamServer cache{links, false};
+    protocol::Request said;
+    std::vector<AttemptOutcome> endings;
 };
 
 }  // namespace
@@ -138,7 +140,7 @@
     Socket client = stage.client();
     client.say(set("k", "c=pay,d=900"));
     Socket origin = stage.origin.accept();
-    for (int relays = 0; relays < 3; ++relays) {
+    for (int attempts = 0; attempts < 3; ++attempts) {
         CHECK(origin.head().size() == 5);
         origin.bytes(1);
         origin.say(http(503, "", "X-Rejected: 1\r\n"));
@@ -163,7 +165,7 @@
 TEST_CASE("a kept connection found broken before the command is written leaves it unrun") {
     Bare bare(64 * 1024);
     bare.said.info = "c=pay,d=900";
-    proxy::Relay first(bare.loop, bare.said, bare.cache), second(bare.loop, bare.said, bare.cache);
+    proxy::Attempt first(bare.loop, bare.said, bare.cache), second(bare.loop, bare.said, bare.cache);
     bare.send(first);
     Socket served = bare.door.accept();
     CHECK(served.command().size() == 4);
@@ -173,18 +175,18 @@
     usleep(50'000);
     bare.door.shut();
     bare.send(second);
-    CHECK(bare.endings == std::vector{Ending::answered, Ending::noRoute});
+    CHECK(bare.endings == std::vector{AttemptOutcome::succeeded, AttemptOutcome::connectFailed});
 }
 
 TEST_CASE("a half-read answer past what all of them may hold fails its relay, as one that may have run") {
     Bare bare(16 * 1024);
-    proxy::Relay relay(bare.loop, bare.said, bare.cache);
-    bare.send(relay);
+    proxy::Attempt attempt(bare.loop, bare.said, bare.cache);
+    bare.send(attempt);
     Socket half = bare.door.accept();
     half.say(std::string_view(hit(std::string(40 * 1024, 'x'))).substr(0, 30 * 1024));
     bare.loop.run();
-    CHECK(bare.endings == std::vector{Ending::errored});
-    CHECK(bare.links.held == 0);
+    CHECK(bare.endings == std::vector{AttemptOutcome::failed});
+    CHECK(bare.links.bufferedBytes == 0);
 }
 
 TEST_CASE("answers go out in the order of the commands, and no command waits behind another at a cache") {
@@ -396,7 +398,7 @@
         usleep(50'000);
     }
     CHECK(old.quiet(100));
-    Door moved;
+    TestServer moved;
     start["discovery"] = moved.address();
     stage.program.configure(start.dump());
     stage.program.signal(SIGHUP);
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -6,7 +6,7 @@
 #include "fixtures.hpp"
 
 using namespace poppyscale;
-using discovery::StartTimes;
+using discovery::ServerStartTimes;
 
 namespace {
 
@@ -18,10 +18,10 @@
 struct Clocks {
     Nanos now = 100 * kHour;
     Nanos off = 0;
-    StartTimes times;
+    ServerStartTimes times;
 
     std::int64_t wallMs() const { return kWallBegin + (now + off) / test::ms; }
-    void look() { times.noteClock(now, now - wallMs() * test::ms); }
+    void look() { times.recordClockOffset(now, now - wallMs() * test::ms); }
     void pass(Nanos time) {
         for (; time > 0; time -= 100 * test::ms) {
             now += std::min<Nanos>(time, 100 * test::ms);
@@ -35,7 +35,7 @@
     }
 };
 
-bool isNear(Nanos a, Nanos b) { return std::abs(a - b) <= 2 * StartTimes::kTolerance; }
+bool isNear(Nanos a, Nanos b) { return std::abs(a - b) <= 2 * ServerStartTimes::kTolerance; }
 
 }  // namespace
 
@@ -57,8 +57,9 @@
             clocks.list();
             // A step shorter than the age leaves two readings open, of which the colder one counts.
             const Nanos age = clocks.ageOf("a", started);
-            CHECK(age <= 2 * kSecond + StartTimes::kTolerance);
-            CHECK(age >= (std::abs(step) == kSecond ? kSecond : 2 * kSecond) - 2 * StartTimes::kTolerance);
+            CHECK(age <= 2 * kSecond + ServerStartTimes::kTolerance);
+            CHECK(age >=
+                  (std::abs(step) == kSecond ? kSecond : 2 * kSecond) - 2 * ServerStartTimes::kTolerance);
             // What was heard once stays, whatever the clock does then.
             clocks.step(-3 * step);
             clocks.pass(10 * kSecond);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -22,8 +22,9 @@
     return start;
 }
 std::string patientGet(const std::string& key) { return get(key, "c=read,t=north,d=6000"); }
-std::string patientSet(const std::string& key, const std::string& verb, const std::string& value = "V") {
-    return set(key, "c=" + verb + ",t=north,d=6000,k=" + key, value);
+std::string patientSet(const std::string& key, const std::string& requestClass,
+                       const std::string& value = "V") {
+    return set(key, "c=" + requestClass + ",t=north,d=6000,k=" + key, value);
 }
 constexpr int kSentOn = 300;  // ms: a command whose client has left by then is not sent on any more
 
@@ -74,7 +75,7 @@
     CHECK(cache.quiet(50));
     // Neither another command nor a connection that waits for one.
     int opened = 0, sentOn = 0;
-    for (Door* door : {&stage.caches[0], &stage.origin})
+    for (TestServer* door : {&stage.caches[0], &stage.origin})
         while (!door->quiet(1'200)) {
             const Socket late = door->accept();
             ++opened;
@@ -117,17 +118,17 @@
     std::string many;
     for (int i = 0; i < 200; ++i) many += patientGet("many" + std::to_string(i));
     floods.say(many);
-    std::vector<Socket> relays;
+    std::vector<Socket> attempts;
     while (!stage.caches[0].quiet(300)) {
-        relays.push_back(stage.caches[0].accept());
-        CHECK(relays.back().command().size() == 4);
+        attempts.push_back(stage.caches[0].accept());
+        CHECK(attempts.back().command().size() == 4);
     }
-    REQUIRE_FALSE(relays.empty());
+    REQUIRE_FALSE(attempts.empty());
     floods.hangUp();
     usleep(kSentOn * 1'000);
-    for (Socket& relay : relays) relay.say(kMiss);
+    for (Socket& attempt : attempts) attempt.say(kMiss);
     CHECK(stage.origin.quiet(300));
-    for (Socket& relay : relays) CHECK(relay.quiet(0));
+    for (Socket& attempt : attempts) CHECK(attempt.quiet(0));
 }
 
 TEST_CASE("a connection on its way to where a cache is no more is not used when it comes up") {
@@ -135,7 +136,7 @@
     Socket discovery = stage.discovery.accept();
     discovery.head();
     stage.caches[0].hold();
-    Door moved;
+    TestServer moved;
     // One by one until both are asked: which key goes where is the router's.
     Socket client = stage.client();
     stage.caches[1].hold();
@@ -170,8 +171,8 @@
     client.say(get("k", "c=mark,t=north,d=6000,k=k"));
     bool second = false;
     while (stage.caches[second].quiet(10)) second = !second;
-    Door& asked = stage.caches[second];
-    Door& other = stage.caches[!second];
+    TestServer& asked = stage.caches[second];
+    TestServer& other = stage.caches[!second];
     Socket first = asked.accept();
     CHECK(first.command().at(1) == "k");
     // It may have run. The next connection comes up with the kernel's next try, a second later.
@@ -186,7 +187,7 @@
     const auto took = std::chrono::steady_clock::now() - began;
     CHECK(took > std::chrono::milliseconds(800));
     CHECK(took < std::chrono::milliseconds(1'600));
-    for (Door* door : {&other, &stage.origin})
+    for (TestServer* door : {&other, &stage.origin})
         while (!door->quiet(1'500)) CHECK(door->accept().quiet(200));
     CHECK(asked.quiet(0));
 }
@@ -211,7 +212,7 @@
 
 TEST_CASE("what is open at the end of a drain is answered, and what would outlast it is not taken") {
     auto start = smallStart();
-    for (auto& verb : start["settings"]["verbs"]) verb["timeLimitUs"] = 1'000'000;
+    for (auto& requestClass : start["settings"]["verbs"]) requestClass["timeLimitUs"] = 1'000'000;
     Stage stage(1, start);
     Socket client = stage.client();
     client.say(get("long", "c=read,t=north,d=60000"));
@@ -260,37 +261,41 @@
 }
 
 TEST_CASE("a command whose last byte the kernel has taken may have run, though nobody was called back yet") {
-    struct Owner : proxy::RelayOwner {
-        proxy::Taker* relayGives(proxy::Relay&, std::size_t, proxy::Giver&) override { return nullptr; }
-        bool awaited(proxy::Relay&) override { return true; }
-        void relayEnded(proxy::Relay&, protocol::Outcome outcome) override { ended = outcome.ending; }
-        std::optional<Ending> ended;
+    struct Owner : proxy::AttemptHandler {
+        proxy::BodySink* onStreamBegins(proxy::Attempt&, std::size_t, proxy::BodySource&) override {
+            return nullptr;
+        }
+        bool isAwaited(proxy::Attempt&) override { return true; }
+        void onAttemptEnded(proxy::Attempt&, protocol::AttemptResponse outcome) override {
+            ended = outcome.outcome;
+        }
+        std::optional<AttemptOutcome> ended;
     };
-    transport::Pool pool{64};
-    transport::Loop loop;
+    transport::BufferPool pool{64};
+    transport::EventLoop loop;
     Owner owner;
-    proxy::Guard guard{[](std::string_view) {}};
-    proxy::Links links{loop, pool, owner, guard, 8, 60'000 * ms, 2'000 * ms, {}, 64 * 1024};
-    Door door;
-    proxy::Upstream cache{links, false};
-    cache.listed(Presence::ready, transport::parseAddress(door.address()), door.address());
+    proxy::InvariantGuard guard{[](std::string_view) {}};
+    proxy::ConnectionPool links{loop, pool, owner, guard, 8, 60'000 * ms, 2'000 * ms, {}, 64 * 1024};
+    TestServer door;
+    proxy::UpstreamServer cache{links, false};
+    cache.updateEndpoint(EndpointState::ready, transport::parseAddress(door.address()), door.address());
     const auto bound = [](int socket, int which, int bytes) {
         setsockopt(socket, SOL_SOCKET, which, &bytes, sizeof bytes);
     };
     bound(door.descriptor(), SO_RCVBUF, 4096);
-    protocol::Command first, heavy;
+    protocol::Request first, heavy;
     first.info = heavy.info = "c=pay,d=9000";
     // Ten or eleven buffers of the router's, whatever part of the first goes out at once: libuv calls back
     // for nine of them before alarms ring, so that the last one is with the kernel and nobody was told. In
     // service there are five at most; that it is libuv's count of rounds which keeps it right there is not to
     // be leant on.
-    heavy.write = true;
+    heavy.isWrite = true;
     heavy.value = std::string(180'000, 'x');
-    const std::size_t all = protocol::cacheCommand(heavy, 14'000 * ms).size();
-    proxy::Relay opens(loop, first, cache), relay(loop, heavy, cache);
-    opens.giveUpAt = relay.giveUpAt = transport::Loop::now() + 15'000 * ms;
-    transport::Alarm late(loop, [&] { loop.stop(); });
-    late.set(transport::Loop::now() + 10'000 * ms);
+    const std::size_t all = protocol::cacheRequest(heavy, 14'000 * ms).size();
+    proxy::Attempt opens(loop, first, cache), attempt(loop, heavy, cache);
+    opens.deadline = attempt.deadline = transport::EventLoop::now() + 15'000 * ms;
+    transport::Timer late(loop, [&] { loop.stop(); });
+    late.start(transport::EventLoop::now() + 10'000 * ms);
     std::optional<Socket> peer;
     int router = -1;
     const auto taken = [&] {
@@ -304,8 +309,8 @@
     };
     std::size_t before = 0;
     bool sent = false, inGap = false;
-    loop.eachTurn([&] {
-        links.tend();
+    loop.onIteration([&] {
+        links.serveWaiting();
         if (!peer && !door.quiet(0)) peer = door.accept();
         if (peer && !sent && !owner.ended && !peer->quiet(0)) {
             peer->command();
@@ -316,7 +321,7 @@
             router = connectedTo(door.port);
             before = taken();
             bound(router, SO_SNDBUF, 4096);
-            cache.send(relay);
+            cache.send(attempt);
             // It stands half way; from now on there is room for all of the rest at once.
             REQUIRE(taken() - before < all);
             bound(router, SO_SNDBUF, 1 << 20);
@@ -326,12 +331,12 @@
         peer->drain();
         if (taken() - before < all) return;
         inGap = true;
-        cache.giveUp(relay);
+        cache.abandon(attempt);
         loop.stop();
     });
     cache.send(opens);
     loop.run();
     REQUIRE(inGap);
     REQUIRE(owner.ended.has_value());
-    CHECK(static_cast<int>(*owner.ended) == static_cast<int>(Ending::timedOut));
+    CHECK(static_cast<int>(*owner.ended) == static_cast<int>(AttemptOutcome::timedOut));
 }
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -190,7 +190,7 @@
     const Manner manner_;
     const std::string list_;
     std::mt19937_64 random_;
-    Door door_;
+    TestServer door_;
     std::list<std::unique_ptr<Peer>> peers_;
     int resets_ = 0;
     Clock::time_point busyUntil_{};
@@ -208,7 +208,7 @@
     Trial(const Manner& manner, const std::string& membershipMode, std::size_t routers = 1)
         : name(manner.name + ", " + membershipMode), discovery(manner, changedList(), 5) {
         for (std::size_t i = 0; i < routers; ++i) {
-            places.push_back(std::make_unique<Place>());
+            places.push_back(std::make_unique<ReservedPort>());
             auto start = smallStart();
             start["seed"] = std::to_string(100 + i);
             start["settings"]["replicasOfMe"] = routers;
@@ -226,9 +226,9 @@
     }
 
     std::string name;
-    Door cache;
+    TestServer cache;
     SlowDiscovery discovery;
-    std::vector<std::unique_ptr<Place>> places;
+    std::vector<std::unique_ptr<ReservedPort>> places;
     std::vector<std::unique_ptr<Program>> programs;
 };
 
--- a/tests/source_selector_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -31,13 +31,13 @@
 Violation checkBound(const Without& without) {
     for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
         std::mt19937_64 random(seed);
-        const std::size_t count = 2 + random() % (kMostSources - 1);
+        const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), without);
-        selector.answered();
+        selector.onAnswered();
         const std::size_t alive = random() % count;
         Nanos now = kBegin;
         while (true) {
-            const Attempt next = selector.failed(now);
+            const Attempt next = selector.onFailed(now);
             now = next.at;
             const bool isAlive = next.source == alive;
             const bool refuses = !isAlive && random() % 2 == 0;
@@ -55,16 +55,16 @@
 Violation checkStickiness(const Without& without) {
     for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
         std::mt19937_64 random(seed);
-        SourceSelector selector(2 + random() % (kMostSources - 1), random(), without);
+        SourceSelector selector(2 + random() % (kMaxSources - 1), random(), without);
         Nanos now = kBegin;
         for (int step = 0; step < 100; ++step) {
             const std::size_t before = selector.current();
             if (random() % 3 == 0) {
-                now = selector.failed(now).at;
+                now = selector.onFailed(now).at;
                 continue;
             }
-            if (random() % 2 == 0) selector.judge(static_cast<std::int64_t>(random() % 10), 5);
-            selector.answered();
+            if (random() % 2 == 0) selector.judgeVersion(static_cast<std::int64_t>(random() % 10), 5);
+            selector.onAnswered();
             if (selector.current() != before)
                 return "seed " + std::to_string(seed) + ": another source without a failure";
         }
@@ -79,9 +79,9 @@
     std::vector<int> first(kCount), second(kCount);
     for (int router = 0; router < kRouters; ++router) {
         SourceSelector selector(kCount, static_cast<std::uint64_t>(router) * 7'919, without);
-        selector.answered();
+        selector.onAnswered();
         ++first[selector.current()];
-        if (selector.current() == 0) ++second[selector.failed(kBegin).source];
+        if (selector.current() == 0) ++second[selector.onFailed(kBegin).source];
     }
     for (const int share : first)
         if (share < kRouters / 8 || share > kRouters / 2) return "first sources are not spread";
@@ -97,8 +97,8 @@
     std::vector<Nanos> arrivals;
     for (int router = 0; router < kRouters; ++router) {
         SourceSelector selector(2, static_cast<std::uint64_t>(router) * 7'919, without);
-        selector.answered();
-        arrivals.push_back(selector.failed(kBegin).at);
+        selector.onAnswered();
+        arrivals.push_back(selector.onFailed(kBegin).at);
     }
     std::sort(arrivals.begin(), arrivals.end());
     for (std::size_t i = 0; i < arrivals.size(); ++i) {
@@ -113,15 +113,15 @@
     constexpr Nanos kOutage = 60'000 * kMillisecond;
     for (std::uint64_t seed = 0; seed < 30; ++seed) {
         std::mt19937_64 random(seed);
-        const std::size_t count = 2 + random() % (kMostSources - 1);
+        const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), without);
-        selector.answered();
+        selector.onAnswered();
         std::vector<Nanos> askedAt(count, kBegin);
         std::size_t attempts = 0;
         for (Nanos now = kBegin; now < kBegin + kOutage;) {
-            const Attempt next = selector.failed(now);
+            const Attempt next = selector.onFailed(now);
             now = next.at;
-            if (now - askedAt[next.source] > kLongestBackoff + kRecoveryBound)
+            if (now - askedAt[next.source] > kMaxBackoff + kRecoveryBound)
                 return "seed " + std::to_string(seed) + ": a source is not asked for too long";
             askedAt[next.source] = now;
             if (++attempts > 40 * count) return "seed " + std::to_string(seed) + ": asked without a pause";
@@ -134,29 +134,29 @@
 Violation checkVersions(const Without& without) {
     for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
         std::mt19937_64 random(seed);
-        const std::size_t count = 2 + random() % (kMostSources - 1);
+        const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), without);
         std::int64_t known = 10;
         std::set<std::size_t> older;  // of this outage
         Nanos now = kBegin;
         for (int step = 0; step < 200; ++step) {
             if (random() % 4 == 0) {
-                now = selector.failed(now).at;  // can't be reached: it tells nothing
+                now = selector.onFailed(now).at;  // can't be reached: it tells nothing
                 continue;
             }
             const auto offered = static_cast<std::int64_t>(random() % 8 == 0 ? known : random() % 10);
             if (offered < known) older.insert(selector.current());
-            const ListVerdict verdict = selector.judge(offered, known);
+            const ListVerdict verdict = selector.judgeVersion(offered, known);
             const ListVerdict right = offered >= known        ? ListVerdict::usable
                                       : older.size() == count ? ListVerdict::allOlder
                                                               : ListVerdict::older;
             if (verdict != right) return "seed " + std::to_string(seed) + ": a wrong verdict on a version";
             if (verdict == ListVerdict::older) {
-                now = selector.failed(now).at;
+                now = selector.onFailed(now).at;
                 continue;
             }
             known = std::max<std::int64_t>(offered, 5);
-            selector.answered();
+            selector.onAnswered();
             older.clear();
         }
     }
@@ -204,7 +204,7 @@
     std::size_t last = 0;
     Nanos now = kBegin;
     for (int i = 0; i < 4; ++i) {
-        const Attempt next = selector.failed(now);
+        const Attempt next = selector.onFailed(now);
         CHECK_FALSE(selector.isConfirmed());
         asked.insert(next.source);
         last = next.source;
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -68,7 +68,7 @@
         stopped_ = true;
         thread_.join();
     }
-    Door door;
+    TestServer door;
 
   private:
     void run() {
@@ -121,8 +121,8 @@
 void checkCases(const std::vector<Case>& cases, int requests) {
     FaultPlan plan;
     FullCache cache;
-    Place place;
-    Door discovery;
+    ReservedPort place;
+    TestServer discovery;
     auto start = smallStart();
     start["listen"] = "127.0.0.1:" + std::to_string(place.port);
     start["discovery"] = discovery.address();
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -36,7 +36,7 @@
     text.replace(at, from.size(), to);
     try {
         parseScenario(text, "day.toml");
-    } catch (const BadScenario& problem) {
+    } catch (const ScenarioError& problem) {
         return problem.what();
     }
     return "";
@@ -45,8 +45,8 @@
 Scenario calm() { return parseScenario(calmText(), "calm.toml"); }
 
 std::vector<std::string> verdictOf(const Scenario& scenario, std::uint64_t seed) {
-    Judge judge;
-    Ledger ledger;
+    Verdict judge;
+    EventLog ledger;
     judge.follow(ledger);
     simulate(scenario, seed, ledger);
     return judge.verdict();
@@ -55,37 +55,38 @@
 // A log by hand for the audit: one router, an origin, two caches, verbs of all three effects.
 struct Told {
     Told() {
-        nlohmann::json verbs = nlohmann::json::array();
+        nlohmann::json requestClasses = nlohmann::json::array();
         const char* const names[] = {"read", "upload", "payout"};
         for (int i = 0; i < 3; ++i)
-            verbs.push_back(
+            requestClasses.push_back(
                 {{"name", names[i]}, {"effect", i}, {"group", i == 1 ? 1 : 0}, {"remembered", 1'000 * ms}});
         audit = std::make_unique<Audit>(nlohmann::json{{"slack", 50 * ms},
                                                        {"grace", 500 * ms},
                                                        {"cold", {{"span", 1'000 * ms}, {"ramp", 5'000 * ms}}},
-                                                       {"verbs", verbs}});
-        say(0, What::server, 0, 0, 0, 0, "origin north 0 origin 8");
-        say(0, What::server, 0, 1, 0, 0, "cache-0 north 0 cache 4");
-        say(0, What::server, 0, 2, 0, 0, "cache-1 south 0 cache 4");
-        say(0, What::up, 0, -1, 0, 0, "");
+                                                       {"verbs", requestClasses}});
+        say(0, EventKind::server, 0, 0, 0, 0, "origin north 0 origin 8");
+        say(0, EventKind::server, 0, 1, 0, 0, "cache-0 north 0 cache 4");
+        say(0, EventKind::server, 0, 2, 0, 0, "cache-1 south 0 cache 4");
+        say(0, EventKind::up, 0, -1, 0, 0, "");
     }
-    void say(Nanos at, What what, std::uint64_t command, int server, std::uint64_t run, std::int64_t number,
-             const std::string& text) {
+    void say(Nanos at, EventKind what, std::uint64_t command, int server, std::uint64_t run,
+             std::int64_t number, const std::string& text) {
         audit->see({at, what, command, 0, server, run, number, text});
     }
-    void asked(Nanos at, std::uint64_t command, const char* verb) {
-        say(at, What::asked, command, -1, 0, at + 1'000 * ms, std::string(verb) + " alder k1 1 1");
+    void asked(Nanos at, std::uint64_t command, const char* requestClass) {
+        say(at, EventKind::asked, command, -1, 0, at + 1'000 * ms,
+            std::string(requestClass) + " alder k1 1 1");
     }
     void sent(Nanos at, std::uint64_t command, int server, std::uint64_t run, Nanos work = ms,
               const std::string& told = "") {
-        say(at, What::sent, command, server, run, work, told);
+        say(at, EventKind::sent, command, server, run, work, told);
     }
     void ended(Nanos at, std::uint64_t command, int server, std::uint64_t run, const char* how) {
-        say(at, What::ended, command, server, run, 0, how);
+        say(at, EventKind::ended, command, server, run, 0, how);
     }
     std::string broken() {
         std::string all;
-        for (const Breach& b : audit->finish()) all += (all.empty() ? "" : " ") + b.rule;
+        for (const Violation& b : audit->finish()) all += (all.empty() ? "" : " ") + b.rule;
         return all;
     }
     std::unique_ptr<Audit> audit;
@@ -94,7 +95,7 @@
 }  // namespace
 
 TEST_CASE("a machine serves as many at once as it has cores, and turns away past its room") {
-    Machine m({2, 0.5, 1, 0});
+    ServerModel m({2, 0.5, 1, 0});
     for (std::uint64_t job : {1, 2}) m.take(job, 10e6);
     const auto first = m.begin(0, 1);
     REQUIRE(first.size() == 2);
@@ -116,7 +117,7 @@
 }
 
 TEST_CASE("a thrashing machine takes longer the fuller its room is") {
-    Machine m({1, 1, 4, 0.5});
+    ServerModel m({1, 1, 4, 0.5});
     for (std::uint64_t job : {1, 2, 3}) m.take(job, 10e6);
     CHECK(m.begin(0, 1).at(0).until == 10 * ms + 2'500'000);  // two of four wait: half of half more
 }
@@ -135,7 +136,7 @@
 }
 
 TEST_CASE("kept keys are bounded, the one used longest ago goes, and marks are known for their time") {
-    Kept kept(2);
+    CacheContents kept(2);
     kept.put("a");
     kept.put("b");
     CHECK(kept.use("a"));
@@ -145,7 +146,7 @@
     kept.drop("a");
     CHECK_FALSE(kept.use("a"));
     CHECK(kept.size() == 1);
-    Marks marks;
+    IdempotencyRecords marks;
     CHECK(marks.enter(0, "m", 100));
     CHECK_FALSE(marks.enter(99, "m", 199));
     CHECK(marks.enter(100, "m", 200));
@@ -191,15 +192,15 @@
     const Scenario s = calm();
     const auto json = configurationOf(s, {0, "r0", "127.0.0.1:1", "127.0.0.1:2"}, 77,
                                       {{"version", 1}, {"full", true}, {"servers", nlohmann::json::array()}});
-    CHECK(protocol::readStart(json.dump()).terms == termsOf(s, 0, 77));
+    CHECK(protocol::readStartupConfig(json.dump()).policy == policySettingsOf(s, 0, 77));
 }
 
 TEST_CASE("routers of the old and of the new shape before the same caches: rules kept, neither starves") {
     Scenario s = calm();
     s.routers.count = 6;
     s.routers.moved = 3;
-    CHECK_FALSE(termsOf(s, 2, 1).sizesMove);
-    CHECK(termsOf(s, 3, 1).sizesMove);
+    CHECK_FALSE(policySettingsOf(s, 2, 1).weightsFollowLoad);
+    CHECK(policySettingsOf(s, 3, 1).weightsFollowLoad);
     CHECK(verdictOf(parseScenario(fileText(SCENARIOS "/move.toml"), "move.toml"), 5).empty());
 }
 
@@ -215,7 +216,7 @@
     const auto play = [&](std::uint64_t seed, const char* name) {
         const std::string path = dir / name;
         {
-            Ledger ledger(path);
+            EventLog ledger(path);
             simulate(s, seed, ledger);
         }
         std::string text = fileText(path);
@@ -244,20 +245,20 @@
 TEST_CASE("the audit: a command without an answer in time, or with two, is lost") {
     Told t;
     t.asked(0, 1, "read");
-    t.say(1'060 * ms, What::silent, 1, -1, 0, 0, "");
+    t.say(1'060 * ms, EventKind::silent, 1, -1, 0, 0, "");
     t.asked(0, 2, "read");
-    t.say(5 * ms, What::declined, 2, -1, 0, 0, "");
-    t.say(6 * ms, What::terminated, 2, -1, 0, 0, "");
+    t.say(5 * ms, EventKind::declined, 2, -1, 0, 0, "");
+    t.say(6 * ms, EventKind::terminated, 2, -1, 0, 0, "");
     t.asked(0, 3, "read");
-    t.say(5 * ms, What::unsent, 3, -1, 0, 0, "");
+    t.say(5 * ms, EventKind::unsent, 3, -1, 0, 0, "");
     CHECK(t.broken() == "lost lost lost");
     Told gone;  // what a killed router had is nobody's fault
     gone.asked(0, 1, "read");
-    gone.say(5 * ms, What::killed, 0, -1, 0, 0, "asked");
-    gone.say(6 * ms, What::unsent, 1, -1, 0, 0, "");
+    gone.say(5 * ms, EventKind::killed, 0, -1, 0, 0, "asked");
+    gone.say(6 * ms, EventKind::unsent, 1, -1, 0, 0, "");
     CHECK(gone.broken() == "");
     Told crashed;
-    crashed.say(5 * ms, What::killed, 0, -1, 0, 0, "by itself");
+    crashed.say(5 * ms, EventKind::killed, 0, -1, 0, 0, "by itself");
     CHECK(crashed.broken() == "crash");
 }
 
@@ -265,11 +266,11 @@
     "the audit: what came to a closed door is not lost, though its word comes after the router is back") {
     for (const Nanos asked : {1'499 * ms, 1'501 * ms}) {
         Told t;
-        t.say(1'000 * ms, What::killed, 0, -1, 0, 0, "");
+        t.say(1'000 * ms, EventKind::killed, 0, -1, 0, 0, "");
         if (asked < 1'500 * ms) t.asked(asked, 1, "payout");
-        t.say(1'500 * ms, What::up, 0, -1, 0, 0, "north");
+        t.say(1'500 * ms, EventKind::up, 0, -1, 0, 0, "north");
         if (asked > 1'500 * ms) t.asked(asked, 1, "payout");
-        t.say(1'502 * ms, What::unsent, 1, -1, 0, 0, "");
+        t.say(1'502 * ms, EventKind::unsent, 1, -1, 0, 0, "");
         CHECK(t.broken() == (asked < 1'500 * ms ? "" : "lost"));
     }
 }
@@ -280,16 +281,16 @@
                         {"length", 1'000 * ms},
                         {"bounds", {{"sent_on", 0.3}}}};
     Figures figures(head);
-    const auto see = [&](Nanos at, What what, std::uint64_t command, const std::string& text = "") {
+    const auto see = [&](Nanos at, EventKind what, std::uint64_t command, const std::string& text = "") {
         figures.see({at, what, command, 0, 0, 0, 0, text});
     };
-    see(0, What::server, 0, "origin north 0 origin 8");
-    for (std::uint64_t c = 1; c <= 4; ++c) see(0, What::asked, c, "read alder k1 1 1");
-    see(50 * ms, What::sent, 3);
-    for (std::uint64_t c = 1; c <= 4; ++c) see(100 * ms, What::left, c);
-    see(350 * ms, What::sent, 2);  // it was on its way
-    see(500 * ms, What::sent, 1);
-    see(900 * ms, What::sent, 3);  // a further relay: the first was out before
+    see(0, EventKind::server, 0, "origin north 0 origin 8");
+    for (std::uint64_t c = 1; c <= 4; ++c) see(0, EventKind::asked, c, "read alder k1 1 1");
+    see(50 * ms, EventKind::sent, 3);
+    for (std::uint64_t c = 1; c <= 4; ++c) see(100 * ms, EventKind::left, c);
+    see(350 * ms, EventKind::sent, 2);  // it was on its way
+    see(500 * ms, EventKind::sent, 1);
+    see(900 * ms, EventKind::sent, 3);  // a further relay: the first was out before
     figures.finish();
     CHECK(figures.of("left_waiting") == 3);
     CHECK(figures.of("sent_on") == doctest::Approx(1.0 / 3));
@@ -310,27 +311,27 @@
     busy.ended(5 * ms, 1, 1, 11, "busy ");
     busy.sent(6 * ms, 1, 2, 12);
     busy.ended(9 * ms, 1, 2, 12, "value v12");
-    busy.say(9 * ms, What::answered, 1, -1, 0, 0, "v12");
+    busy.say(9 * ms, EventKind::answered, 1, -1, 0, 0, "v12");
     CHECK(busy.broken() == "");
     Told declined;
     declined.asked(0, 1, "payout");
     declined.sent(1 * ms, 1, 1, 11);
-    declined.say(3 * ms, What::closed, 1, 1, 11, 0, "");
-    declined.say(4 * ms, What::declined, 1, -1, 0, 0, "");
+    declined.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
+    declined.say(4 * ms, EventKind::declined, 1, -1, 0, 0, "");
     CHECK(declined.broken() == "twice");
     Told upload;  // its group is the zone: the other one doesn't know its mark
     upload.asked(0, 1, "upload");
     upload.sent(1 * ms, 1, 1, 11);
-    upload.say(3 * ms, What::closed, 1, 1, 11, 0, "");
+    upload.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
     upload.sent(4 * ms, 1, 0, 12);
-    upload.say(6 * ms, What::closed, 1, 0, 12, 0, "");
+    upload.say(6 * ms, EventKind::closed, 1, 0, 12, 0, "");
     upload.sent(7 * ms, 1, 2, 13);
     upload.ended(9 * ms, 1, 2, 13, "value v13");
     CHECK(upload.broken() == "twice");
     Told late;  // and past its time nobody does
     late.asked(0, 1, "upload");
     late.sent(1 * ms, 1, 1, 11);
-    late.say(3 * ms, What::closed, 1, 1, 11, 0, "");
+    late.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
     late.sent(1'002 * ms, 1, 0, 12);
     late.ended(1'003 * ms, 1, 0, 12, "value v12");
     CHECK(late.broken() == "twice");
@@ -349,14 +350,14 @@
     t.asked(0, 2, "read");
     t.sent(1 * ms, 1, 1, 11);
     t.ended(5 * ms, 1, 1, 11, "value v11");
-    t.say(6 * ms, What::answered, 2, -1, 0, 0, "v11");
-    t.say(6 * ms, What::answered, 1, -1, 0, 0, "v11");
+    t.say(6 * ms, EventKind::answered, 2, -1, 0, 0, "v11");
+    t.say(6 * ms, EventKind::answered, 1, -1, 0, 0, "v11");
     CHECK(t.broken() == "foreign");
 }
 
 TEST_CASE("the audit: a relay to a cache that drains, after the grace") {
     Told t;
-    t.say(0, What::listed, 0, 1, 0, 0, "draining");
+    t.say(0, EventKind::listed, 0, 1, 0, 0, "draining");
     t.asked(490 * ms, 1, "read");
     t.sent(499 * ms, 1, 1, 11);
     t.ended(500 * ms, 1, 1, 11, "miss ");
@@ -395,21 +396,21 @@
                             {"cold", {{"span", 1'000 * ms}, {"ramp", 5'000 * ms}}},
                             {"verbs", {{{"name", "read"}, {"effect", 0}, {"group", 0}, {"remembered", 0}}}}};
         Audit audit(head);
-        const auto say = [&](Nanos at, What what, std::uint64_t command, std::int64_t number,
+        const auto say = [&](Nanos at, EventKind what, std::uint64_t command, std::int64_t number,
                              const std::string& text) {
             audit.see({at, what, command, 0, 0, command, number, text});
         };
-        say(0, What::server, 0, 0, "origin north 0 origin 8");
-        say(100 * ms, What::fault, 0, 0, "begins " + fault + " ");
-        say(200 * ms, What::fault, 0, 0, "ends " + fault + " ");
+        say(0, EventKind::server, 0, 0, "origin north 0 origin 8");
+        say(100 * ms, EventKind::fault, 0, 0, "begins " + fault + " ");
+        say(200 * ms, EventKind::fault, 0, 0, "ends " + fault + " ");
         for (const Nanos asked : {50 * ms, 2'000 * ms}) {
             const auto command = static_cast<std::uint64_t>(asked);
-            say(asked, What::asked, command, asked + 1'000 * ms, "read alder k1 1 1");
-            say(asked + 500 * ms, What::sent, command, ms, "d=1000 held=0");
-            say(asked + 510 * ms, What::ended, command, 0, "value v1");
+            say(asked, EventKind::asked, command, asked + 1'000 * ms, "read alder k1 1 1");
+            say(asked + 500 * ms, EventKind::sent, command, ms, "d=1000 held=0");
+            say(asked + 510 * ms, EventKind::ended, command, 0, "value v1");
         }
         std::string broken;
-        for (const Breach& b : audit.finish()) broken += " " + b.rule;
+        for (const Violation& b : audit.finish()) broken += " " + b.rule;
         CHECK(broken == (fault == "crash" ? " time time" : " time"));
     }
 }
@@ -418,22 +419,22 @@
     // Capacity 4, of which a cold one has half: with tip 2 and a span of 1 s it may get 4 s of work.
     nlohmann::json head{
         {"cold", {{"share", 0.5}, {"ramp", 1'000'000 * ms}, {"tip", 2.0}, {"span", 1'000 * ms}}}};
-    ColdLoad load(head);
-    const auto see = [&](Nanos at, What what, int router, int server, std::int64_t number,
+    SlowStartLoad load(head);
+    const auto see = [&](Nanos at, EventKind what, int router, int server, std::int64_t number,
                          const std::string& text) {
         load.see({at, what, 0, router, server, 0, number, text});
     };
     const auto sent = [&](Nanos at, int router, int server) {
-        see(at, What::sent, router, server, 40 * ms, "");
+        see(at, EventKind::sent, router, server, 40 * ms, "");
     };
-    see(0, What::server, -1, 0, 0, "origin north 0 origin 8");
-    see(0, What::server, -1, 1, 0, "cache-0 north 0 cache 4");
+    see(0, EventKind::server, -1, 0, 0, "origin north 0 origin 8");
+    see(0, EventKind::server, -1, 1, 0, "cache-0 north 0 cache 4");
     sent(1 * ms, 0, 1);  // it is warm
     CHECK(load.servers() == 0);
     CHECK(load.largestExcess() == 0);
-    see(5 * ms, What::started, -1, 1, 5 * ms, "");
+    see(5 * ms, EventKind::started, -1, 1, 5 * ms, "");
     sent(6 * ms, 0, 1);  // not told yet
-    for (const int router : {0, 1, 2}) see(7 * ms, What::listed, router, 1, 5 * ms, "ready");
+    for (const int router : {0, 1, 2}) see(7 * ms, EventKind::listed, router, 1, 5 * ms, "ready");
     for (int i = 0; i < 60; ++i) sent((10 + i) * ms, i % 3, 1);
     for (int i = 0; i < 60; ++i) sent((10 + i) * ms, i % 3, 0);  // the origin is never cold
     CHECK(load.servers() == 1);
@@ -446,26 +447,26 @@
     CHECK(load.largestExcess() == doctest::Approx(1).epsilon(0.01));
     sent(2'000 * ms, 0, 1);  // the others are over a span ago
     CHECK(load.largest().sent == doctest::Approx(122));
-    see(2'001 * ms, What::fell, -1, 1, 0, "");
-    see(2'002 * ms, What::fell, -1, 0, 0, "");
+    see(2'001 * ms, EventKind::fell, -1, 1, 0, "");
+    see(2'002 * ms, EventKind::fell, -1, 0, 0, "");
     CHECK(load.falls() == 1);
-    see(2'003 * ms, What::killed, 0, -1, 0, "asked");
+    see(2'003 * ms, EventKind::killed, 0, -1, 0, "asked");
     sent(2'004 * ms, 0, 1);  // its next process was told nothing yet
     CHECK(load.untoldShare() == doctest::Approx(2.0 / 125));
 }
 
 TEST_CASE("thirty routers share the budget of a cold cache; with a whole budget each they break its bounds") {
     const Scenario s = parseScenario(fileText(SCENARIOS "/cold-thirty.toml"), "cold-thirty.toml");
-    const auto play = [&](const SimWanted& wanted) {
-        Judge judge;
-        Ledger ledger;
+    const auto play = [&](const SimulatedRunOptions& wanted) {
+        Verdict judge;
+        EventLog ledger;
         judge.follow(ledger);
         simulate(s, 1, ledger, wanted);
         return judge.verdict();
     };
     CHECK(play({}).empty());
-    SimWanted wholeBudget;
-    wholeBudget.mistake = [](Terms& terms) { terms.tipMultiple *= terms.routers; };
+    SimulatedRunOptions wholeBudget;
+    wholeBudget.mistake = [](PolicySettings& terms) { terms.overloadMultiple *= terms.routerCount; };
     const auto broken = play(wholeBudget);
     for (const char* bound : {"bound-cold_load", "bound-cold_excess"})
         CHECK(std::find(broken.begin(), broken.end(), bound) != broken.end());
@@ -474,12 +475,12 @@
 TEST_CASE("the audit: a cold cache that goes down counts when two thirds came from who knew") {
     for (const bool knew : {true, false}) {
         Told t;
-        t.say(0, What::started, 0, 1, 0, 7, "");
-        if (knew) t.say(0, What::listed, 0, 1, 0, 7, "ready");
+        t.say(0, EventKind::started, 0, 1, 0, 7, "");
+        if (knew) t.say(0, EventKind::listed, 0, 1, 0, 7, "ready");
         t.asked(0, 1, "read");
         t.sent(1 * ms, 1, 1, 11, 900 * ms);
         t.ended(2 * ms, 1, 1, 11, "miss ");
-        t.say(3 * ms, What::fell, 0, 1, 0, 0, "");
+        t.say(3 * ms, EventKind::fell, 0, 1, 0, 0, "");
         CHECK(t.broken() == (knew ? "cold" : ""));
     }
 }
--- a/tests/testbed_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -170,31 +170,31 @@
     ServerList list(40, 3, 5, 1'700'000'000'000);
     std::vector<std::unordered_map<std::string, std::uint64_t>> held;
     std::vector<std::int64_t> since;
-    const auto apply = [](const protocol::Roster& roster,
+    const auto apply = [](const protocol::EndpointList& roster,
                           std::unordered_map<std::string, std::uint64_t>& to) {
-        if (roster.full) to.clear();
-        for (const auto& place : roster.places)
-            to[place.listed.name] = entryDigest(place.listed.name, place.listed.presence, place.startedMs);
+        if (roster.isComplete) to.clear();
+        for (const auto& place : roster.entries)
+            to[place.endpoint.name] = entryDigest(place.endpoint.name, place.endpoint.state, place.startedMs);
     };
     for (int i = 0; i < 400; ++i) {
         if (i % 50 == 0) {
-            apply(protocol::readRoster(list.whole()), held.emplace_back());
+            apply(protocol::readEndpointList(list.whole()), held.emplace_back());
             since.push_back(list.version());
         }
         CHECK_FALSE(list.change(1'700'000'000'000 + i).empty());
         CHECK(list.version() == i + 2);
     }
     for (std::size_t i = 0; i < held.size(); ++i) {
-        const auto changes = protocol::readRoster(list.changesSince(since[i]));
-        CHECK_FALSE(changes.full);
+        const auto changes = protocol::readEndpointList(list.changesSince(since[i]));
+        CHECK_FALSE(changes.isComplete);
         CHECK(changes.version == list.version());
         apply(changes, held[i]);
         std::uint64_t digest = 0;
         for (const auto& [name, entry] : held[i]) digest += entry;
         CHECK(digest == list.digest());
     }
-    CHECK(protocol::readRoster(list.changesSince(0)).full);
-    CHECK(protocol::readRoster(list.changesSince(list.version() + 1)).full);
+    CHECK(protocol::readEndpointList(list.changesSince(0)).isComplete);
+    CHECK(protocol::readEndpointList(list.changesSince(list.version() + 1)).isComplete);
     CHECK(list.size() >= 30);
     CHECK(list.size() <= 40);
 }
