--- a/src/discovery/endpoint_poll.cpp
+++ b/src/discovery/endpoint_poll.cpp
@@ -9,14 +9,14 @@
 
 namespace poppyscale::discovery {
 
-EndpointPoll::EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& owner,
-                           DiscoveryAddress source, std::size_t longestList)
+EndpointPoll::EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& handler,
+                           DiscoveryAddress source, std::size_t maxListBytes)
     : loop_(loop),
       pool_(pool),
-      owner_(owner),
+      handler_(handler),
       source_(std::move(source)),
-      response_(longestList),
-      timeout_(loop, [this] { owner_.onFailed(*this, lateReason()); }) {}
+      response_(maxListBytes),
+      timeout_(loop, [this] { handler_.onFailed(*this, lateReason()); }) {}
 
 std::string_view EndpointPoll::lateReason() const {
     if (phase_ == Phase::connecting) return "can't connect in time";
@@ -27,7 +27,7 @@
 bool EndpointPoll::start(const Request& request) {
     request_ = request;
     startedAt_ = transport::EventLoop::now();
-    bytes_ = 0;
+    receivedBytes_ = 0;
     response_.clear();
     timeout_.start(startedAt_ + request_.wait + kMaxSilence);
     if (connection_) return write();
@@ -39,7 +39,7 @@
 
 bool EndpointPoll::write() {
     phase_ = Phase::waiting;
-    owner_.onRequestSent();
+    handler_.onRequestSent();
     std::string query;
     if (request_.after)
         query = fmt::format("?after={}&wait_ms={}", *request_.after, request_.wait / kMillisecond);
@@ -47,41 +47,42 @@
         fmt::format("GET /api/targets{} HTTP/1.1\r\nHost: {}\r\n\r\n", query, source_.host));
 }
 
-void EndpointPoll::onConnected(bool up) {
-    if (!up) return owner_.onFailed(*this, "can't connect");
+void EndpointPoll::onConnected(bool isConnected) {
+    if (!isConnected) return handler_.onFailed(*this, "can't connect");
     connection_->setReading(true);
-    if (!write()) owner_.onFailed(*this, "the connection broke");
+    const bool isWritten = write();
+    if (!isWritten) handler_.onFailed(*this, "the connection broke");
 }
 
 void EndpointPoll::onData(std::string_view bytes) {
     phase_ = Phase::reading;
-    bytes_ += bytes.size();
-    extend();
+    receivedBytes_ += bytes.size();
+    extendTimeout();
     const auto state = response_.feed(bytes);
-    if (state == protocol::HttpResponse::State::complete) return owner_.onResponse(*this);
+    if (state == protocol::HttpResponse::State::complete) return handler_.onResponse(*this);
     if (state == protocol::HttpResponse::State::malformed)
-        owner_.onFailed(*this, "an answer that is not HTTP");
+        handler_.onFailed(*this, "an answer that is not HTTP");
 }
 
-// What has come is worth keeping: each byte moves the limit on, up to a bound.
-void EndpointPoll::extend() {
-    const Nanos longest = startedAt_ + request_.wait + kMaxResponseDuration;
-    timeout_.start(std::min(transport::EventLoop::now() + kMaxStall, longest));
+void EndpointPoll::extendTimeout() {
+    const Nanos latest = startedAt_ + request_.wait + kMaxResponseDuration;
+    timeout_.start(std::min(transport::EventLoop::now() + kMaxStall, latest));
 }
 
 void EndpointPoll::onClosed() {
-    const bool whole =
-        connection_->hasPeerFinished() && response_.end() == protocol::HttpResponse::State::complete;
-    if (!whole) return owner_.onFailed(*this, "the connection ended");
+    bool isComplete = false;
+    if (connection_->hasPeerFinished())
+        isComplete = response_.end() == protocol::HttpResponse::State::complete;
+    if (!isComplete) return handler_.onFailed(*this, "the connection ended");
     connection_.reset();
-    owner_.onResponse(*this);
+    handler_.onResponse(*this);
 }
 
 std::string EndpointPoll::progress() const {
     static constexpr std::array<std::string_view, 3> kPhases{"connecting", "waiting", "reading"};
-    return fmt::format("call to {} began {} ms ago, {}, {} bytes", source_.host,
+    return fmt::format("poll to {} began {} ms ago, {}, {} bytes", source_.host,
                        (transport::EventLoop::now() - startedAt_) / kMillisecond,
-                       kPhases[static_cast<std::size_t>(phase_)], bytes_);
+                       kPhases[static_cast<std::size_t>(phase_)], receivedBytes_);
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -8,13 +8,15 @@
 namespace poppyscale::discovery {
 namespace {
 
-// Among several sources a silent one is noticed by the end of a call's wait: kept short, as there are others.
-constexpr Nanos kWaitAmongSeveral = 2'000 * kMillisecond;
+// With several sources an unresponsive one is noticed when the wait of a poll ends, and another one can be
+// asked.
+constexpr Nanos kMaxWaitAmongSeveral = 2'000 * kMillisecond;
 // Moves from source to source are logged up to a bound.
-constexpr Nanos kLogWindow = 60'000 * kMillisecond;
-constexpr int kMostLoggedMoves = 20;
-// With as many calls out as may be, until it is looked whether one of them has ended.
-constexpr Nanos kPauseAtMostCalls = 200 * kMillisecond;
+constexpr Nanos kMoveLogWindow = 60'000 * kMillisecond;
+constexpr int kHttpOk = 200;
+constexpr int kMaxLoggedMoves = 20;
+// Before another poll is tried while kMaxConcurrentPolls are in flight.
+constexpr Nanos kPauseAtMaxPolls = 200 * kMillisecond;
 
 bool isSameSource(const DiscoveryAddress& a, const DiscoveryAddress& b) {
     return transport::sameAddress(a.address, b.address);
@@ -23,10 +25,10 @@
 }  // namespace
 
 EndpointWatcher::EndpointWatcher(transport::EventLoop& loop, transport::BufferPool& pool,
-                                 proxy::RequestDispatcher& core, Settings settings, proxy::Log log)
+                                 proxy::RequestDispatcher& dispatcher, Settings settings, proxy::Log log)
     : loop_(loop),
       pool_(pool),
-      dispatcher_(core),
+      dispatcher_(dispatcher),
       maxPollWait_(settings.maxPollWait),
       sourceSeed_(settings.sourceSeed),
       maxListBytes_(settings.maxListBytes),
@@ -60,19 +62,20 @@
     if (sourceSet_ && std::equal(sources.begin(), sources.end(), sourceSet_->addresses.begin(),
                                  sourceSet_->addresses.end(), isSameSource))
         return;
-    const auto kept = std::find_if(sources.begin(), sources.end(), [&](const DiscoveryAddress& source) {
+    const auto current = std::find_if(sources.begin(), sources.end(), [&](const DiscoveryAddress& source) {
         return isSameSource(source, source_);
     });
-    if (kept != sources.end()) {
-        const DiscoveryAddress current = *kept;
-        const auto index = static_cast<std::size_t>(kept - sources.begin());
+    if (current != sources.end()) {
+        const DiscoveryAddress address = *current;
+        const auto index = static_cast<std::size_t>(current - sources.begin());
         replaceSources(std::move(sources));
-        source_ = current;
+        source_ = address;
         if (sourceSet_) sourceSet_->selector.resumeAt(index);
-        // Of sources that are none any more.
+        // Polls at sources that are not listed any more.
         for (std::size_t i = polls_.size(); i > 0; --i)
             if (!isSameSource(polls_[i - 1]->source(), source_)) drop(*polls_[i - 1]);
-        return start();
+        start();
+        return;
     }
     replaceSources(std::move(sources));
     if (sourceSet_) version_ = 0;
@@ -90,36 +93,41 @@
     request.known = version_;
     if (needsCompleteList_) return request;
     request.after = version_;
-    // After a failure, and at a source that is tried, what is newer is told at once, if only that nothing is.
+    // After a failure, and at a source that is tried for the first time, the response has to come at once.
     if (isProbing() || !lastFailure_.empty() || pacing_.isCrowded()) return request;
-    request.wait = pacing_.watchWait(sourceSet_ ? std::min(maxPollWait_, kWaitAmongSeveral) : maxPollWait_);
+    request.wait =
+        pacing_.longPollWait(sourceSet_ ? std::min(maxPollWait_, kMaxWaitAmongSeveral) : maxPollWait_);
     return request;
 }
 
 void EndpointWatcher::beginPoll() {
-    // None of those that are out is given up for another one.
-    if (polls_.size() >= kMaxConcurrentPolls)
-        return nextPoll_.start(transport::EventLoop::now() + kPauseAtMostCalls);
+    // A poll in flight is never given up for another one.
+    if (polls_.size() >= kMaxConcurrentPolls) {
+        nextPoll_.start(transport::EventLoop::now() + kPauseAtMaxPolls);
+        return;
+    }
     polls_.push_back(std::make_unique<EndpointPoll>(loop_, pool_, static_cast<EndpointPoll::Handler&>(*this),
                                                     source_, maxListBytes_));
-    EndpointPoll& call = *polls_.back();
+    EndpointPoll& poll = *polls_.back();
     const EndpointPoll::Request request = nextRequest();
-    if (request.wait > 0) longPoll_ = &call;
-    scheduleOverdue(call, request);
-    if (!call.start(request)) onFailed(call, "can't connect");
+    if (request.wait > 0) longPoll_ = &poll;
+    scheduleOverdue(poll, request);
+    const bool isStarted = poll.start(request);
+    if (!isStarted) onFailed(poll, "can't connect");
 }
 
-void EndpointWatcher::pollAgain(EndpointPoll& call) {
+void EndpointWatcher::pollAgain(EndpointPoll& poll) {
     const EndpointPoll::Request request = nextRequest();
-    longPoll_ = &call;
-    const auto isThis = [&](const auto& one) { return one.get() == &call; };
+    longPoll_ = &poll;
+    const auto isThis = [&](const auto& one) { return one.get() == &poll; };
     std::rotate(std::find_if(polls_.begin(), polls_.end(), isThis), polls_.end() - 1, polls_.end());
-    scheduleOverdue(call, request);
-    if (!call.start(request)) onFailed(call, "the connection broke");
+    scheduleOverdue(poll, request);
+    const bool isStarted = poll.start(request);
+    if (!isStarted) onFailed(poll, "the connection broke");
 }
 
-void EndpointWatcher::scheduleOverdue(const EndpointPoll& call, const EndpointPoll::Request& request) {
-    unanswered_ = &call;
+void EndpointWatcher::scheduleOverdue(const EndpointPoll& poll, const EndpointPoll::Request& request) {
+    unanswered_ = &poll;
     const Nanos now = transport::EventLoop::now();
     if (isProbing())
         nextPoll_.start(now + sourceSet_->selector.attemptTimeout());
@@ -130,39 +138,39 @@
 }
 
 void EndpointWatcher::onPollDue() {
-    if (!unanswered_) return beginPoll();  // the pause after a failure is over
-    const EndpointPoll& call = *unanswered_;
+    if (!unanswered_) return beginPoll();  // the pause after a failure has ended
+    const EndpointPoll& poll = *unanswered_;
     unanswered_ = nullptr;
     longPoll_ = nullptr;
-    const std::string_view why = call.lateReason();
-    recordFailure(why, call);
+    const std::string_view reason = poll.lateReason();
+    recordFailure(reason, poll);
     dispatcher_.onPollFailed();
     if (sourceSet_)
-        moveToNextSource(why);
+        moveToNextSource(reason);
     else
         beginPoll();
 }
 
-void EndpointWatcher::onResponse(EndpointPoll& call) {
-    if (call.status() != 200) {
+void EndpointWatcher::onResponse(EndpointPoll& poll) {
+    if (poll.status() != kHttpOk) {
         pacing_.onRefused(transport::EventLoop::now());
-        return onFailed(call, fmt::format("answered {}", call.status()));
+        return onFailed(poll, fmt::format("answered {}", poll.status()));
     }
-    pacing_.onAnswered(transport::EventLoop::now(), call.durationBesideWait());
+    pacing_.onAnswered(transport::EventLoop::now(), poll.durationBesideWait());
     try {
-        if (!applyResponse(call)) return;
+        const bool isApplied = applyResponse(poll);
+        if (!isApplied) return;
     } catch (const protocol::ParseError& problem) {
-        // The same changes would be spoilt in the same way again.
+        // The same changes would be malformed in the same way again.
         needsCompleteList_ = true;
-        return onFailed(call, problem.what());
+        return onFailed(poll, problem.what());
     }
-    // What was asked for before it can tell nothing more.
-    while (polls_.front().get() != &call) drop(*polls_.front());
-    if (longPoll_ && longPoll_ != &call) return drop(call);
-    if (pacing_.isCrowded()) return pollLater(call);
-    // At once: a later call would begin a new watch.
-    if (call.canPollAgain()) return pollAgain(call);
-    drop(call);
+    // Polls that began earlier can bring nothing newer.
+    while (polls_.front().get() != &poll) drop(*polls_.front());
+    if (longPoll_ && longPoll_ != &poll) return drop(poll);
+    if (pacing_.isCrowded()) return pollLater(poll);
+    if (poll.canPollAgain()) return pollAgain(poll);
+    drop(poll);
     beginPoll();
 }
 
@@ -171,122 +179,131 @@
     nextPoll_.start(now + pacing_.pauseAfterFailure(now - lastHeardAt_));
 }
 
-// Leaves a crowded source to the others for a while.
-void EndpointWatcher::pollLater(EndpointPoll& call) {
+// Leaves a crowded source to the other routers for a while.
+void EndpointWatcher::pollLater(EndpointPoll& poll) {
     const Nanos now = transport::EventLoop::now();
-    const bool prompt = call.durationBesideWait() <= kPromptResponseTime;
-    const Nanos due = prompt ? now + kPromptPause : call.startedAt() + kCrowdedPeriod;
-    drop(call);
+    const bool isPrompt = poll.durationBesideWait() <= kPromptResponseTime;
+    const Nanos due = isPrompt ? now + kPromptPause : poll.startedAt() + kCrowdedPeriod;
+    drop(poll);
     nextPoll_.start(std::max(due, now));
 }
 
-// False when the call has failed by what it brought.
-bool EndpointWatcher::applyResponse(EndpointPoll& call) {
-    const auto roster = protocol::readEndpointList(call.body());
-    const EndpointPoll::Request& request = call.request();
-    // Begun before a newer answer was taken: it tells nothing that is not known.
-    const bool overtaken = request.known < version_ && roster.version < version_;
-    if (sourceSet_ && !overtaken) {
-        if (roster.version < version_ && unanswered_ != &call) return drop(call), false;
-        if (roster.version < version_ && !acceptsOlderVersion(call, roster)) return false;
-        resumeAtSourceOf(call);
+bool EndpointWatcher::applyResponse(EndpointPoll& poll) {
+    const auto list = protocol::readEndpointList(poll.body());
+    const EndpointPoll::Request& request = poll.request();
+    // Begun before a newer response was applied, so it brings nothing new.
+    const bool isOvertaken = request.known < version_ && list.version < version_;
+    if (sourceSet_ && !isOvertaken) {
+        if (list.version < version_ && unanswered_ != &poll) {
+            drop(poll);
+            return false;
+        }
+        if (list.version < version_) {
+            const bool isAccepted = acceptOlderVersion(poll, list);
+            if (!isAccepted) return false;
+        }
+        resumeAtSourceOf(poll);
         sourceSet_->selector.onAnswered();
     }
-    // Another call's answer, come late, or a discovery that has lost what it knew: which of the two shows in
-    // what the whole list is then.
-    if (!sourceSet_ && request.after && roster.version < request.known)
-        throw protocol::ParseError(fmt::format("version {} after version {}", roster.version, request.known));
+    // Either the late response of another poll, or a discovery that has lost its state: the complete list
+    // tells which.
+    if (!sourceSet_ && request.after && list.version < request.known)
+        throw protocol::ParseError(fmt::format("version {} after version {}", list.version, request.known));
     lastHeardAt_ = transport::EventLoop::now();
-    if (!std::exchange(lastFailure_, {}).empty())
-        log_(fmt::format("the list is had from {} again: version {}; {}",
-                         sourceSet_ ? source_.host : "discovery", roster.version, call.progress()));
-    if (overtaken) return true;
-    version_ = roster.version;
+    const bool isRecovered = !lastFailure_.empty();
+    lastFailure_.clear();
+    if (isRecovered)
+        log_(fmt::format("endpoint list available again from {}: version {}; {}",
+                         sourceSet_ ? source_.host : "discovery", list.version, poll.progress()));
+    if (isOvertaken) return true;
+    version_ = list.version;
     needsCompleteList_ = false;
-    dispatcher_.onEndpointList(roster.isComplete ? EndpointUpdateKind::complete : EndpointUpdateKind::delta,
-                               roster);
+    dispatcher_.onEndpointList(list.isComplete ? EndpointUpdateKind::complete : EndpointUpdateKind::delta,
+                               list);
     return true;
 }
 
-void EndpointWatcher::onFailed(EndpointPoll& call, std::string_view why) {
-    // Beside newer calls it ends without consequences: the next one is due by theirs.
-    if (unanswered_ != &call) {
-        if (!sourceSet_) log_(fmt::format("an older call for the list ended: {}; {}", why, call.progress()));
-        return drop(call);
+void EndpointWatcher::onFailed(EndpointPoll& poll, std::string_view reason) {
+    // Newer polls are in flight, by which the next one is due.
+    if (unanswered_ != &poll) {
+        if (!sourceSet_)
+            log_(fmt::format("an older poll for the endpoint list failed: {}; {}", reason, poll.progress()));
+        drop(poll);
+        return;
     }
-    recordFailure(why, call);
-    drop(call);
+    recordFailure(reason, poll);
+    drop(poll);
     dispatcher_.onPollFailed();
     if (sourceSet_)
-        moveToNextSource(why);
+        moveToNextSource(reason);
     else
         retryAfterPause();
 }
 
-void EndpointWatcher::drop(EndpointPoll& call) {
-    if (longPoll_ == &call) longPoll_ = nullptr;
-    if (unanswered_ == &call) unanswered_ = nullptr;
-    std::erase_if(polls_, [&](const auto& one) { return one.get() == &call; });
+void EndpointWatcher::drop(EndpointPoll& poll) {
+    if (longPoll_ == &poll) longPoll_ = nullptr;
+    if (unanswered_ == &poll) unanswered_ = nullptr;
+    std::erase_if(polls_, [&](const auto& one) { return one.get() == &poll; });
 }
 
-void EndpointWatcher::recordFailure(std::string_view why, const EndpointPoll& call) {
-    lastFailure_ = sourceSet_ ? fmt::format("{}: {}", call.source().host, why) : std::string(why);
-    if (sourceSet_) return;  // told with the move to the next source
-    const auto age = (transport::EventLoop::now() - lastHeardAt_) / kMillisecond;
-    log_(fmt::format("the list could not be had from discovery: {}; last heard of {} ms ago; {}", why, age,
-                     call.progress()));
+void EndpointWatcher::recordFailure(std::string_view reason, const EndpointPoll& poll) {
+    lastFailure_ = sourceSet_ ? fmt::format("{}: {}", poll.source().host, reason) : std::string(reason);
+    if (sourceSet_) return;  // logged with the move to the next source
+    const auto ageMs = (transport::EventLoop::now() - lastHeardAt_) / kMillisecond;
+    log_(fmt::format("endpoint list unavailable from discovery: {}; last heard {} ms ago; {}", reason, ageMs,
+                     poll.progress()));
 }
 
-bool EndpointWatcher::acceptsOlderVersion(EndpointPoll& call, const protocol::EndpointList& roster) {
-    const auto offered = fmt::format("version {} after version {}", roster.version, version_);
-    if (sourceSet_->selector.judgeVersion(roster.version, version_) == ListVerdict::older) {
-        onFailed(call, offered);
+bool EndpointWatcher::acceptOlderVersion(EndpointPoll& poll, const protocol::EndpointList& list) {
+    const auto offered = fmt::format("version {} after version {}", list.version, version_);
+    if (sourceSet_->selector.judgeVersion(list.version, version_) == ListVerdict::older) {
+        onFailed(poll, offered);
         return false;
     }
-    if (!roster.isComplete) {
+    if (!list.isComplete) {
         needsCompleteList_ = true;
-        onFailed(call, offered + ", as from all others; the whole list is needed");
+        onFailed(poll, offered + ", as from all others; the whole list is needed");
         return false;
     }
-    log_(fmt::format("takes {} from {}: every source tells an older one", offered, source_.host));
+    log_(fmt::format("accepts {} from {}: every source offers an older one", offered, source_.host));
     return true;
 }
 
-// A source that answers after another one was tried is the one in use again.
-void EndpointWatcher::resumeAtSourceOf(const EndpointPoll& call) {
-    if (isSameSource(call.source(), source_)) return;
-    const auto it =
+void EndpointWatcher::resumeAtSourceOf(const EndpointPoll& poll) {
+    if (isSameSource(poll.source(), source_)) return;
+    const auto source =
         std::find_if(sourceSet_->addresses.begin(), sourceSet_->addresses.end(),
-                     [&](const DiscoveryAddress& one) { return isSameSource(one, call.source()); });
-    if (it == sourceSet_->addresses.end()) return;
-    source_ = *it;
-    sourceSet_->selector.resumeAt(static_cast<std::size_t>(it - sourceSet_->addresses.begin()));
+                     [&](const DiscoveryAddress& one) { return isSameSource(one, poll.source()); });
+    if (source == sourceSet_->addresses.end()) return;
+    source_ = *source;
+    sourceSet_->selector.resumeAt(static_cast<std::size_t>(source - sourceSet_->addresses.begin()));
 }
 
-void EndpointWatcher::moveToNextSource(std::string_view why) {
-    const std::string failed = fmt::format("{}: {}", source_.host, why);
+void EndpointWatcher::moveToNextSource(std::string_view reason) {
+    const std::string failure = fmt::format("{}: {}", source_.host, reason);
     const Attempt next = sourceSet_->selector.onFailed(transport::EventLoop::now());
     source_ = sourceSet_->addresses[next.source];
     nextPoll_.start(next.at);
-    logMove(failed);
+    logMove(failure);
 }
 
-void EndpointWatcher::logMove(std::string_view why) {
+void EndpointWatcher::logMove(std::string_view reason) {
     const Nanos now = transport::EventLoop::now();
-    if (now - sourceSet_->logWindowBegan >= kLogWindow) {
-        sourceSet_->logWindowBegan = now;
-        sourceSet_->logged = 0;
+    if (now - sourceSet_->logWindowStart >= kMoveLogWindow) {
+        sourceSet_->logWindowStart = now;
+        sourceSet_->loggedMoves = 0;
     }
-    if (sourceSet_->logged >= kMostLoggedMoves) {
-        ++sourceSet_->unlogged;
+    if (sourceSet_->loggedMoves >= kMaxLoggedMoves) {
+        ++sourceSet_->unloggedMoves;
         return;
     }
-    ++sourceSet_->logged;
-    const auto unlogged =
-        sourceSet_->unlogged ? fmt::format("; {} more moves before", sourceSet_->unlogged) : "";
-    sourceSet_->unlogged = 0;
-    log_(fmt::format("asks {} for its list: {}; last heard of {} ms ago{}", source_.host, why,
-                     (now - lastHeardAt_) / kMillisecond, unlogged));
+    ++sourceSet_->loggedMoves;
+    const auto unlogged = sourceSet_->unloggedMoves
+                              ? fmt::format("; {} earlier moves not logged", sourceSet_->unloggedMoves)
+                              : "";
+    sourceSet_->unloggedMoves = 0;
+    log_(fmt::format("polls {} for the endpoint list from now on: {}; last heard {} ms ago{}", source_.host,
+                     reason, (now - lastHeardAt_) / kMillisecond, unlogged));
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -1,6 +1,4 @@
-// The watch on the server list: calls to its source, each answer told to the core. A call without an answer
-// stays out beside newer ones, and whichever tells more is taken. With several sources of the list, a failure
-// moves it on to another one, which is asked for what is newer than the known version.
+// Keeps the endpoint list current: polls its source and passes each response to the request dispatcher.
 #pragma once
 
 #include <memory>
@@ -15,72 +13,85 @@
 
 namespace poppyscale::discovery {
 
+// A poll without a response stays in flight beside newer ones, and whichever brings the newer list is
+// applied: a slow source is heard all the same. With several sources, a failure moves the watcher on to
+// another one, which is asked for what is newer than the known version. `PollPacing` and `SourceSelector`
+// decide when and whom; this class joins them with connections.
+//
+// Owns its polls. Loop, pool and dispatcher have to outlive it; all is called on the loop's thread.
 class EndpointWatcher : private EndpointPoll::Handler {
   public:
     struct Settings {
         std::vector<DiscoveryAddress> sources;  // at least one
-        std::uint64_t sourceSeed = 0;           // what the choice among several is drawn from
-        std::int64_t version = 0;               // of the list that is known
-        Nanos maxPollWait = 0;                  // of a call at its source
-        std::uint64_t seed = 0;
-        std::int64_t routerCount = 1;  // in the fleet
-        std::size_t maxListBytes = 0;  // bytes
-        bool isPushed = false;         // what the source has counts as told at once
+        std::uint64_t sourceSeed = 0;           // for the random choice among several
+        std::int64_t version = 0;               // of the list that is known at the start
+        Nanos maxPollWait = 0;                  // that a long poll may wait at its source
+        std::uint64_t seed = 0;                 // for random pauses
+        std::int64_t routerCount = 1;           // in the fleet
+        std::size_t maxListBytes = 0;
+        bool isPushed =
+            false;  // what the source has counts as known at once, whether or not a poll is in flight
     };
 
     EndpointWatcher(transport::EventLoop& loop, transport::BufferPool& pool, proxy::RequestDispatcher& core,
                     Settings settings, proxy::Log log);
 
-    // Nothing is asked before the first call of this; from then on the watch asks by itself.
+    // Polls now, unless a poll is due anyway. Nothing is polled before the first call; from then on the
+    // watcher goes on by itself.
     void start();
-    // The list is to be had elsewhere. Asked at once and for all of the list: its versions may not be those
-    // that were counted before. Where the source in use is among the new ones, calls that are out to it stay.
+    // Replaces the sources and polls at once for the complete list, whose versions may be counted otherwise.
+    // If the current source is among the new ones, its polls stay in flight.
     void setSources(std::vector<DiscoveryAddress> sources);
     void setRouterCount(std::int64_t routers) { pacing_.setRouterCount(routers); }
 
-    const std::string& currentSource() const { return source_.host; }  // in use, or the next to be asked
+    // In use, or the next to be polled.
+    const std::string& currentSource() const { return source_.host; }
     std::size_t sourceCount() const { return sourceSet_ ? sourceSet_->addresses.size() : 1; }
-    std::uint64_t pollCount() const { return pollsSent_; }  // since the start
-    // Why the list can't be had, from the first failure until an answer that can be used; empty while it can.
+    // Polls sent since the start.
+    std::uint64_t pollCount() const { return pollsSent_; }
+    // Why the list is unavailable, from the first failure until the next usable response; empty while it is
+    // available.
     const std::string& lastFailure() const { return lastFailure_; }
-    // When discovery last said what holds, if only that nothing has changed.
+    // When the last usable response came, on the loop's clock.
     Nanos lastHeardAt() const { return lastHeardAt_; }
 
   private:
-    // What is needed to choose among several sources; a single one is asked without it.
+    // The state of choosing among several sources.
     struct SourceSet {
         std::vector<DiscoveryAddress> addresses;
         SourceSelector selector;
-        Nanos logWindowBegan = 0;    // of the bound on logged moves
-        int logged = 0;              // moves within that window
-        std::uint64_t unlogged = 0;  // moves since the last logged one
+        Nanos logWindowStart = 0;         // of the bound on logged moves
+        int loggedMoves = 0;              // within that window
+        std::uint64_t unloggedMoves = 0;  // since the last logged one
     };
 
-    void onResponse(EndpointPoll& call) override;
-    void onFailed(EndpointPoll& call, std::string_view why) override;
+    void onResponse(EndpointPoll& poll) override;
+    void onFailed(EndpointPoll& poll, std::string_view reason) override;
     void onRequestSent() override { ++pollsSent_; }
 
     void replaceSources(std::vector<DiscoveryAddress> sources);
-    // An attempt at a source that has not answered since it was chosen.
+    // The current source has not responded since it was chosen.
     bool isProbing() const { return sourceSet_ && !sourceSet_->selector.isConfirmed(); }
     EndpointPoll::Request nextRequest();
-    // A new connection with a call on it, beside those that are out.
+    // Polls on a new connection, beside the polls in flight.
     void beginPoll();
-    // Another call on the connection of one that was answered.
-    void pollAgain(EndpointPoll& call);
-    void scheduleOverdue(const EndpointPoll& call, const EndpointPoll::Request& request);
-    // The pause after a failure is over, or the newest call has no answer in time.
+    // Polls again on the connection of a poll that has its response.
+    void pollAgain(EndpointPoll& poll);
+    void scheduleOverdue(const EndpointPoll& poll, const EndpointPoll::Request& request);
+    // The pause after a failure has ended, or the newest poll has no response in time.
     void onPollDue();
-    void drop(EndpointPoll& call);
-    void pollLater(EndpointPoll& call);
+    void drop(EndpointPoll& poll);
+    void pollLater(EndpointPoll& poll);
     void retryAfterPause();
-    bool applyResponse(EndpointPoll& call);
-    // Whether an answer of a version below the known one is to be taken; where not, its call has failed.
-    bool acceptsOlderVersion(EndpointPoll& call, const protocol::EndpointList& roster);
-    void resumeAtSourceOf(const EndpointPoll& call);
-    void recordFailure(std::string_view why, const EndpointPoll& call);
-    void moveToNextSource(std::string_view why);
-    void logMove(std::string_view why);
+    // False when the poll has failed by what it brought.
+    bool applyResponse(EndpointPoll& poll);
+    // Whether a response of a version below the known one is applied; if not, its poll has failed.
+    bool acceptOlderVersion(EndpointPoll& poll, const protocol::EndpointList& list);
+    // A source that responds after another one was tried is the current one again.
+    void resumeAtSourceOf(const EndpointPoll& poll);
+    void recordFailure(std::string_view reason, const EndpointPoll& poll);
+    void moveToNextSource(std::string_view reason);
+    void logMove(std::string_view reason);
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
@@ -92,14 +103,14 @@
     DiscoveryAddress source_;
     std::unique_ptr<SourceSet> sourceSet_;  // null with a single source
     std::int64_t version_;
-    bool needsCompleteList_ = false;  // the whole list, and no waiting for a change
+    bool needsCompleteList_ = false;  // the next poll asks for the complete list, without waiting
     const bool isPushed_;
     PollPacing pacing_;
-    transport::Timer nextPoll_;                         // rings when another call is due
+    transport::Timer nextPoll_;                         // fires when another poll is due
     std::vector<std::unique_ptr<EndpointPoll>> polls_;  // the oldest first
-    EndpointPoll* longPoll_ = nullptr;                  // the one that waits for changes, until it is overdue
+    EndpointPoll* longPoll_ = nullptr;  // the one that waits for a change, until it is overdue
     const EndpointPoll* unanswered_ =
-        nullptr;  // the newest call, until it is answered, overdue or has failed
+        nullptr;  // the newest poll, until it has its response, is overdue or has failed
     std::uint64_t pollsSent_ = 0;
     std::string lastFailure_;
     Nanos lastHeardAt_;
--- a/src/discovery/poll_pacing.cpp
+++ b/src/discovery/poll_pacing.cpp
@@ -4,46 +4,48 @@
 
 namespace poppyscale::discovery {
 
-PollPacing::PollPacing(std::int64_t routers, std::uint64_t seed, bool mayBeCrowded)
-    : routerCount_(routers),
+PollPacing::PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeCrowded)
+    : routerCount_(routerCount),
       mayBeCrowded_(mayBeCrowded),
       random_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)) {}
 
-void PollPacing::setMayBeCrowded(bool may) {
-    mayBeCrowded_ = may;
-    if (!may) promptAnswersLeft_ = 0;
+void PollPacing::setMayBeCrowded(bool mayBeCrowded) {
+    mayBeCrowded_ = mayBeCrowded;
+    if (!mayBeCrowded) promptResponsesLeft_ = 0;
 }
 
 void PollPacing::onRefused(Nanos now) {
     if (!mayBeCrowded_) return;
     if (!isCrowded()) {
-        const bool again = hadRoomAt_ != kNever && now - hadRoomAt_ < kCrowdedAgainWithin;
-        promptAnswersNeeded_ = again ? std::min(2 * promptAnswersNeeded_, kMaxPromptAnswers) : 1;
+        const bool isAgain = hasCapacitySince_ != kNever && now - hasCapacitySince_ < kCrowdedAgainWithin;
+        promptResponsesNeeded_ = isAgain ? std::min(2 * promptResponsesNeeded_, kMaxPromptResponses) : 1;
     }
-    promptAnswersLeft_ = promptAnswersNeeded_;
+    promptResponsesLeft_ = promptResponsesNeeded_;
 }
 
-Nanos PollPacing::pauseAfterFailure(Nanos age) {
-    if (isCrowded()) return draw(kMinRefusedPause, kMaxRefusedPause);
+Nanos PollPacing::pauseAfterFailure(Nanos listAge) {
+    if (isCrowded()) return randomBetween(kMinRefusedPause, kMaxRefusedPause);
     const Nanos byFleet = std::clamp(routerCount_ * kPausePerRouter, kMinPause, kMaxPause);
-    const double left = std::clamp(1 - static_cast<double>(age) / static_cast<double>(kUrgentAge), 0.0, 1.0);
-    const Nanos longest = std::max(byFleet, static_cast<Nanos>(left * static_cast<double>(kFirstPause)));
-    return draw(longest / 2, longest);
+    const double freshness =
+        std::clamp(1 - static_cast<double>(listAge) / static_cast<double>(kUrgentAge), 0.0, 1.0);
+    const Nanos max = std::max(byFleet, static_cast<Nanos>(freshness * static_cast<double>(kFirstPause)));
+    return randomBetween(max / 2, max);
 }
 
-void PollPacing::onAnswered(Nanos now, Nanos after) {
-    if (!isCrowded() || after > kPromptResponseTime) return;
-    if (--promptAnswersLeft_ == 0) hadRoomAt_ = now;
+void PollPacing::onAnswered(Nanos now, Nanos duration) {
+    if (!isCrowded() || duration > kPromptResponseTime) return;
+    --promptResponsesLeft_;
+    if (promptResponsesLeft_ == 0) hasCapacitySince_ = now;
 }
 
 Nanos PollPacing::intervalWithoutAnswer() {
-    return isCrowded() ? kCrowdedInterval : draw(kMinInterval, kMaxInterval);
+    return isCrowded() ? kCrowdedInterval : randomBetween(kMinInterval, kMaxInterval);
 }
 
-Nanos PollPacing::watchWait(Nanos longest) { return draw(longest / 2, longest); }
+Nanos PollPacing::longPollWait(Nanos maxWait) { return randomBetween(maxWait / 2, maxWait); }
 
-Nanos PollPacing::draw(Nanos least, Nanos most) {
-    return std::uniform_int_distribution<Nanos>(least, most)(random_);
+Nanos PollPacing::randomBetween(Nanos min, Nanos max) {
+    return std::uniform_int_distribution<Nanos>(min, max)(random_);
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/removed_endpoints.cpp
+++ b/src/discovery/removed_endpoints.cpp
@@ -5,8 +5,8 @@
 namespace poppyscale::discovery {
 namespace {
 
-// What one id costs beside its characters: a list node, a hash node and its bucket, each with the allocator's
-// own part.
+// Of one id beside its characters: a list node, a hash node and its bucket, with the overhead of the
+// allocator.
 constexpr std::size_t kBytesBesideId = 160;
 
 std::size_t bytesOf(std::string_view id) { return kBytesBesideId + id.size(); }
--- a/src/discovery/source_selector.cpp
+++ b/src/discovery/source_selector.cpp
@@ -7,11 +7,11 @@
 
 namespace poppyscale::discovery {
 
-SourceSelector::SourceSelector(std::size_t count, std::uint64_t seed, std::set<Safeguard> without)
-    : without_(std::move(without)), random_(seed), sources_(count), order_(count) {
+SourceSelector::SourceSelector(std::size_t count, std::uint64_t seed, std::set<Safeguard> disabled)
+    : disabled_(std::move(disabled)), random_(seed), sources_(count), order_(count) {
     assert(count >= 1 && count <= kMaxSources);
     std::iota(order_.begin(), order_.end(), std::size_t{0});
-    if (has(Safeguard::spread)) std::shuffle(order_.begin(), order_.end(), random_);
+    if (isEnabled(Safeguard::spread)) std::shuffle(order_.begin(), order_.end(), random_);
 }
 
 Nanos SourceSelector::firstTimeout() const {
@@ -51,33 +51,33 @@
     failures_ = 0;
     for (Source& source : sources_) source = Source{};
     confirmed_ = true;
-    if (!has(Safeguard::stickiness)) position_ = 0;
+    if (!isEnabled(Safeguard::stickiness)) position_ = 0;
 }
 
 ListVerdict SourceSelector::judgeVersion(std::int64_t offered, std::int64_t known) {
     if (offered >= known) return ListVerdict::usable;
-    if (!has(Safeguard::versionGuard)) return ListVerdict::allOlder;
+    if (!isEnabled(Safeguard::versionGuard)) return ListVerdict::allOlder;
     sources_[current()].offeredOlder = true;
     const bool all = std::all_of(sources_.begin(), sources_.end(),
                                  [](const Source& source) { return source.offeredOlder; });
     return all ? ListVerdict::allOlder : ListVerdict::older;
 }
 
-Nanos SourceSelector::draw(Nanos least, Nanos most) {
-    if (!has(Safeguard::jitter)) return most;
-    return std::uniform_int_distribution<Nanos>(least, most)(random_);
+Nanos SourceSelector::randomBetween(Nanos min, Nanos max) {
+    if (!isEnabled(Safeguard::jitter)) return max;
+    return std::uniform_int_distribution<Nanos>(min, max)(random_);
 }
 
 Nanos SourceSelector::backoffAfter(int failures) {
-    if (!has(Safeguard::backoff)) return 0;
-    Nanos longest = kFirstBackoff;
-    for (int i = 1; i < failures && longest < kMaxBackoff; ++i) longest *= 2;
-    return draw(longest / 2, longest);
+    if (!isEnabled(Safeguard::backoff)) return 0;
+    Nanos max = kFirstBackoff;
+    for (int i = 1; i < failures && max < kMaxBackoff; ++i) max *= 2;
+    return randomBetween(max / 2, max);
 }
 
 Nanos SourceSelector::pauseOfFirstRound() {
-    if (!has(Safeguard::bound)) return backoffAfter(static_cast<int>(failures_));
-    return draw(0, failures_ == 1 ? kLossJitter : kRoundJitter);
+    if (!isEnabled(Safeguard::bound)) return backoffAfter(static_cast<int>(failures_));
+    return randomBetween(0, failures_ == 1 ? kLossJitter : kRoundJitter);
 }
 
 void SourceSelector::moveToEarliestRetry() {
--- a/src/transport/buffer_pool.hpp
+++ b/src/transport/buffer_pool.hpp
@@ -1,5 +1,5 @@
-// Buffers of one size, used again. The pool is bounded: it is what keeps peers that don't read from filling
-// the machine.
+// Buffers of one size, used again. The pool is bounded, which keeps peers that don't read from filling the
+// memory.
 #pragma once
 
 #include <algorithm>
@@ -10,33 +10,39 @@
 
 namespace poppyscale::transport {
 
-constexpr std::size_t kBufferSize = 16 * 1024;
+constexpr std::size_t kBufferSize = 16 * 1024;  // bytes
 using Buffer = std::array<char, kBufferSize>;
 
+// Not thread-safe: of one event loop.
 class BufferPool {
   public:
-    explicit BufferPool(std::size_t most) : most_(most) {}
+    // `capacity`: buffers in use at a time.
+    explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
 
-    // Null when all are taken. What is given back before the next event may go past the bound: peers that
-    // don't read must not keep the others from being heard.
+    // Null when all are in use. A buffer that is given back before the next event may exceed the capacity:
+    // peers that don't read must not keep the others from being read.
     std::unique_ptr<Buffer> take(bool forThisEvent = false) {
         if (free_.empty()) {
-            if (made_ >= most_ && !forThisEvent) return nullptr;
-            ++made_;
+            if (allocated_ >= capacity_ && !forThisEvent) return nullptr;
+            ++allocated_;
             return std::unique_ptr<Buffer>(new Buffer);
         }
         auto buffer = std::move(free_.back());
         free_.pop_back();
         return buffer;
     }
-    std::size_t available() const { return most_ - std::min(made_ - free_.size(), most_); }
-    std::size_t capacity() const { return most_; }
-    void setCapacity(std::size_t most) { most_ = most; }
+    // Returns a buffer that `take` gave.
     void give(std::unique_ptr<Buffer> buffer) { free_.push_back(std::move(buffer)); }
 
+    // Buffers that may still be taken.
+    std::size_t available() const { return capacity_ - std::min(allocated_ - free_.size(), capacity_); }
+    std::size_t capacity() const { return capacity_; }
+    // Buffers in use beyond a lower capacity stay in use.
+    void setCapacity(std::size_t capacity) { capacity_ = capacity; }
+
   private:
-    std::size_t most_;
-    std::size_t made_ = 0;
+    std::size_t capacity_;
+    std::size_t allocated_ = 0;
     std::vector<std::unique_ptr<Buffer>> free_;
 };
 
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -30,9 +30,10 @@
     return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
-// Outlives its Connection until libuv has let go of it: `owner` is null from then on.
+// What libuv refers to. It outlives its Connection until libuv has closed the handle; `handler` is null from
+// then on.
 struct Connection::Handle {
-    struct Piece {
+    struct WriteChunk {
         std::unique_ptr<Buffer> buffer;
         std::size_t size;
     };
@@ -45,29 +46,29 @@
     uv_shutdown_t shutdown{};
     BufferPool& pool;
     uv_write_t write{};
-    Handler* owner;
-    std::unique_ptr<Buffer> reading;
-    // What the kernel has not taken yet; libuv has the first piece of it, and small ones share a buffer.
-    std::deque<Piece> queue;
-    std::size_t queued = 0;
-    bool writing = false;  // libuv has the first one
-    std::uint64_t sent = 0;
-    bool finished = false;
-
-    Handle(BufferPool& pool, Handler& owner, Kind kind) : kind(kind), pool(pool), owner(&owner) {
+    Handler* handler;
+    std::unique_ptr<Buffer> readBuffer;
+    // What the kernel has not taken yet. libuv has the first chunk; small writes share a buffer.
+    std::deque<WriteChunk> queue;
+    std::size_t queuedBytes = 0;
+    bool isWriting = false;  // libuv has the first chunk
+    std::uint64_t sentBytes = 0;
+    bool hasPeerFinished = false;
+
+    Handle(BufferPool& pool, Handler& handler, Kind kind) : kind(kind), pool(pool), handler(&handler) {
         write.data = this;
     }
     ~Handle() {
-        if (reading) pool.give(std::move(reading));
-        for (Piece& piece : queue) pool.give(std::move(piece.buffer));
+        if (readBuffer) pool.give(std::move(readBuffer));
+        for (WriteChunk& chunk : queue) pool.give(std::move(chunk.buffer));
     }
     uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&socket); }
     uv_handle_t* handle() { return reinterpret_cast<uv_handle_t*>(&socket); }
-    void atOnce() {
+    void disableNagle() {
         if (kind == Kind::tcp) uv_tcp_nodelay(&socket.tcp, 1);
     }
-    // libuv tells of an end as well where bytes and a reset have come together.
-    bool unbroken() {
+    // libuv reports an end of stream also where bytes and a reset have come together.
+    bool hasNoSocketError() {
         uv_os_fd_t descriptor{};
         int error = 0;
         socklen_t size = sizeof error;
@@ -77,53 +78,57 @@
     static Handle& of(void* data) { return *static_cast<Handle*>(data); }
 
     bool enqueue(std::string_view bytes) {
-        const bool behind = !queue.empty();
+        const bool wasQueued = !queue.empty();
         while (!bytes.empty()) {
-            // The first one is being written, so nothing may be added to it.
+            // The first chunk is being written, so nothing may be added to it.
             if (queue.size() < 2 || queue.back().size == kBufferSize) {
                 auto buffer = pool.take();
                 if (!buffer) return false;
                 queue.push_back({std::move(buffer), 0});
             }
-            Piece& last = queue.back();
+            WriteChunk& last = queue.back();
             const std::size_t size = std::min(bytes.size(), kBufferSize - last.size);
             std::memcpy(last.buffer->data() + last.size, bytes.data(), size);
             last.size += size;
-            queued += size;
+            queuedBytes += size;
             bytes.remove_prefix(size);
         }
-        return behind || queue.empty() || writeFirst();
+        if (wasQueued || queue.empty()) return true;
+        return writeFirst();
     }
     bool writeFirst() {
-        const uv_buf_t piece =
+        const uv_buf_t data =
             uv_buf_init(queue.front().buffer->data(), static_cast<unsigned>(queue.front().size));
-        writing = uv_write(&write, stream(), &piece, 1,
-                           [](uv_write_t* request, int status) { of(request->data).written(status); }) == 0;
-        return writing;
+        isWriting = uv_write(&write, stream(), &data, 1, [](uv_write_t* request, int status) {
+                        of(request->data).onWritten(status);
+                    }) == 0;
+        return isWriting;
     }
-    // By libuv's own count: it calls back a turn after the one in which the kernel took the last byte.
-    std::size_t unsent() const {
-        if (!writing) return queued;
+    // By libuv's own count, as it calls back one iteration after the kernel took the last byte.
+    std::size_t unsentBytes() const {
+        if (!isWriting) return queuedBytes;
         const auto* const s = reinterpret_cast<const uv_stream_t*>(&socket);
-        return queued - queue.front().size + uv_stream_get_write_queue_size(s);
+        return queuedBytes - queue.front().size + uv_stream_get_write_queue_size(s);
     }
-    void written(int status) {
-        writing = false;
-        // What failed stays counted as unsent: whoever asks must not take it for written.
+    void onWritten(int status) {
+        isWriting = false;
+        // What failed stays counted as unsent: callers must not take it for written.
         if (status == 0) {
-            queued -= queue.front().size;
-            sent += queue.front().size;
+            queuedBytes -= queue.front().size;
+            sentBytes += queue.front().size;
         }
         pool.give(std::move(queue.front().buffer));
         queue.pop_front();
-        if (!owner) return;
-        if (status < 0 || (!queue.empty() && !writeFirst())) return owner->onClosed();
-        if (queue.empty()) owner->onDrained();
+        if (!handler) return;
+        bool isBroken = status < 0;
+        if (!isBroken && !queue.empty()) isBroken = !writeFirst();
+        if (isBroken) return handler->onClosed();
+        if (queue.empty()) handler->onDrained();
     }
 };
 
-Connection::Connection(EventLoop& loop, BufferPool& pool, Handler& owner, Kind kind)
-    : handle_(new Handle(pool, owner, kind)) {
+Connection::Connection(EventLoop& loop, BufferPool& pool, Handler& handler, Kind kind)
+    : handle_(new Handle(pool, handler, kind)) {
     if (kind == Kind::tcp)
         uv_tcp_init(loop.raw(), &handle_->socket.tcp);
     else
@@ -132,75 +137,82 @@
 }
 
 Connection::~Connection() {
-    handle_->owner = nullptr;
+    handle_->handler = nullptr;
     uv_close(handle_->handle(), [](uv_handle_t* h) { delete static_cast<Handle*>(h->data); });
 }
 
-bool Connection::connect(const Address& to) {
+bool Connection::connect(const Address& address) {
     handle_->connect.data = handle_;
-    return uv_tcp_connect(&handle_->connect, &handle_->socket.tcp, reinterpret_cast<const sockaddr*>(&to),
-                          [](uv_connect_t* request, int status) {
+    return uv_tcp_connect(&handle_->connect, &handle_->socket.tcp,
+                          reinterpret_cast<const sockaddr*>(&address), [](uv_connect_t* request, int status) {
                               Handle& handle = Handle::of(request->data);
-                              if (!handle.owner) return;
-                              if (status == 0) handle.atOnce();
-                              handle.owner->onConnected(status == 0);
+                              if (!handle.handler) return;
+                              if (status == 0) handle.disableNagle();
+                              handle.handler->onConnected(status == 0);
                           }) == 0;
 }
 
 bool Connection::adopt(int descriptor) {
     const int opened = handle_->kind == Kind::tcp ? uv_tcp_open(&handle_->socket.tcp, descriptor)
                                                   : uv_pipe_open(&handle_->socket.local, descriptor);
-    if (opened != 0) return ::close(descriptor), false;
-    handle_->atOnce();
+    if (opened != 0) {
+        ::close(descriptor);
+        return false;
+    }
+    handle_->disableNagle();
     return true;
 }
 
 void Connection::setReading(bool on) {
-    if (!on) return void(uv_read_stop(handle_->stream()));
+    if (!on) {
+        uv_read_stop(handle_->stream());
+        return;
+    }
     uv_read_start(
         handle_->stream(),
         [](uv_handle_t* h, std::size_t, uv_buf_t* buffer) {
             Handle& handle = Handle::of(h->data);
-            if (!handle.reading) handle.reading = handle.pool.take(true);
-            *buffer = handle.reading
-                          ? uv_buf_init(handle.reading->data(), static_cast<unsigned>(handle.reading->size()))
-                          : uv_buf_init(nullptr, 0);
+            if (!handle.readBuffer) handle.readBuffer = handle.pool.take(true);
+            *buffer = handle.readBuffer ? uv_buf_init(handle.readBuffer->data(),
+                                                      static_cast<unsigned>(handle.readBuffer->size()))
+                                        : uv_buf_init(nullptr, 0);
         },
         [](uv_stream_t* s, ssize_t count, const uv_buf_t*) {
             Handle& handle = Handle::of(s->data);
-            // The buffer goes back before the call: the owner may want one to answer with.
-            auto buffer = std::move(handle.reading);
-            if (count == UV_EOF) handle.finished = handle.unbroken();
-            if (handle.owner && count > 0)
-                handle.owner->onData({buffer->data(), static_cast<std::size_t>(count)});
-            else if (handle.owner && count < 0)
-                handle.owner->onClosed();
+            // Taken out before the call, since the handler may destroy this connection.
+            auto buffer = std::move(handle.readBuffer);
+            if (count == UV_EOF) handle.hasPeerFinished = handle.hasNoSocketError();
+            if (handle.handler && count > 0)
+                handle.handler->onData({buffer->data(), static_cast<std::size_t>(count)});
+            else if (handle.handler && count < 0)
+                handle.handler->onClosed();
             if (buffer) handle.pool.give(std::move(buffer));
         });
 }
 
 bool Connection::write(std::string_view bytes) {
     if (handle_->queue.empty()) {
-        uv_buf_t piece = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-        const int written = uv_try_write(handle_->stream(), &piece, 1);
+        uv_buf_t data = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
+        const int written = uv_try_write(handle_->stream(), &data, 1);
         if (written < 0 && written != UV_EAGAIN) return false;
         if (written > 0) {
             bytes.remove_prefix(static_cast<std::size_t>(written));
-            handle_->sent += static_cast<std::uint64_t>(written);
+            handle_->sentBytes += static_cast<std::uint64_t>(written);
         }
     }
     return handle_->enqueue(bytes);
 }
 
-std::size_t Connection::unsentBytes() const { return handle_->unsent(); }
+std::size_t Connection::unsentBytes() const { return handle_->unsentBytes(); }
 
-std::uint64_t Connection::sentBytes() const { return handle_->sent; }
+std::uint64_t Connection::sentBytes() const { return handle_->sentBytes; }
 
 void Connection::shutdownWrite() {
     uv_shutdown(&handle_->shutdown, handle_->stream(), [](uv_shutdown_t*, int) {});
 }
 
-// As recv tells it: bytes, 0 at the end, below 0 an error, which is what an open and silent one has too.
+// The result of recv: bytes, 0 at the end of the stream, below 0 an error, as also for an open connection
+// without data.
 long Connection::peek() const {
     char byte = 0;
     const int from = descriptor();
@@ -212,7 +224,7 @@
     return uv_fileno(handle_->handle(), &descriptor) == 0 ? descriptor : -1;
 }
 
-bool Connection::hasPeerFinished() const { return handle_->finished; }
+bool Connection::hasPeerFinished() const { return handle_->hasPeerFinished; }
 
 bool Connection::hasPeerClosed() const {
     pollfd at{descriptor(), POLLRDHUP, 0};
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -6,9 +6,10 @@
 namespace poppyscale::transport {
 namespace {
 
-constexpr Nanos kLongestPoll = 20 * kMillisecond;               // so that being held up in one shows
-constexpr Nanos kHeldUp = 10 * kMillisecond;                    // shorter ones are any busy machine's
-constexpr Nanos kSetForward = 1'000'000 * kMillisecond * 1000;  // eleven days
+constexpr Nanos kMaxPollDuration =
+    20 * kMillisecond;                           // short, so that being held up within a poll is noticed
+constexpr Nanos kMinHoldUp = 10 * kMillisecond;  // shorter delays occur on any busy machine
+constexpr Nanos kClockOffset = 1'000'000 * kMillisecond * 1000;
 
 }  // namespace
 
@@ -17,20 +18,22 @@
     uv_prepare_init(&loop_, &prepare_);
     uv_check_init(&loop_, &check_);
     uv_timer_init(&loop_, &timer_);
-    prepare_.data = check_.data = timer_.data = this;
+    prepare_.data = this;
+    check_.data = this;
+    timer_.data = this;
 }
 
 EventLoop::~EventLoop() {
     for (auto* handle : {reinterpret_cast<uv_handle_t*>(&prepare_), reinterpret_cast<uv_handle_t*>(&check_),
                          reinterpret_cast<uv_handle_t*>(&timer_)})
         uv_close(handle, nullptr);
-    // Handles close in a turn of their own; one that was told to stop before it ran would close none.
+    // Handles close in an iteration of their own, and a loop that was stopped before it ran would close none.
     while (uv_run(&loop_, UV_RUN_DEFAULT) != 0) {
     }
     uv_loop_close(&loop_);
 }
 
-Nanos EventLoop::now() { return static_cast<Nanos>(uv_hrtime()) + kSetForward; }
+Nanos EventLoop::now() { return static_cast<Nanos>(uv_hrtime()) + kClockOffset; }
 
 void EventLoop::run() {
     uv_prepare_start(&prepare_, [](uv_prepare_t* h) { static_cast<EventLoop*>(h->data)->beforePoll(); });
@@ -42,52 +45,51 @@
 }
 
 void EventLoop::beforePoll() {
-    if (handOver_) handOver_();
-    // The timer only ends the poll: alarms ring after it, so that an answer that has come in is read before
-    // its relay is given up. libuv counts whole milliseconds from a time it keeps; too early a one is set
-    // again.
+    if (iteration_) iteration_();
+    // libuv's timer only ends the poll and ours fire after it, so that a response that has arrived is read
+    // before its attempt times out. libuv counts whole milliseconds from a time that it caches; one that ends
+    // too early is started again.
     uv_update_time(&loop_);
     const Nanos began = now();
-    Nanos left = kLongestPoll;
-    if (!alarms_.empty()) left = std::clamp<Nanos>(alarms_.begin()->first - began, 0, kLongestPoll);
+    Nanos left = kMaxPollDuration;
+    if (!timers_.empty()) left = std::clamp<Nanos>(timers_.begin()->first - began, 0, kMaxPollDuration);
     const auto wait = static_cast<std::uint64_t>((left + kMillisecond - 1) / kMillisecond);
     uv_timer_start(
         &timer_, [](uv_timer_t*) {}, wait, 0);
-    pollDue_ = began + left;
-    // Sockets are read within the poll. Where the last turn took long, what is there may be as old as that
-    // turn; how late the poll itself returns is only known by then.
-    arrivedBy_ = began - polledAt_ > kHeldUp && polledAt_ ? polledAt_ : 0;
-    reading_ = true;
+    pollDeadline_ = began + left;
+    // Sockets are read within the poll. After a long iteration what is there may be as old as that iteration;
+    // how late the poll itself returns is only known by then.
+    const bool wasHeldUp = began - lastPollEnd_ > kMinHoldUp && lastPollEnd_ != 0;
+    knownArrival_ = wasHeldUp ? lastPollEnd_ : 0;
+    isPolling_ = true;
 }
 
 Nanos EventLoop::earliestArrival() const {
     const Nanos at = now();
-    if (!reading_) return at;
-    if (arrivedBy_) return arrivedBy_;
-    return at - pollDue_ > kHeldUp ? pollDue_ : at;
+    if (!isPolling_) return at;
+    if (knownArrival_ != 0) return knownArrival_;
+    return at - pollDeadline_ > kMinHoldUp ? pollDeadline_ : at;
 }
 
 void EventLoop::afterPoll() {
-    reading_ = false;
-    // Held up in the poll, libuv may have come back from it without reading anything: what has come by then
-    // is read first, in a turn that does not wait.
+    isPolling_ = false;
+    // Held up in the poll, libuv may have returned without reading: what has arrived by then is read first,
+    // by an iteration that does not wait.
     const Nanos at = now();
-    const bool heldUp = at - pollDue_ > kHeldUp;
-    polledAt_ = heldUp ? pollDue_ : at;
-    unread_ = heldUp && !unread_;
-    if (!unread_) fireTimers();
-    if (handOver_) handOver_();
+    const bool wasHeldUp = at - pollDeadline_ > kMinHoldUp;
+    lastPollEnd_ = wasHeldUp ? pollDeadline_ : at;
+    mayHaveUnread_ = wasHeldUp && !mayHaveUnread_;
+    if (!mayHaveUnread_) fireTimers();
+    if (iteration_) iteration_();
 }
 
 void EventLoop::fireTimers() {
-    // What rings may set alarms: those that fall due at once wait for the next turn.
+    // Callbacks may start timers: those that are due at once wait for the next iteration.
     const Nanos until = now();
-    while (!alarms_.empty() && alarms_.begin()->first <= until) {
-        Timer* const alarm = alarms_.begin()->second;
-        alarms_.erase(alarms_.begin());
-        alarm->at_ = 0;
-        const auto ring = alarm->ring_;  // the alarm may be destroyed by what it rings for
-        ring();
+    while (!timers_.empty() && timers_.begin()->first <= until) {
+        Timer* const timer = timers_.begin()->second;
+        timers_.erase(timers_.begin());
+        timer->expire();
     }
 }
 
@@ -95,21 +97,27 @@
     if (at == at_) return;
     stop();
     at_ = std::max<Nanos>(at, 1);
-    loop_.alarms_.emplace(at_, this);
+    loop_.addTimer(*this, at_);
 }
 
 void Timer::stop() {
     if (at_ == 0) return;
-    loop_.alarms_.erase({at_, this});
+    loop_.removeTimer(*this, at_);
     at_ = 0;
 }
 
-Signal::Signal(EventLoop& loop, int number, std::function<void()> come)
-    : handle_(new uv_signal_t{}), come_(std::move(come)) {
+void Timer::expire() {
+    at_ = 0;
+    const auto callback = callback_;  // this timer may be destroyed by its callback
+    callback();
+}
+
+Signal::Signal(EventLoop& loop, int number, std::function<void()> callback)
+    : handle_(new uv_signal_t{}), callback_(std::move(callback)) {
     uv_signal_init(loop.raw(), handle_);
     handle_->data = this;
     uv_signal_start(
-        handle_, [](uv_signal_t* s, int) { static_cast<Signal*>(s->data)->come_(); }, number);
+        handle_, [](uv_signal_t* s, int) { static_cast<Signal*>(s->data)->callback_(); }, number);
 }
 
 Signal::~Signal() {
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: one thread, one clock, alarms in nanoseconds, and a call around each poll.
+// The event loop: one thread, one clock, timers in nanoseconds, and a callback around each poll.
 #pragma once
 
 #include <uv.h>
@@ -13,27 +13,37 @@
 
 class Timer;
 
+// Runs libuv's loop on the calling thread. Everything in this folder belongs to one loop and is used on its
+// thread only; it has to be destroyed before the loop is.
 class EventLoop {
   public:
     EventLoop();
+    // Closes its own handles and runs until all others have closed.
     ~EventLoop();
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
-    // The monotonic clock, set forward so that a machine that has just booted can still name times before.
+    // The monotonic clock, set forward so that a process on a machine that has just booted can name earlier
+    // times.
     static Nanos now();
-    // Since when what is being read may have stood in the kernel: now, unless the process was held up. A
-    // client's wait has begun by then, and a cache has answered by then.
+    // The earliest moment at which what is being read may have arrived in the kernel: now, unless the process
+    // was held up (stopped, or short of processor time). A client has been waiting since then, and a server
+    // had answered by then.
     Nanos earliestArrival() const;
+    // For libuv's own calls.
     uv_loop_t* raw() { return &loop_; }
-    // Called before the poll and after it: libuv runs timers before polling, and what they bring must not
-    // wait until something comes in on a socket.
-    void onIteration(std::function<void()> handOver) { handOver_ = std::move(handOver); }
+    // Sets what is called before and after each poll: libuv runs its timers before polling, and what they
+    // cause must not wait until a socket becomes readable.
+    void onIteration(std::function<void()> callback) { iteration_ = std::move(callback); }
+    // Returns after `stop`.
     void run();
     void stop() { uv_stop(&loop_); }
 
+    // For Timer alone: `timer` fires once at `at`, unless it is removed before.
+    void addTimer(Timer& timer, Nanos at) { timers_.emplace(at, &timer); }
+    void removeTimer(Timer& timer, Nanos at) { timers_.erase({at, &timer}); }
+
   private:
-    friend class Timer;
     void beforePoll();
     void afterPoll();
     void fireTimers();
@@ -42,45 +52,49 @@
     uv_prepare_t prepare_{};
     uv_check_t check_{};
     uv_timer_t timer_{};
-    std::function<void()> handOver_;
-    std::set<std::pair<Nanos, Timer*>> alarms_;
-    Nanos pollDue_ = 0;    // when the poll ends at the latest, if nobody holds the process up
-    Nanos polledAt_ = 0;   // when the last one ended
-    Nanos arrivedBy_ = 0;  // known before the poll, else 0
-    bool reading_ = false;
-    bool unread_ = false;  // the last one was held up and may have read nothing: alarms wait for another
+    std::function<void()> iteration_;
+    std::set<std::pair<Nanos, Timer*>> timers_;
+    Nanos pollDeadline_ = 0;  // when the poll ends at the latest, if nothing holds the process up
+    Nanos lastPollEnd_ = 0;   // 0 before the first poll
+    Nanos knownArrival_ = 0;  // `earliestArrival` where it is known before the poll, else 0
+    bool isPolling_ = false;
+    bool mayHaveUnread_ =
+        false;  // the last poll was held up and may have read nothing: timers wait for another one
 };
 
-// Rings once for each time it is set.
+// Calls back once for each time that it is started. Stops when it is destroyed, which its callback may do.
 class Timer {
   public:
-    Timer(EventLoop& loop, std::function<void()> ring) : loop_(loop), ring_(std::move(ring)) {}
+    Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
     ~Timer() { stop(); }
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
 
+    // Fires at `at` on the loop's clock; an earlier start is replaced.
     void start(Nanos at);
     void stop();
     bool isActive() const { return at_ != 0; }
 
+    // For the loop alone, which has removed the timer.
+    void expire();
+
   private:
-    friend class EventLoop;
     EventLoop& loop_;
-    std::function<void()> ring_;
-    Nanos at_ = 0;
+    std::function<void()> callback_;
+    Nanos at_ = 0;  // 0 while it is not active
 };
 
-// A signal to the process, brought in a turn of the loop for as long as this lives.
+// Calls back on the loop's thread for each signal `number` to the process, for as long as this lives.
 class Signal {
   public:
-    Signal(EventLoop& loop, int number, std::function<void()> come);
+    Signal(EventLoop& loop, int number, std::function<void()> callback);
     ~Signal();
     Signal(const Signal&) = delete;
     Signal& operator=(const Signal&) = delete;
 
   private:
-    uv_signal_t* handle_;
-    std::function<void()> come_;
+    uv_signal_t* handle_;  // libuv's until its close callback
+    std::function<void()> callback_;
 };
 
 }  // namespace poppyscale::transport
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -8,25 +8,24 @@
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
-#include <utility>
 
 namespace poppyscale::transport {
 namespace {
 
 constexpr int kBacklog = 4096;
-// Accepted in one turn, so that a storm of clients does not keep those that are there waiting.
-constexpr int kMostInTurn = 256;
-// After a failure for want of descriptors or memory, which others may free at any time.
-constexpr Nanos kPauseWhenExhausted = 10 * kMillisecond;
-// Of a backlog that is emptied before the listener goes.
-constexpr int kMostFailuresOfBacklog = 100;
+// Keeps a burst of new clients from delaying the connected ones.
+constexpr int kMaxAcceptsPerIteration = 256;
+// After a failure for lack of descriptors or memory, which others may free at any time.
+constexpr Nanos kExhaustionPause = 10 * kMillisecond;
+// While the backlog is emptied before the listener closes.
+constexpr int kMaxBacklogFailures = 100;
 
 }  // namespace
 
-// libuv's own listener closes all who wait in the backlog where the system has no descriptor left for a
-// moment: they have sent requests by then. So the socket is polled, and accepted on here.
-Listener::Listener(EventLoop& loop, AcceptHandler admit, Connection::Kind kind)
-    : loop_(loop), admit_(std::move(admit)), kind_(kind), retry_(loop, [this] { watch(true); }) {}
+// libuv's own listener closes every connection in the backlog when the system is out of descriptors for a
+// moment, although their clients have sent requests by then. So the socket is polled, and accepted on here.
+Listener::Listener(EventLoop& loop, AcceptHandler onAccept, Connection::Kind kind)
+    : loop_(loop), onAccept_(std::move(onAccept)), kind_(kind), retry_(loop, [this] { setPolling(true); }) {}
 
 Listener::~Listener() {
     if (poll_)
@@ -35,101 +34,108 @@
     if (descriptor_ >= 0) ::close(descriptor_);
 }
 
-std::string Listener::fail() {
+std::string Listener::closeAfterError() {
     const std::string problem = uv_strerror(-errno);
-    if (descriptor_ >= 0) ::close(std::exchange(descriptor_, -1));
+    if (descriptor_ >= 0) ::close(descriptor_);
+    descriptor_ = -1;
     return problem;
 }
 
-std::string Listener::begin() {
-    if (::listen(descriptor_, kBacklog) != 0) return fail();
+std::string Listener::startListening() {
+    if (::listen(descriptor_, kBacklog) != 0) return closeAfterError();
     poll_ = new uv_poll_t{};
-    if (const int status = uv_poll_init(loop_.raw(), poll_, descriptor_); status != 0) {
-        delete std::exchange(poll_, nullptr);
+    const int status = uv_poll_init(loop_.raw(), poll_, descriptor_);
+    if (status != 0) {
+        delete poll_;
+        poll_ = nullptr;
         return uv_strerror(status);
     }
     poll_->data = this;
-    watch(true);
+    setPolling(true);
     return "";
 }
 
-void Listener::watch(bool on) {
-    if (!on) return void(uv_poll_stop(poll_));
+void Listener::setPolling(bool on) {
+    if (!on) {
+        uv_poll_stop(poll_);
+        return;
+    }
     uv_poll_start(poll_, UV_READABLE,
                   [](uv_poll_t* poll, int, int) { static_cast<Listener*>(poll->data)->acceptSome(); });
 }
 
-std::string Listener::listen(const Address& at) {
+std::string Listener::listen(const Address& address) {
     descriptor_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (descriptor_ < 0) return fail();
+    if (descriptor_ < 0) return closeAfterError();
     const int yes = 1;
     if (::setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) != 0 ||
-        ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-        return fail();
-    return begin();
+        ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+        return closeAfterError();
+    return startListening();
 }
 
 std::string Listener::adopt(int descriptor) {
     descriptor_ = descriptor;
-    return begin();
+    return startListening();
 }
 
 std::string Listener::listenAtPath(const std::string& path) {
-    const std::string fresh = path + "." + std::to_string(::getpid());
+    const std::string temporaryPath = path + "." + std::to_string(::getpid());
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
-    if (fresh.size() >= sizeof at.sun_path) return uv_strerror(UV_ENAMETOOLONG);
-    std::memcpy(at.sun_path, fresh.data(), fresh.size());
+    if (temporaryPath.size() >= sizeof at.sun_path) return uv_strerror(UV_ENAMETOOLONG);
+    std::memcpy(at.sun_path, temporaryPath.data(), temporaryPath.size());
     descriptor_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (descriptor_ < 0) return fail();
-    ::unlink(fresh.c_str());
-    // Before anyone can open it: between bind and chmod it would be open to all.
+    if (descriptor_ < 0) return closeAfterError();
+    ::unlink(temporaryPath.c_str());
+    // By the mask, since between bind and chmod anyone could open it.
     const mode_t mask = ::umask(0177);
     const int bound = ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&at), sizeof at);
     ::umask(mask);
-    if (bound != 0) return fail();
-    std::string problem = begin();
-    if (problem.empty() && ::rename(fresh.c_str(), path.c_str()) != 0) problem = std::strerror(errno);
-    if (!problem.empty()) ::unlink(fresh.c_str());
+    if (bound != 0) return closeAfterError();
+    std::string problem = startListening();
+    if (problem.empty() && ::rename(temporaryPath.c_str(), path.c_str()) != 0) problem = std::strerror(errno);
+    if (!problem.empty()) ::unlink(temporaryPath.c_str());
     return problem;
 }
 
-Listener::Accepted Listener::acceptOne() {
+Listener::AcceptStatus Listener::acceptOne() {
     const int accepted = ::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted < 0) {
-        if (errno == EAGAIN || errno == EWOULDBLOCK) return Accepted::none;
+        if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptStatus::backlogEmpty;
         const bool isFull = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-        // Others are of the connection that waited, which is gone, or of this call alone.
-        return isFull ? Accepted::exhausted : Accepted::again;
+        // Other errors concern the connection that waited, which is gone, or this call alone.
+        return isFull ? AcceptStatus::exhausted : AcceptStatus::retry;
     }
     bool adopted = false;
-    admit_([&](Connection& connection) {
+    onAccept_([&](Connection& connection) {
         adopted = true;
         return connection.adopt(accepted);
     });
     if (!adopted) ::close(accepted);
-    return Accepted::one;
+    return AcceptStatus::accepted;
 }
 
 void Listener::acceptSome() {
-    for (int i = 0; i < kMostInTurn && descriptor_ >= 0; ++i) {
-        const Accepted result = acceptOne();
-        if (result == Accepted::none) return;
-        if (result == Accepted::exhausted) return rest(errno);
+    for (int i = 0; i < kMaxAcceptsPerIteration && descriptor_ >= 0; ++i) {
+        const AcceptStatus result = acceptOne();
+        if (result == AcceptStatus::backlogEmpty) return;
+        if (result == AcceptStatus::exhausted) return pause(errno);
     }
 }
 
-void Listener::rest(int error) {
-    watch(false);
-    retry_.start(EventLoop::now() + kPauseWhenExhausted);
+void Listener::pause(int error) {
+    setPolling(false);
+    retry_.start(EventLoop::now() + kExhaustionPause);
     if (exhausted_) exhausted_(std::strerror(error));
 }
 
 void Listener::acceptBacklog() {
-    for (int failures = 0; descriptor_ >= 0 && failures < kMostFailuresOfBacklog;) {
-        const Accepted result = acceptOne();
-        if (result == Accepted::none) return;
-        if (result != Accepted::one) ++failures;
+    int failures = 0;
+    while (descriptor_ >= 0 && failures < kMaxBacklogFailures) {
+        const AcceptStatus result = acceptOne();
+        if (result == AcceptStatus::backlogEmpty) return;
+        if (result != AcceptStatus::accepted) ++failures;
     }
 }
 
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// Where clients connect.
+// A listening socket: TCP, or a Unix socket at a path.
 #pragma once
 
 #include <cstdint>
@@ -10,50 +10,56 @@
 
 namespace poppyscale::transport {
 
+// Accepts connections for as long as it lives, and closes its descriptor at the end. Whoever waits while the
+// system has no descriptor or memory left stays in the backlog and is accepted later; nobody is closed
+// unanswered for that.
 class Listener {
   public:
-    // `admit` gets the connection half made and finishes it with `accept` or `adopt`.
+    // Makes the connection and passes it to `finish`, which adopts the accepted descriptor; false when that
+    // fails. Without a call of `finish` the client is closed.
     using AcceptHandler = std::function<void(const std::function<bool(Connection&)>& finish)>;
-    // The system has nothing left for another connection, for the reason given: whoever waits stays in the
-    // backlog, and is accepted once that is over. Told with each pause that this makes.
-    using ExhaustionHandler = std::function<void(std::string_view why)>;
+    // Accepting pauses because the system has nothing left for another connection; called for each such
+    // pause.
+    using ExhaustionHandler = std::function<void(std::string_view reason)>;
 
-    Listener(EventLoop& loop, AcceptHandler admit, Connection::Kind kind = Connection::Kind::tcp);
+    Listener(EventLoop& loop, AcceptHandler onAccept, Connection::Kind kind = Connection::Kind::tcp);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    void onExhausted(ExhaustionHandler told) { exhausted_ = std::move(told); }
+    void onExhausted(ExhaustionHandler handler) { exhausted_ = std::move(handler); }
 
-    // Empty when it listens, else what the system said.
-    std::string listen(const Address& at);
-    // A Unix socket that only its owner may open. What a process that has died left at that path goes; a
-    // living one's is taken over in one step, so that nobody finds the path empty in between.
+    // Each of the three returns an empty string once it listens, else the system's error.
+    std::string listen(const Address& address);
+    // A Unix socket that only its owner may open. A socket that stands at that path already is replaced in
+    // one step, so that nobody finds the path empty in between.
     std::string listenAtPath(const std::string& path);
-    // On a socket that another process has bound; it is ours from now on.
+    // Listens on a socket that another process has bound, and owns `descriptor` from then on.
     std::string adopt(int descriptor);
+
+    // Below 0 while it does not listen.
     int descriptor() const { return descriptor_; }
-    // Takes what stands in the backlog: the kernel has accepted it, so its clients count on an answer.
+    // Accepts all that the backlog holds: the kernel has completed those connections, so their clients expect
+    // a response.
     void acceptBacklog();
 
   private:
-    // Of accepting one connection. `none`: nobody waits.
-    enum class Accepted : std::uint8_t { one, none, again, exhausted };
+    enum class AcceptStatus : std::uint8_t { accepted, backlogEmpty, retry, exhausted };
 
-    std::string begin();
-    std::string fail();
-    void watch(bool on);
+    std::string startListening();
+    std::string closeAfterError();
+    void setPolling(bool on);
     void acceptSome();
-    Accepted acceptOne();
-    void rest(int error);
+    AcceptStatus acceptOne();
+    void pause(int error);
 
     EventLoop& loop_;
-    AcceptHandler admit_;
+    AcceptHandler onAccept_;
     ExhaustionHandler exhausted_;
     Connection::Kind kind_;
     int descriptor_ = -1;
-    uv_poll_t* poll_ = nullptr;  // of the loop's: told when somebody waits
-    Timer retry_;                // rings when accepting is tried again after a failure
+    uv_poll_t* poll_ = nullptr;  // libuv's until its close callback
+    Timer retry_;                // ends the pause after an exhaustion
 };
 
 }  // namespace poppyscale::transport
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -219,13 +219,12 @@
         std::filesystem::remove_all(folder_);
     }
     void start() {
-        const std::string settings = folder_ + "/settings.toml", log = folder_ + "/log";
-        pid_ = fork();
-        if (pid_ != 0) return;
-        if (!freopen(log.c_str(), "a", stderr)) _exit(126);
-        execl(POPPYSCALE_ENDPOINT_DISTRIBUTOR, POPPYSCALE_ENDPOINT_DISTRIBUTOR, "--config", settings.c_str(),
-              nullptr);
-        _exit(127);
+        SpawnOptions options;
+        options.log = folder_ + "/log";
+        options.appendsToLog = true;
+        pid_ =
+            spawnProgram(POPPYSCALE_ENDPOINT_DISTRIBUTOR,
+                         {POPPYSCALE_ENDPOINT_DISTRIBUTOR, "--config", folder_ + "/settings.toml"}, options);
     }
     // Until it has a list.
     void ready() const {
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -287,7 +287,8 @@
         REQUIRE(requests.size() > asked);
         CHECK(requests[asked].line.starts_with(whole ? kWhole : after(8)));
         if (!whole) CHECK_FALSE(hasRequest(*other, kWhole));
-        CHECK(router.logs("asks " + other->address() + " for its list: " + used->address()));
+        CHECK(router.logs("polls " + other->address() +
+                          " for the endpoint list from now on: " + used->address()));
         CHECK(router.list().at("source") == other->address());
         CHECK(router.list().at("trouble") == "");
     }
@@ -434,7 +435,8 @@
     // Bounded, however long it lasts.
     const std::string log = pair.router.program.log();
     std::size_t moves = 0;
-    for (auto at = log.find("for its list:"); at != std::string::npos; at = log.find("for its list:", at + 1))
+    for (auto at = log.find("for the endpoint list from now on:"); at != std::string::npos;
+         at = log.find("for the endpoint list from now on:", at + 1))
         ++moves;
     CHECK(moves <= 20);
     // It catches up.
@@ -496,8 +498,8 @@
     CHECK_FALSE(router.list().contains("sources"));
     CHECK(router.status().find("distributors") == std::string::npos);
     discovery.say(http(503, ""));
-    CHECK(soon([&] { return router.logs("the list could not be had from discovery: answered 503"); }));
-    CHECK_FALSE(router.logs("for its list"));
+    CHECK(soon([&] { return router.logs("endpoint list unavailable from discovery: answered 503"); }));
+    CHECK_FALSE(router.logs("for the endpoint list from now on"));
 }
 
 TEST_CASE("thirty routers that lose a source don't arrive at the other one together") {
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -3,15 +3,19 @@
 #pragma once
 
 #include <arpa/inet.h>
+#include <fcntl.h>
 #include <netinet/in.h>
 #include <poll.h>
 #include <signal.h>
+#include <spawn.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstdlib>
+#include <cstring>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -341,6 +345,44 @@
             {"cell", 0}, {"state", state},         {"weight", 1.0}, {"started_ms", startedMs}};
 }
 
+// Starts a program without running any code of ours in the child: tests have threads, and a lock that one of
+// them holds at a fork (the allocator's, say) stays held in the child for ever.
+struct SpawnOptions {
+    std::string log;  // for standard error; empty: that of the test
+    bool appendsToLog = false;
+    int descriptor = -1;                   // inherited as descriptor 4
+    std::vector<std::string> environment;  // NAME=VALUE, beside the test's own or in place of it
+};
+inline pid_t spawnProgram(const char* path, std::vector<std::string> arguments, const SpawnOptions& options) {
+    posix_spawn_file_actions_t actions;
+    posix_spawn_file_actions_init(&actions);
+    if (options.descriptor >= 0) posix_spawn_file_actions_adddup2(&actions, options.descriptor, 4);
+    const int mode = O_WRONLY | O_CREAT | (options.appendsToLog ? O_APPEND : O_TRUNC);
+    if (!options.log.empty())
+        posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, options.log.c_str(), mode, 0666);
+
+    std::vector<std::string> variables = options.environment;
+    for (char** variable = environ; *variable != nullptr; ++variable) {
+        const std::string text = *variable;
+        const std::string name = text.substr(0, text.find('=') + 1);
+        const auto isReplaced = [&](const std::string& other) { return other.starts_with(name); };
+        if (std::none_of(options.environment.begin(), options.environment.end(), isReplaced))
+            variables.push_back(text);
+    }
+    std::vector<char*> argv, envp;
+    for (std::string& argument : arguments) argv.push_back(argument.data());
+    for (std::string& variable : variables) envp.push_back(variable.data());
+    argv.push_back(nullptr);
+    envp.push_back(nullptr);
+
+    pid_t pid = -1;
+    const int error = posix_spawn(&pid, path, &actions, nullptr, argv.data(), envp.data());
+    posix_spawn_file_actions_destroy(&actions);
+    if (error != 0)
+        throw std::runtime_error(std::string("can't start ") + path + ": " + std::strerror(error));
+    return pid;
+}
+
 // The program, started with what is given and ended with the story.
 class Program {
   public:
@@ -364,18 +406,14 @@
         std::ofstream(folder_ + "/operator.toml") << text;
     }
     void start(bool withOperator) {
-        const std::string log = folder_ + "/log";
-        pid_ = fork();
-        if (pid_ == 0) {
-            if (passed_ >= 0 && dup2(passed_, 4) == 4) setenv("ROUTER_PASSED_SOCKET", "4", 1);
-            if (!tmp_.empty()) setenv("TMPDIR", tmp_.c_str(), 1);
-            if (!freopen(log.c_str(), "w", stderr)) _exit(126);
-            const std::string file = folder_ + "/operator.toml";
-            if (withOperator)
-                execl(POPPYSCALE_PROGRAM, POPPYSCALE_PROGRAM, "serve", "--operator", file.c_str(), nullptr);
-            execl(POPPYSCALE_PROGRAM, "poppyscale", nullptr);
-            _exit(127);
-        }
+        SpawnOptions options;
+        options.log = folder_ + "/log";
+        options.descriptor = passed_;
+        if (passed_ >= 0) options.environment.push_back("ROUTER_PASSED_SOCKET=4");
+        if (!tmp_.empty()) options.environment.push_back("TMPDIR=" + tmp_);
+        std::vector<std::string> arguments{"poppyscale"};
+        if (withOperator) arguments = {POPPYSCALE_PROGRAM, "serve", "--operator", folder_ + "/operator.toml"};
+        pid_ = spawnProgram(POPPYSCALE_PROGRAM, arguments, options);
     }
     const std::string& folder() const { return folder_; }
     std::string door() const { return folder_ + "/admin.sock"; }
@@ -397,6 +435,18 @@
         std::ifstream file(folder_ + "/log");
         return {std::istreambuf_iterator<char>(file), {}};
     }
+    // What the process is doing, for a failure's message: its command line, state and the kernel function
+    // that it waits in.
+    std::string state() const {
+        std::string text;
+        for (const char* name : {"cmdline", "stat", "wchan"}) {
+            std::ifstream file("/proc/" + std::to_string(pid_) + "/" + name);
+            std::string content{std::istreambuf_iterator<char>(file), {}};
+            std::replace(content.begin(), content.end(), '\0', ' ');
+            text += content + "; ";
+        }
+        return text;
+    }
     std::size_t residentKiB() const {
         std::ifstream file("/proc/" + std::to_string(pid_) + "/statm");
         std::size_t pages = 0;
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -575,7 +575,7 @@
     CHECK(trouble().empty());
     client.say(get("n"));
     CHECK_FALSE(d.cache.quiet(kSoon));
-    CHECK(d.program.log().find("the list is had from discovery again") != std::string::npos);
+    CHECK(d.program.log().find("endpoint list available again from discovery") != std::string::npos);
 }
 
 TEST_CASE("what it believes of its caches is shown, and logs come as JSON with a level by part") {
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -261,6 +261,7 @@
         const bool watched = waitFor([&] { return trial->discovery.watches() > 0; }, 20s);
         CAPTURE(trial->name);
         CAPTURE(trial->programs.front()->log());
+        CAPTURE(trial->programs.front()->state());
         REQUIRE(watched);
     }
     for (auto& trial : trials) trial->discovery.change();
