--- a/src/supervisor/instance_supervisor.cpp
+++ b/src/supervisor/instance_supervisor.cpp
@@ -5,173 +5,219 @@
 
 namespace poppyscale::supervisor {
 
-InstanceSupervisor::InstanceSupervisor(const SupervisorSettings& terms, std::uint64_t seed,
-                                       SupervisorHost& hands)
-    : settings_(terms), host_(hands), random_(static_cast<std::mt19937::result_type>(seed)) {
-    instances_.resize(static_cast<std::size_t>(terms.instanceCount));
-}
-
-void InstanceSupervisor::onFound(Nanos now, int i, bool isReady) {
-    if (at(i).state != InstanceState::backingOff) return;
-    enterState(at(i), InstanceState::starting, now + settings_.readyTimeout);
-    if (isReady) onReady(now, i);
-}
-
-void InstanceSupervisor::onReady(Nanos now, int i) {
-    if (at(i).state != InstanceState::starting) return;
-    enterState(at(i), InstanceState::ready, kNever);
-    at(i).readyAt = now;
-}
-
-void InstanceSupervisor::onExited(Nanos now, int i) {
-    Instance& one = at(i);
-    if (one.state == InstanceState::backingOff) return;
-    const bool asked = std::exchange(one.stopRequested, false);
-    if (asked) return enterState(one, InstanceState::backingOff, now);
-    // All of them may have ended by one cause: jitter, or they would come back in step and fall in step.
-    const bool steady = one.state == InstanceState::ready && now - one.readyAt >= settings_.backoffResetAfter;
-    one.backoff =
-        steady || one.backoff == 0 ? settings_.minBackoff : std::min(2 * one.backoff, settings_.maxBackoff);
-    const double part = 0.5 + 0.5 * std::generate_canonical<double, 32>(random_);
-    ++one.restarts;
-    enterState(one, InstanceState::backingOff,
-               now + static_cast<Nanos>(static_cast<double>(one.backoff) * part));
-    host_.log("instance " + std::to_string(i) + " ended by itself, the next start in " +
-              std::to_string((one.deadline - now) / kMillisecond) + " ms");
-    // A roll that meets an end is held to have caused it, where that one's turn has come.
-    if (isRolling_ && i < processedCount_)
-        stopRolling("instance " + std::to_string(i) + " ended after its turn");
-}
-
-void InstanceSupervisor::onUpgraded(Nanos now, int i, std::string_view problem) {
-    if (at(i).state != InstanceState::upgrading) return;
-    // What could not be upgraded goes on as it was.
-    enterState(at(i), InstanceState::ready, kNever);
-    at(i).readyAt = now;
-    if (!problem.empty() && isRolling_)
-        stopRolling("instance " + std::to_string(i) + ": " + std::string(problem));
-}
-
-bool InstanceSupervisor::startRolling(Nanos, RollingOperation kind) {
-    if (isRolling_ || isStopping_ || !allReady()) return false;
-    isRolling_ = true;
-    operation_ = kind;
-    processedCount_ = batchStart_ = 0;
+InstanceSupervisor::InstanceSupervisor(const SupervisorSettings& settings, std::uint64_t seed,
+                                       SupervisorHost& host)
+    : settings_(settings), host_(host), random_(static_cast<std::mt19937::result_type>(seed)) {
+    instances_.resize(static_cast<std::size_t>(settings.instanceCount));
+}
+
+// ---- events
+
+void InstanceSupervisor::onFound(Nanos now, int instance, bool isReady) {
+    if (at(instance).state != InstanceState::backingOff) return;
+    enterState(at(instance), InstanceState::starting, now + settings_.readyTimeout);
+    if (isReady) onReady(now, instance);
+}
+
+void InstanceSupervisor::onReady(Nanos now, int instance) {
+    if (at(instance).state != InstanceState::starting) return;
+    enterState(at(instance), InstanceState::ready, kNever);
+    at(instance).readyAt = now;
+}
+
+void InstanceSupervisor::onExited(Nanos now, int instance) {
+    Instance& exited = at(instance);
+    if (exited.state == InstanceState::backingOff) return;
+    const bool isExpected = exited.isStopRequested;
+    exited.isStopRequested = false;
+    if (isExpected) {
+        enterState(exited, InstanceState::backingOff, now);
+        return;
+    }
+    scheduleRestart(now, instance);
+    // An instance that was already restarted or upgraded is taken to have failed because of that.
+    if (isRolling() && instance < processedCount_)
+        stopRolling("instance " + std::to_string(instance) + " ended after its turn");
+}
+
+void InstanceSupervisor::onUpgraded(Nanos now, int instance, std::string_view problem) {
+    if (at(instance).state != InstanceState::upgrading) return;
+    // After a failed upgrade the old process goes on serving.
+    enterState(at(instance), InstanceState::ready, kNever);
+    at(instance).readyAt = now;
+    if (!problem.empty() && isRolling())
+        stopRolling("instance " + std::to_string(instance) + ": " + std::string(problem));
+}
+
+// ---- requests
+
+bool InstanceSupervisor::startRolling(Nanos, RollingOperation operation) {
+    if (mode_ != Mode::supervising || !allReady()) return false;
+    mode_ = Mode::rolling;
+    operation_ = operation;
+    processedCount_ = 0;
+    batchStart_ = 0;
     observeUntil_ = 0;
     rollingProblem_.clear();
     return true;
 }
 
-void InstanceSupervisor::restart(Nanos now, int i) {
-    Instance& one = at(i);
-    one.backoff = 0;
-    if (one.state == InstanceState::backingOff) {
-        one.deadline = now;
+void InstanceSupervisor::restart(Nanos now, int instance) {
+    Instance& restarted = at(instance);
+    restarted.backoff = 0;
+    if (restarted.state == InstanceState::backingOff) {
+        restarted.deadline = now;
         return;
     }
-    if (one.state == InstanceState::stopping) return;
-    one.stopRequested = true;
-    enterState(one, InstanceState::stopping, now + settings_.stopTimeout);
-    host_.stop(i);
+    if (restarted.state == InstanceState::stopping) return;
+    requestStop(now, instance);
 }
 
-bool InstanceSupervisor::beginExternalUpgrade(int i) {
-    if (at(i).state != InstanceState::ready) return false;
-    enterState(at(i), InstanceState::upgrading, kNever);
+bool InstanceSupervisor::beginExternalUpgrade(int instance) {
+    if (at(instance).state != InstanceState::ready) return false;
+    enterState(at(instance), InstanceState::upgrading, kNever);
     return true;
 }
 
-void InstanceSupervisor::stopAll() {
-    isStopping_ = true;
-    isRolling_ = false;
-}
+void InstanceSupervisor::stopAll() { mode_ = Mode::stopping; }
+
+// ---- actions
 
 void InstanceSupervisor::reconcile(Nanos now) {
-    if (isRolling_) reconcileRolling(now);
+    if (isRolling()) reconcileRolling(now);
     for (int i = 0; i < settings_.instanceCount; ++i) reconcileInstance(now, i);
 }
 
-void InstanceSupervisor::reconcileInstance(Nanos now, int i) {
-    Instance& one = at(i);
-    switch (one.state) {
+void InstanceSupervisor::reconcileInstance(Nanos now, int instance) {
+    Instance& current = at(instance);
+    const bool isDue = now >= current.deadline;
+    const bool isStoppingAll = mode_ == Mode::stopping;
+    switch (current.state) {
         case InstanceState::backingOff:
-            if (isStopping_ || now < one.deadline) return;
-            enterState(one, InstanceState::starting, now + settings_.readyTimeout);
-            return host_.start(i);
+            if (isStoppingAll || !isDue) return;
+            enterState(current, InstanceState::starting, now + settings_.readyTimeout);
+            host_.start(instance);
+            return;
         case InstanceState::starting:
-            if (!isStopping_ && now < one.deadline) return;
-            if (!isStopping_) {
-                host_.log("instance " + std::to_string(i) + " is not ready in time");
-                if (isRolling_ && i < processedCount_)
-                    stopRolling("instance " + std::to_string(i) + " is not ready in time");
-                one.deadline = kNever;  // its end is on its way
-                return host_.kill(i);
-            }
-            break;
+            if (isStoppingAll)
+                requestStop(now, instance);
+            else if (isDue)
+                onReadyTimeout(instance);
+            return;
         case InstanceState::ready:
         case InstanceState::upgrading:
-            if (!isStopping_) return;
-            break;
+            if (isStoppingAll) requestStop(now, instance);
+            return;
         case InstanceState::stopping:
-            if (now < one.deadline) return;
-            host_.log("instance " + std::to_string(i) + " does not stop in time");
-            one.deadline = kNever;
-            return host_.kill(i);
+            if (!isDue) return;
+            host_.log("instance " + std::to_string(instance) + " does not stop in time");
+            current.deadline = kNever;
+            host_.kill(instance);
+            return;
     }
-    one.stopRequested = true;
-    enterState(one, InstanceState::stopping, now + settings_.stopTimeout);
-    host_.stop(i);
 }
 
-// The next batch begins when all are ready and the last one has been up for the watch. Nothing of a roll
-// begins while any instance is away for another reason: two kinds of trouble at once may take the last one
-// out.
+void InstanceSupervisor::onReadyTimeout(int instance) {
+    const std::string problem = "instance " + std::to_string(instance) + " is not ready in time";
+    host_.log(problem);
+    if (isRolling() && instance < processedCount_) stopRolling(problem);
+    at(instance).deadline = kNever;  // onExited follows
+    host_.kill(instance);
+}
+
+void InstanceSupervisor::scheduleRestart(Nanos now, int instance) {
+    Instance& exited = at(instance);
+    const bool wasStable =
+        exited.state == InstanceState::ready && now - exited.readyAt >= settings_.backoffResetAfter;
+    if (wasStable || exited.backoff == 0)
+        exited.backoff = settings_.minBackoff;
+    else
+        exited.backoff = std::min(2 * exited.backoff, settings_.maxBackoff);
+    // With jitter, or instances that one cause has ended would be restarted, and might fail, in step.
+    const double jitter = 0.5 + 0.5 * std::generate_canonical<double, 32>(random_);
+    ++exited.unexpectedExits;
+    enterState(exited, InstanceState::backingOff,
+               now + static_cast<Nanos>(static_cast<double>(exited.backoff) * jitter));
+    host_.log("instance " + std::to_string(instance) + " ended by itself, the next start in " +
+              std::to_string((exited.deadline - now) / kMillisecond) + " ms");
+}
+
+void InstanceSupervisor::requestStop(Nanos now, int instance) {
+    at(instance).isStopRequested = true;
+    enterState(at(instance), InstanceState::stopping, now + settings_.stopTimeout);
+    host_.stop(instance);
+}
+
+// ---- rolling operation
+
 void InstanceSupervisor::reconcileRolling(Nanos now) {
+    // A batch that began while an instance is out of service for another reason might take the last one out.
     if (!allReady()) return;
-    if (processedCount_ > batchStart_) {
-        if (observeUntil_ == 0) observeUntil_ = now + settings_.observationTime;
-        if (now < observeUntil_) return;
-        batchStart_ = processedCount_;
-        observeUntil_ = 0;
-    }
+    if (processedCount_ > batchStart_ && !isBatchObserved(now)) return;
     if (processedCount_ == settings_.instanceCount) {
-        isRolling_ = false;
-        return host_.log("the roll went through all instances");
+        mode_ = Mode::supervising;
+        host_.log("the roll went through all instances");
+        return;
     }
-    for (; processedCount_ < settings_.instanceCount && processedCount_ - batchStart_ < settings_.batchSize;
-         ++processedCount_) {
-        Instance& one = at(processedCount_);
-        one.stopRequested = operation_ == RollingOperation::restart;
-        enterState(
-            one, operation_ == RollingOperation::restart ? InstanceState::stopping : InstanceState::upgrading,
-            operation_ == RollingOperation::restart ? now + settings_.stopTimeout : kNever);
-        operation_ == RollingOperation::restart ? host_.stop(processedCount_)
-                                                : host_.upgrade(processedCount_);
+    while (processedCount_ < settings_.instanceCount && processedCount_ - batchStart_ < settings_.batchSize) {
+        beginRollingOperationOn(now, processedCount_);
+        ++processedCount_;
+    }
+}
+
+// Whether the batch in progress has stayed ready for the observation time; then the next one may begin.
+bool InstanceSupervisor::isBatchObserved(Nanos now) {
+    if (observeUntil_ == 0) observeUntil_ = now + settings_.observationTime;
+    if (now < observeUntil_) return false;
+    batchStart_ = processedCount_;
+    observeUntil_ = 0;
+    return true;
+}
+
+void InstanceSupervisor::beginRollingOperationOn(Nanos now, int instance) {
+    switch (operation_) {
+        case RollingOperation::restart:
+            requestStop(now, instance);
+            return;
+        case RollingOperation::upgrade:
+            at(instance).isStopRequested = false;
+            enterState(at(instance), InstanceState::upgrading, kNever);
+            host_.upgrade(instance);
+            return;
     }
 }
 
-void InstanceSupervisor::stopRolling(std::string why) {
-    isRolling_ = false;
-    rollingProblem_ = std::move(why);
+void InstanceSupervisor::stopRolling(std::string problem) {
+    mode_ = Mode::supervising;
+    rollingProblem_ = std::move(problem);
     host_.log("the roll stops: " + rollingProblem_);
 }
 
+// ---- state
+
+void InstanceSupervisor::enterState(Instance& instance, InstanceState state, Nanos deadline) {
+    instance.state = state;
+    instance.deadline = deadline;
+}
+
 Nanos InstanceSupervisor::nextDeadline() const {
-    Nanos soonest = isRolling_ && observeUntil_ ? observeUntil_ : kNever;
-    for (const Instance& one : instances_)
-        if (!(isStopping_ && one.state == InstanceState::backingOff))
-            soonest = std::min(soonest, one.deadline);
-    return soonest;
+    Nanos earliest = isRolling() && observeUntil_ != 0 ? observeUntil_ : kNever;
+    for (const Instance& instance : instances_) {
+        const bool isStopped = mode_ == Mode::stopping && instance.state == InstanceState::backingOff;
+        if (!isStopped) earliest = std::min(earliest, instance.deadline);
+    }
+    return earliest;
 }
 
 bool InstanceSupervisor::allReady() const {
     return std::all_of(instances_.begin(), instances_.end(),
-                       [](const Instance& i) { return i.state == InstanceState::ready; });
+                       [](const Instance& instance) { return instance.state == InstanceState::ready; });
 }
 
 bool InstanceSupervisor::allStopped() const {
-    return isStopping_ && std::all_of(instances_.begin(), instances_.end(),
-                                      [](const Instance& i) { return i.state == InstanceState::backingOff; });
+    return mode_ == Mode::stopping &&
+           std::all_of(instances_.begin(), instances_.end(),
+                       [](const Instance& instance) { return instance.state == InstanceState::backingOff; });
 }
 
 }  // namespace poppyscale::supervisor
--- a/src/supervisor/instance_supervisor.hpp
+++ b/src/supervisor/instance_supervisor.hpp
@@ -1,5 +1,4 @@
-// Decides for a fleet of instances on one machine: when one that has ended is started again, and how a
-// restart or an upgrade goes through all of them, a batch at a time. Free of I/O and of any clock.
+// Decides when the instances of one machine are started, stopped and upgraded.
 #pragma once
 
 #include <random>
@@ -11,92 +10,133 @@
 
 namespace poppyscale::supervisor {
 
+// How an InstanceSupervisor restarts instances and paces a rolling operation. All times are in nanoseconds.
 struct SupervisorSettings {
     int instanceCount = 1;
-    int batchSize = 1;          // instances of a roll that are away from service at once, at most
-    Nanos readyTimeout = 0;     // after a start; then it counts as one that does not come up
-    Nanos observationTime = 0;  // a batch has to stay up for so long before the next one
-    Nanos minBackoff = 0;       // before an instance that has ended is started again; doubled each time
-    Nanos maxBackoff = 0;
-    Nanos backoffResetAfter = 0;  // an instance that has lived for so long begins with the least pause again
-    Nanos stopTimeout = 0;        // an instance that was told to stop and has not by then is ended
+    int batchSize = 1;            // instances that a rolling operation takes out of service at once, at most
+    Nanos readyTimeout = 0;       // from the start of an instance until it must be ready
+    Nanos observationTime = 0;    // for which a batch has to stay ready before the next batch begins
+    Nanos minBackoff = 0;         // before the first restart after an unexpected exit; doubled with each one
+    Nanos maxBackoff = 0;         // bound of the doubled backoff
+    Nanos backoffResetAfter = 0;  // an instance that was ready for so long begins with minBackoff again
+    Nanos stopTimeout = 0;        // from the request to stop until the instance is killed
 };
 
-// What the decisions ask for. `i` counts from 0.
+// The actions that an InstanceSupervisor asks for. Instances are counted from 0. Implementations report what
+// came of an action through the supervisor's event methods, and may do so from within the action.
 class SupervisorHost {
   public:
     virtual ~SupervisorHost() = default;
-    virtual void start(int i) = 0;
-    virtual void stop(int i) = 0;     // in order
-    virtual void kill(int i) = 0;     // at once
-    virtual void upgrade(int i) = 0;  // then `upgraded`
+    // Starts the instance's process: InstanceSupervisor::onReady or onExited follows.
+    virtual void start(int instance) = 0;
+    // Requests a graceful shutdown: onExited follows.
+    virtual void stop(int instance) = 0;
+    // Ends the process at once: onExited follows.
+    virtual void kill(int instance) = 0;
+    // Begins an upgrade of the running instance: onUpgraded follows.
+    virtual void upgrade(int instance) = 0;
+    // Writes one line to the log.
     virtual void log(std::string_view text) = 0;
 };
 
+// State machine that keeps the instances of one machine running and takes a restart or an upgrade through all
+// of them, batch by batch.
+//
+// Guarantees: an instance that exited unexpectedly is restarted after a backoff that doubles up to a bound,
+// with jitter; a rolling operation has at most `batchSize` instances out of service at once, begins no batch
+// while any instance is out of service for another reason, and stops at the first instance that fails.
+//
+// Free of I/O and of any clock: events and the time of a monotonic clock come in, actions go out through the
+// host. Owns the state of each instance and of the rolling operation, and nothing outside. The host must
+// outlive it. Not thread-safe.
 class InstanceSupervisor {
   public:
-    InstanceSupervisor(const SupervisorSettings& terms, std::uint64_t seed, SupervisorHost& hands);
-
-    // Found living when the keeper came, and ready or not.
-    void onFound(Nanos now, int i, bool ready);
-    void onReady(Nanos now, int i);
-    void onExited(Nanos now, int i);
-    void onUpgraded(Nanos now, int i, std::string_view problem);  // "" when it was done
     enum class RollingOperation : std::uint8_t { restart, upgrade };
-    // False when one is under way, or not all instances are ready.
-    bool startRolling(Nanos now, RollingOperation kind);
-    // One instance's turn, outside of a roll: it is told to stop and started again, whatever it does now.
-    void restart(Nanos now, int i);
-    // It is being upgraded by somebody else, who says `upgraded`; false when it is not ready.
-    bool beginExternalUpgrade(int i);
-    bool isReady(int i) const {
-        return instances_[static_cast<std::size_t>(i)].state == InstanceState::ready;
-    }
-    bool isStopping(int i) const { return instances_[static_cast<std::size_t>(i)].stopRequested; }
+
+    // All instances count as not running and are started by the first reconcile. `seed` determines the jitter
+    // of the backoff.
+    InstanceSupervisor(const SupervisorSettings& settings, std::uint64_t seed, SupervisorHost& host);
+
+    // A process of this instance was running before the supervisor was created; `isReady`: it serves already.
+    void onFound(Nanos now, int instance, bool isReady);
+    // The instance that was started serves now.
+    void onReady(Nanos now, int instance);
+    // The instance's process has ended, or could not be started.
+    void onExited(Nanos now, int instance);
+    // An upgrade has ended; `problem` is empty where it succeeded.
+    void onUpgraded(Nanos now, int instance, std::string_view problem);
+
+    // Begins a rolling operation. False when one is in progress, all are being stopped, or not all instances
+    // are ready.
+    bool startRolling(Nanos now, RollingOperation operation);
+    // Stops one instance, whatever its state, and starts it again without a backoff.
+    void restart(Nanos now, int instance);
+    // The caller upgrades this instance itself and reports through onUpgraded. False when it is not ready.
+    bool beginExternalUpgrade(int instance);
+    // Stops all instances for good and ends a rolling operation.
     void stopAll();
 
-    // Once after the events of a moment: emits the difference between what is wanted and what is.
+    // Emits the actions that lead from the present state to the wanted one. To be called once after the
+    // events of a moment, and at nextDeadline().
     void reconcile(Nanos now);
-    // When to settle again, at the latest, if nothing comes before.
+    // When to call reconcile at the latest if no event comes before; kNever where there is no deadline.
     Nanos nextDeadline() const;
 
+    bool isReady(int instance) const { return at(instance).state == InstanceState::ready; }
+    // The instance was asked to stop and has not exited yet.
+    bool isStopping(int instance) const { return at(instance).isStopRequested; }
     bool allReady() const;
+    // All instances have exited after stopAll().
     bool allStopped() const;
-    bool isRolling() const { return isRolling_; }
-    // Why the last roll was stopped, or empty.
+    bool isRolling() const { return mode_ == Mode::rolling; }
+    // Why the last rolling operation was stopped; empty where it was not.
     const std::string& rollingProblem() const { return rollingProblem_; }
-    int restarts(int i) const { return instances_[static_cast<std::size_t>(i)].restarts; }
+    // Unexpected exits of this instance so far.
+    int restarts(int instance) const { return at(instance).unexpectedExits; }
 
   private:
-    // pausing: has ended, and is started when its pause is over. leaving: told to stop. changing: upgrades.
-    enum class InstanceState : std::uint8_t { backingOff, starting, ready, stopping, upgrading };
+    enum class InstanceState : std::uint8_t {
+        backingOff,  // has no process; is started at the deadline
+        starting,    // has a process that is not ready; is killed at the deadline
+        ready,
+        stopping,  // was asked to stop; is killed at the deadline
+        upgrading  // serves while a new process takes over
+    };
+    enum class Mode : std::uint8_t {
+        supervising,  // keeps all instances running
+        rolling,      // and a rolling operation is in progress
+        stopping      // stops all instances and starts none
+    };
     struct Instance {
         InstanceState state = InstanceState::backingOff;
-        Nanos deadline = 0;          // of the phase, where it has an end
-        Nanos readyAt = 0;           // since when it is ready
-        Nanos backoff = 0;           // the last one
-        int restarts = 0;            // after an end that nobody asked for
-        bool stopRequested = false;  // its end was asked for
+        Nanos deadline = 0;  // of the state; kNever where it has none
+        Nanos readyAt = 0;   // when it became ready
+        Nanos backoff = 0;   // the last one, without jitter; 0: none yet
+        int unexpectedExits = 0;
+        bool isStopRequested = false;  // its next exit is expected
     };
-    Instance& at(int i) { return instances_[static_cast<std::size_t>(i)]; }
-    void enterState(Instance& instance, InstanceState phase, Nanos until) {
-        instance.state = phase;
-        instance.deadline = until;
-    }
-    void reconcileInstance(Nanos now, int i);
+    Instance& at(int instance) { return instances_[static_cast<std::size_t>(instance)]; }
+    const Instance& at(int instance) const { return instances_[static_cast<std::size_t>(instance)]; }
+    static void enterState(Instance& instance, InstanceState state, Nanos deadline);
+    void scheduleRestart(Nanos now, int instance);
+    void requestStop(Nanos now, int instance);
+    void reconcileInstance(Nanos now, int instance);
+    void onReadyTimeout(int instance);
     void reconcileRolling(Nanos now);
-    void stopRolling(std::string why);
+    bool isBatchObserved(Nanos now);
+    void beginRollingOperationOn(Nanos now, int instance);
+    void stopRolling(std::string problem);
 
     SupervisorSettings settings_;
     SupervisorHost& host_;
     std::mt19937 random_;
     std::vector<Instance> instances_;
-    bool isStopping_ = false;
-    bool isRolling_ = false;
+    Mode mode_ = Mode::supervising;
+    // The rolling operation, the last one where none is in progress.
     RollingOperation operation_ = RollingOperation::restart;
-    int processedCount_ = 0;  // instances whose turn has come
-    int batchStart_ = 0;      // the first of the batch that is under way
-    Nanos observeUntil_ = 0;  // 0 while the batch is not all up
+    int processedCount_ = 0;  // instances on which the operation has begun; they are taken in order
+    int batchStart_ = 0;      // the first instance of the batch in progress
+    Nanos observeUntil_ = 0;  // 0 while not all of the batch are ready
     std::string rollingProblem_;
 };
 
