--- a/src/ctl/control_listener.cpp
+++ b/src/ctl/control_listener.cpp
@@ -9,91 +9,120 @@
 #include <cerrno>
 #include <cstring>
 #include <stdexcept>
+#include <utility>
 
 namespace poppyscale::ctl {
 namespace {
 
-constexpr std::size_t kLongestLine = 4 << 20;  // an order carries an operator's form
-constexpr std::size_t kMostCallers = 16;
+constexpr int kBacklog = 64;               // connections that wait to be accepted
+constexpr std::size_t kReadSize = 65'536;  // bytes
+constexpr mode_t kOwnerOnly = 0177;        // permissions that the socket's file does not get
 
 }  // namespace
 
-ControlListener::ControlListener(std::string path, RequestHandler asked)
-    : path_(std::move(path)), asked_(std::move(asked)) {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    if (path_.size() >= sizeof at.sun_path)
-        throw std::runtime_error("the socket's path is too long: " + path_);
-    std::memcpy(at.sun_path, path_.data(), path_.size());
-    ::unlink(path_.c_str());  // one that was left: who keeps this folder holds its lock
-    fd_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    const mode_t before = ::umask(0177);
-    const bool bound = ::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
-    const int failed = errno;
-    ::umask(before);
-    if (bound && ::listen(fd_, 64) == 0) return;
-    ::close(fd_);
-    throw std::runtime_error(fmt::format("can't listen at {}: {}", path_, std::strerror(failed)));
+ControlListener::ControlListener(std::string path, RequestHandler onRequest)
+    : path_(std::move(path)), onRequest_(std::move(onRequest)) {
+    listen();
 }
 
 ControlListener::~ControlListener() {
-    for (const Client& c : callers_) ::close(c.fd);
-    ::close(fd_);
+    clients_.clear();
+    socket_.reset();
     ::unlink(path_.c_str());
 }
 
-void ControlListener::addPollDescriptors(std::vector<pollfd>& all) const {
-    all.push_back({fd_, POLLIN, 0});
-    for (const Client& c : callers_)
-        all.push_back({c.fd, static_cast<short>(c.out.empty() ? POLLIN : POLLIN | POLLOUT), 0});
+void ControlListener::listen() {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    if (path_.size() >= sizeof address.sun_path)
+        throw std::runtime_error("the socket's path is too long: " + path_);
+    std::memcpy(address.sun_path, path_.data(), path_.size());
+    ::unlink(path_.c_str());  // left by a process that was killed: the owner of this folder holds its lock
+    socket_ = FileDescriptor(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    const mode_t previousMask = ::umask(kOwnerOnly);
+    const bool isBound =
+        ::bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+    const int error = errno;
+    ::umask(previousMask);
+    if (!isBound || ::listen(socket_.get(), kBacklog) != 0)
+        throw std::runtime_error(fmt::format("can't listen at {}: {}", path_, std::strerror(error)));
+}
+
+void ControlListener::addPollDescriptors(std::vector<pollfd>& descriptors) const {
+    descriptors.push_back({socket_.get(), POLLIN, 0});
+    for (const Client& client : clients_) {
+        const int events = client.unsent.empty() ? POLLIN : POLLIN | POLLOUT;
+        descriptors.push_back({client.socket.get(), static_cast<short>(events), 0});
+    }
 }
 
 void ControlListener::runIteration() {
-    for (int fd; (fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;) {
-        if (callers_.size() >= kMostCallers)
-            ::close(fd);
-        else
-            callers_.push_back({++last_, fd, {}, {}, false});
+    acceptClients();
+    for (Client& client : clients_) {
+        receive(client);
+        handleRequests(client);
+        flush(client);
+    }
+    clients_.remove_if([](const Client& client) { return client.isClosed; });
+}
+
+void ControlListener::acceptClients() {
+    for (;;) {
+        FileDescriptor accepted(::accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+        if (!accepted.isOpen()) return;
+        if (clients_.size() >= kMaxClients) continue;  // closed
+        ++lastClientId_;
+        clients_.push_back({lastClientId_, std::move(accepted), {}, {}, false});
     }
-    for (Client& c : callers_) {
-        char buffer[65536];
-        ssize_t got = 0;
-        while ((got = ::recv(c.fd, buffer, sizeof buffer, 0)) > 0) {
-            c.in.append(buffer, static_cast<std::size_t>(got));
-            if (c.in.size() > kLongestLine) break;
+}
+
+void ControlListener::receive(Client& client) {
+    char buffer[kReadSize];
+    for (;;) {
+        const ssize_t size = ::recv(client.socket.get(), buffer, sizeof buffer, 0);
+        if (size <= 0) {
+            const bool isPending = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+            if (!isPending) client.isClosed = true;
+            return;
         }
-        c.gone |= got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) ||
-                  c.in.size() > kLongestLine;
-        for (auto end = c.in.find('\n'); end != std::string::npos && !c.gone; end = c.in.find('\n')) {
-            const auto what = nlohmann::json::parse(c.in.substr(0, end), nullptr, false);
-            c.in.erase(0, end + 1);
-            if (what.is_object())
-                asked_(c.id, what);
-            else
-                answer(c.id, {{"error", "expected a line that holds a JSON object"}});
+        client.received.append(buffer, static_cast<std::size_t>(size));
+        if (client.received.size() > kMaxLine) {
+            client.isClosed = true;
+            return;
         }
-        flush(c);
     }
-    callers_.remove_if([](const Client& c) {
-        if (c.gone) ::close(c.fd);
-        return c.gone;
-    });
 }
 
-void ControlListener::flush(Client& c) {
-    while (!c.out.empty() && !c.gone) {
-        const ssize_t sent = ::send(c.fd, c.out.data(), c.out.size(), MSG_NOSIGNAL);
+void ControlListener::handleRequests(Client& client) {
+    while (!client.isClosed) {
+        const auto end = client.received.find('\n');
+        if (end == std::string::npos) return;
+        const auto request = nlohmann::json::parse(client.received.substr(0, end), nullptr, false);
+        client.received.erase(0, end + 1);
+        if (request.is_object())
+            onRequest_(client.id, request);
+        else
+            answer(client.id, {{"error", "expected a line that holds a JSON object"}});
+    }
+}
+
+void ControlListener::flush(Client& client) {
+    while (!client.unsent.empty() && !client.isClosed) {
+        const ssize_t sent =
+            ::send(client.socket.get(), client.unsent.data(), client.unsent.size(), MSG_NOSIGNAL);
         if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-        c.gone |= sent <= 0;
-        if (sent > 0) c.out.erase(0, static_cast<std::size_t>(sent));
+        if (sent <= 0)
+            client.isClosed = true;
+        else
+            client.unsent.erase(0, static_cast<std::size_t>(sent));
     }
 }
 
-void ControlListener::answer(std::uint64_t who, const nlohmann::json& what) {
-    for (Client& c : callers_) {
-        if (c.id != who) continue;
-        c.out += what.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
-        flush(c);
+void ControlListener::answer(std::uint64_t client, const nlohmann::json& answer) {
+    for (Client& recipient : clients_) {
+        if (recipient.id != client) continue;
+        recipient.unsent += answer.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+        flush(recipient);
     }
 }
 
--- a/src/ctl/distributor_status.hpp
+++ b/src/ctl/distributor_status.hpp
@@ -1,4 +1,4 @@
-// The status of a list distributor, asked by HTTP at the address where it listens for readers.
+// The status of an endpoint distributor, read by HTTP from the address where it listens for readers.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,10 +6,10 @@
 
 namespace poppyscale::ctl {
 
-// Throws Unreached.
-nlohmann::json distributorStatus(const std::string& address, int withinMs);
+// The status as the distributor answers it, within `timeoutMs`. Throws Unreachable.
+nlohmann::json distributorStatus(const std::string& address, int timeoutMs);
 
-// A table of two columns, as it is printed.
+// The status as a table of two columns, a line for each key that the distributor knows.
 std::string distributorTable(const nlohmann::json& status);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/fleet_description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -14,85 +14,127 @@
 namespace poppyscale::ctl {
 namespace {
 
-constexpr int kMostInstances = 65'535;  // as many as ports
+constexpr int kMaxPort = 65'535;
+constexpr int kMaxInstances = 65'535;  // as many as ports
 
-std::string filled(std::string text, const std::map<std::string, std::string>& values) {
-    for (const auto& [name, value] : values)
-        for (auto at = text.find(name); at != std::string::npos; at = text.find(name, at + value.size()))
-            text.replace(at, name.size(), value);
+std::string substitute(std::string text, const std::map<std::string, std::string>& values) {
+    for (const auto& [placeholder, value] : values) {
+        auto position = text.find(placeholder);
+        while (position != std::string::npos) {
+            text.replace(position, placeholder.size(), value);
+            position = text.find(placeholder, position + value.size());
+        }
+    }
     return text;
 }
 
-// The address so many after that one.
-std::string addressAfter(const std::string& first, int by) {
-    in_addr at{};
-    ::inet_pton(AF_INET, first.c_str(), &at);
-    at.s_addr = htonl(ntohl(at.s_addr) + static_cast<std::uint32_t>(by));
-    char name[INET_ADDRSTRLEN] = {};
-    ::inet_ntop(AF_INET, &at, name, sizeof name);
-    return name;
+// The IPv4 address so many after the first.
+std::string addressAt(const std::string& first, int offset) {
+    in_addr address{};
+    ::inet_pton(AF_INET, first.c_str(), &address);
+    address.s_addr = htonl(ntohl(address.s_addr) + static_cast<std::uint32_t>(offset));
+    char text[INET_ADDRSTRLEN] = {};
+    ::inet_ntop(AF_INET, &address, text, sizeof text);
+    return text;
+}
+
+void readSupervisorSettings(config::TomlTable& table, supervisor::SupervisorSettings& settings) {
+    settings.instanceCount = table.integer("count", std::nullopt, 1, kMaxInstances);
+    settings.batchSize = table.integer("batch", 1, 1, kMaxInstances);
+    settings.readyTimeout = table.millis("ready_ms", 10'000.0);
+    settings.observationTime = table.millis("watch_ms", 2'000.0);
+    settings.minBackoff = table.millis("pause_ms", 200.0);
+    settings.maxBackoff = table.millis("longest_pause_ms", 30'000.0);
+    settings.backoffResetAfter = table.millis("steady_ms", 60'000.0);
+    settings.stopTimeout = table.millis("stop_ms", 10'000.0);
+    if (settings.batchSize >= settings.instanceCount && settings.instanceCount > 1)
+        table.problem("batch", "is not less than count: all would be away at once");
+}
+
+void readAddresses(config::TomlTable& table, FleetDescription& description) {
+    description.address = table.string("address", "127.0.0.1");
+    in_addr ignored{};
+    if (::inet_pton(AF_INET, description.address.c_str(), &ignored) != 1)
+        table.problem("address", "is not an IPv4 address");
+    description.ownAddresses = table.boolean("own_addresses", false);
+    description.firstPort = table.integer("first_port", std::nullopt, 1, kMaxPort);
+    if (!description.ownAddresses &&
+        description.firstPort + description.supervisor.instanceCount > kMaxPort + 1)
+        table.problem("first_port", "leaves no port for the last instance");
+}
+
+void readTemplate(config::TomlTable& table, FleetDescription& description) {
+    const std::string path = table.string("operator", std::nullopt);
+    std::ifstream stream(path, std::ios::binary);
+    description.templateText.assign(std::istreambuf_iterator<char>(stream), {});
+    if (!stream) {
+        table.problem("operator", "names a file that can't be read: " + path);
+        return;
+    }
+    for (const char* placeholder : {"{name}", "{listen}", "{socket}"})
+        if (description.templateText.find(placeholder) == std::string::npos)
+            table.problem("operator", fmt::format("{} has no {}", path, placeholder));
 }
 
 }  // namespace
 
 FleetDescription readFleetDescription(const std::string& file) {
     std::ifstream stream(file, std::ios::binary);
-    const std::string said{std::istreambuf_iterator<char>(stream), {}};
+    const std::string text{std::istreambuf_iterator<char>(stream), {}};
     if (!stream) throw std::runtime_error(file + ":1: can't be read");
     config::ConfigProblems problems(file);
-    FleetDescription d;
-    d.file = file;
-    if (const auto table = config::parseToml(said, file, problems)) {
-        config::TomlTable t(*table, problems);
-        d.supervisor.instanceCount = t.integer("count", std::nullopt, 1, kMostInstances);
-        d.supervisor.batchSize = t.integer("batch", 1, 1, kMostInstances);
-        d.supervisor.readyTimeout = t.millis("ready_ms", 10'000.0);
-        d.supervisor.observationTime = t.millis("watch_ms", 2'000.0);
-        d.supervisor.minBackoff = t.millis("pause_ms", 200.0);
-        d.supervisor.maxBackoff = t.millis("longest_pause_ms", 30'000.0);
-        d.supervisor.backoffResetAfter = t.millis("steady_ms", 60'000.0);
-        d.supervisor.stopTimeout = t.millis("stop_ms", 10'000.0);
-        if (d.supervisor.batchSize >= d.supervisor.instanceCount && d.supervisor.instanceCount > 1)
-            t.problem("batch", "is not less than count: all would be away at once");
-        d.program = t.string("program", std::nullopt);
-        d.folder = t.string("folder", std::nullopt);
-        if (!d.folder.starts_with('/')) t.problem("folder", "is not an absolute path");
-        d.name = t.string("name", "r");
-        d.zone = t.string("zone", "");
-        d.address = t.string("address", "127.0.0.1");
-        in_addr ignored{};
-        if (::inet_pton(AF_INET, d.address.c_str(), &ignored) != 1)
-            t.problem("address", "is not an IPv4 address");
-        d.ownAddresses = t.boolean("own_addresses", false);
-        d.firstPort = t.integer("first_port", std::nullopt, 1, 65'535);
-        if (!d.ownAddresses && d.firstPort + d.supervisor.instanceCount > 65'536)
-            t.problem("first_port", "leaves no port for the last instance");
-        const std::string path = t.string("operator", std::nullopt);
-        std::ifstream form(path, std::ios::binary);
-        d.templateText.assign(std::istreambuf_iterator<char>(form), {});
-        if (!form) t.problem("operator", "names a file that can't be read: " + path);
-        for (const char* part : {"{name}", "{listen}", "{socket}"})
-            if (form && d.templateText.find(part) == std::string::npos)
-                t.problem("operator", fmt::format("{} has no {}", path, part));
-        t.finish();
+    FleetDescription description;
+    description.file = file;
+    if (const auto parsed = config::parseToml(text, file, problems)) {
+        config::TomlTable table(*parsed, problems);
+        readSupervisorSettings(table, description.supervisor);
+        description.program = table.string("program", std::nullopt);
+        description.folder = table.string("folder", std::nullopt);
+        if (!description.folder.starts_with('/')) table.problem("folder", "is not an absolute path");
+        description.name = table.string("name", "r");
+        description.zone = table.string("zone", "");
+        readAddresses(table, description);
+        readTemplate(table, description);
+        table.finish();
     }
     if (!problems.none()) throw std::runtime_error(problems.text());
-    return d;
+    return description;
 }
 
-std::string nameOf(const FleetDescription& d, int i) { return d.name + std::to_string(i); }
-std::string socketOf(const FleetDescription& d, int i) {
-    return fmt::format("{}/{}.sock", d.folder, nameOf(d, i));
+bool describesSameInstances(const FleetDescription& one, const FleetDescription& other) {
+    return one.supervisor.instanceCount == other.supervisor.instanceCount && one.folder == other.folder &&
+           one.name == other.name && one.address == other.address && one.firstPort == other.firstPort &&
+           one.ownAddresses == other.ownAddresses;
 }
 
-std::string operatorFileOf(const FleetDescription& d, const std::string& form, int i) {
-    const std::string address = d.ownAddresses ? addressAfter(d.address, i) : d.address;
-    const int port = d.ownAddresses ? d.firstPort : d.firstPort + i;
-    return filled(form, {{"{name}", nameOf(d, i)},
-                         {"{listen}", fmt::format("{}:{}", address, port)},
-                         {"{address}", address},
-                         {"{zone}", d.zone},
-                         {"{socket}", socketOf(d, i)}});
+std::string nameOf(const FleetDescription& description, int instance) {
+    return description.name + std::to_string(instance);
+}
+
+std::string socketOf(const FleetDescription& description, int instance) {
+    return fmt::format("{}/{}.sock", description.folder, nameOf(description, instance));
+}
+
+std::string configFileOf(const FleetDescription& description, int instance) {
+    return fmt::format("{}/{}.toml", description.folder, nameOf(description, instance));
+}
+
+std::string logFileOf(const FleetDescription& description, int instance) {
+    return fmt::format("{}/{}.log", description.folder, nameOf(description, instance));
+}
+
+std::string agentSocketOf(const FleetDescription& description) { return description.folder + "/fleet.sock"; }
+
+std::string operatorFileOf(const FleetDescription& description, const std::string& templateText,
+                           int instance) {
+    const std::string address =
+        description.ownAddresses ? addressAt(description.address, instance) : description.address;
+    const int port = description.ownAddresses ? description.firstPort : description.firstPort + instance;
+    return substitute(templateText, {{"{name}", nameOf(description, instance)},
+                                     {"{listen}", fmt::format("{}:{}", address, port)},
+                                     {"{address}", address},
+                                     {"{zone}", description.zone},
+                                     {"{socket}", socketOf(description, instance)}});
 }
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/fleet_description.hpp
+++ b/src/ctl/fleet_description.hpp
@@ -1,4 +1,4 @@
-// The instances of one machine, as their TOML file says them.
+// The description of a fleet: the instances of one machine, read from a TOML file.
 #pragma once
 
 #include <string>
@@ -7,29 +7,42 @@
 
 namespace poppyscale::ctl {
 
+// A description, as it was read. Instances are counted from 0.
 struct FleetDescription {
     supervisor::SupervisorSettings supervisor;
-    std::string file;
-    std::string program;
-    std::string folder;         // of sockets, files and logs
-    std::string name;           // "r" for r0, r1 ...
-    std::string zone;           // of this machine, or empty
-    std::string address;        // IPv4, the same for all or the first of many
-    bool ownAddresses = false;  // one after another, all on `firstPort`
-    int firstPort = 0;
-    // An operator's file in which {name}, {listen}, {address}, {socket} and {zone} are put in.
+    std::string file;           // from which it was read
+    std::string program;        // path of the instances' program
+    std::string folder;         // absolute path, for sockets, configuration files, logs and state
+    std::string name;           // instances are named by it and their number: "r" for r0, r1 ...
+    std::string zone;           // of this machine; empty: none
+    std::string address;        // IPv4, of all instances or of the first
+    bool ownAddresses = false;  // each instance has an address of its own, and all listen at firstPort
+    int firstPort = 0;          // of the first instance
+    // An operator's configuration file with placeholders: {name}, {listen}, {address}, {socket} and {zone}.
     std::string templateText;
 };
 
-// Throws std::runtime_error with all problems, a line each.
+// Reads a description strictly. Throws std::runtime_error that states all problems, a line each.
 FleetDescription readFleetDescription(const std::string& file);
 
-std::string nameOf(const FleetDescription& d, int i);
-std::string socketOf(const FleetDescription& d, int i);
-// The operator's file of an instance, made of that form.
-std::string operatorFileOf(const FleetDescription& d, const std::string& form, int i);
-inline std::string operatorFileOf(const FleetDescription& d, int i) {
-    return operatorFileOf(d, d.templateText, i);
+// Whether both describe the same instances, so that the second can replace the first while these run: their
+// program, template and zone may differ.
+bool describesSameInstances(const FleetDescription& one, const FleetDescription& other);
+
+// The name of an instance, and the paths of its files in the fleet's folder.
+std::string nameOf(const FleetDescription& description, int instance);
+std::string socketOf(const FleetDescription& description, int instance);
+std::string configFileOf(const FleetDescription& description, int instance);
+std::string logFileOf(const FleetDescription& description, int instance);
+// The path of the socket of the machine's agent.
+std::string agentSocketOf(const FleetDescription& description);
+
+// The text of an instance's configuration file, made from that template.
+std::string operatorFileOf(const FleetDescription& description, const std::string& templateText,
+                           int instance);
+// The same from the description's own template.
+inline std::string operatorFileOf(const FleetDescription& description, int instance) {
+    return operatorFileOf(description, description.templateText, instance);
 }
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -3,14 +3,15 @@
 #include <fmt/format.h>
 #include <poll.h>
 #include <signal.h>
-#include <sys/signalfd.h>
-#include <unistd.h>
 
-#include <chrono>
+#include <algorithm>
 #include <optional>
 #include <vector>
 
+#include "ctl/agent_codec.hpp"
 #include "ctl/control_client.hpp"
+#include "ctl/monotonic_clock.hpp"
+#include "ctl/signal_source.hpp"
 #include "ctl/version_store.hpp"
 #include "logging/logger.hpp"
 #include "rollout/rollout_controller.hpp"
@@ -21,103 +22,118 @@
 using nlohmann::json;
 using rollout::RolloutOutcome;
 
-constexpr int kTick = 400;          // ms between two orders, at least
-constexpr int kAnswerWithin = 900;  // ms; who is later is not heard this time
+constexpr Nanos kOrderIntervalMs = 400;  // from one round of orders to the next, at least
+constexpr int kAnswerTimeoutMs = 900;    // of all agents together
+constexpr int kPreviewTimeoutMs = 3 * kAnswerTimeoutMs;
 
-Nanos monotonicNow() {
-    return std::chrono::duration_cast<std::chrono::nanoseconds>(
-               std::chrono::steady_clock::now().time_since_epoch())
-        .count();
+std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
+    std::vector<std::string> sockets;
+    for (const auto& agent : plan.agents) sockets.push_back(agent.socket);
+    return sockets;
 }
 
-std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
-    std::vector<std::string> all;
-    for (const auto& agent : plan.agents) all.push_back(agent.socket);
-    return all;
+// The same request to all agents. The answers by agent, null where there is none.
+std::vector<json> requestFromAll(const rollout::RolloutPlan& plan, const json& request, int timeoutMs) {
+    return sendRequests(socketsOf(plan), std::vector<json>(plan.agents.size(), request), timeoutMs);
 }
 
-class Coordinator : private rollout::RolloutHost {
+// Carries a RolloutController's orders to the agents and their answers back, round by round.
+class RolloutCoordinator : private rollout::RolloutHost {
   public:
-    Coordinator(const rollout::RolloutPlan& plan, const std::string& program, const RolloutOptions& call)
+    // `plan` and `options` must outlive it. `programDigest`: of the plan's program; empty: none.
+    RolloutCoordinator(const rollout::RolloutPlan& plan, const std::string& programDigest,
+                       const RolloutOptions& options)
         : plan_(plan),
-          call_(call),
-          programDigest_(program),
-          log_("poppyctl roll", call.json ? logging::Format::json : logging::Format::text),
-          roll_(plan, digestOf(program + "\n" + plan.templateText),
-                static_cast<rollout::RolloutHost&>(*this)) {}
+          options_(options),
+          programDigest_(programDigest),
+          log_("poppyctl roll", options.json ? logging::Format::json : logging::Format::text),
+          controller_(plan, digestOf(programDigest + "\n" + plan.templateText),
+                      static_cast<rollout::RolloutHost&>(*this)) {}
 
+    // Runs until the rollout has an outcome, prints it and returns the exit code.
     int run() {
-        sigset_t heard;
-        sigemptyset(&heard);
-        for (const int s : {SIGTERM, SIGINT}) sigaddset(&heard, s);
-        sigprocmask(SIG_BLOCK, &heard, nullptr);
-        const int signals = ::signalfd(-1, &heard, SFD_CLOEXEC | SFD_NONBLOCK);
-        bool told = false;
-        while (roll_.outcome() == RolloutOutcome::none) {
-            const Nanos began = monotonicNow();
-            turn();
-            roll_.reconcile(monotonicNow());
-            const auto left = kTick - (monotonicNow() - began) / kMillisecond;
-            pollfd one{signals, POLLIN, 0};
-            ::poll(&one, 1, static_cast<int>(std::max<Nanos>(left, 0)));
-            signalfd_siginfo info{};
-            while (::read(signals, &info, sizeof info) == sizeof info) {
-                // Told a second time: the agents go back by themselves what is not held.
-                if (std::exchange(told, true)) return kExitNotPossible;
-                roll_.abandon(monotonicNow());
+        SignalSource signals{SIGTERM, SIGINT};
+        bool isAbandoned = false;
+        while (controller_.outcome() == RolloutOutcome::none) {
+            const Nanos startedAt = monotonicNow();
+            exchangeWithAgents();
+            controller_.reconcile(monotonicNow());
+            waitForSignal(signals, startedAt);
+            while (signals.next()) {
+                // A second signal: the agents roll back by themselves what is not held.
+                if (isAbandoned) return kExitNotPossible;
+                isAbandoned = true;
+                controller_.abandon(monotonicNow());
             }
         }
-        return tell();
+        printOutcome();
+        return exitCode();
     }
 
   private:
-    void turn() {
-        std::vector<json> orders;
-        for (std::size_t a = 0; a < plan_.agents.size(); ++a) {
-            auto order = roll_.orderFor(static_cast<int>(a));
+    static void waitForSignal(const SignalSource& signals, Nanos roundStartedAt) {
+        const Nanos remainingMs = kOrderIntervalMs - (monotonicNow() - roundStartedAt) / kMillisecond;
+        pollfd descriptor{signals.descriptor(), POLLIN, 0};
+        ::poll(&descriptor, 1, static_cast<int>(std::max<Nanos>(remainingMs, 0)));
+    }
+
+    void exchangeWithAgents() {
+        std::vector<json> requests;
+        for (std::size_t agent = 0; agent < plan_.agents.size(); ++agent) {
+            auto order = controller_.orderFor(static_cast<int>(agent));
             if (order) order->programDigest = programDigest_;
-            orders.push_back(order ? rollout::toJson(*order) : json{{"do", "look"}});
+            requests.push_back(order ? rollout::toJson(*order) : encodeReportRequest());
         }
-        const auto answers = sendRequests(socketsOf(plan_), orders, kAnswerWithin);
-        for (std::size_t a = 0; a < answers.size(); ++a) heard(static_cast<int>(a), answers[a]);
+        const auto answers = sendRequests(socketsOf(plan_), requests, kAnswerTimeoutMs);
+        for (std::size_t agent = 0; agent < answers.size(); ++agent)
+            if (!answers[agent].is_null()) onAnswer(static_cast<int>(agent), answers[agent]);
     }
 
-    void heard(int a, const json& said) {
+    void onAnswer(int agent, const json& answer) {
         const Nanos now = monotonicNow();
-        const auto& name = plan_.agents[static_cast<std::size_t>(a)].name;
-        if (said.is_null()) return;
-        if (said.contains("error")) {
-            const auto why = said["error"].get<std::string>();
-            if (said.value("overtaken", false)) return roll_.onSuperseded(now, a, why);
-            if (said.value("busy", false)) return;
-            log_.info("refused", {{"agent", name}, {"why", why}});
-            return roll_.onRefused(now, a, why);
+        const auto& name = plan_.agents[static_cast<std::size_t>(agent)].name;
+        if (const auto error = readAgentError(answer)) {
+            onAgentError(now, agent, *error);
+            return;
         }
         try {
-            roll_.onReport(now, a, rollout::readReport(said));
+            controller_.onReport(now, agent, rollout::readReport(answer));
         } catch (const std::exception& problem) {
             log_.info("not understood", {{"agent", name}, {"why", problem.what()}});
-            roll_.onRefused(now, a, problem.what());
+            controller_.onRefused(now, agent, problem.what());
         }
     }
 
+    void onAgentError(Nanos now, int agent, const AgentError& error) {
+        if (error.isSuperseded) {
+            controller_.onSuperseded(now, agent, error.problem);
+            return;
+        }
+        if (error.isBusy) return;
+        const auto& name = plan_.agents[static_cast<std::size_t>(agent)].name;
+        log_.info("refused", {{"agent", name}, {"why", error.problem}});
+        controller_.onRefused(now, agent, error.problem);
+    }
+
     void report(std::string_view what, const json& fields) override { log_.info(what, fields); }
 
-    int tell() {
-        const auto outcome = roll_.outcome();
-        if (call_.json) {
-            fmt::print("{}\n", roll_.status(monotonicNow()).dump(2));
-        } else {
-            fmt::print("{}{}{}\n", rollout::nameOf(outcome), roll_.reason().empty() ? "" : ": ",
-                       roll_.reason());
-            for (const auto& one : roll_.unrestoredInstances()) fmt::print("  {}\n", one);
-            if (outcome == RolloutOutcome::completed)
-                fmt::print("the machines' descriptions still name what ran before: write {}{}{} into them\n",
-                           plan_.program,
-                           !plan_.program.empty() && !plan_.templatePath.empty() ? " and " : "",
-                           plan_.templatePath);
+    void printOutcome() const {
+        if (options_.json) {
+            fmt::print("{}\n", controller_.status(monotonicNow()).dump(2));
+            return;
         }
-        switch (outcome) {
+        const auto outcome = controller_.outcome();
+        fmt::print("{}{}{}\n", rollout::nameOf(outcome), controller_.reason().empty() ? "" : ": ",
+                   controller_.reason());
+        for (const auto& instance : controller_.unrestoredInstances()) fmt::print("  {}\n", instance);
+        if (outcome != RolloutOutcome::completed) return;
+        const bool changesBoth = !plan_.program.empty() && !plan_.templatePath.empty();
+        fmt::print("the machines' descriptions still name what ran before: write {}{}{} into them\n",
+                   plan_.program, changesBoth ? " and " : "", plan_.templatePath);
+    }
+
+    int exitCode() const {
+        switch (controller_.outcome()) {
             case RolloutOutcome::completed:
                 return kExitCompleted;
             case RolloutOutcome::rolledBack:
@@ -130,98 +146,110 @@
     }
 
     const rollout::RolloutPlan& plan_;
-    const RolloutOptions& call_;
+    const RolloutOptions& options_;
     std::string programDigest_;
     logging::Logger log_;
-    rollout::RolloutController roll_;
+    rollout::RolloutController controller_;
+};
+
+// ---- what the options --dry and --status show
+
+struct AgentPreview {
+    std::string agent;
+    InstancePreview instance;
 };
 
-int showWays(const rollout::RolloutPlan& plan, const std::string& program, const RolloutOptions& call) {
-    const json what{{"do", "way"},
-                    {"format", rollout::kFormat},
-                    {"form", plan.templateText},
-                    {"program_digest", program}};
-    const auto answers =
-        sendRequests(socketsOf(plan), std::vector<json>(plan.agents.size(), what), kAnswerWithin * 3);
-    json all = json::array();
-    bool can = true;
-    int instances = 0;
-    for (std::size_t a = 0; a < answers.size(); ++a) {
-        const auto& name = plan.agents[a].name;
-        if (answers[a].is_null() || answers[a].contains("error")) {
-            can = false;
-            const std::string why =
-                answers[a].is_null() ? "not there" : answers[a]["error"].get<std::string>();
-            fmt::print(stderr, "poppyctl: {}: agents.{}: {} ({})\n", call.plan, name, why,
-                       plan.agents[a].socket);
+void printPreviews(const std::vector<AgentPreview>& previews, const std::vector<int>& stages, bool asJson) {
+    if (asJson) {
+        json instances = json::array();
+        for (const auto& [agent, instance] : previews)
+            instances.push_back({{"agent", agent},
+                                 {"name", instance.name},
+                                 {"zone", instance.zone},
+                                 {"way", instance.means}});
+        fmt::print("{}\n", json{{"instances", instances}, {"stages", stages}}.dump(2));
+        return;
+    }
+    for (const auto& [agent, instance] : previews)
+        fmt::print("{:<16} {:<12} {:<12} {}\n", agent, instance.name, instance.zone, instance.means);
+    std::string sizes;
+    for (const int size : stages) sizes += fmt::format("{}{}", sizes.empty() ? "" : ", ", size);
+    fmt::print("stages: {} of {} instances\n", sizes, previews.size());
+}
+
+int showPreview(const rollout::RolloutPlan& plan, const std::string& programDigest,
+                const RolloutOptions& options) {
+    const json request = encodePreviewRequest({plan.templateText, programDigest});
+    const auto answers = requestFromAll(plan, request, kPreviewTimeoutMs);
+    std::vector<AgentPreview> previews;
+    bool isPossible = true;
+    for (std::size_t i = 0; i < answers.size(); ++i) {
+        const auto& agent = plan.agents[i];
+        const auto error = answers[i].is_null() ? AgentError{"not there"} : readAgentError(answers[i]);
+        if (error) {
+            isPossible = false;
+            fmt::print(stderr, "poppyctl: {}: agents.{}: {} ({})\n", options.plan, agent.name, error->problem,
+                       agent.socket);
             continue;
         }
-        for (const auto& way : answers[a].at("ways")) {
-            ++instances;
-            can &= !way.at("way").get<std::string>().starts_with("can't");
-            all.push_back(
-                {{"agent", name}, {"name", way["name"]}, {"zone", way["zone"]}, {"way", way["way"]}});
+        for (const InstancePreview& instance : readPreviewAnswer(answers[i])) {
+            if (instance.means.starts_with("can't")) isPossible = false;
+            previews.push_back({agent.name, instance});
         }
     }
-    const auto stages = rollout::stagesOf(plan, instances);
-    if (call.json) {
-        fmt::print("{}\n", json{{"instances", all}, {"stages", stages}}.dump(2));
-    } else {
-        for (const auto& one : all)
-            fmt::print("{:<16} {:<12} {:<12} {}\n", one["agent"].get<std::string>(),
-                       one["name"].get<std::string>(), one["zone"].get<std::string>(),
-                       one["way"].get<std::string>());
-        std::string words;
-        for (const int n : stages) words += fmt::format("{}{}", words.empty() ? "" : ", ", n);
-        fmt::print("stages: {} of {} instances\n", words, instances);
-    }
-    return can ? kExitCompleted : kExitNotPossible;
+    const auto stages = rollout::stagesOf(plan, static_cast<int>(previews.size()));
+    printPreviews(previews, stages, options.json);
+    return isPossible ? kExitCompleted : kExitNotPossible;
 }
 
-int showStatus(const rollout::RolloutPlan& plan, const RolloutOptions& call) {
-    const auto answers = sendRequests(
-        socketsOf(plan), std::vector<json>(plan.agents.size(), json{{"do", "look"}}), kAnswerWithin);
-    json all = json::object();
-    bool heard = true;
-    for (std::size_t a = 0; a < answers.size(); ++a) {
-        const auto& name = plan.agents[a].name;
-        heard &= !answers[a].is_null();
-        all[name] = answers[a];
-        if (call.json) continue;
-        if (answers[a].is_null() || answers[a].contains("error")) {
-            fmt::print("{:<16} unknown\n", name);
-            continue;
-        }
-        const auto report = rollout::readReport(answers[a]);
-        fmt::print("{:<16} roll {}{}{}\n", name, report.number,
-                   report.digest.empty() ? ", none under way"
-                   : report.isFinished   ? ", over"
-                                         : ", under way",
-                   report.hasRolledBack ? ", went back by itself" : "");
-        for (const auto& i : report.instances)
-            fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", i.name, i.zone, rollout::nameOf(i.state),
-                       static_cast<double>(i.since) / 1e9, i.ready ? "ready" : "not ready",
-                       i.metrics ? "" : ", tells no figures", i.problem.empty() ? "" : ", " + i.problem);
+std::string describeProgress(const rollout::Report& report) {
+    if (report.digest.empty()) return ", none under way";
+    return report.isFinished ? ", over" : ", under way";
+}
+
+void printReport(const std::string& agent, const rollout::Report& report) {
+    fmt::print("{:<16} roll {}{}{}\n", agent, report.number, describeProgress(report),
+               report.hasRolledBack ? ", went back by itself" : "");
+    for (const auto& instance : report.instances)
+        fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", instance.name, instance.zone,
+                   rollout::nameOf(instance.state), static_cast<double>(instance.since) / 1e9,
+                   instance.ready ? "ready" : "not ready", instance.metrics ? "" : ", tells no figures",
+                   instance.problem.empty() ? "" : ", " + instance.problem);
+}
+
+int showStatus(const rollout::RolloutPlan& plan, const RolloutOptions& options) {
+    const auto answers = requestFromAll(plan, encodeReportRequest(), kAnswerTimeoutMs);
+    json byAgent = json::object();
+    bool allAnswered = true;
+    for (std::size_t i = 0; i < answers.size(); ++i) {
+        const auto& agent = plan.agents[i].name;
+        if (answers[i].is_null()) allAnswered = false;
+        byAgent[agent] = answers[i];
+        if (options.json) continue;
+        if (answers[i].is_null() || answers[i].contains("error"))
+            fmt::print("{:<16} unknown\n", agent);
+        else
+            printReport(agent, rollout::readReport(answers[i]));
     }
-    if (call.json) fmt::print("{}\n", all.dump(2));
-    return heard ? kExitCompleted : kExitNotPossible;
+    if (options.json) fmt::print("{}\n", byAgent.dump(2));
+    return allAnswered ? kExitCompleted : kExitNotPossible;
 }
 
 }  // namespace
 
-int runRollout(const RolloutOptions& call) {
+int runRollout(const RolloutOptions& options) {
     std::optional<rollout::RolloutPlan> plan;
-    std::string program;
+    std::string programDigest;
     try {
-        plan = rollout::loadRolloutPlan(call.plan);
-        if (!plan->program.empty()) program = digestOfFile(plan->program);
+        plan = rollout::loadRolloutPlan(options.plan);
+        if (!plan->program.empty()) programDigest = digestOfFile(plan->program);
     } catch (const std::exception& problem) {
         fmt::print(stderr, "poppyctl: {}\n", problem.what());
         return kExitNotPossible;
     }
-    if (call.status) return showStatus(*plan, call);
-    if (call.dry) return showWays(*plan, program, call);
-    Coordinator coordinator(*plan, program, call);
+    if (options.status) return showStatus(*plan, options);
+    if (options.dry) return showPreview(*plan, programDigest, options);
+    RolloutCoordinator coordinator(*plan, programDigest, options);
     return coordinator.run();
 }
 
--- a/src/ctl/rollout_command.hpp
+++ b/src/ctl/rollout_command.hpp
@@ -1,4 +1,4 @@
-// `poppyctl roll PLAN`: coordinates a staged change over the agents of several machines.
+// `poppyctl roll PLAN`: coordinates a rollout over the agents of several machines.
 #pragma once
 
 #include <string>
@@ -6,16 +6,20 @@
 namespace poppyscale::ctl {
 
 struct RolloutOptions {
-    std::string plan;
-    bool dry = false;     // how each instance would come by the change; nothing is begun
-    bool status = false;  // how the agents' instances stand
-    bool json = false;    // what is told, for programs; the log's lines too
+    std::string plan;     // path of the plan
+    bool dry = false;     // only shows by which means each instance would get the change
+    bool status = false;  // only shows the state of the agents' instances
+    bool json = false;    // prints JSON, and logs in JSON
 };
 
-// Went through, can't, usage, stopped and undone, stopped and not all undone.
-constexpr int kExitCompleted = 0, kExitNotPossible = 1, kExitUsage = 2, kExitRolledBack = 3,
-              kExitRollbackIncomplete = 4;
+constexpr int kExitCompleted = 0;
+constexpr int kExitNotPossible = 1;
+constexpr int kExitUsage = 2;
+constexpr int kExitRolledBack = 3;          // stopped, and all instances run what they ran before
+constexpr int kExitRollbackIncomplete = 4;  // stopped, and some instances could not be rolled back
 
-int runRollout(const RolloutOptions& call);
+// Runs the rollout to its end, or shows what the options ask for. Returns one of the exit codes. SIGTERM or
+// SIGINT rolls the change back; a second one ends the coordinator at once.
+int runRollout(const RolloutOptions& options);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/version_store.cpp
+++ b/src/ctl/version_store.cpp
@@ -11,30 +11,59 @@
 #include <filesystem>
 #include <stdexcept>
 
+#include "ctl/file_descriptor.hpp"
+
 namespace poppyscale::ctl {
 namespace {
 
-constexpr std::string_view kHead = "poppyscale-1 ";
-constexpr const char* kBeside = ".new-";
-
-[[noreturn]] void fail(const char* what, const std::string& path, int code) {
-    throw std::runtime_error(fmt::format("can't {} {}: {}", what, path, std::strerror(code)));
-}
-
-std::string readAll(const std::string& path) {
-    const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-    if (fd < 0) fail("read", path, errno);
-    struct stat at {};
-    std::string text;
-    if (::fstat(fd, &at) == 0) text.resize(static_cast<std::size_t>(at.st_size));
-    std::size_t got = 0;
-    ssize_t one = 0;
-    while (got < text.size() && (one = ::read(fd, text.data() + got, text.size() - got)) > 0)
-        got += static_cast<std::size_t>(one);
-    const int failed = one < 0 ? errno : got < text.size() ? EIO : 0;
-    ::close(fd);
-    if (failed) fail("read", path, failed);
-    return text;
+constexpr std::string_view kFormatLine = "poppyscale-1 ";  // followed by the digest
+constexpr std::string_view kTemporarySuffix = ".new-";     // followed by the thread
+
+[[noreturn]] void fail(const char* action, const std::string& path, int error) {
+    throw std::runtime_error(fmt::format("can't {} {}: {}", action, path, std::strerror(error)));
+}
+
+std::string readFile(const std::string& path) {
+    const FileDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+    if (!file.isOpen()) fail("read", path, errno);
+    struct stat status {};
+    std::string content;
+    if (::fstat(file.get(), &status) == 0) content.resize(static_cast<std::size_t>(status.st_size));
+    std::size_t filled = 0;
+    while (filled < content.size()) {
+        const ssize_t size = ::read(file.get(), content.data() + filled, content.size() - filled);
+        if (size < 0) fail("read", path, errno);
+        if (size == 0) fail("read", path, EIO);
+        filled += static_cast<std::size_t>(size);
+    }
+    return content;
+}
+
+// 0, or the system's error number.
+int writeFully(const FileDescriptor& file, std::string_view content) {
+    while (!content.empty()) {
+        const ssize_t written = ::write(file.get(), content.data(), content.size());
+        if (written < 0 && errno == EINTR) continue;
+        if (written < 0) return errno;
+        if (written == 0) return ENOSPC;
+        content.remove_prefix(static_cast<std::size_t>(written));
+    }
+    return 0;
+}
+
+// 0, or the system's error number. The file is closed in either case.
+int writeAndSync(FileDescriptor file, std::string_view content) {
+    int error = writeFully(file, content);
+    // After a sync that failed, a second one may succeed without the data: the file is written anew instead.
+    if (error == 0 && ::fsync(file.get()) != 0) error = errno;
+    if (!file.reset() && error == 0) error = errno;
+    return error;
+}
+
+void syncFolder(const std::string& folder) {
+    const FileDescriptor file(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (!file.isOpen()) fail("sync", folder, errno);
+    if (::fsync(file.get()) != 0) fail("sync", folder, errno);
 }
 
 void makeFolder(const std::string& path) {
@@ -43,84 +72,68 @@
 
 }  // namespace
 
-std::string digestOf(std::string_view bytes) {
-    const XXH128_hash_t h = XXH3_128bits(bytes.data(), bytes.size());
-    return fmt::format("{:016x}{:016x}", h.high64, h.low64);
-}
-
-std::string digestOfFile(const std::string& path) { return digestOf(readAll(path)); }
-
-void writeAtomically(const std::string& path, std::string_view bytes, int mode) {
-    // A name of its own: two threads may write one file, and neither may rename the other's half.
-    const std::string beside = fmt::format("{}{}{}", path, kBeside, ::gettid());
-    const int fd = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
-    if (fd < 0) fail("write", path, errno);
-    int failed = 0;
-    while (!bytes.empty() && !failed) {
-        const ssize_t wrote = ::write(fd, bytes.data(), bytes.size());
-        if (wrote < 0 && errno == EINTR) continue;
-        if (wrote <= 0)
-            failed = wrote < 0 ? errno : ENOSPC;
-        else
-            bytes.remove_prefix(static_cast<std::size_t>(wrote));
-    }
-    // A sync that failed once tells nothing of what is there: the file is written anew, never synced again.
-    if (!failed && ::fsync(fd) != 0) failed = errno;
-    if (::close(fd) != 0 && !failed) failed = errno;
-    if (!failed && ::rename(beside.c_str(), path.c_str()) != 0) failed = errno;
-    if (failed) {
-        ::unlink(beside.c_str());
-        fail("write", path, failed);
+std::string digestOf(std::string_view content) {
+    const XXH128_hash_t hash = XXH3_128bits(content.data(), content.size());
+    return fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
+}
+
+std::string digestOfFile(const std::string& path) { return digestOf(readFile(path)); }
+
+void writeAtomically(const std::string& path, std::string_view content, int mode) {
+    // A name for each thread: two may write the same file, and neither may rename the other's partial one.
+    const std::string temporary = fmt::format("{}{}{}", path, kTemporarySuffix, ::gettid());
+    FileDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
+    if (!file.isOpen()) fail("write", path, errno);
+    int error = writeAndSync(std::move(file), content);
+    if (error == 0 && ::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
+    if (error != 0) {
+        ::unlink(temporary.c_str());
+        fail("write", path, error);
     }
-    const std::string folder = std::filesystem::path(path).parent_path();
-    const int at = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (at < 0) fail("sync", folder, errno);
-    if (::fsync(at) != 0) failed = errno;
-    ::close(at);
-    if (failed) fail("sync", folder, failed);
+    syncFolder(std::filesystem::path(path).parent_path());
 }
 
 void removeTemporaryFiles(const std::string& folder) {
-    std::error_code none;
-    for (const auto& one : std::filesystem::recursive_directory_iterator(folder, none))
-        if (one.path().filename().string().find(kBeside) != std::string::npos)
-            std::filesystem::remove(one.path(), none);
+    std::error_code ignored;
+    for (const auto& entry : std::filesystem::recursive_directory_iterator(folder, ignored))
+        if (entry.path().filename().string().find(kTemporarySuffix) != std::string::npos)
+            std::filesystem::remove(entry.path(), ignored);
 }
 
-void writeChecked(const std::string& path, std::string_view bytes) {
-    writeAtomically(path, fmt::format("{}{}\n{}", kHead, digestOf(bytes), bytes));
+void writeChecked(const std::string& path, std::string_view content) {
+    writeAtomically(path, fmt::format("{}{}\n{}", kFormatLine, digestOf(content), content));
 }
 
 std::optional<std::string> readChecked(const std::string& path) {
     if (::access(path.c_str(), F_OK) != 0 && errno == ENOENT) return std::nullopt;
-    const std::string all = readAll(path);
-    const auto end = all.find('\n');
-    if (!all.starts_with(kHead) || end == std::string::npos)
+    const std::string text = readFile(path);
+    const auto lineEnd = text.find('\n');
+    if (!text.starts_with(kFormatLine) || lineEnd == std::string::npos)
         throw std::runtime_error(path + " is of another format than poppyscale-1");
-    std::string rest = all.substr(end + 1);
-    if (all.substr(kHead.size(), end - kHead.size()) != digestOf(rest))
+    std::string content = text.substr(lineEnd + 1);
+    if (text.substr(kFormatLine.size(), lineEnd - kFormatLine.size()) != digestOf(content))
         throw std::runtime_error(path + " is not as it was written");
-    return rest;
+    return content;
 }
 
 std::string VersionStore::storeProgram(const std::string& path) const {
-    const std::string bytes = readAll(path);
-    const std::string digest = digestOf(bytes);
-    const std::string kept = programPath(digest);
+    const std::string content = readFile(path);
+    const std::string digest = digestOf(content);
+    const std::string stored = programPath(digest);
     makeFolder(folder_);
     makeFolder(folder_ + "/" + digest);
-    std::error_code unread;
-    if (std::filesystem::file_size(kept, unread) == bytes.size() && !unread && digestOfFile(kept) == digest)
-        return digest;
-    writeAtomically(kept, bytes, 0755);
+    std::error_code error;
+    const bool isSameSize = std::filesystem::file_size(stored, error) == content.size() && !error;
+    if (isSameSize && digestOfFile(stored) == digest) return digest;
+    writeAtomically(stored, content, 0755);
     return digest;
 }
 
 std::string VersionStore::storeTemplate(const std::string& text) const {
     const std::string digest = digestOf(text);
     makeFolder(folder_);
-    const std::string kept = folder_ + "/" + digest + ".form";
-    if (::access(kept.c_str(), F_OK) != 0 || readAll(kept) != text) writeAtomically(kept, text);
+    const std::string stored = templatePath(digest);
+    if (::access(stored.c_str(), F_OK) != 0 || readFile(stored) != text) writeAtomically(stored, text);
     return digest;
 }
 
@@ -131,8 +144,8 @@
 }
 
 std::string VersionStore::templateText(const std::string& digest) const {
-    const std::string path = folder_ + "/" + digest + ".form";
-    std::string text = readAll(path);
+    const std::string path = templatePath(digest);
+    std::string text = readFile(path);
     if (digestOf(text) != digest) throw std::runtime_error(path + " is not the form that it was");
     return text;
 }
--- a/tests/rollout_agent_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the coordinator as a program, beside agents of other versions that are played here.
+// Tests of `poppyctl roll` as a program, against emulated agents of this and other versions.
 #include <doctest/doctest.h>
 #include <sys/wait.h>
 
@@ -19,108 +19,117 @@
 
 namespace {
 
-// An agent with one instance that says what its version does.
-class Agent {
+using Answer = std::function<json(const json& request, const json& defaultAnswer)>;
+
+// An agent with one instance, whose answers a function makes from the request and the present version's
+// answer.
+class EmulatedAgent {
   public:
-    Agent(const std::string& path, std::function<json(const json& asked, const json& usual)> says)
-        : door_(path, [this, says = std::move(says)](auto who, const json& asked) {
-              heard += asked.value("do", "") + ";";
-              door_.answer(who, says(asked, usual()));
+    EmulatedAgent(const std::string& path, Answer answer)
+        : listener_(path, [this, answer = std::move(answer)](std::uint64_t client, const json& request) {
+              requests += request.value("do", "") + ";";
+              listener_.answer(client, answer(request, defaultAnswer()));
           }) {
         thread_ = std::jthread([this](const std::stop_token& stop) {
             while (!stop.stop_requested()) {
-                door_.runIteration();
+                listener_.runIteration();
                 usleep(5'000);
             }
         });
     }
-    ~Agent() {
+    ~EmulatedAgent() {
         thread_.request_stop();
         thread_.join();
     }
-    static json usual() {
-        rollout::Report r;
-        r.instances.push_back(
+    static json defaultAnswer() {
+        rollout::Report report;
+        report.instances.push_back(
             {"r0", "north", rollout::InstanceState::original, true, 60'000 * kMillisecond, 0, "", {}});
-        return rollout::toJson(r, {json{{"format", 1}}});
+        return rollout::toJson(report, {json{{"format", 1}}});
     }
-    std::string heard;
+    std::string requests;  // the names of all, each with a semicolon
 
   private:
-    ctl::ControlListener door_;
+    ctl::ControlListener listener_;
     std::jthread thread_;
 };
 
-struct Rolled {
-    int code = -1;
-    std::string text;
+struct RolloutResult {
+    int exitCode = -1;
+    std::string output;
+    bool hasSentOrders = false;
 };
 
-struct Beside {
-    Beside() {
+// A rollout over one agent of the present version and another one.
+class RolloutRun {
+  public:
+    RolloutRun() {
         char name[] = "/tmp/poppyscale-agents-XXXXXX";
-        folder = mkdtemp(name);
+        folder_ = mkdtemp(name);
     }
-    ~Beside() { std::filesystem::remove_all(folder); }
-    // The coordinator over one agent of the present version and that other one.
-    Rolled roll(const std::function<json(const json&, const json&)>& other, const std::string& words = "") {
-        Agent present(folder + "/a.sock", [](const json&, const json& usual) { return usual; });
-        Agent old(folder + "/b.sock", other);
-        std::ofstream(folder + "/plan.toml")
+    ~RolloutRun() { std::filesystem::remove_all(folder_); }
+    RolloutResult run(const Answer& otherAnswer, const std::string& options = "") const {
+        EmulatedAgent present(folder_ + "/a.sock",
+                              [](const json&, const json& defaultAnswer) { return defaultAnswer; });
+        EmulatedAgent other(folder_ + "/b.sock", otherAnswer);
+        std::ofstream(folder_ + "/plan.toml")
             << "[change]\nprogram = \"/bin/true\"\n[stage]\nwatch_ms = 1500\nleast_ms = 1000\nlongest_ms = "
                "2000\n[back]\nwithin_ms = 1000\n[[agents]]\nname = \"present\"\nsocket = \"" +
-                   folder + "/a.sock\"\n[[agents]]\nname = \"other\"\nsocket = \"" + folder + "/b.sock\"\n";
-        FILE* const pipe = popen((POPPYCTL " roll " + words + folder + "/plan.toml 2>&1").c_str(), "r");
-        Rolled rolled;
+                   folder_ + "/a.sock\"\n[[agents]]\nname = \"other\"\nsocket = \"" + folder_ + "/b.sock\"\n";
+        FILE* const pipe = popen((POPPYCTL " roll " + options + folder_ + "/plan.toml 2>&1").c_str(), "r");
+        RolloutResult result;
         char buffer[4096];
-        while (const std::size_t got = std::fread(buffer, 1, sizeof buffer, pipe))
-            rolled.text.append(buffer, got);
+        while (const std::size_t size = std::fread(buffer, 1, sizeof buffer, pipe))
+            result.output.append(buffer, size);
         const int status = pclose(pipe);
-        rolled.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-        toldToRoll = (present.heard + old.heard).find("roll;") != std::string::npos;
-        return rolled;
+        result.exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+        result.hasSentOrders = (present.requests + other.requests).find("roll;") != std::string::npos;
+        return result;
     }
-    std::string folder;
-    bool toldToRoll = false;
+
+  private:
+    std::string folder_;
 };
 
 }  // namespace
 
-TEST_CASE("agents of the version before are refused by name, and nothing is begun") {
-    Beside one, two;
-    auto format = std::async(std::launch::async, [&] {
-        return one.roll([](const json&, json usual) {
-            usual["format"] = 0;
-            return usual;
+TEST_CASE("agents of an older version are rejected by name, and no order is sent") {
+    const RolloutRun formatRun;
+    const RolloutRun unknownRun;
+    auto pendingFormat = std::async(std::launch::async, [&] {
+        return formatRun.run([](const json&, json answer) {
+            answer["format"] = 0;
+            return answer;
         });
     });
-    const Rolled deaf = two.roll([](const json& asked, const json&) {
-        return json{{"error", "'" + asked.value("do", "") + "' is not known here"}};
+    const RolloutResult unknown = unknownRun.run([](const json& request, const json&) {
+        return json{{"error", "'" + request.value("do", "") + "' is not known here"}};
     });
-    const Rolled other = format.get();
-    CHECK(other.code == 1);
-    CHECK_MESSAGE(other.text.find("other (format 0 is not known here, 1 is)") != std::string::npos,
-                  other.text);
-    CHECK_FALSE(one.toldToRoll);
-    CHECK(deaf.code == 1);
-    CHECK_MESSAGE(deaf.text.find("other ('look' is not known here)") != std::string::npos, deaf.text);
-    CHECK_FALSE(two.toldToRoll);
+    const RolloutResult format = pendingFormat.get();
+    CHECK(format.exitCode == 1);
+    CHECK_MESSAGE(format.output.find("other (format 0 is not known here, 1 is)") != std::string::npos,
+                  format.output);
+    CHECK_FALSE(format.hasSentOrders);
+    CHECK(unknown.exitCode == 1);
+    CHECK_MESSAGE(unknown.output.find("other ('look' is not known here)") != std::string::npos,
+                  unknown.output);
+    CHECK_FALSE(unknown.hasSentOrders);
 }
 
-TEST_CASE("what a newer agent says more is let be; an old program's instance tells nothing and is not good") {
-    Beside beside;
-    const auto newer = [](const json&, json usual) {
-        usual["mood"] = "well";
-        usual["instances"][0]["colour"] = {1, 2, 3};
-        return usual;
+TEST_CASE("unknown fields of a newer agent are ignored; instances without metrics don't pass a stage") {
+    const RolloutRun rollout;
+    const auto newerAnswer = [](const json&, json answer) {
+        answer["mood"] = "well";
+        answer["instances"][0]["colour"] = {1, 2, 3};
+        return answer;
     };
-    const Rolled shown = beside.roll(newer, "--status ");
-    CHECK(shown.code == 0);
-    CHECK_MESSAGE(shown.text.find("tells no figures") != std::string::npos, shown.text);
-    // It is begun, and as these agents never change anything and their instances tell nothing it does not
-    // hold.
-    const Rolled rolled = beside.roll(newer);
-    CHECK(beside.toldToRoll);
-    CHECK_MESSAGE((rolled.code == 1 || rolled.code == 3), rolled.text);
-    CHECK(rolled.text.find("stage holds") == std::string::npos);
+    const RolloutResult status = rollout.run(newerAnswer, "--status ");
+    CHECK(status.exitCode == 0);
+    CHECK_MESSAGE(status.output.find("tells no figures") != std::string::npos, status.output);
+    // The rollout begins, but as these agents change nothing and their instances have no metrics, no stage
+    // passes.
+    const RolloutResult result = rollout.run(newerAnswer);
+    CHECK(result.hasSentOrders);
+    CHECK_MESSAGE((result.exitCode == 1 || result.exitCode == 3), result.output);
+    CHECK(result.output.find("stage holds") == std::string::npos);
 }
