--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -4,176 +4,220 @@
 #include <fmt/ranges.h>
 
 #include <algorithm>
-#include <limits>
 
 namespace poppyscale::lease {
 namespace {
 
-constexpr std::size_t kMostWaiting = 16;  // of one lease; whoever is beyond asks again by itself
-constexpr int kReservedPart = 4;          // of the length: for so long only a named successor may have it
+constexpr std::size_t kMaxWaiting = 16;   // members of one lease; others retry after their backoff
+constexpr int kReservedDurationPart = 4;  // a reservation lasts for this part of a grant's duration
+
+// The request is from who was granted the lease last, by the same fencing token.
+bool isLatestHolder(const LeaseRequest& request, const GrantRecord& record) {
+    return request.fence == record.highest && request.incarnation == record.life;
+}
 
 }  // namespace
 
-Acceptor::Acceptor(const LeaseSettings& terms, int self, Nanos now, const std::optional<GrantRecords>& memory)
-    : settings_(terms), self_(self), state_(memory ? State::voting : State::recovering) {
-    if (!memory) {
+Acceptor::Acceptor(const LeaseSettings& settings, int self, Nanos now,
+                   const std::optional<GrantRecords>& records)
+    : settings_(settings), self_(self), state_(records ? State::voting : State::recovering) {
+    if (!records) {
         // What it may have granted before lasts no longer than a grant of now would.
         quarantinedUntil_ = now + settings_.duration;
-        recallAt_ = now;
+        nextRecallAt_ = now;
         if (!settings_.has(Safeguard::quarantine)) state_ = State::voting;
         return;
     }
-    // When it granted is not known any more: as if it had been just now.
-    for (const auto& [lease, record] : *memory)
+    // When these were granted is not known: as if it had been just now.
+    for (const auto& [lease, record] : *records)
         grants_[lease] = {record, record.over ? 0 : now + settings_.duration, 0, 0, {}};
 }
 
-void Acceptor::onRequest(Nanos now, MemberId from, const LeaseRequest& ask) {
-    if (state_ == State::recovering) return;  // no word: it neither grants nor knows who holds
-    const std::uint64_t before = ticket_;
-    LeaseAnswer said = answer(now, from, ask);
-    if (ask.kind != LeaseRequest::Kind::acquire) return;
-    // What an earlier change said is waited for as well: a renewal must not overtake the grant that it
-    // renews.
-    if (ticket_ == persistedTicket_ && before == ticket_)
-        wanted_.answers.emplace_back(from, said);
-    else
-        waiting_.push_back({ticket_, from, said});
-}
-
-LeaseAnswer Acceptor::answer(Nanos now, MemberId from, const LeaseRequest& ask) {
-    Grant& g = grants_[ask.lease];
-    GrantRecord& r = g.record;
-    const GrantRecord was = r;
-    LeaseAnswer said{ask.lease, ask.fence, ask.incarnation, ask.stamp, false, r.highest, 0};
-    const auto keep = [&] {
-        if (r == was) return;
-        wanted_.keep[ask.lease] = r;
-        wanted_.ticket = ++ticket_;
-    };
-    if (ask.kind != LeaseRequest::Kind::acquire) {
-        // Who asked in vain gives up by a fence over that of who holds: it is none of that one's.
-        const bool anothers =
-            !r.over && now < g.until && !(ask.fence == r.highest && ask.incarnation == r.life);
-        if (memberOf(ask.fence) != from || ask.fence < r.highest || anothers) return said;
-        // Also of one that never came here: should it come yet, it is over.
-        r = {ask.fence, ask.incarnation, true};
-        g.until = 0;
-        g.reserved = ask.kind == LeaseRequest::Kind::transfer ? ask.to : 0;
-        g.reservedUntil = g.reserved ? now + settings_.duration / kReservedPart : 0;
-        if (!g.reserved)
-            for (const MemberId waits : std::exchange(g.waits, {}))
-                if (waits != from)
-                    wanted_.answers.emplace_back(waits, LeaseAnswer{ask.lease, 0, 0, 0, false, r.highest, 0});
-        keep();
-        return said;
+// ---- requests of holders
+
+void Acceptor::onRequest(Nanos now, MemberId from, const LeaseRequest& request) {
+    if (state_ == State::recovering) return;
+    if (request.kind != LeaseRequest::Kind::acquire) {
+        endGrant(now, from, request);
+        return;
     }
-    if (memberOf(ask.fence) != from) return said;
-    const bool held = !r.over && now < g.until;
-    const bool same = ask.fence == r.highest && ask.incarnation == r.life && !r.over;
-    if (held && !same) {
-        if (g.waits.size() < kMostWaiting) g.waits.insert(from);
-        said.freeIn = g.until - now;
-        return said;
+    const std::uint64_t ticketBefore = lastTicket_;
+    const LeaseAnswer answer = answerAcquire(now, from, request);
+    // An answer that needs no write waits for earlier writes all the same: it must not overtake the grant
+    // that it renews.
+    const bool isDurable = lastTicket_ == persistedTicket_ && ticketBefore == lastTicket_;
+    if (isDurable)
+        actions_.answers.emplace_back(from, answer);
+    else
+        pendingAnswers_.push_back({lastTicket_, from, answer});
+}
+
+LeaseAnswer Acceptor::answerAcquire(Nanos now, MemberId from, const LeaseRequest& request) {
+    Grant& grant = grants_[request.lease];
+    const GrantRecord recordBefore = grant.record;
+    LeaseAnswer answer{
+        request.lease, request.fence, request.incarnation, request.stamp, false, recordBefore.highest, 0};
+    if (!mayGrant(now, from, request, grant, answer)) return answer;
+    grant.record = {request.fence, request.incarnation, false};
+    grant.validUntil = now + settings_.duration;
+    grant.reservedFor = 0;
+    grant.reservedUntil = 0;
+    grant.waiting.erase(from);
+    answer.granted = true;
+    answer.highest = grant.record.highest;
+    if (grant.record != recordBefore) persist(request.lease, grant.record);
+    return answer;
+}
+
+// Where it may not, says in the answer when the lease is free, and notes who waits for that.
+bool Acceptor::mayGrant(Nanos now, MemberId from, const LeaseRequest& request, Grant& grant,
+                        LeaseAnswer& answer) {
+    const GrantRecord& record = grant.record;
+    if (memberOf(request.fence) != from) return false;
+    const bool isHeld = !record.over && now < grant.validUntil;
+    const bool isRenewal = isLatestHolder(request, record) && !record.over;
+    if (isHeld && !isRenewal) {
+        if (grant.waiting.size() < kMaxWaiting) grant.waiting.insert(from);
+        answer.freeIn = grant.validUntil - now;
+        return false;
     }
-    if (!held && now < g.reservedUntil && g.reserved != from) {
-        said.freeIn = g.reservedUntil - now;
-        return said;
+    if (!isHeld && now < grant.reservedUntil && grant.reservedFor != from) {
+        answer.freeIn = grant.reservedUntil - now;
+        return false;
     }
-    // Nobody was granted anything since, where it is the same again after its time.
-    if (!same && ask.fence <= r.highest && settings_.has(Safeguard::fence)) return said;
-    r = {ask.fence, ask.incarnation, false};
-    g.until = now + settings_.duration;
-    g.reserved = 0;
-    g.reservedUntil = 0;
-    g.waits.erase(from);
-    said.granted = true;
-    said.highest = r.highest;
-    keep();
-    return said;
-}
-
-void Acceptor::onRequest(Nanos, int voter, const RecallRequest&) {
-    RecallAnswer said;
-    said.hasState = state_ == State::voting;
-    for (const auto& [lease, g] : grants_) said.records[lease] = g.record;
-    wanted_.recalled.emplace_back(voter, std::move(said));
-}
-
-void Acceptor::onRequest(Nanos now, int voter, const RecallAnswer& said) {
-    if (state_ == State::voting && settings_.has(Safeguard::quarantine)) return;
-    recalledBy_[voter] = said.hasState;
-    for (const auto& [lease, record] : said.records) {
-        Grant& g = grants_[lease];
-        // Only how high: whether it granted by that itself it does not know, and its quarantine covers that.
-        if (record.highest > g.record.highest) g.record = {record.highest, record.life, true};
+    // The latest holder may renew even an expired grant, as nobody was granted the lease since.
+    const bool isFenceGreater = request.fence > record.highest || !settings_.has(Safeguard::fence);
+    return isRenewal || isFenceGreater;
+}
+
+// A release or a transfer. Also of a request that has not arrived here: should it arrive later, it is over.
+void Acceptor::endGrant(Nanos now, MemberId from, const LeaseRequest& request) {
+    Grant& grant = grants_[request.lease];
+    const GrantRecord recordBefore = grant.record;
+    // A member that asked in vain releases by a fencing token greater than the holder's, which must not end
+    // the holder's grant.
+    const bool isHeldByOther =
+        !recordBefore.over && now < grant.validUntil && !isLatestHolder(request, recordBefore);
+    if (memberOf(request.fence) != from || request.fence < recordBefore.highest || isHeldByOther) return;
+    grant.record = {request.fence, request.incarnation, true};
+    grant.validUntil = 0;
+    grant.reservedFor = request.kind == LeaseRequest::Kind::transfer ? request.to : MemberId{0};
+    if (grant.reservedFor != 0) {
+        grant.reservedUntil = now + settings_.duration / kReservedDurationPart;
+    } else {
+        grant.reservedUntil = 0;
+        notifyWaiting(request.lease, grant, from);
     }
-    settleMemory(now);
+    if (grant.record != recordBefore) persist(request.lease, grant.record);
 }
 
-// It votes again once all that it may have granted is over, and it knows a fence at least as high as each
-// that it may have granted: of the others, so many that they meet every majority that it may have been part
-// of; or all of them, where that is how it is.
-void Acceptor::settleMemory(Nanos now) {
-    if (state_ != State::recovering || now < quarantinedUntil_) return;
-    const auto remember =
-        std::count_if(recalledBy_.begin(), recalledBy_.end(), [](const auto& one) { return one.second; });
-    const bool enough = remember >= settings_.voters / 2 + 1;
-    const bool all = std::ssize(recalledBy_) == settings_.voters - 1;
-    if (!enough && !all) return;
-    state_ = State::voting;
-    mayHaveLostState_ = !enough && remember > 0;
-    for (const auto& [lease, g] : grants_) wanted_.keep[lease] = g.record;
-    wanted_.ticket = ++ticket_;
+void Acceptor::notifyWaiting(LeaseId lease, Grant& grant, MemberId releasedBy) {
+    const LeaseAnswer isFree{lease, 0, 0, 0, false, grant.record.highest, 0};
+    for (const MemberId member : grant.waiting)
+        if (member != releasedBy) actions_.answers.emplace_back(member, isFree);
+    grant.waiting.clear();
+}
+
+// ---- durable records
+
+void Acceptor::persist(LeaseId lease, const GrantRecord& record) {
+    actions_.keep[lease] = record;
+    ++lastTicket_;
+    actions_.ticket = lastTicket_;
 }
 
 void Acceptor::onPersisted(Nanos, std::uint64_t ticket) {
     persistedTicket_ = std::max(persistedTicket_, ticket);
-    std::erase_if(waiting_, [this](const PendingAnswer& w) {
-        if (w.ticket > persistedTicket_) return false;
-        wanted_.answers.emplace_back(w.to, w.answer);
+    std::erase_if(pendingAnswers_, [this](const PendingAnswer& pending) {
+        if (pending.ticket > persistedTicket_) return false;
+        actions_.answers.emplace_back(pending.to, pending.answer);
         return true;
     });
 }
 
+// ---- recovery
+
+void Acceptor::onRequest(Nanos, int acceptor, const RecallRequest&) {
+    RecallAnswer answer;
+    answer.hasState = state_ == State::voting;
+    for (const auto& [lease, grant] : grants_) answer.records[lease] = grant.record;
+    actions_.recalled.emplace_back(acceptor, std::move(answer));
+}
+
+void Acceptor::onRequest(Nanos now, int acceptor, const RecallAnswer& answer) {
+    if (state_ == State::voting && settings_.has(Safeguard::quarantine)) return;
+    hasStateBy_[acceptor] = answer.hasState;
+    for (const auto& [lease, record] : answer.records) {
+        Grant& grant = grants_[lease];
+        // Only the greatest fencing token counts. Whether this acceptor granted anything by it is not known,
+        // and covered by the quarantine.
+        if (record.highest > grant.record.highest) grant.record = {record.highest, record.life, true};
+    }
+    finishRecovery(now);
+}
+
+// Votes again once every grant that it may have made is over, and it knows a fencing token at least as great
+// as that of each. It does where so many others have state that they meet every majority that it may have
+// been part of, or where all others have answered, whatever they have.
+void Acceptor::finishRecovery(Nanos now) {
+    if (state_ != State::recovering || now < quarantinedUntil_) return;
+    const auto withState =
+        std::count_if(hasStateBy_.begin(), hasStateBy_.end(), [](const auto& entry) { return entry.second; });
+    const bool enoughHaveState = withState >= settings_.voters / 2 + 1;
+    const bool allAnswered = std::ssize(hasStateBy_) == settings_.voters - 1;
+    if (!enoughHaveState && !allAnswered) return;
+    state_ = State::voting;
+    mayHaveLostState_ = !enoughHaveState && withState > 0;
+    for (const auto& [lease, grant] : grants_) actions_.keep[lease] = grant.record;
+    ++lastTicket_;
+    actions_.ticket = lastTicket_;
+}
+
+// ---- actions and state
+
 Acceptor::Actions Acceptor::reconcile(Nanos now) {
-    settleMemory(now);
-    if (state_ == State::recovering && now >= recallAt_) {
-        for (int v = 0; v < settings_.voters; ++v)
-            if (v != self_ && !recalledBy_.contains(v)) wanted_.recalls.emplace_back(v, RecallRequest{});
-        recallAt_ = now + settings_.answerTimeout;
+    finishRecovery(now);
+    if (state_ == State::recovering && now >= nextRecallAt_) {
+        for (int acceptor = 0; acceptor < settings_.voters; ++acceptor)
+            if (acceptor != self_ && !hasStateBy_.contains(acceptor))
+                actions_.recalls.emplace_back(acceptor, RecallRequest{});
+        nextRecallAt_ = now + settings_.answerTimeout;
     }
     if (!settings_.has(Safeguard::sync)) {
-        for (const PendingAnswer& w : waiting_) wanted_.answers.emplace_back(w.to, w.answer);
-        waiting_.clear();
+        for (const PendingAnswer& pending : pendingAnswers_)
+            actions_.answers.emplace_back(pending.to, pending.answer);
+        pendingAnswers_.clear();
     }
-    return std::exchange(wanted_, {});
+    Actions due = std::move(actions_);
+    actions_ = {};
+    return due;
 }
 
 Nanos Acceptor::nextDeadline() const {
-    if (state_ == State::voting) return std::numeric_limits<Nanos>::max();
-    return std::max(recallAt_, Nanos{0});
+    if (state_ == State::voting) return kNever;
+    return std::max(nextRecallAt_, Nanos{0});
 }
 
 std::map<LeaseId, Acceptor::GrantStatus> Acceptor::grantStatus(Nanos now) const {
-    std::map<LeaseId, GrantStatus> all;
-    for (const auto& [lease, g] : grants_)
-        if (!g.record.over && now < g.until) all[lease] = {g.record.highest, g.until - now};
-    return all;
+    std::map<LeaseId, GrantStatus> held;
+    for (const auto& [lease, grant] : grants_)
+        if (!grant.record.over && now < grant.validUntil)
+            held[lease] = {grant.record.highest, grant.validUntil - now};
+    return held;
 }
 
 std::string Acceptor::image(Nanos now) const {
     std::string text = fmt::format("V{}{}q{};", static_cast<int>(state_), mayHaveLostState_,
                                    std::max<Nanos>(quarantinedUntil_ - now, 0));
-    for (const auto& [v, remembers] : recalledBy_) text += fmt::format("r{}{};", v, remembers);
-    for (const auto& [lease, g] : grants_)
-        text += fmt::format("{}:{}.{}{}u{}v{}w{}z{};", lease, g.record.highest, g.record.life,
-                            g.record.over ? "o" : "h", std::max<Nanos>(g.until - now, 0),
-                            g.reservedUntil > now ? g.reserved : 0, std::max<Nanos>(g.reservedUntil - now, 0),
-                            g.waits);
-    for (const PendingAnswer& w : waiting_)
-        text +=
-            fmt::format("a{},{},{},{};", w.ticket - persistedTicket_, w.to, w.answer.fence, w.answer.granted);
+    for (const auto& [acceptor, hasState] : hasStateBy_) text += fmt::format("r{}{};", acceptor, hasState);
+    for (const auto& [lease, grant] : grants_)
+        text += fmt::format("{}:{}.{}{}u{}v{}w{}z{};", lease, grant.record.highest, grant.record.life,
+                            grant.record.over ? "o" : "h", std::max<Nanos>(grant.validUntil - now, 0),
+                            grant.reservedUntil > now ? grant.reservedFor : 0,
+                            std::max<Nanos>(grant.reservedUntil - now, 0), grant.waiting);
+    for (const PendingAnswer& pending : pendingAnswers_)
+        text += fmt::format("a{},{},{},{};", pending.ticket - persistedTicket_, pending.to,
+                            pending.answer.fence, pending.answer.granted);
     return text;
 }
 
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -1,10 +1,9 @@
-// One voter. Free of I/O and of any clock: messages and time in, answers and what is to be kept out.
-//
-// What it promises: to one member at a time, a lease is granted for the whole length from when it heard;
-// never by a fence that is not over all that it has granted before; and nothing is said before it is kept.
+// The side of leases that grants them.
 #pragma once
 
+#include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <utility>
 #include <vector>
@@ -13,71 +12,91 @@
 
 namespace poppyscale::lease {
 
+// Grants leases to one member each at a time. Several acceptors, of which a majority has to grant, make a
+// lease (see LeaseHolder).
+//
+// Guarantees: a grant lasts for the settings' duration on this acceptor's clock from when it was requested,
+// and until then no other member is granted that lease; a new grant has a greater fencing token than all
+// grants and releases before it; and no answer is sent before what it says is durable. An acceptor that has
+// lost its state rejects nothing and grants nothing, but stays silent until neither can be violated.
+//
+// Free of I/O and of any clock: messages and time come in, answers and records to persist go out. Owns the
+// grants and the answers that wait for the disk. Not thread-safe.
 class Acceptor {
   public:
-    // What is wanted of the outside after an event.
+    // What the caller has to carry out after an event.
     struct Actions {
-        std::vector<std::pair<MemberId, LeaseAnswer>> answers;
-        std::vector<std::pair<int, RecallRequest>> recalls;  // to voters
-        std::vector<std::pair<int, RecallAnswer>> recalled;  // the same
-        GrantRecords keep;                                   // to disk and synced; then `kept` with `ticket`
-        std::uint64_t ticket = 0;
+        std::vector<std::pair<MemberId, LeaseAnswer>> answers;  // to holders
+        std::vector<std::pair<int, RecallRequest>> recalls;     // to acceptors
+        std::vector<std::pair<int, RecallAnswer>> recalled;     // to acceptors
+        GrantRecords keep;         // to be written to disk and synced; then onPersisted with `ticket`
+        std::uint64_t ticket = 0;  // of the records; 0: there are none
     };
 
-    // forgetting: it does not know what it granted, and votes for nobody. voting: it does.
-    enum class State : std::uint8_t { recovering, voting };
+    enum class State : std::uint8_t {
+        recovering,  // does not know what it has granted, and stays silent
+        voting
+    };
 
-    // `memory`: what was on its disk, if it says that it ever voted; nothing for a new one, or one that lost
-    // it.
-    Acceptor(const LeaseSettings& terms, int self, Nanos now, const std::optional<GrantRecords>& memory);
+    // `self`: its number among the acceptors, from 0. `records`: what was on its disk, also where that is
+    // empty because it never granted anything; nothing where it is new, or has lost its disk.
+    Acceptor(const LeaseSettings& settings, int self, Nanos now, const std::optional<GrantRecords>& records);
 
-    void onRequest(Nanos now, MemberId from, const LeaseRequest& ask);
-    void onRequest(Nanos now, int voter, const RecallRequest&);
-    void onRequest(Nanos now, int voter, const RecallAnswer& said);
+    void onRequest(Nanos now, MemberId from, const LeaseRequest& request);
+    void onRequest(Nanos now, int acceptor, const RecallRequest& request);
+    void onRequest(Nanos now, int acceptor, const RecallAnswer& answer);
+    // The records with this ticket, and all before, are durable.
     void onPersisted(Nanos now, std::uint64_t ticket);
-    // Once after the events of a moment, and by `next`.
+    // The actions that are due. To be called once after the events of a moment, and at nextDeadline().
     Actions reconcile(Nanos now);
     Nanos nextDeadline() const;
 
     State state() const { return state_; }
-    // Fences may have fallen: too many had lost their memory at once to tell.
+    // It votes again although too few acceptors had state to tell the greatest fencing token: a later token
+    // may be less than an earlier one.
     bool mayHaveLostState() const { return mayHaveLostState_; }
-    // By whom a lease is held here as far as this one knows, and for how long; for people.
+    // A grant that has not expired, for people.
     struct GrantStatus {
         Fence fence;
-        Nanos left;
+        Nanos left;  // until it expires
     };
     std::map<LeaseId, GrantStatus> grantStatus(Nanos now) const;
-    // All that matters of it, times beside `now`: for who explores states.
+    // All state that matters, with times relative to `now`, for the model checker to compare states by.
     std::string image(Nanos now) const;
 
   private:
     struct Grant {
         GrantRecord record;
-        Nanos until = 0;  // of a holder's grant; past: free
-        MemberId reserved = 0;
-        Nanos reservedUntil = 0;
-        std::set<MemberId> waits;  // asked and were refused: told when it is let go
+        Nanos validUntil = 0;        // in the past: the lease is free
+        MemberId reservedFor = 0;    // to whom it was transferred; 0: nobody
+        Nanos reservedUntil = 0;     // of the reservation
+        std::set<MemberId> waiting;  // were rejected, and are notified of its release
+    };
+    // An answer that waits for the disk, until the records with that ticket are durable.
+    struct PendingAnswer {
+        std::uint64_t ticket;
+        MemberId to;
+        LeaseAnswer answer;
     };
-    LeaseAnswer answer(Nanos now, MemberId from, const LeaseRequest& ask);
-    void settleMemory(Nanos now);
+    LeaseAnswer answerAcquire(Nanos now, MemberId from, const LeaseRequest& request);
+    bool mayGrant(Nanos now, MemberId from, const LeaseRequest& request, Grant& grant, LeaseAnswer& answer);
+    void endGrant(Nanos now, MemberId from, const LeaseRequest& request);
+    void notifyWaiting(LeaseId lease, Grant& grant, MemberId releasedBy);
+    void persist(LeaseId lease, const GrantRecord& record);
+    void finishRecovery(Nanos now);
 
     LeaseSettings settings_;
     int self_;
     State state_;
     bool mayHaveLostState_ = false;
-    Nanos quarantinedUntil_ = 0, recallAt_ = 0;
-    std::map<int, bool> recalledBy_;  // whether it remembers
+    Nanos quarantinedUntil_ = 0;      // while recovering
+    Nanos nextRecallAt_ = 0;          // while recovering
+    std::map<int, bool> hasStateBy_;  // of the acceptors that answered a recall, by number
     std::map<LeaseId, Grant> grants_;
-    Actions wanted_;
-    // Answers that wait for the disk, each with the ticket that it needs.
-    struct PendingAnswer {
-        std::uint64_t ticket;
-        MemberId to;
-        LeaseAnswer answer;
-    };
-    std::vector<PendingAnswer> waiting_;
-    std::uint64_t ticket_ = 0, persistedTicket_ = 0;
+    Actions actions_;  // since the last reconcile
+    std::vector<PendingAnswer> pendingAnswers_;
+    std::uint64_t lastTicket_ = 0;
+    std::uint64_t persistedTicket_ = 0;
 };
 
 }  // namespace poppyscale::lease
--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -3,203 +3,253 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <functional>
 #include <limits>
 #include <random>
 
 namespace poppyscale::lease {
 namespace {
 
-constexpr Nanos kNone = std::numeric_limits<Nanos>::min();
+constexpr Nanos kNotGranted = std::numeric_limits<Nanos>::min();
+constexpr int kMaxDoublings = 16;                    // of the backoff
+constexpr std::uint32_t kIncarnationFactor = 7919U;  // separates the random samples of incarnations
+constexpr int kEarlyRenewalPart = 4;                 // of the renewal interval
 
 }  // namespace
 
-LeaseHolder::LeaseHolder(const LeaseSettings& terms, MemberId self, std::uint32_t life)
-    : settings_(terms), self_(self), incarnation_(life) {}
+LeaseHolder::LeaseHolder(const LeaseSettings& settings, MemberId self, std::uint32_t incarnation)
+    : settings_(settings), self_(self), incarnation_(incarnation) {}
 
-// Doubled with each try in vain; half of it to all, so that those who want the same don't meet again.
-Nanos LeaseHolder::pause(LeaseState& one) {
-    const Nanos whole = std::min(settings_.maxBackoff, settings_.minBackoff << std::min(one.attempts++, 16));
-    std::mt19937 chance(incarnation_ * 7919U + draws_++);
-    return whole / 2 +
-           static_cast<Nanos>(std::generate_canonical<double, 32>(chance) * static_cast<double>(whole / 2));
-}
+// ---- what the member wants
 
 void LeaseHolder::acquire(Nanos now, LeaseId lease, int rank) {
-    LeaseState& one = all_[lease];
-    if (std::exchange(one.wanted, true) || one.state != State::idle) return;
-    one.state = State::backingOff;
-    one.attempts = 0;
-    one.at = now + rank * settings_.answerTimeout;
+    LeaseState& state = leases_[lease];
+    const bool wasWanted = state.isWanted;
+    state.isWanted = true;
+    if (wasWanted || state.state != State::idle) return;
+    state.state = State::backingOff;
+    state.failedAttempts = 0;
+    state.nextStepAt = now + rank * settings_.answerTimeout;
 }
 
-void LeaseHolder::onTransferOffered(Nanos now, LeaseId lease) {
-    const auto it = all_.find(lease);
-    if (it == all_.end() || it->second.state != State::backingOff) return;
-    it->second.at = now;
-    it->second.attempts = 0;
+void LeaseHolder::release(Nanos now, LeaseId lease) {
+    const auto it = leases_.find(lease);
+    if (it == leases_.end()) return;
+    LeaseState& state = it->second;
+    state.isWanted = false;
+    if (state.state == State::requesting || state.state == State::holding) giveUp(now, lease, state);
+    state.state = State::idle;
 }
 
-void LeaseHolder::tell(LeaseId lease, const LeaseState& one, LeaseRequest::Kind kind, MemberId to) {
-    for (int v = 0; v < settings_.voters; ++v)
-        wanted_.requests.emplace_back(v, LeaseRequest{kind, lease, one.fence, incarnation_, 0, to});
+void LeaseHolder::transfer(Nanos now, LeaseId lease, MemberId to) {
+    const auto it = leases_.find(lease);
+    if (it == leases_.end() || it->second.state != State::holding) return;
+    LeaseState& state = it->second;
+    sendToAll({LeaseRequest::Kind::transfer, lease, state.fence, incarnation_, 0, to});
+    actions_.offers.emplace_back(to, lease);
+    state.validUntil = 0;
+    state.state = state.isWanted ? State::backingOff : State::idle;
+    state.nextStepAt = now + settings_.maxBackoff;
 }
 
-void LeaseHolder::release(Nanos now, LeaseId lease) {
-    const auto it = all_.find(lease);
-    if (it == all_.end()) return;
-    LeaseState& one = it->second;
-    one.wanted = false;
-    if (one.state == State::requesting || one.state == State::holding) giveUp(now, lease, one);
-    one.state = State::idle;
+void LeaseHolder::onTransferOffered(Nanos now, LeaseId lease) {
+    const auto it = leases_.find(lease);
+    if (it == leases_.end() || it->second.state != State::backingOff) return;
+    it->second.nextStepAt = now;
+    it->second.failedAttempts = 0;
 }
 
-void LeaseHolder::transfer(Nanos now, LeaseId lease, MemberId to) {
-    const auto it = all_.find(lease);
-    if (it == all_.end() || it->second.state != State::holding) return;
-    LeaseState& one = it->second;
-    tell(lease, one, LeaseRequest::Kind::transfer, to);
-    wanted_.offers.emplace_back(to, lease);
-    one.until = 0;
-    one.state = one.wanted ? State::backingOff : State::idle;
-    one.at = now + settings_.maxBackoff;
-}
-
-// By that fence nothing is done any more, and whoever granted to it may grant to others.
-void LeaseHolder::giveUp(Nanos now, LeaseId lease, LeaseState& one) {
-    tell(lease, one, LeaseRequest::Kind::release);
-    one.until = 0;
-    one.state = State::backingOff;
-    one.at = now + pause(one);
-    // Where a majority says that it is another's there is no sense in asking before the first of them is
-    // free; who lets go sooner is told of by a voter.
-    const auto nth = static_cast<std::size_t>(std::max(settings_.majority(), 1)) - 1;
-    if (one.freeIn.size() > nth) {
-        std::nth_element(one.freeIn.begin(), one.freeIn.begin() + static_cast<std::ptrdiff_t>(nth),
-                         one.freeIn.end());
-        one.at += one.freeIn[nth];
+std::optional<CriticalSection> LeaseHolder::enterCriticalSection(Nanos now, LeaseId lease,
+                                                                 Nanos duration) const {
+    const auto it = leases_.find(lease);
+    if (it == leases_.end() || it->second.state != State::holding) return std::nullopt;
+    const LeaseState& state = it->second;
+    // On a clock that runs fast the critical section takes longer.
+    const Nanos needed =
+        static_cast<Nanos>(static_cast<double>(duration) * (1 + settings_.rate)) + settings_.margin;
+    const bool isLongEnough =
+        settings_.has(Safeguard::margin) ? now + needed <= state.validUntil : now < state.validUntil;
+    if (!isLongEnough) return std::nullopt;
+    return CriticalSection{state.fence, state.validUntil - settings_.margin};
+}
+
+// ---- answers
+
+void LeaseHolder::onAnswer(Nanos now, int acceptor, const LeaseAnswer& answer) {
+    const auto it = leases_.find(answer.lease);
+    if (it == leases_.end() || acceptor < 0 || acceptor >= settings_.voters) return;
+    LeaseState& state = it->second;
+    state.highest = std::max(state.highest, answer.highest);
+    if (answer.fence == 0) {
+        onReleaseNotified(now, state);
+        return;
     }
+    const bool expectsAnswer = state.state == State::requesting || state.state == State::holding;
+    const bool isForThisRequest = answer.fence == state.fence && answer.incarnation == incarnation_;
+    if (!expectsAnswer || !isForThisRequest || answer.stamp > now) return;
+    if (answer.granted)
+        onGranted(now, acceptor, state, answer);
+    else
+        onRejected(now, state, answer);
 }
 
-void LeaseHolder::ask(Nanos now, LeaseId lease, LeaseState& one) {
-    for (int v = 0; v < settings_.voters; ++v)
-        wanted_.requests.emplace_back(
-            v, LeaseRequest{LeaseRequest::Kind::acquire, lease, one.fence, incarnation_, now, 0});
+// The lease has become free. With jitter, as all who wait are notified at once.
+void LeaseHolder::onReleaseNotified(Nanos now, LeaseState& state) {
+    if (state.state != State::backingOff) return;
+    state.failedAttempts = 0;
+    state.nextStepAt = std::min(state.nextStepAt, now + nextBackoff(state));
 }
 
-Nanos LeaseHolder::heldUntil(const LeaseState& one) const {
-    std::vector<Nanos> stamps = one.stamps;
-    const auto nth = static_cast<std::size_t>(std::max(settings_.majority(), 1)) - 1;
-    std::nth_element(stamps.begin(), stamps.begin() + static_cast<std::ptrdiff_t>(nth), stamps.end(),
-                     std::greater<>());
-    return stamps[nth] == kNone ? kNone : stamps[nth] + settings_.held();
+void LeaseHolder::onRejected(Nanos now, LeaseState& state, const LeaseAnswer& answer) {
+    if (state.state != State::requesting) return;
+    state.rejectionFreeIn.push_back(answer.freeIn);
+    const bool isMajorityOutOfReach =
+        std::ssize(state.rejectionFreeIn) > settings_.voters - settings_.majority();
+    if (isMajorityOutOfReach) state.nextStepAt = now;
 }
 
-void LeaseHolder::onAnswer(Nanos now, int voter, const LeaseAnswer& a) {
-    const auto it = all_.find(a.lease);
-    if (it == all_.end() || voter < 0 || voter >= settings_.voters) return;
-    LeaseState& one = it->second;
-    one.highest = std::max(one.highest, a.highest);
-    if (a.fence == 0) {
-        // Unasked: it is free. Not all who hear that ask at once.
-        if (one.state != State::backingOff) return;
-        one.attempts = 0;
-        one.at = std::min(one.at, now + pause(one));
-        return;
-    }
-    const bool asks = one.state == State::requesting || one.state == State::holding;
-    if (!asks || a.fence != one.fence || a.incarnation != incarnation_ || a.stamp > now) return;
-    if (!a.granted) {
-        if (one.state != State::requesting) return;
-        one.freeIn.push_back(a.freeIn);
-        // So many said no that it can't be had any more.
-        if (std::ssize(one.freeIn) > settings_.voters - settings_.majority()) one.at = now;
-        return;
-    }
-    Nanos& stamp = one.stamps.at(static_cast<std::size_t>(voter));
-    stamp = std::max(stamp, settings_.has(Safeguard::sentTime) ? a.stamp : now);
-    one.until = std::max<Nanos>(heldUntil(one), 0);  // 0: no majority yet
-    if (one.state != State::requesting || one.until <= now) return;
-    one.state = State::holding;
-    one.attempts = 0;
-    one.at = now + settings_.renewInterval;
-    ++taken_;
+void LeaseHolder::onGranted(Nanos now, int acceptor, LeaseState& state, const LeaseAnswer& answer) {
+    Nanos& sentTime = state.sentTimes.at(static_cast<std::size_t>(acceptor));
+    sentTime = std::max(sentTime, settings_.has(Safeguard::sentTime) ? answer.stamp : now);
+    state.validUntil = std::max<Nanos>(grantedUntil(state), 0);
+    if (state.state != State::requesting || state.validUntil <= now) return;
+    state.state = State::holding;
+    state.failedAttempts = 0;
+    state.nextStepAt = now + settings_.renewInterval;
+    ++acquisitionCount_;
 }
 
-std::optional<CriticalSection> LeaseHolder::enterCriticalSection(Nanos now, LeaseId lease,
-                                                                 Nanos lasts) const {
-    const auto it = all_.find(lease);
-    if (it == all_.end() || it->second.state != State::holding) return std::nullopt;
-    const LeaseState& one = it->second;
-    // So long of true time is longer on a clock that runs fast.
-    const Nanos needs =
-        static_cast<Nanos>(static_cast<double>(lasts) * (1 + settings_.rate)) + settings_.margin;
-    const bool may = settings_.has(Safeguard::margin) ? now + needs <= one.until : now < one.until;
-    if (!may) return std::nullopt;
-    return CriticalSection{one.fence, one.until - settings_.margin};
+// ---- requests
+
+void LeaseHolder::sendToAll(const LeaseRequest& request) {
+    for (int acceptor = 0; acceptor < settings_.voters; ++acceptor)
+        actions_.requests.emplace_back(acceptor, request);
+}
+
+void LeaseHolder::sendAcquire(Nanos now, LeaseId lease, const LeaseState& state) {
+    sendToAll({LeaseRequest::Kind::acquire, lease, state.fence, incarnation_, now, 0});
+}
+
+void LeaseHolder::beginRequest(Nanos now, LeaseId lease, LeaseState& state) {
+    state.state = State::requesting;
+    const Fence highest = settings_.has(Safeguard::fence) ? std::max(state.highest, state.fence) : Fence{0};
+    state.fence = fenceAfter(highest, self_);
+    state.sentTimes.assign(static_cast<std::size_t>(settings_.voters), kNotGranted);
+    state.rejectionFreeIn.clear();
+    state.nextStepAt = now + settings_.answerTimeout;
+    sendAcquire(now, lease, state);
+}
+
+// Nothing is done by this fencing token any more, so that who granted it may grant the lease to others.
+void LeaseHolder::giveUp(Nanos now, LeaseId lease, LeaseState& state) {
+    sendToAll({LeaseRequest::Kind::release, lease, state.fence, incarnation_, 0, 0});
+    state.validUntil = 0;
+    state.state = State::backingOff;
+    state.nextStepAt = now + nextBackoff(state);
+    // Where a majority rejected it, no request can succeed before the first of these is free; an acceptor
+    // notifies this member of an earlier release.
+    const std::size_t index = majorityIndex();
+    if (state.rejectionFreeIn.size() <= index) return;
+    const auto nth = state.rejectionFreeIn.begin() + static_cast<std::ptrdiff_t>(index);
+    std::nth_element(state.rejectionFreeIn.begin(), nth, state.rejectionFreeIn.end());
+    state.nextStepAt += *nth;
 }
 
+// Doubled with each failed attempt, and with jitter, so that members that compete don't meet again. Each
+// sample has a generator of its own, which keeps copies of this object small.
+Nanos LeaseHolder::nextBackoff(LeaseState& state) {
+    const int doublings = std::min(state.failedAttempts, kMaxDoublings);
+    ++state.failedAttempts;
+    const Nanos backoff = std::min(settings_.maxBackoff, settings_.minBackoff << doublings);
+    std::mt19937 random(incarnation_ * kIncarnationFactor + backoffCount_);
+    ++backoffCount_;
+    return backoff / 2 +
+           static_cast<Nanos>(std::generate_canonical<double, 32>(random) * static_cast<double>(backoff / 2));
+}
+
+// ---- time
+
 LeaseHolder::Actions LeaseHolder::reconcile(Nanos now) {
-    // Renewals that would come soon go along with one that is due: a message is a pair of routers' and not a
-    // lease's.
-    const bool renews = std::any_of(all_.begin(), all_.end(), [now](const auto& one) {
-        return one.second.state == State::holding && now >= one.second.at;
+    // Renewals that are due soon go along with one that is due now: messages are counted between processes,
+    // not between leases.
+    const bool isRenewalDue = std::any_of(leases_.begin(), leases_.end(), [now](const auto& entry) {
+        return entry.second.state == State::holding && now >= entry.second.nextStepAt;
     });
-    const Nanos early = renews ? settings_.renewInterval / 4 : 0;
-    for (auto& [lease, one] : all_) {
-        if (one.state == State::holding && now >= one.until)
-            giveUp(now, lease, one);  // lost, as it was not renewed
-        if (now < one.at - (one.state == State::holding ? early : 0)) continue;
-        if (one.state == State::requesting) {
-            giveUp(now, lease, one);
-        } else if (one.state == State::backingOff) {
-            one.state = State::requesting;
-            one.fence =
-                fenceAfter(settings_.has(Safeguard::fence) ? std::max(one.highest, one.fence) : 0, self_);
-            one.stamps.assign(static_cast<std::size_t>(settings_.voters), kNone);
-            one.freeIn.clear();
-            one.at = now + settings_.answerTimeout;
-            ask(now, lease, one);
-        } else if (one.state == State::holding) {
-            one.at = now + settings_.renewInterval;
-            ask(now, lease, one);
+    const Nanos renewEarlyBy = isRenewalDue ? settings_.renewInterval / kEarlyRenewalPart : 0;
+    for (auto& [lease, state] : leases_) {
+        const bool hasExpired = state.state == State::holding && now >= state.validUntil;
+        if (hasExpired) giveUp(now, lease, state);
+        const Nanos earlyBy = state.state == State::holding ? renewEarlyBy : 0;
+        if (now < state.nextStepAt - earlyBy) continue;
+        switch (state.state) {
+            case State::requesting:
+                giveUp(now, lease, state);
+                break;
+            case State::backingOff:
+                beginRequest(now, lease, state);
+                break;
+            case State::holding:
+                state.nextStepAt = now + settings_.renewInterval;
+                sendAcquire(now, lease, state);
+                break;
+            case State::idle:
+                break;
         }
     }
-    return std::exchange(wanted_, {});
+    Actions due = std::move(actions_);
+    actions_ = {};
+    return due;
 }
 
 Nanos LeaseHolder::nextDeadline() const {
-    Nanos soonest = kNever;
-    for (const auto& [lease, one] : all_) {
-        if (one.state == State::idle) continue;
-        soonest = std::min(soonest, one.at);
-        if (one.state == State::holding) soonest = std::min(soonest, one.until);
+    Nanos earliest = kNever;
+    for (const auto& [lease, state] : leases_) {
+        if (state.state == State::idle) continue;
+        earliest = std::min(earliest, state.nextStepAt);
+        if (state.state == State::holding) earliest = std::min(earliest, state.validUntil);
     }
-    return soonest;
+    return earliest;
+}
+
+// Until when a majority's grants last, on this member's clock; kNotGranted where no majority has granted.
+Nanos LeaseHolder::grantedUntil(const LeaseState& state) const {
+    std::vector<Nanos> latestFirst = state.sentTimes;
+    const auto nth = latestFirst.begin() + static_cast<std::ptrdiff_t>(majorityIndex());
+    std::nth_element(latestFirst.begin(), nth, latestFirst.end(), std::greater<>());
+    return *nth == kNotGranted ? kNotGranted : *nth + settings_.held();
+}
+
+// The index of the last one that a majority needs, of acceptors in some order.
+std::size_t LeaseHolder::majorityIndex() const {
+    return static_cast<std::size_t>(std::max(settings_.majority(), 1)) - 1;
 }
 
+// ---- state
+
 LeaseHolder::State LeaseHolder::state(LeaseId lease) const {
-    const auto it = all_.find(lease);
-    return it == all_.end() ? State::idle : it->second.state;
+    const auto it = leases_.find(lease);
+    return it == leases_.end() ? State::idle : it->second.state;
 }
 
 bool LeaseHolder::isHolding(Nanos now, LeaseId lease) const {
-    const auto it = all_.find(lease);
-    return it != all_.end() && it->second.state == State::holding && now < it->second.until;
+    const auto it = leases_.find(lease);
+    return it != leases_.end() && it->second.state == State::holding && now < it->second.validUntil;
 }
 
 Fence LeaseHolder::fence(LeaseId lease) const {
-    const auto it = all_.find(lease);
-    return it == all_.end() ? 0 : it->second.fence;
+    const auto it = leases_.find(lease);
+    return it == leases_.end() ? 0 : it->second.fence;
 }
 
 std::string LeaseHolder::image(Nanos now) const {
     std::string text = fmt::format("H{}.{};", self_, incarnation_);
-    for (const auto& [lease, one] : all_) {
-        text +=
-            fmt::format("{}:{}f{}h{}t{}a{}u{}w{}", lease, static_cast<int>(one.state), one.fence, one.highest,
-                        one.attempts, one.at - now, std::max<Nanos>(one.until - now, 0), one.wanted);
-        for (const Nanos s : one.stamps) text += fmt::format(",{}", s == kNone ? -1 : now - s);
-        for (const Nanos f : one.freeIn) text += fmt::format("/{}", f);
+    for (const auto& [lease, state] : leases_) {
+        text += fmt::format("{}:{}f{}h{}t{}a{}u{}w{}", lease, static_cast<int>(state.state), state.fence,
+                            state.highest, state.failedAttempts, state.nextStepAt - now,
+                            std::max<Nanos>(state.validUntil - now, 0), state.isWanted);
+        for (const Nanos sentTime : state.sentTimes)
+            text += fmt::format(",{}", sentTime == kNotGranted ? -1 : now - sentTime);
+        for (const Nanos freeIn : state.rejectionFreeIn) text += fmt::format("/{}", freeIn);
         text += ';';
     }
     return text;
--- a/src/lease/lease_holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -1,8 +1,22 @@
-// One member that may hold leases. Free of I/O and of any clock: answers, time and what it is told in,
-// questions to voters out.
+// The side of leases that holds them, and the guarantee that acceptors and holders make together.
 //
-// What it promises: `act` says yes only while a majority's grants outlast the act, by clocks as fast and as
-// slow as the terms allow; after `letGo` or `handOn` it says yes to nothing by that fence.
+// Guarantee: no two members are within a critical section of the same lease at the same time, and each new
+// holder's fencing token is greater than those of all holders before it, provided that
+// - no clock in use runs faster or slower than true time by more than the settings' rate, and the clocks go
+// on
+//   while a machine sleeps (clocks of two machines are never compared);
+// - an acceptor that is given its records back has all that it ever answered; and
+// - whatever a critical section acts on rejects a fencing token that is less than one that it has seen, for
+//   a holder that is suspended between enterCriticalSection and the act itself.
+//
+// Why it holds: an acceptor grants a lease to one holder at a time, for `duration` on its clock from when the
+// request arrived, which is duration / (1 + rate) of true time at least. A holder counts from before it sent
+// the request, duration * (1 - rate) / (1 + rate) on its clock, which is duration / (1 + rate) of true time
+// at most. So while it holds the lease, a majority has granted it to that holder alone, and two majorities
+// share an acceptor. (Gray and Cheriton, "Leases", 1989, with the clocks' rates; a majority of grants instead
+// of one server as in Trencséni and Gazsó, "PaxosLease", 2012, of which the first phase is left out:
+// docs/leases.md discusses that.) A fencing token is greater than all that a majority remembers, so greater
+// than that of each earlier holder (Burrows, "The Chubby lock service", 2006, sequencers).
 #pragma once
 
 #include <map>
@@ -15,73 +29,98 @@
 
 namespace poppyscale::lease {
 
-// The word to act. Who receives the act refuses a fence that is lower than one that it has seen.
+// Permission to act, with what the receiver of the act needs to reject a late one.
 struct CriticalSection {
     Fence fence = 0;
-    Nanos validUntil = 0;  // it has to be over by then, on this member's clock
+    Nanos validUntil = 0;  // the act has to be over by then, on this member's clock
 };
 
+// Acquires, renews and releases the leases of one member by requests to all acceptors.
+//
+// Guarantees: enterCriticalSection succeeds only while the grants of a majority outlast the critical section,
+// on clocks as fast and as slow as the settings allow; after release or transfer it succeeds for nothing by
+// that fencing token. Unknown counts as no.
+//
+// Free of I/O and of any clock: answers and time come in, requests go out. Owns the state of each lease that
+// was ever acquired. Not thread-safe; copied by value.
 class LeaseHolder {
   public:
+    // What the caller has to send after an event.
     struct Actions {
-        std::vector<std::pair<int, LeaseRequest>> requests;  // by voter
-        std::vector<std::pair<MemberId, LeaseId>> offers;    // to a successor: it is free for you
+        std::vector<std::pair<int, LeaseRequest>> requests;  // to acceptors, by number
+        std::vector<std::pair<MemberId, LeaseId>> offers;    // to members: onTransferOffered
+    };
+    enum class State : std::uint8_t {
+        idle,        // the lease is not wanted
+        backingOff,  // until the next request
+        requesting,  // by a new fencing token
+        holding      // by a majority's grants
     };
-    // idle: it does not want it. pausing: until it asks again. asking: for a new fence. holding: by a
-    // majority.
-    enum class State : std::uint8_t { idle, backingOff, requesting, holding };
 
-    // `life` is another one with each start of the process; all that is drawn follows from it. Small and
-    // copied by value, so each draw makes a generator of its own.
-    LeaseHolder(const LeaseSettings& terms, MemberId self, std::uint32_t life);
+    // `incarnation` differs with each start of the member's process, and determines the jitter of its
+    // backoff.
+    LeaseHolder(const LeaseSettings& settings, MemberId self, std::uint32_t incarnation);
 
-    // Wants it from now on, and asks after a pause by its rank: 0 at once.
+    // Wants the lease from now on, and requests it after a delay that grows with `rank`: 0 for none.
     void acquire(Nanos now, LeaseId lease, int rank = 0);
-    // It is not wanted any more: others may have it at once. Here and below no act may be under way: who was
-    // told that it may act waits for its end first.
+    // Does not want the lease any more, and lets others have it at once. No critical section may be in
+    // progress, in this call or the next: the caller waits for its end first.
     void release(Nanos now, LeaseId lease);
-    // The same, and for a while only that member may. It waits its turn again if it goes on wanting it.
+    // The same, but for a while only `to` may acquire the lease. It is requested again after a backoff where
+    // it is still wanted.
     void transfer(Nanos now, LeaseId lease, MemberId to);
-    // What a holder handed on: it is asked for without a pause.
+    // A holder has transferred the lease to this member: it is requested without a backoff.
     void onTransferOffered(Nanos now, LeaseId lease);
-    void onAnswer(Nanos now, int voter, const LeaseAnswer& answer);
-    // Whether an act that lasts at most so long may begin now. Nothing: no, or not known.
-    std::optional<CriticalSection> enterCriticalSection(Nanos now, LeaseId lease, Nanos lasts) const;
+    // `acceptor`: its number, from 0.
+    void onAnswer(Nanos now, int acceptor, const LeaseAnswer& answer);
+    // Permission for a critical section of at most `duration` that begins now; nothing where the lease is not
+    // held for so long, or that is not known.
+    std::optional<CriticalSection> enterCriticalSection(Nanos now, LeaseId lease, Nanos duration) const;
 
+    // The requests that are due. To be called once after the events of a moment, and at nextDeadline().
     Actions reconcile(Nanos now);
     Nanos nextDeadline() const;
 
     State state(LeaseId lease) const;
     bool isHolding(Nanos now, LeaseId lease) const;
+    // The fencing token by which the lease is requested or held, or was last; 0: none.
     Fence fence(LeaseId lease) const;
-    // Times that it came to hold one that it did not hold just before.
-    std::uint64_t acquisitionCount() const { return taken_; }
+    // How often this member acquired a lease that it did not hold just before.
+    std::uint64_t acquisitionCount() const { return acquisitionCount_; }
+    // All state that matters, with times relative to `now`, for the model checker to compare states by.
     std::string image(Nanos now) const;
 
   private:
     struct LeaseState {
         State state = State::idle;
-        Fence fence = 0;            // by which it asks or holds
-        Fence highest = 0;          // that any voter told of
-        std::vector<Nanos> stamps;  // by voter, of the latest ask that it granted; 0: none
-        Nanos at = 0;               // of the next ask; in `asking` when it is given up
-        Nanos until = 0;            // it is held
-        std::vector<Nanos> freeIn;  // by voters that refused this ask: for how long it is another's
-        int attempts = 0;
-        bool wanted = false;
+        Fence fence = 0;               // by which it is requested or held
+        Fence highest = 0;             // the greatest that any acceptor answered
+        std::vector<Nanos> sentTimes;  // of the latest request that was granted, by acceptor
+        // When backing off or holding: of the next request. When requesting: when that is given up.
+        Nanos nextStepAt = 0;
+        Nanos validUntil = 0;                // of the grants of a majority; 0: no majority
+        std::vector<Nanos> rejectionFreeIn;  // LeaseAnswer::freeIn of the acceptors that rejected the request
+        int failedAttempts = 0;              // in a row
+        bool isWanted = false;
     };
-    void ask(Nanos now, LeaseId lease, LeaseState& one);
-    void tell(LeaseId lease, const LeaseState& one, LeaseRequest::Kind kind, MemberId to = 0);
-    void giveUp(Nanos now, LeaseId lease, LeaseState& one);
-    Nanos heldUntil(const LeaseState& one) const;
-    Nanos pause(LeaseState& one);
+    void sendAcquire(Nanos now, LeaseId lease, const LeaseState& state);
+    void sendToAll(const LeaseRequest& request);
+    void beginRequest(Nanos now, LeaseId lease, LeaseState& state);
+    void giveUp(Nanos now, LeaseId lease, LeaseState& state);
+    void onReleaseNotified(Nanos now, LeaseState& state);
+    void onRejected(Nanos now, LeaseState& state, const LeaseAnswer& answer);
+    void onGranted(Nanos now, int acceptor, LeaseState& state, const LeaseAnswer& answer);
+    Nanos grantedUntil(const LeaseState& state) const;
+    Nanos nextBackoff(LeaseState& state);
+    std::size_t majorityIndex() const;
 
     LeaseSettings settings_;
     MemberId self_;
-    std::uint32_t incarnation_, draws_ = 0;
-    std::map<LeaseId, LeaseState> all_;
-    Actions wanted_;
-    std::uint64_t taken_ = 0;
+    std::uint32_t incarnation_;
+    std::uint32_t backoffCount_ = 0;  // backoffs so far, over all leases
+    std::map<LeaseId, LeaseState> leases_;
+    Actions actions_;  // since the last reconcile
+    std::uint64_t acquisitionCount_ = 0;
 };
 
 }  // namespace poppyscale::lease
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -1,10 +1,16 @@
-#include "lease/messages.hpp"
+#include "lease/settings.hpp"
 
 #include <fmt/format.h>
 
 #include <stdexcept>
 
 namespace poppyscale::lease {
+namespace {
+
+constexpr double kMaxRate = 0.1;
+constexpr int kMinAcceptors = 3;
+
+}  // namespace
 
 const std::vector<std::pair<std::string_view, Safeguard>>& guards() {
     static const std::vector<std::pair<std::string_view, Safeguard>> all{
@@ -19,27 +25,32 @@
 }
 
 Safeguard guardNamed(std::string_view name) {
-    std::string known;
-    for (const auto& [n, guard] : guards()) {
-        if (n == name) return guard;
-        known.append(known.empty() ? "" : ", ").append(n);
+    std::string knownNames;
+    for (const auto& [knownName, safeguard] : guards()) {
+        if (knownName == name) return safeguard;
+        knownNames.append(knownNames.empty() ? "" : ", ").append(knownName);
     }
-    throw std::runtime_error(fmt::format("'{}' is none of {}", name, known));
+    throw std::runtime_error(fmt::format("'{}' is none of {}", name, knownNames));
 }
 
-std::vector<std::pair<std::string, std::string>> problemsOf(const LeaseSettings& t, Nanos longestAct) {
-    std::vector<std::pair<std::string, std::string>> all;
-    if (t.voters < 3 || t.voters % 2 == 0) all.emplace_back("voters", "are not an odd number of 3 or more");
-    if (t.rate < 0 || t.rate > 0.1) all.emplace_back("rate", "is not from 0 to 0.1");
-    if (t.duration <= 0 || t.margin < 0) all.emplace_back("length_ms", "is not over 0");
-    const auto act = static_cast<Nanos>(static_cast<double>(longestAct) * (1 + t.rate));
-    if (t.held() <= t.margin + act + t.renewInterval)
-        all.emplace_back(
-            "length_ms",
-            fmt::format("is shorter than margin, act and renewal need: {} ms are held, {} needed",
-                        t.held() / kMillisecond, (t.margin + act + t.renewInterval) / kMillisecond));
-    if (t.answerTimeout <= 0 || t.renewInterval <= 0) all.emplace_back("answer_ms", "is not over 0");
-    return all;
+std::vector<SettingsProblem> problemsOf(const LeaseSettings& settings, Nanos maxCriticalSection) {
+    std::vector<SettingsProblem> problems;
+    if (settings.voters < kMinAcceptors || settings.voters % 2 == 0)
+        problems.push_back({"voters", "are not an odd number of 3 or more"});
+    if (settings.rate < 0 || settings.rate > kMaxRate) problems.push_back({"rate", "is not from 0 to 0.1"});
+    if (settings.duration <= 0 || settings.margin < 0) problems.push_back({"length_ms", "is not over 0"});
+    // On a clock that runs fast it takes longer.
+    const auto criticalSection =
+        static_cast<Nanos>(static_cast<double>(maxCriticalSection) * (1 + settings.rate));
+    const Nanos needed = settings.margin + criticalSection + settings.renewInterval;
+    if (settings.held() <= needed)
+        problems.push_back(
+            {"length_ms",
+             fmt::format("is shorter than margin, act and renewal need: {} ms are held, {} needed",
+                         settings.held() / kMillisecond, needed / kMillisecond)});
+    if (settings.answerTimeout <= 0 || settings.renewInterval <= 0)
+        problems.push_back({"answer_ms", "is not over 0"});
+    return problems;
 }
 
 }  // namespace poppyscale::lease
--- /dev/null
+++ b/src/lease/settings.hpp
@@ -0,0 +1,62 @@
+// What acceptors and holders of leases agree on beforehand.
+#pragma once
+
+#include <cstdint>
+#include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "policy/routing_policy.hpp"
+
+namespace poppyscale::lease {
+
+// What the guarantee of leases (lease_holder.hpp) rests on. One can be disabled to prove that a check detects
+// its absence.
+enum class Safeguard : std::uint8_t {
+    quarantine,  // an acceptor without its state rejects all until every grant that it may have made is over
+    rate,        // holders allow for clocks that run fast or slow
+    sentTime,    // holders count from when the request was sent, not from the answer
+    majority,    // more than half of the acceptors have to grant
+    fence,       // each new holder's fencing token is greater than all before
+    margin,      // a critical section begins only if the lease outlasts it
+    sync         // an acceptor answers what is on its disk, not what will be
+};
+// All safeguards with the names by which the testbed's command line disables them.
+const std::vector<std::pair<std::string_view, Safeguard>>& guards();
+// Throws std::runtime_error that lists the names.
+Safeguard guardNamed(std::string_view name);
+
+// The same for all acceptors and holders of a set of leases. Times are in nanoseconds.
+struct LeaseSettings {
+    int voters = 3;                              // acceptors; odd, 3 or more
+    Nanos duration = 4'000 * kMillisecond;       // of a grant, on the acceptor's clock
+    double rate = 0.01;                          // by which a clock may run fast or slow, 0 to 0.1
+    Nanos margin = 100 * kMillisecond;           // by which a lease has to outlast a critical section
+    Nanos answerTimeout = 400 * kMillisecond;    // after which a round of requests is given up
+    Nanos renewInterval = 1'200 * kMillisecond;  // while a lease is held
+    Nanos minBackoff = 50 * kMillisecond;        // before the next round; doubled with each failed one
+    Nanos maxBackoff = 1'000 * kMillisecond;
+    std::set<Safeguard> disabledSafeguards;  // empty but in proofs
+
+    bool has(Safeguard safeguard) const { return !disabledSafeguards.contains(safeguard); }
+    // Acceptors that have to grant a lease to its holder.
+    int majority() const { return has(Safeguard::majority) ? voters / 2 + 1 : voters / 2; }
+    // For how long a holder may rely on a grant, on its own clock, from when it sent the request.
+    Nanos held() const {
+        return has(Safeguard::rate)
+                   ? static_cast<Nanos>(static_cast<double>(duration) * (1 - rate) / (1 + rate))
+                   : duration;
+    }
+};
+
+// One setting that can't be used.
+struct SettingsProblem {
+    std::string key;  // as in a configuration file
+    std::string problem;
+};
+// The problems of settings for critical sections of at most that duration; empty where they can be used.
+std::vector<SettingsProblem> problemsOf(const LeaseSettings& settings, Nanos maxCriticalSection);
+
+}  // namespace poppyscale::lease
--- /dev/null
+++ b/src/lease/types.hpp
@@ -0,0 +1,21 @@
+// What names a lease, who may hold it, and in which order its holders followed each other.
+#pragma once
+
+#include <cstdint>
+
+namespace poppyscale::lease {
+
+using LeaseId = std::uint32_t;
+using MemberId = std::uint16_t;  // from 1; 0: none
+
+// The fencing token of a lease: greater for each new holder than for all holders before, over all members;
+// renewals keep it. The lower bits name the member that holds by it. 0: none.
+using Fence = std::uint64_t;
+constexpr int kMemberBits = 16;
+constexpr MemberId memberOf(Fence fence) { return static_cast<MemberId>(fence); }
+// The least token of that member that is greater than `highest`.
+constexpr Fence fenceAfter(Fence highest, MemberId member) {
+    return ((highest >> kMemberBits) + 1) << kMemberBits | member;
+}
+
+}  // namespace poppyscale::lease
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,5 +1,5 @@
-// Stories of leases: a voter and a holder against words alone, the explorer's finds, and a fleet in virtual
-// time.
+// Tests of leases: acceptors and holders that exchange messages directly, the model checker over all orders
+// of events, and a fleet in virtual time.
 #include <doctest/doctest.h>
 
 #include "lease/acceptor.hpp"
@@ -16,206 +16,214 @@
 
 constexpr Nanos ms = poppyscale::kMillisecond;
 
-// Three voters and some holders whose words come at once, unless a story says otherwise.
-struct Circle {
-    explicit Circle(int count, const LeaseSettings& t = {}) : terms(t) {
-        for (int v = 0; v < terms.voters; ++v) voters.emplace_back(terms, v, now, GrantRecords{});
-        for (int h = 0; h < count; ++h)
-            holders.emplace_back(terms, static_cast<MemberId>(h + 1), static_cast<std::uint32_t>(h + 1));
+// Acceptors and some holders whose messages arrive at once, but for those of acceptors that are cut off.
+struct LeaseGroup {
+    explicit LeaseGroup(int holderCount, const LeaseSettings& leaseSettings = {}) : settings(leaseSettings) {
+        for (int a = 0; a < settings.voters; ++a) acceptors.emplace_back(settings, a, now, GrantRecords{});
+        for (int h = 0; h < holderCount; ++h)
+            holders.emplace_back(settings, static_cast<MemberId>(h + 1), static_cast<std::uint32_t>(h + 1));
     }
-    void settle() {
+    void exchangeMessages() {
         for (int round = 0; round < 6; ++round) {
-            for (std::size_t h = 0; h < holders.size(); ++h) {
-                const auto wanted = holders[h].reconcile(now);
-                for (const auto& [v, ask] : wanted.requests)
-                    if (!cut.contains(v))
-                        voters[static_cast<std::size_t>(v)].onRequest(now, static_cast<MemberId>(h + 1), ask);
-                for (const auto& [to, lease] : wanted.offers)
-                    holders[static_cast<std::size_t>(to - 1)].onTransferOffered(now, lease);
-            }
-            for (int v = 0; v < terms.voters; ++v) {
-                auto& voter = voters[static_cast<std::size_t>(v)];
-                for (int more = 0; more < 2; ++more) {
-                    const auto wanted = voter.reconcile(now);
-                    for (const auto& [to, answer] : wanted.answers)
-                        if (!cut.contains(v))
-                            holders[static_cast<std::size_t>(to - 1)].onAnswer(now, v, answer);
-                    for (const auto& [to, recall] : wanted.recalls)
-                        if (!cut.contains(to)) voters[static_cast<std::size_t>(to)].onRequest(now, v, recall);
-                    for (const auto& [to, recalled] : wanted.recalled)
-                        voters[static_cast<std::size_t>(to)].onRequest(now, v, recalled);
-                    if (wanted.ticket) voter.onPersisted(now, wanted.ticket);
-                }
-            }
+            for (std::size_t h = 0; h < holders.size(); ++h) reconcileHolder(h);
+            for (int a = 0; a < settings.voters; ++a)
+                for (int repeat = 0; repeat < 2; ++repeat) reconcileAcceptor(a);
         }
     }
-    void pass(Nanos time) {
+    void reconcileHolder(std::size_t h) {
+        const auto actions = holders[h].reconcile(now);
+        for (const auto& [a, request] : actions.requests)
+            if (!cutOff.contains(a)) acceptor(a).onRequest(now, static_cast<MemberId>(h + 1), request);
+        for (const auto& [to, lease] : actions.offers) holder(to).onTransferOffered(now, lease);
+    }
+    void reconcileAcceptor(int a) {
+        const auto actions = acceptor(a).reconcile(now);
+        for (const auto& [to, answer] : actions.answers)
+            if (!cutOff.contains(a)) holder(to).onAnswer(now, a, answer);
+        for (const auto& [to, recall] : actions.recalls)
+            if (!cutOff.contains(to)) acceptor(to).onRequest(now, a, recall);
+        for (const auto& [to, recalled] : actions.recalled) acceptor(to).onRequest(now, a, recalled);
+        if (actions.ticket) acceptor(a).onPersisted(now, actions.ticket);
+    }
+    void advance(Nanos time) {
         for (const Nanos until = now + time; now < until;) {
             now += 10 * ms;
-            settle();
+            exchangeMessages();
         }
     }
-    LeaseSettings terms;
+    Acceptor& acceptor(int a) { return acceptors[static_cast<std::size_t>(a)]; }
+    LeaseHolder& holder(MemberId member) { return holders[static_cast<std::size_t>(member - 1)]; }
+
+    LeaseSettings settings;
     Nanos now = 1'000 * ms;
-    std::vector<Acceptor> voters;
+    std::vector<Acceptor> acceptors;
     std::vector<LeaseHolder> holders;
-    std::set<int> cut;
+    std::set<int> cutOff;  // acceptors
 };
 
 }  // namespace
 
-TEST_CASE("one holds, by a majority alone, and another one follows within the lease and a second") {
-    Circle g(2);
-    g.cut = {2};
-    g.holders[0].acquire(g.now, 1);
-    g.settle();
-    CHECK(g.holders[0].isHolding(g.now, 1));
-    const auto first = g.holders[0].enterCriticalSection(g.now, 1, 200 * ms);
+TEST_CASE(
+    "a majority suffices to hold a lease, and another member acquires it within its duration and a second") {
+    LeaseGroup group(2);
+    group.cutOff = {2};
+    group.holders[0].acquire(group.now, 1);
+    group.exchangeMessages();
+    CHECK(group.holders[0].isHolding(group.now, 1));
+    const auto first = group.holders[0].enterCriticalSection(group.now, 1, 200 * ms);
     REQUIRE(first);
-    CHECK_FALSE(g.holders[0].enterCriticalSection(g.now, 1, g.terms.held()));  // it would not outlast that
-    g.holders[1].acquire(g.now, 1);
-    g.pass(20'000 * ms);
-    CHECK(g.holders[0].isHolding(g.now, 1));  // it renews
-    CHECK(g.holders[0].fence(1) == first->fence);
-    CHECK_FALSE(g.holders[1].enterCriticalSection(g.now, 1, 1));
-    CHECK(g.holders[0].acquisitionCount() == 1);
-    // No majority is left: unknown is no.
-    g.cut = {1, 2};
-    g.pass(g.terms.duration);
-    CHECK_FALSE(g.holders[0].enterCriticalSection(g.now, 1, 1));
-    g.cut = {};
-    g.pass(5'000 * ms);
-    CHECK(g.holders[0].isHolding(g.now, 1) != g.holders[1].isHolding(g.now, 1));
-    // A holder that goes without a word.
-    Circle h(2);
-    h.holders[0].acquire(h.now, 1);
-    h.settle();
-    h.holders[1].acquire(h.now, 1);
-    h.pass(3'000 * ms);
-    const Fence before = h.holders[0].fence(1);
-    h.holders[0] = LeaseHolder(h.terms, 1, 99);
-    h.pass(h.terms.duration + 1'000 * ms);
-    REQUIRE(h.holders[1].enterCriticalSection(h.now, 1, 100 * ms));
-    CHECK(h.holders[1].enterCriticalSection(h.now, 1, 100 * ms)->fence > before);
+    CHECK_FALSE(group.holders[0].enterCriticalSection(
+        group.now, 1, group.settings.held()));  // the lease would not outlast that
+    group.holders[1].acquire(group.now, 1);
+    group.advance(20'000 * ms);
+    CHECK(group.holders[0].isHolding(group.now, 1));  // it renews
+    CHECK(group.holders[0].fence(1) == first->fence);
+    CHECK_FALSE(group.holders[1].enterCriticalSection(group.now, 1, 1));
+    CHECK(group.holders[0].acquisitionCount() == 1);
+    // Without a majority: unknown counts as no.
+    group.cutOff = {1, 2};
+    group.advance(group.settings.duration);
+    CHECK_FALSE(group.holders[0].enterCriticalSection(group.now, 1, 1));
+    group.cutOff = {};
+    group.advance(5'000 * ms);
+    CHECK(group.holders[0].isHolding(group.now, 1) != group.holders[1].isHolding(group.now, 1));
+    // A holder that ends without a release.
+    LeaseGroup other(2);
+    other.holders[0].acquire(other.now, 1);
+    other.exchangeMessages();
+    other.holders[1].acquire(other.now, 1);
+    other.advance(3'000 * ms);
+    const Fence before = other.holders[0].fence(1);
+    other.holders[0] = LeaseHolder(other.settings, 1, 99);
+    other.advance(other.settings.duration + 1'000 * ms);
+    REQUIRE(other.holders[1].enterCriticalSection(other.now, 1, 100 * ms));
+    CHECK(other.holders[1].enterCriticalSection(other.now, 1, 100 * ms)->fence > before);
 }
 
-TEST_CASE("what is let go or handed on is taken at once, by the one it was handed to") {
-    Circle g(3);
-    for (auto& h : g.holders) h.acquire(g.now, 1, static_cast<int>(&h - g.holders.data()));
-    g.pass(3'000 * ms);
-    REQUIRE(g.holders[0].isHolding(g.now, 1));
-    g.holders[0].transfer(g.now, 1, 3);
-    g.settle();
-    CHECK(g.holders[2].isHolding(g.now, 1));
-    CHECK(g.holders[2].fence(1) > g.holders[0].fence(1));
-    g.holders[2].release(g.now, 1);
-    CHECK_FALSE(g.holders[2].enterCriticalSection(g.now, 1, 1));
-    g.pass(300 * ms);
-    CHECK(g.holders[0].isHolding(g.now, 1) != g.holders[1].isHolding(g.now, 1));
+TEST_CASE("a released lease is acquired at once, and a transferred one by the member it was transferred to") {
+    LeaseGroup group(3);
+    for (auto& holder : group.holders)
+        holder.acquire(group.now, 1, static_cast<int>(&holder - group.holders.data()));
+    group.advance(3'000 * ms);
+    REQUIRE(group.holders[0].isHolding(group.now, 1));
+    group.holders[0].transfer(group.now, 1, 3);
+    group.exchangeMessages();
+    CHECK(group.holders[2].isHolding(group.now, 1));
+    CHECK(group.holders[2].fence(1) > group.holders[0].fence(1));
+    group.holders[2].release(group.now, 1);
+    CHECK_FALSE(group.holders[2].enterCriticalSection(group.now, 1, 1));
+    group.advance(300 * ms);
+    CHECK(group.holders[0].isHolding(group.now, 1) != group.holders[1].isHolding(group.now, 1));
 }
 
 TEST_CASE(
-    "a voter says nothing before it is kept, and one that forgot says nothing until all it granted is over") {
-    const LeaseSettings terms;
+    "an acceptor answers nothing that is not durable, and nothing without its state until its grants are "
+    "over") {
+    const LeaseSettings settings;
     Nanos now = 1;
-    Acceptor voter(terms, 0, now, GrantRecords{});
-    const LeaseRequest ask{LeaseRequest::Kind::acquire, 1, fenceAfter(0, 5), 1, 7, 0};
-    voter.onRequest(now, 5, ask);
-    auto wanted = voter.reconcile(now);
-    CHECK(wanted.answers.empty());
-    CHECK(wanted.keep.at(1).highest == ask.fence);
-    voter.onPersisted(now, wanted.ticket);
-    wanted = voter.reconcile(now);
-    REQUIRE(wanted.answers.size() == 1);
-    CHECK(wanted.answers[0].second.granted);
-    // With its disk it knows, though not since when: nobody else is granted anything for a whole length.
-    Acceptor kept(terms, 0, now, GrantRecords{{1, {ask.fence, 1, false}}});
-    const LeaseRequest other{LeaseRequest::Kind::acquire, 1, fenceAfter(ask.fence, 6), 1, 7, 0};
-    kept.onRequest(now + terms.duration - 1, 6, other);
-    CHECK_FALSE(kept.reconcile(now).answers.at(0).second.granted);
-    // Without: silence, and a question to the others; two of them that remember are enough, after the
+    Acceptor acceptor(settings, 0, now, GrantRecords{});
+    const LeaseRequest request{LeaseRequest::Kind::acquire, 1, fenceAfter(0, 5), 1, 7, 0};
+    acceptor.onRequest(now, 5, request);
+    auto actions = acceptor.reconcile(now);
+    CHECK(actions.answers.empty());
+    CHECK(actions.keep.at(1).highest == request.fence);
+    acceptor.onPersisted(now, actions.ticket);
+    actions = acceptor.reconcile(now);
+    REQUIRE(actions.answers.size() == 1);
+    CHECK(actions.answers[0].second.granted);
+    // With its records it knows of the grant, but not since when: nobody else is granted it for a whole
+    // duration.
+    Acceptor restarted(settings, 0, now, GrantRecords{{1, {request.fence, 1, false}}});
+    const LeaseRequest otherRequest{LeaseRequest::Kind::acquire, 1, fenceAfter(request.fence, 6), 1, 7, 0};
+    restarted.onRequest(now + settings.duration - 1, 6, otherRequest);
+    CHECK_FALSE(restarted.reconcile(now).answers.at(0).second.granted);
+    // Without its records it stays silent and asks the others: two that have state are enough, after the
     // quarantine.
-    Acceptor forgot(terms, 0, now, std::nullopt);
-    CHECK(forgot.reconcile(now).recalls.size() == 2);
-    forgot.onRequest(now, 1, RecallAnswer{true, {{1, {ask.fence, 1, false}}}});
-    forgot.onRequest(now, 2, RecallAnswer{true, {}});
-    forgot.onRequest(now + terms.duration - 1, 6, other);
-    wanted = forgot.reconcile(now + terms.duration - 1);
-    CHECK(wanted.answers.empty());
-    forgot.reconcile(now + terms.duration);
-    CHECK(forgot.state() == Acceptor::State::voting);
-    CHECK_FALSE(forgot.mayHaveLostState());
-    forgot.onRequest(now + terms.duration, 6,
-                     LeaseRequest{LeaseRequest::Kind::acquire, 1, ask.fence, 1, 7, 0});  // not over what was
-    wanted = forgot.reconcile(now + terms.duration);
-    forgot.onPersisted(now + terms.duration, wanted.ticket ? wanted.ticket : 1);
-    for (const auto& [to, answer] : forgot.reconcile(now + terms.duration).answers)
+    Acceptor recovering(settings, 0, now, std::nullopt);
+    CHECK(recovering.reconcile(now).recalls.size() == 2);
+    recovering.onRequest(now, 1, RecallAnswer{true, {{1, {request.fence, 1, false}}}});
+    recovering.onRequest(now, 2, RecallAnswer{true, {}});
+    recovering.onRequest(now + settings.duration - 1, 6, otherRequest);
+    actions = recovering.reconcile(now + settings.duration - 1);
+    CHECK(actions.answers.empty());
+    recovering.reconcile(now + settings.duration);
+    CHECK(recovering.state() == Acceptor::State::voting);
+    CHECK_FALSE(recovering.mayHaveLostState());
+    recovering.onRequest(
+        now + settings.duration, 6,
+        LeaseRequest{LeaseRequest::Kind::acquire, 1, request.fence, 1, 7, 0});  // not greater than before
+    actions = recovering.reconcile(now + settings.duration);
+    recovering.onPersisted(now + settings.duration, actions.ticket ? actions.ticket : 1);
+    for (const auto& [to, answer] : recovering.reconcile(now + settings.duration).answers)
         CHECK_FALSE(answer.granted);
 }
 
-TEST_CASE("terms that can't keep the promise are told, each by its key") {
-    const auto keys = [](const LeaseSettings& t, Nanos act) {
+TEST_CASE("settings that break the guarantee are reported, each by its key") {
+    const auto keys = [](const LeaseSettings& settings, Nanos criticalSection) {
         std::string all;
-        for (const auto& [key, what] : problemsOf(t, act)) all += key + ";";
+        for (const auto& [key, problem] : problemsOf(settings, criticalSection)) all += key + ";";
         return all;
     };
-    LeaseSettings t;
-    CHECK(keys(t, 200 * ms).empty());
-    t.voters = 4;
-    CHECK(keys(t, 200 * ms) == "voters;");
-    t.voters = 3;
-    t.rate = 0.2;
-    CHECK(keys(t, 200 * ms) == "rate;");
-    t.rate = 0.01;
-    CHECK(keys(t, 3'000 * ms) == "length_ms;");
+    LeaseSettings settings;
+    CHECK(keys(settings, 200 * ms).empty());
+    settings.voters = 4;
+    CHECK(keys(settings, 200 * ms) == "voters;");
+    settings.voters = 3;
+    settings.rate = 0.2;
+    CHECK(keys(settings, 200 * ms) == "rate;");
+    settings.rate = 0.01;
+    CHECK(keys(settings, 3'000 * ms) == "length_ms;");
     CHECK_THROWS_WITH(guardNamed("luck"), doctest::Contains("'luck' is none of quarantine, rate"));
 }
 
 TEST_CASE(
-    "in every order of events looked at nobody acts beside another, and each guard is missed when left out") {
-    const auto explored = [](std::set<Safeguard> without, double seconds) {
-        testbed::LeaseModelOptions wanted;
-        wanted.without = std::move(without);
-        wanted.clocks = 0b00111;
-        testbed::ExplorationOptions how;
-        how.seconds = seconds;
-        how.mostStates = 2'000;  // the long runs are what finds them soon
-        return testbed::Explorer(testbed::LeaseModel(wanted), how).explore();
+    "no order of events that is explored breaks the guarantee, and each disabled safeguard is detected") {
+    const auto explore = [](std::set<Safeguard> without, double seconds) {
+        testbed::LeaseModelOptions options;
+        options.without = std::move(without);
+        options.clocks = 0b00111;
+        testbed::ExplorationOptions exploration;
+        exploration.seconds = seconds;
+        exploration.mostStates = 2'000;  // long runs find them soonest
+        return testbed::Explorer(testbed::LeaseModel(options), exploration).explore();
     };
-    const auto whole = explored({}, 3);
-    CHECK_MESSAGE(whole.broken.empty(), whole.broken);
-    CHECK(whole.steps > 10'000);
-    for (const auto& [name, guard] : guards()) {
+    const auto complete = explore({}, 3);
+    CHECK_MESSAGE(complete.broken.empty(), complete.broken);
+    CHECK(complete.steps > 10'000);
+    for (const auto& [name, safeguard] : guards()) {
         CAPTURE(name);
-        const auto found = explored({guard}, 20);
-        CHECK(!found.broken.empty());
-        // What it prints is what breaks it.
-        testbed::LeaseModelOptions wanted;
-        wanted.without = {guard};
-        wanted.clocks = 0b00111;
-        testbed::LeaseModel again(wanted);
-        for (const auto& action : found.run) again.apply(action);
-        if (found.healed) again.heal();
-        CHECK(again.broken() == found.broken);
+        const auto result = explore({safeguard}, 20);
+        CHECK(!result.broken.empty());
+        // The run that it prints breaks the guarantee again.
+        testbed::LeaseModelOptions options;
+        options.without = {safeguard};
+        options.clocks = 0b00111;
+        testbed::LeaseModel repeated(options);
+        for (const auto& action : result.run) repeated.apply(action);
+        if (result.healed) repeated.heal();
+        CHECK(repeated.broken() == result.broken);
     }
 }
 
 TEST_CASE(
-    "a fleet in virtual time, all faults: no overlap, no fence falls, and the same seed plays the same") {
-    testbed::LeaseRunOptions play;
-    play.seconds = 40;
-    play.seed = 5;
-    play.routers = 100;
-    play.leases = 300;
-    const auto one = testbed::runSimulatedLeases(play), two = testbed::runSimulatedLeases(play);
-    CHECK_MESSAGE(one.overlaps + one.fell == 0, one.first);
-    CHECK(one.changes > 300);
-    CHECK(one.digest == two.digest);
-    play.faults = "none";
-    const auto calm = testbed::runSimulatedLeases(play);
-    CHECK(calm.changes == 300);  // each is taken once and stays
-    play.without = {Safeguard::fence};
-    CHECK(testbed::runSimulatedLeases(play).fell == 0);  // nobody changes, so none falls
-    play.faults = "all";
-    CHECK(testbed::runSimulatedLeases(play).fell > 0);
+    "a fleet in virtual time with all faults: no overlap, no lower fence, and the same run for the same "
+    "seed") {
+    testbed::LeaseRunOptions options;
+    options.seconds = 40;
+    options.seed = 5;
+    options.routers = 100;
+    options.leases = 300;
+    const auto first = testbed::runSimulatedLeases(options);
+    const auto second = testbed::runSimulatedLeases(options);
+    CHECK_MESSAGE(first.overlaps + first.fell == 0, first.first);
+    CHECK(first.changes > 300);
+    CHECK(first.digest == second.digest);
+    options.faults = "none";
+    const auto faultless = testbed::runSimulatedLeases(options);
+    CHECK(faultless.changes == 300);  // each is acquired once and stays
+    options.without = {Safeguard::fence};
+    CHECK(testbed::runSimulatedLeases(options).fell ==
+          0);  // no lease changes its holder, so no fence is lower
+    options.faults = "all";
+    CHECK(testbed::runSimulatedLeases(options).fell > 0);
 }
