--- a/src/logging/logger.cpp
+++ b/src/logging/logger.cpp
@@ -11,66 +11,83 @@
 namespace poppyscale::logging {
 namespace {
 
-std::int64_t monotonicNow() {
+std::int64_t monotonicNowNs() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 
+std::int64_t unixTimeMs() {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(
+               std::chrono::system_clock::now().time_since_epoch())
+        .count();
+}
+
+bool isErrorOutputWritable() {
+    pollfd output{STDERR_FILENO, POLLOUT, 0};
+    return ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT);
+}
+
 }  // namespace
 
-Logger::Logger(std::string name, Format form, double perSecond, double atOnce)
-    : name_(std::move(name)), form_(form), perSecond_(perSecond), burst_(atOnce), allowance_(atOnce) {
+Logger::Logger(std::string name, Format format, double maxLinesPerSecond, double maxBurstLines)
+    : name_(std::move(name)),
+      format_(format),
+      maxLinesPerSecond_(maxLinesPerSecond),
+      maxBurstLines_(maxBurstLines),
+      allowedLines_(maxBurstLines) {
     logger_ = std::make_shared<spdlog::logger>(name_, std::make_shared<spdlog::sinks::stderr_sink_st>());
     logger_->set_level(spdlog::level::trace);
     logger_->flush_on(spdlog::level::trace);
-    configure(form, perSecond);
+    configure(format, maxLinesPerSecond);
 }
 
-void Logger::configure(Format form, double perSecond) {
-    form_ = form;
-    perSecond_ = perSecond;
-    logger_->set_pattern(form_ == Format::json ? "%v" : "%n: %v");
+void Logger::configure(Format format, double maxLinesPerSecond) {
+    format_ = format;
+    maxLinesPerSecond_ = maxLinesPerSecond;
+    logger_->set_pattern(format_ == Format::json ? "%v" : "%n: %v");
 }
 
 bool Logger::mayWrite() {
-    const std::int64_t now = monotonicNow();
-    allowance_ = std::min(burst_, allowance_ + perSecond_ * static_cast<double>(now - filledAt_) / 1e9);
-    filledAt_ = now;
-    // A log that nobody reads must not hold up whoever writes it.
-    pollfd out{STDERR_FILENO, POLLOUT, 0};
-    if (allowance_ < 1 || ::poll(&out, 1, 0) != 1 || !(out.revents & POLLOUT))
-        return ++suppressedLines_, false;
-    allowance_ -= 1;
+    const std::int64_t now = monotonicNowNs();
+    const double replenished = maxLinesPerSecond_ * static_cast<double>(now - replenishedAtNs_) / 1e9;
+    allowedLines_ = std::min(maxBurstLines_, allowedLines_ + replenished);
+    replenishedAtNs_ = now;
+    // A log that nobody reads must not block the process.
+    if (allowedLines_ < 1 || !isErrorOutputWritable()) {
+        ++suppressedLines_;
+        return false;
+    }
+    allowedLines_ -= 1;
     return true;
 }
 
 void Logger::write(spdlog::level::level_enum level, std::string_view text, nlohmann::json fields) {
     if (!mayWrite()) return;
-    const unsigned long left = std::exchange(suppressedLines_, 0);
-    if (form_ == Format::json) {
-        const auto at = std::chrono::system_clock::now().time_since_epoch();
-        fields["at_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(at).count();
+    const unsigned long suppressed = suppressedLines_;
+    suppressedLines_ = 0;
+    if (format_ == Format::json) {
+        fields["at_ms"] = unixTimeMs();
         fields["level"] = spdlog::level::to_string_view(level).data();
-        if (left) fields["left_out"] = left;
-        const auto whole = fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-        return logger_->log(level, "{}", whole);
-    }
-    if (left)
-        logger_->log(level, "{} ({} lines left out)", text, left);
-    else
+        if (suppressed) fields["left_out"] = suppressed;
+        const auto line = fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+        logger_->log(level, "{}", line);
+    } else if (suppressed) {
+        logger_->log(level, "{} ({} lines suppressed)", text, suppressed);
+    } else {
         logger_->log(level, "{}", text);
+    }
 }
 
-void Logger::log(spdlog::level::level_enum level, std::string_view what, const nlohmann::json& fields) {
-    std::string text(what);
-    nlohmann::json all{{"name", name_}, {"what", what}};
+void Logger::log(spdlog::level::level_enum level, std::string_view event, const nlohmann::json& fields) {
+    std::string text(event);
+    nlohmann::json line{{"name", name_}, {"what", event}};
     if (fields.is_object()) {
-        all.update(fields);
+        line.update(fields);
         for (const auto& [key, value] : fields.items())
             text += " " + key + "=" + (value.is_string() ? value.get<std::string>() : value.dump());
     }
-    write(level, text, std::move(all));
+    write(level, text, std::move(line));
 }
 
 }  // namespace poppyscale::logging
--- a/src/metrics/router_metrics.cpp
+++ b/src/metrics/router_metrics.cpp
@@ -1,8 +1,31 @@
 #include "metrics/router_metrics.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace poppyscale::metrics {
+namespace {
+
+// The counts of a histogram from the first to the last bucket that is not empty.
+struct LatencyBuckets {
+    int first = 0;  // index of the first; -1 is below kMinLatencyMs
+    std::vector<std::uint64_t> counts;
+};
+
+template <class Histogram>
+LatencyBuckets latencyBuckets(const Histogram& histogram) {
+    LatencyBuckets buckets;
+    for (int index = -1; index <= kLatencyBuckets; ++index) {
+        const auto count = static_cast<std::uint64_t>(histogram.at(index));
+        if (buckets.counts.empty() && count == 0) continue;
+        if (buckets.counts.empty()) buckets.first = index;
+        buckets.counts.push_back(count);
+    }
+    while (!buckets.counts.empty() && buckets.counts.back() == 0) buckets.counts.pop_back();
+    return buckets;
+}
+
+}  // namespace
 
 RouterMetrics::RouterMetrics(const std::vector<RequestClass>& requestClasses) {
     updateRequestClasses(requestClasses);
@@ -14,68 +37,96 @@
 }
 
 RouterMetrics::RequestClassMetrics& RouterMetrics::metricsOf(std::string_view requestClass) {
-    const auto it = requestClasses_.find(requestClass);
-    if (it != requestClasses_.end()) return it->second;
-    RequestClassMetrics made;
-    made.latencies = boost::histogram::make_histogram(
+    const auto known = requestClasses_.find(requestClass);
+    if (known != requestClasses_.end()) return known->second;
+    RequestClassMetrics metrics;
+    metrics.latencies = boost::histogram::make_histogram(
         boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
             kLatencyBuckets, kMinLatencyMs, kMaxLatencyMs));
-    return requestClasses_.emplace(std::string(requestClass), std::move(made)).first->second;
+    return requestClasses_.emplace(std::string(requestClass), std::move(metrics)).first->second;
 }
 
 void RouterMetrics::recordAccepted(std::string_view requestClass) { ++metricsOf(requestClass).accepted; }
 
-void RouterMetrics::recordSucceeded(std::string_view requestClass, Nanos took) {
-    RequestClassMetrics& v = metricsOf(requestClass);
-    ++(took <= v.latencyObjective ? v.withinObjective : v.late);
-    v.latencies(static_cast<double>(std::max<Nanos>(took, 1)) / 1e6);
+void RouterMetrics::recordSucceeded(std::string_view requestClass, Nanos latency) {
+    RequestClassMetrics& metrics = metricsOf(requestClass);
+    if (latency <= metrics.latencyObjective)
+        ++metrics.withinObjective;
+    else
+        ++metrics.late;
+    metrics.latencies(static_cast<double>(std::max<Nanos>(latency, 1)) / 1e6);
 }
 
-void RouterMetrics::recordRejected(std::string_view requestClass, Rejection why) {
-    RequestClassMetrics& v = metricsOf(requestClass);
-    ++(why == Rejection::requestLimit ? v.full : why == Rejection::beforeFirstAttempt ? v.unsent : v.after);
+void RouterMetrics::recordRejected(std::string_view requestClass, Rejection reason) {
+    RequestClassMetrics& metrics = metricsOf(requestClass);
+    switch (reason) {
+        case Rejection::requestLimit:
+            ++metrics.rejectedByLimit;
+            break;
+        case Rejection::beforeFirstAttempt:
+            ++metrics.rejectedBeforeAttempt;
+            break;
+        case Rejection::afterAttempt:
+            ++metrics.rejectedAfterAttempt;
+            break;
+    }
 }
 
 void RouterMetrics::recordFailed(std::string_view requestClass) { ++metricsOf(requestClass).failed; }
+
 void RouterMetrics::recordAbandoned(std::string_view requestClass) { ++metricsOf(requestClass).abandoned; }
 
 void RouterMetrics::recordAttempt(bool toOrigin) {
     ++attempts_;
-    originAttempts_ += toOrigin;
+    if (toOrigin) ++originAttempts_;
 }
 
-void RouterMetrics::recordAttemptEnded(AttemptOutcome how, Nanos spent) {
-    attemptMs_ += static_cast<double>(spent) / 1e6;
-    failed_ += how == AttemptOutcome::failed;
-    timedOut_ += how == AttemptOutcome::timedOut;
-    connectionsLost_ += how == AttemptOutcome::connectionLost || how == AttemptOutcome::notExecuted;
-    overloaded_ += how == AttemptOutcome::overloaded;
-    connectFailed_ += how == AttemptOutcome::connectFailed || how == AttemptOutcome::notSent;
+void RouterMetrics::recordAttemptEnded(AttemptOutcome outcome, Nanos duration) {
+    attemptMs_ += static_cast<double>(duration) / 1e6;
+    switch (outcome) {
+        case AttemptOutcome::failed:
+            ++failed_;
+            break;
+        case AttemptOutcome::timedOut:
+            ++timedOut_;
+            break;
+        case AttemptOutcome::connectionLost:
+        case AttemptOutcome::notExecuted:
+            ++connectionsLost_;
+            break;
+        case AttemptOutcome::overloaded:
+            ++overloaded_;
+            break;
+        case AttemptOutcome::connectFailed:
+        case AttemptOutcome::notSent:
+            ++connectFailed_;
+            break;
+        case AttemptOutcome::succeeded:
+        case AttemptOutcome::cacheMiss:
+            break;
+    }
 }
 
-void RouterMetrics::recordIteration(Nanos took) { longestIteration_ = std::max(longestIteration_, took); }
+void RouterMetrics::recordIteration(Nanos duration) {
+    longestIteration_ = std::max(longestIteration_, duration);
+}
 
 nlohmann::json RouterMetrics::json() const {
     auto requestClasses = nlohmann::json::object();
-    for (const auto& [name, v] : requestClasses_) {
-        auto times = nlohmann::json::array();  // from the fastest class that was met, then one by one
-        int first = 0;
-        for (int i = -1; i <= kLatencyBuckets; ++i) {
-            const auto count = static_cast<std::uint64_t>(v.latencies.at(i));
-            if (times.empty() && count == 0) continue;
-            if (times.empty()) first = i;
-            times.push_back(count);
-        }
-        while (!times.empty() && times.back() == 0) times.erase(times.size() - 1);
-        requestClasses[name] = {{"goal_ms", v.latencyObjective / kMillisecond},
-                                {"taken", v.accepted},
-                                {"in_goal", v.withinObjective},
-                                {"late", v.late},
-                                {"declined", {{"full", v.full}, {"unsent", v.unsent}, {"after", v.after}}},
-                                {"terminated", v.failed},
-                                {"left", v.abandoned},
-                                {"times_from", first},
-                                {"times", std::move(times)}};
+    for (const auto& [name, metrics] : requestClasses_) {
+        const LatencyBuckets latencies = latencyBuckets(metrics.latencies);
+        requestClasses[name] = {{"goal_ms", metrics.latencyObjective / kMillisecond},
+                                {"taken", metrics.accepted},
+                                {"in_goal", metrics.withinObjective},
+                                {"late", metrics.late},
+                                {"declined",
+                                 {{"full", metrics.rejectedByLimit},
+                                  {"unsent", metrics.rejectedBeforeAttempt},
+                                  {"after", metrics.rejectedAfterAttempt}}},
+                                {"terminated", metrics.failed},
+                                {"left", metrics.abandoned},
+                                {"times_from", latencies.first},
+                                {"times", latencies.counts}};
     }
     return {{"format", kFormat},
             {"verbs", std::move(requestClasses)},
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -1,5 +1,4 @@
-// What a router has done since its start, by verb: what a staged change is judged by. Made only where an
-// operator's socket can ask for it; a router without one has no such object.
+// The counters and latency histograms of a router.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -14,53 +13,71 @@
 
 namespace poppyscale::metrics {
 
-// The form of `json`; a reader that does not know it takes all of it for unknown.
+// The version of the form that `json` writes. A reader that does not know it takes all values as unknown.
 constexpr int kFormat = 1;
 
-// Times of answers in classes that grow by an eighth, 0.1 ms to 100 s: a shift of the median by a tenth
-// shows.
+// Latencies are counted in buckets that grow by an eighth, so that a shift of the median by a tenth shows.
 constexpr int kLatencyBuckets = 118;
-constexpr double kMinLatencyMs = 0.1, kMaxLatencyMs = 100'000;
+constexpr double kMinLatencyMs = 0.1;
+constexpr double kMaxLatencyMs = 100'000;
 
+// Why a request was rejected.
 enum class Rejection : std::uint8_t {
-    requestLimit,        // the router held as many commands as it may
-    beforeFirstAttempt,  // by the decisions, before any relay
-    afterAttempt         // by the decisions, after a relay that never ran or may run again
+    requestLimit,        // the router had as many open requests as it may
+    beforeFirstAttempt,  // by the policy, before any attempt
+    afterAttempt         // by the policy, after an attempt that was not executed or may be repeated
 };
 
+// Counts what a router has done since its start, by request class; staged rollouts are evaluated by it. Made
+// only where an operator's socket can read it. Used by one thread.
 class RouterMetrics {
   public:
     explicit RouterMetrics(const std::vector<RequestClass>& requestClasses);
-    // Verbs that are new are added; what is gone keeps its figures.
+    // Adds request classes that are new; those that are removed keep their counters.
     void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
+    // A request that the router accepted ends in one of the four below.
     void recordAccepted(std::string_view requestClass);
-    void recordSucceeded(std::string_view requestClass, Nanos took);
-    void recordRejected(std::string_view requestClass, Rejection why);
+    void recordSucceeded(std::string_view requestClass, Nanos latency);
+    void recordRejected(std::string_view requestClass, Rejection reason);
     void recordFailed(std::string_view requestClass);
-    void recordAbandoned(std::string_view requestClass);  // its client went before its answer
+    // The client disconnected before the response.
+    void recordAbandoned(std::string_view requestClass);
     void recordAttempt(bool toOrigin);
-    void recordAttemptEnded(AttemptOutcome how, Nanos spent);
-    void recordIteration(Nanos took);
+    void recordAttemptEnded(AttemptOutcome outcome, Nanos duration);
+    // One iteration of the event loop, without its wait for events.
+    void recordIteration(Nanos duration);
 
+    // All counters; the keys are mapped here alone.
     nlohmann::json json() const;
 
   private:
-    using Times = decltype(boost::histogram::make_histogram(
+    using LatencyHistogram = decltype(boost::histogram::make_histogram(
         boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
             kLatencyBuckets, kMinLatencyMs, kMaxLatencyMs)));
     struct RequestClassMetrics {
         Nanos latencyObjective = 0;
-        std::uint64_t accepted = 0, withinObjective = 0, late = 0, full = 0, unsent = 0, after = 0,
-                      failed = 0, abandoned = 0;
-        Times latencies;
+        std::uint64_t accepted = 0;
+        std::uint64_t withinObjective = 0;
+        std::uint64_t late = 0;
+        std::uint64_t rejectedByLimit = 0;
+        std::uint64_t rejectedBeforeAttempt = 0;
+        std::uint64_t rejectedAfterAttempt = 0;
+        std::uint64_t failed = 0;
+        std::uint64_t abandoned = 0;
+        LatencyHistogram latencies;  // of succeeded requests, in milliseconds
     };
     RequestClassMetrics& metricsOf(std::string_view requestClass);
 
     std::map<std::string, RequestClassMetrics, std::less<>> requestClasses_;
-    std::uint64_t attempts_ = 0, originAttempts_ = 0, failed_ = 0, timedOut_ = 0, connectionsLost_ = 0,
-                  overloaded_ = 0, connectFailed_ = 0;
-    double attemptMs_ = 0;
+    std::uint64_t attempts_ = 0;
+    std::uint64_t originAttempts_ = 0;
+    std::uint64_t failed_ = 0;  // attempts, as are the four below
+    std::uint64_t timedOut_ = 0;
+    std::uint64_t connectionsLost_ = 0;
+    std::uint64_t overloaded_ = 0;
+    std::uint64_t connectFailed_ = 0;
+    double attemptMs_ = 0;  // time of all attempts together
     Nanos longestIteration_ = 0;
 };
 
