--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -1,7 +1,7 @@
-// The operator's file: what a deployment's own configuration does not say, and, where there is none, all of
-// it.
+// The operator's file: what the platform's configuration does not say, and, where there is none, all of it.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -15,43 +15,56 @@
 
 enum class LogLevel : std::uint8_t { debug, info, warning, error, off };
 
+// The file's `[log]`; the values here are the defaults.
 struct LogConfig {
-    bool json = false;
+    bool isJson = false;
     LogLevel level = LogLevel::info;
-    std::map<std::string, LogLevel> parts;  // of those in logParts()
-    double perSecond = 10;
+    std::map<std::string, LogLevel> partLevels;  // of the parts in logParts() that have a level of their own
+    double maxLinesPerSecond = 10;
     bool operator==(const LogConfig&) const = default;
 };
 
+// The whole file; the values here are the defaults.
 struct OperatorConfig {
     std::string operatorSocket;  // path of a Unix socket; none if empty
     LogConfig log;
-    // Asked for the list, as discovery is; discovery itself if empty.
+    // Addresses that endpoint lists are polled from in place of discovery; discovery itself if empty.
     std::vector<std::string> distributors;
-    Nanos drainTimeout = 0;  // 0: as long as the longest verb's clients wait
-    // Set where the file describes the deployment. Without a place for discovery its list is in `known`.
+    Nanos drainTimeout = 0;  // 0: as long as the longest request timeout
+    // Set where the file describes the deployment. Without discovery its endpoint list is in
+    // `knownEndpoints`.
     std::optional<protocol::StartupConfig> startup;
 };
 
-// Reads all of it; what can't be used is noted in `problems`, and the plan is of no use then. `platform` says
-// that the platform's configuration is there: then the file may not describe the deployment a second time.
-OperatorConfig readOperatorConfig(std::string_view text, const std::string& file, bool platform,
-                                  config::ConfigProblems& problems);
+// What is wrong with a file; its text has a line for each problem.
+struct ConfigError : protocol::ParseError {
+    explicit ConfigError(std::vector<ConfigProblem> problemsFound);
 
-// Throws protocol::Malformed with all problems, a line each.
-OperatorConfig loadOperatorConfig(const std::string& file, bool platform);
+    std::vector<ConfigProblem> problems;
+};
+
+// Reads the text of the file named `file`. All that can't be used is recorded in `problems`; the result is of
+// no use if there are any. Where `hasPlatformConfig`, the file may not describe the deployment a second time.
+OperatorConfig readOperatorConfig(std::string_view text, const std::string& file, bool hasPlatformConfig,
+                                  ConfigProblems& problems);
+
+// The same from the file itself; throws ConfigError.
+OperatorConfig loadOperatorConfig(const std::string& file, bool hasPlatformConfig);
 
+// The level's name in the file.
 std::string_view nameOf(LogLevel level);
+// The parts of the log that may have a level of their own, by their keys in `[log.parts]`.
 const std::vector<std::string>& logParts();
 
-// What differs between two starts in words, a line each: first what changes while running, then what waits.
+// What differs between two configurations, a line of text for each setting.
 struct ConfigDifference {
     std::vector<std::string> appliesNow;
     std::vector<std::string> needsRestart;
 };
-ConfigDifference compareConfigs(const protocol::StartupConfig& is, const protocol::StartupConfig& wanted);
+ConfigDifference compareConfigs(const protocol::StartupConfig& current, const protocol::StartupConfig& fresh);
 
-// Everything that is in force, as TOML-like lines for people.
-std::string describeConfig(const protocol::StartupConfig& start, const OperatorConfig& plan, bool platform);
+// All settings as text, one a line. Two processes of one router compare these texts before a hot restart.
+std::string describeConfig(const protocol::StartupConfig& startup, const OperatorConfig& operatorConfig,
+                           bool isFromPlatform);
 
 }  // namespace poppyscale::config
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -1,5 +1,5 @@
 // TOML files read strictly: what is missing, misspelt, of another type or out of its range is a problem with
-// its file, line and key, and all problems of a file are found, not only the first.
+// its file, line and key, and all problems of a file are reported, not only the first.
 #pragma once
 
 #include <toml++/toml.h>
@@ -16,101 +16,129 @@
 
 namespace poppyscale::config {
 
+// One problem with a file.
+struct ConfigProblem {
+    std::string file;
+    std::uint32_t line = 0;  // from 1; 0 for the file as such, shown as its first line
+    std::string key;         // its path, "verbs[0].name"; empty where no key is concerned
+    std::string reason;
+
+    // "FILE:LINE: KEY: what is wrong".
+    std::string text() const;
+};
+
+// The problems of one file, as they are found.
 class ConfigProblems {
   public:
     explicit ConfigProblems(std::string file) : file_(std::move(file)) {}
-    void add(std::uint32_t line, std::string_view key, std::string_view what);
-    bool none() const { return all_.empty(); }
-    std::size_t count() const { return all_.size(); }
-    // One line each, "FILE:LINE: KEY: what is wrong", in the file's order.
+    void add(std::uint32_t line, std::string_view key, std::string_view reason);
+    bool none() const { return problems_.empty(); }
+    std::size_t count() const { return problems_.size(); }
+    // All problems by their lines.
+    std::vector<ConfigProblem> sorted() const;
+    // The same, one a line of text.
     std::string text() const;
 
   private:
     std::string file_;
-    std::vector<std::pair<std::uint32_t, std::string>> all_;
+    std::vector<ConfigProblem> problems_;
 };
 
+// The values of a setting by their names in a file.
 template <class T>
 using Words = std::vector<std::pair<std::string_view, T>>;
 
-// One table of a file. Where a key can't be read its problem is noted and a harmless value comes back.
+// Reads one table of a file. Where a key can't be read its problem is recorded and a value within the bounds
+// is returned. A key without a default must be there. The table and `problems` outlive this.
 class TomlTable {
   public:
     TomlTable(const toml::table& table, ConfigProblems& problems, std::string path = "")
         : table_(table), problems_(problems), path_(std::move(path)) {}
 
-    void problem(std::string_view key, std::string_view what);
+    // Records a problem with `key`, or with the table where the key is missing.
+    void problem(std::string_view key, std::string_view reason);
 
-    double number(std::string_view key, std::optional<double> otherwise, double least = 0,
-                  double most = 1e12);
-    double fraction(std::string_view key, std::optional<double> otherwise) {
-        return number(key, otherwise, 0, 1);
+    double number(std::string_view key, std::optional<double> defaultValue, double min = 0,
+                  double max = 1e12);
+    // A number from 0 to 1.
+    double fraction(std::string_view key, std::optional<double> defaultValue) {
+        return number(key, defaultValue, 0, 1);
     }
-    int integer(std::string_view key, std::optional<int> otherwise, int least = 0, int most = 10'000'000);
-    Nanos millis(std::string_view key, std::optional<double> otherwise);
-    Nanos micros(std::string_view key, std::optional<double> otherwise);
-    bool boolean(std::string_view key, bool otherwise);
-    std::string string(std::string_view key, std::optional<std::string> otherwise);
+    int integer(std::string_view key, std::optional<int> defaultValue, int min = 0, int max = 10'000'000);
+    // A duration that the file states in milliseconds, as is its default.
+    Nanos millis(std::string_view key, std::optional<double> defaultValue);
+    // The same in microseconds.
+    Nanos micros(std::string_view key, std::optional<double> defaultValue);
+    bool boolean(std::string_view key, bool defaultValue);
+    std::string string(std::string_view key, std::optional<std::string> defaultValue);
+    // A required list of non-empty strings.
     std::vector<std::string> strings(std::string_view key);
-    // A list that may be left out.
-    std::vector<int> integers(std::string_view key, int least, int most);
+    // An optional list.
+    std::vector<int> integers(std::string_view key, int min, int max);
     bool has(std::string_view key) const { return table_.contains(key); }
-    void skip(std::string_view key) { asked_.emplace(key); }  // known, but read elsewhere
+    // The key is known, but read elsewhere.
+    void skip(std::string_view key) { knownKeys_.emplace(key); }
 
+    // One of the values that `words` names.
     template <class T>
-    T word(std::string_view key, const Words<T>& words, std::optional<T> otherwise) {
-        const toml::node* const node = find(key, !otherwise);
-        if (!node) return otherwise.value_or(words.front().second);
-        const std::string said = textOf(key, *node);
-        std::string all;
+    T word(std::string_view key, const Words<T>& words, std::optional<T> defaultValue) {
+        const toml::node* const node = find(key, !defaultValue);
+        if (!node) return defaultValue.value_or(words.front().second);
+        const std::string text = stringOf(key, *node);
+        std::string knownNames;
         for (const auto& [name, value] : words) {
-            if (name == said) return value;
-            all.append(all.empty() ? "" : ", ").append(name);
+            if (name == text) return value;
+            knownNames.append(knownNames.empty() ? "" : ", ").append(name);
         }
-        problem(key, "'" + said + "' is none of " + all);
+        problem(key, "'" + text + "' is none of " + knownNames);
         return words.front().second;
     }
-    // A table within. One that may be left out is read as an empty one.
+    // A table within this one, read by `read(TomlTable&)`. An optional one that is missing is read as empty.
     template <class Read>
-    void one(std::string_view key, bool must, Read read) {
-        const toml::node* const node = find(key, must);
-        const toml::table nothing;
+    void one(std::string_view key, bool isRequired, Read read) {
+        const toml::node* const node = find(key, isRequired);
+        const toml::table emptyTable;
         if (node && !node->is_table()) problem(key, "is not a table");
-        const bool there = node && node->is_table();
-        // What an absent table lacks was told by its own absence.
-        ConfigProblems unheard("");
-        TomlTable inner(there ? *node->as_table() : nothing, there || !must ? problems_ : unheard,
-                        below(key));
+        const bool isThere = node && node->is_table();
+        // What a missing table lacks has been reported by the problem of the table itself.
+        ConfigProblems ignored("");
+        TomlTable inner(isThere ? *node->as_table() : emptyTable,
+                        isThere || !isRequired ? problems_ : ignored, childPath(key));
         read(inner);
         inner.finish();
     }
+    // The tables of a list, each read by `read(TomlTable&)`.
     template <class Read>
-    void each(std::string_view key, bool must, Read read) {
-        const toml::node* const node = find(key, must);
+    void each(std::string_view key, bool isRequired, Read read) {
+        const toml::node* const node = find(key, isRequired);
         if (!node) return;
-        if (!node->is_array_of_tables()) return problem(key, "is not a list of tables");
-        int at = 0;
+        if (!node->is_array_of_tables()) {
+            problem(key, "is not a list of tables");
+            return;
+        }
+        int index = 0;
         for (const toml::node& item : *node->as_array()) {
-            TomlTable inner(*item.as_table(), problems_, below(key) + "[" + std::to_string(at++) + "]");
+            TomlTable inner(*item.as_table(), problems_, childPath(key) + "[" + std::to_string(index) + "]");
+            ++index;
             read(inner);
             inner.finish();
         }
     }
-    // Whatever was not asked for is a key that nobody knows.
+    // Records each key of the table that nothing has read or skipped.
     void finish();
 
   private:
-    std::string below(std::string_view key) const;
-    const toml::node* find(std::string_view key, bool must);
-    std::string textOf(std::string_view key, const toml::node& node);
+    std::string childPath(std::string_view key) const;
+    const toml::node* find(std::string_view key, bool isRequired);
+    std::string stringOf(std::string_view key, const toml::node& node);
 
     const toml::table& table_;
     ConfigProblems& problems_;
     std::string path_;
-    std::set<std::string, std::less<>> asked_;
+    std::set<std::string, std::less<>> knownKeys_;  // read or skipped
 };
 
-// Null, with the problem noted, when it is not TOML.
+// Nothing, with the problem recorded, when `text` is not TOML.
 std::optional<toml::table> parseToml(std::string_view text, const std::string& file,
                                      ConfigProblems& problems);
 
--- a/src/control/console_command.cpp
+++ b/src/control/console_command.cpp
@@ -7,18 +7,36 @@
 namespace poppyscale::control {
 namespace {
 
-struct Entry {
+struct CommandEntry {
     std::string_view word;
     ConsoleCommand::Kind kind;
-    bool named;  // a server's id follows
+    bool takesServer;  // a server's id follows
 };
-constexpr std::array<Entry, 5> kCalls{{{"status", ConsoleCommand::Kind::status, false},
-                                       {"maint-on", ConsoleCommand::Kind::eject, true},
-                                       {"maint-off", ConsoleCommand::Kind::restore, true},
-                                       {"standby", ConsoleCommand::Kind::standby, false},
-                                       {"active", ConsoleCommand::Kind::active, false}}};
 
-std::vector<std::string_view> wordsOf(std::string_view line) {
+constexpr std::array kCommands{
+    // The state, the numbers of clients and open requests, and the ejected servers.
+    CommandEntry{"status", ConsoleCommand::Kind::status, false},
+    // Ejects a server: it gets no requests.
+    CommandEntry{"maint-on", ConsoleCommand::Kind::eject, true},
+    // Restores an ejected server.
+    CommandEntry{"maint-off", ConsoleCommand::Kind::restore, true},
+    // Health checks fail from now on, and connections are closed as they become idle.
+    CommandEntry{"standby", ConsoleCommand::Kind::standby, false},
+    // Ends the standby.
+    CommandEntry{"active", ConsoleCommand::Kind::active, false},
+};
+
+std::string withKnownCommands(std::string_view problem) {
+    std::string text(problem);
+    std::string_view separator = "; known are ";
+    for (const CommandEntry& command : kCommands) {
+        text.append(separator).append(command.word);
+        separator = ", ";
+    }
+    return text;
+}
+
+std::vector<std::string_view> splitWords(std::string_view line) {
     std::vector<std::string_view> words;
     while (!line.empty()) {
         const auto word = line.substr(0, line.find_first_of(" \t"));
@@ -28,30 +46,27 @@
     return words;
 }
 
+bool isPrintable(std::string_view line) {
+    return std::all_of(line.begin(), line.end(),
+                       [](unsigned char c) { return c == '\t' || (c >= ' ' && c < 0x7f); });
+}
+
 }  // namespace
 
 std::string ConsoleReply::line() const { return (isAccepted ? "ACK " : "NAK ") + text + "\n"; }
 
-std::optional<ConsoleCommand> readConsoleCommand(std::string_view line, std::string& wrong) {
+ConsoleLine readConsoleLine(std::string_view line) {
     if (line.ends_with('\r')) line.remove_suffix(1);
-    const bool plain = std::all_of(line.begin(), line.end(),
-                                   [](unsigned char c) { return c == '\t' || (c >= ' ' && c < 0x7f); });
-    const auto words = plain ? wordsOf(line) : std::vector<std::string_view>{};
-    if (!plain) wrong = "a call is a line of visible characters";
-    if (plain && words.empty())
-        wrong = "an empty line; known are status, maint-on, maint-off, standby, active";
-    if (words.empty()) return std::nullopt;
-    const auto entry =
-        std::find_if(kCalls.begin(), kCalls.end(), [&](const Entry& e) { return e.word == words[0]; });
-    if (entry == kCalls.end()) {
-        wrong = "unknown call; known are status, maint-on, maint-off, standby, active";
-        return std::nullopt;
-    }
-    if (words.size() != (entry->named ? 2U : 1U)) {
-        wrong = std::string(words[0]) + (entry->named ? " takes one id" : " takes nothing more");
-        return std::nullopt;
-    }
-    return ConsoleCommand{entry->kind, entry->named ? std::string(words[1]) : ""};
+    if (!isPrintable(line)) return {std::nullopt, "a call is a line of visible characters"};
+    const auto words = splitWords(line);
+    if (words.empty()) return {std::nullopt, withKnownCommands("an empty line")};
+    const auto command = std::find_if(kCommands.begin(), kCommands.end(),
+                                      [&](const CommandEntry& entry) { return entry.word == words[0]; });
+    if (command == kCommands.end()) return {std::nullopt, withKnownCommands("unknown call")};
+    if (words.size() != (command->takesServer ? 2U : 1U))
+        return {std::nullopt,
+                std::string(words[0]) + (command->takesServer ? " takes one id" : " takes nothing more")};
+    return {ConsoleCommand{command->kind, command->takesServer ? std::string(words[1]) : ""}, ""};
 }
 
 }  // namespace poppyscale::control
--- a/src/control/console_command.hpp
+++ b/src/control/console_command.hpp
@@ -1,6 +1,7 @@
-// What an operator may ask for at the console, and what comes of a line: no sockets here.
+// The commands of the operators' console, and what a line says; no sockets here.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -11,19 +12,26 @@
 struct ConsoleCommand {
     enum class Kind : std::uint8_t { status, eject, restore, standby, active };
     Kind kind = Kind::status;
-    std::string server;  // of `ban` and `lift`
+    std::string server;  // the id that `eject` and `restore` name, else empty
 };
 
-// What is said back: a yes or a no, and why.
+// The reply to a line: whether it is accepted, and the status or the reason.
 struct ConsoleReply {
     bool isAccepted = false;
     std::string text;
+    // The reply as it is sent, with its end of line.
     std::string line() const;
 };
 
-constexpr std::size_t kMaxConsoleLine = 256;  // with its end
+constexpr std::size_t kMaxConsoleLineBytes = 256;  // with its end
 
-// A line without its LF; a CR before that is no part of it. Without a call, `wrong` says why.
-std::optional<ConsoleCommand> readConsoleCommand(std::string_view line, std::string& wrong);
+// A line that was read: a command, or the problem with it for the operator.
+struct ConsoleLine {
+    std::optional<ConsoleCommand> command;
+    std::string problem;
+};
+
+// Reads a line without its LF; a CR at its end is ignored.
+ConsoleLine readConsoleLine(std::string_view line);
 
 }  // namespace poppyscale::control
--- a/src/control/console_listener.hpp
+++ b/src/control/console_listener.hpp
@@ -1,41 +1,45 @@
-// The operators' door: one line to a connection, one line back.
+// Where operators connect to the console.
 #pragma once
 
+#include <cstddef>
 #include <functional>
-#include <list>
-#include <memory>
+#include <optional>
 #include <string>
 
 #include "control/console_command.hpp"
+#include "control/console_connection.hpp"
+#include "control/file_descriptor.hpp"
+#include "control/session_list.hpp"
 #include "transport/listener.hpp"
 
 namespace poppyscale::control {
 
-class ConsoleConnection;
-
-class ConsoleListener {
+// Owns the console's listening socket and its connections; one line and one reply on each. The number of
+// connections is bounded: a further one replaces the oldest. Runs on the event loop, which outlives it.
+class ConsoleListener : private ConsoleConnection::Owner {
   public:
     using CommandHandler = std::function<ConsoleReply(const ConsoleCommand&)>;
-    ConsoleListener(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t mostCallers,
-                    CommandHandler answer);
-    ~ConsoleListener();
-
-    // Empty when it listens, else what is wrong.
-    std::string listen(const transport::Address& at) { return listener_.listen(at); }
-    std::string listenOn(int descriptor) { return listener_.adopt(descriptor); }
+    ConsoleListener(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t maxConnections,
+                    CommandHandler handler);
+
+    // Listens on `address`; returns the system's error, or nothing when it listens.
+    std::optional<std::string> listen(const transport::Address& address);
+    // The same on a listening socket of another process.
+    std::optional<std::string> listenOn(FileDescriptor socket);
+    // The listening socket, which stays this object's.
     int descriptor() const { return listener_.descriptor(); }
 
   private:
-    friend class ConsoleConnection;
-    void admit(const std::function<bool(transport::Connection&)>& finish);
-    void drop(ConsoleConnection& caller);  // which is gone after this
+    ConsoleReply execute(const ConsoleCommand& command) override { return handler_(command); }
+    void remove(ConsoleConnection& connection) override { connections_.remove(connection); }
+    void onAccept(const std::function<bool(transport::Connection&)>& finish);
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
-    std::size_t mostCallers_;
-    CommandHandler answer_;
+    const std::size_t maxConnections_;
+    CommandHandler handler_;
     transport::Listener listener_;
-    std::list<std::unique_ptr<ConsoleConnection>> callers_;  // the oldest first
+    SessionList<ConsoleConnection> connections_;
 };
 
 }  // namespace poppyscale::control
--- a/src/control/operator_socket.hpp
+++ b/src/control/operator_socket.hpp
@@ -1,74 +1,53 @@
-// The door for the operator: a Unix socket that only its owner may open. One line of JSON asks, one answers.
+// The operator's socket: a Unix socket that only its owner may open.
 #pragma once
 
+#include <cstddef>
 #include <functional>
-#include <list>
 #include <memory>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
-#include <vector>
 
-#include "transport/connection.hpp"
+#include "control/file_descriptor.hpp"
+#include "control/operator_session.hpp"
+#include "control/session_list.hpp"
 #include "transport/listener.hpp"
 
 namespace poppyscale::control {
 
-class OperatorSession;
-
-class OperatorSocket {
+// Owns the listening socket, its file while the path is this process's, and a bounded number of sessions; a
+// connection beyond these is closed at once. Runs on the event loop, which outlives it.
+class OperatorSocket : private OperatorSession::Owner {
   public:
-    // Answers what was asked. `session` is for calls that go on: a hand-over.
+    // Answers a request; see OperatorSession::Owner::handle. `session` is for answers that are sent later.
     using RequestHandler =
-        std::function<nlohmann::json(OperatorSession& session, const nlohmann::json& asked)>;
-    OperatorSocket(transport::EventLoop& loop, transport::BufferPool& pool, RequestHandler answer);
-    ~OperatorSocket();
-
-    // Empty when it listens at that path, else what is wrong.
-    std::string listen(const std::string& path);
-    const std::string& path() const { return path_; }
-    // A connection that was made by hand; its other side asks and answers as any does.
-    OperatorSession& adopt(int descriptor);
-    // Another process has its own socket at that path by now, or will.
-    void releasePath() { ours_ = false; }
-    std::size_t sessionCount() const { return sessions_.size(); }
+        std::function<nlohmann::json(OperatorSession& session, const nlohmann::json& message)>;
+    OperatorSocket(transport::EventLoop& loop, transport::BufferPool& pool, RequestHandler handler);
+    ~OperatorSocket() override;
+
+    // Listens at `path`, in place of any process that listens there; returns what is wrong, or nothing when
+    // it listens.
+    std::optional<std::string> listen(const std::string& path);
+    // Adds a session on a connection that this process has made itself.
+    OperatorSession& adopt(FileDescriptor connection);
+    // Another process has its own socket at the path by now, or will: the file is not removed.
+    void releasePath() { ownsPath_ = false; }
 
   private:
-    friend class OperatorSession;
-    void remove(OperatorSession& session);  // which is gone after this
+    nlohmann::json handle(OperatorSession& session, const nlohmann::json& message) override {
+        return handler_(session, message);
+    }
+    void remove(OperatorSession& session) override { sessions_.remove(session); }
+    std::unique_ptr<OperatorSession> makeSession();
+    void onAccept(const std::function<bool(transport::Connection&)>& finish);
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
-    RequestHandler answer_;
+    RequestHandler handler_;
     std::string path_;
-    bool ours_ = false;
+    bool ownsPath_ = false;
     std::unique_ptr<transport::Listener> listener_;
-    std::list<std::unique_ptr<OperatorSession>> sessions_;
-};
-
-class OperatorSession : private transport::Connection::Handler {
-  public:
-    explicit OperatorSession(OperatorSocket& server);
-    ~OperatorSession() override;
-
-    void send(const nlohmann::json& answer);
-    // Sends a descriptor beside one byte, after all that was said; false when the other side can't take it.
-    bool passDescriptor(int descriptor);
-    // The other side has gone, which may not have been read yet.
-    bool hasPeerClosed() const { return connection_.hasPeerClosed(); }
-    // Called once, when the other side has gone; not when this one is dropped by its server.
-    std::function<void()> onPeerClosed;
-
-  private:
-    friend class OperatorSocket;
-    void onData(std::string_view bytes) override;
-    void onClosed() override;
-    void onDrained() override;
-    bool sendDescriptor(int descriptor);
-
-    OperatorSocket& server_;
-    transport::Connection connection_;
-    std::string line_;
-    std::vector<int> toPass_;  // descriptors that wait until all that was said is with the kernel
+    SessionList<OperatorSession> sessions_;
 };
 
 }  // namespace poppyscale::control
--- a/src/process/command_line.cpp
+++ b/src/process/command_line.cpp
@@ -4,93 +4,81 @@
 #include <csignal>
 #include <cstdlib>
 #include <exception>
-#include <fstream>
 #include <iostream>
-#include <iterator>
+
+#include "process/hot_restart/passed_socket.hpp"
 
 namespace poppyscale::process {
 namespace {
 
-using protocol::ParseError;
-
 constexpr const char* kVersion = "poppyscale 0.3";
 
-protocol::StartupConfig readPlatform(const char* path) {
-    std::ifstream file(path, std::ios::binary);
-    const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ParseError(std::string("can't read the configuration ") + path);
-    try {
-        return protocol::readStartupConfig(text);
-    } catch (const ParseError& problem) {
-        throw ParseError(std::string("configuration ") + path + ": " + problem.what());
+// Holds a signal back until it is released.
+class BlockedSignal {
+  public:
+    explicit BlockedSignal(int number) {
+        sigemptyset(&signals_);
+        sigaddset(&signals_, number);
+        sigprocmask(SIG_BLOCK, &signals_, nullptr);
     }
+    void release() const { sigprocmask(SIG_UNBLOCK, &signals_, nullptr); }
+
+  private:
+    sigset_t signals_{};
+};
+
+int checkConfig(const std::string& operatorFile) {
+    const InstanceConfig config = readInstanceConfig(operatorFile);
+    std::cout << config::describeConfig(config.startup, config.operatorConfig, config.fromPlatform);
+    return 0;
 }
 
-InstanceConfig readAll(const std::string& operatorFile) {
-    const char* const path = std::getenv("ROUTER_CONFIG");
-    InstanceConfig told;
-    told.fromPlatform = path != nullptr;
-    if (!path && operatorFile.empty())
-        throw ParseError("ROUTER_CONFIG names no configuration, and --operator names no file");
-    std::string problems;
-    try {
-        if (path) told.startup = readPlatform(path);
-    } catch (const ParseError& problem) {
-        problems = problem.what();
-    }
-    try {
-        if (!operatorFile.empty())
-            told.operatorConfig = config::loadOperatorConfig(operatorFile, told.fromPlatform);
-    } catch (const ParseError& problem) {
-        problems += (problems.empty() ? "" : "\n") + std::string(problem.what());
-    }
-    if (!problems.empty()) throw ParseError(problems);
-    if (told.operatorConfig.startup) told.startup = *told.operatorConfig.startup;
-    if (const char* const console = std::getenv("ROUTER_CONSOLE")) told.startup.console = console;
-    return told;
+ProcessOptions readProcessOptions(const char* program, const std::string& operatorFile, bool isHotRestart,
+                                  const MakeDispatcher& makeDispatcher) {
+    ProcessOptions options;
+    options.readConfig = [operatorFile] { return readInstanceConfig(operatorFile); };
+    options.isHotRestart = isHotRestart;
+    // By its path and not by what runs: a hot restart is to run the file that is there by then.
+    options.newProcessCommand = {program, "serve", "--take-over"};
+    if (!operatorFile.empty())
+        options.newProcessCommand.insert(options.newProcessCommand.end(), {"--operator", operatorFile});
+    const char* const passedSocket = std::getenv("ROUTER_PASSED_SOCKET");
+    if (passedSocket && !isHotRestart) options.passedListener = takePassedSocket(passedSocket);
+    options.version = kVersion;
+    const char* const folder = std::getenv("TMPDIR");
+    options.stateFolder = folder ? folder : "";
+    options.makeDispatcher = makeDispatcher;
+    return options;
 }
 
 }  // namespace
 
-int runCommandLine(int argc, char** argv, const MakeDispatcher& makeCore) {
+int runCommandLine(int argc, char** argv, const MakeDispatcher& makeDispatcher) {
     CLI::App app{"poppyscale: spreads keys over caches before a slow origin"};
     app.set_version_flag("--version", kVersion);
-    std::string file;
-    bool takeOver = false;
-    app.add_option("--operator", file, "the operator's file");
+    std::string operatorFile;
+    bool isHotRestart = false;
+    app.add_option("--operator", operatorFile, "the operator's file");
     auto* serve = app.add_subcommand("serve", "serves; also without any word");
-    serve->add_option("--operator", file, "the operator's file");
-    serve->add_flag("--take-over", takeOver, "takes the sockets over from the process that serves so far");
+    serve->add_option("--operator", operatorFile, "the operator's file");
+    serve->add_flag("--take-over", isHotRestart,
+                    "takes the sockets over from the process that serves so far");
     auto* check =
         app.add_subcommand("check", "reads everything and prints what is in force, or every problem");
-    check->add_option("--operator", file, "the operator's file");
+    check->add_option("--operator", operatorFile, "the operator's file");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? 0 : 2;
     }
     std::signal(SIGPIPE, SIG_IGN);
-    // Held back until its handler is up: by itself it would end the program, and ignored, a file replaced
-    // after it was read would stay unread.
-    sigset_t hangUp;
-    sigemptyset(&hangUp);
-    sigaddset(&hangUp, SIGHUP);
-    sigprocmask(SIG_BLOCK, &hangUp, nullptr);
+    // Blocked until its handler is installed: by default it would end the program, and if it were ignored, a
+    // file that was replaced after it was read would stay unread.
+    const BlockedSignal hangUp(SIGHUP);
     try {
-        if (*check) {
-            const InstanceConfig told = readAll(file);
-            std::cout << config::describeConfig(told.startup, told.operatorConfig, told.fromPlatform);
-            return 0;
-        }
-        std::vector<std::string> newcomer{argv[0], "serve", "--take-over"};
-        // By its path and not by what runs: an upgrade wants the file that is there by then.
-        if (!file.empty()) newcomer.insert(newcomer.end(), {"--operator", file});
-        const char* const said = std::getenv("ROUTER_PASSED_SOCKET");
-        const char* const folder = std::getenv("TMPDIR");
-        const int passed = said && !takeOver ? passedListener(said) : -1;
-        RouterProcess router({[file] { return readAll(file); }, takeOver, std::move(newcomer), passed,
-                              kVersion, folder ? folder : "", makeCore});
-        sigprocmask(SIG_UNBLOCK, &hangUp, nullptr);
+        if (*check) return checkConfig(operatorFile);
+        RouterProcess router(readProcessOptions(argv[0], operatorFile, isHotRestart, makeDispatcher));
+        hangUp.release();
         return router.run();
     } catch (const std::exception& problem) {
         std::cerr << "poppyscale: " << problem.what() << '\n';
--- a/src/process/hot_restart/peer_processes.cpp
+++ b/src/process/hot_restart/peer_processes.cpp
@@ -3,152 +3,138 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <cctype>
+#include <cerrno>
 #include <stdexcept>
+#include <system_error>
+#include <utility>
 
-#include "process/hot_restart/inherited_sockets.hpp"
+#include "process/hot_restart/messages.hpp"
+#include "process/hot_restart/peer_client.hpp"
 
 namespace poppyscale::process {
 namespace {
 
 using config::LogLevel;
-
-constexpr Nanos kAskWithin = 500 * kMillisecond;
-constexpr std::size_t kWorthTelling = 8;  // clients more or less
-
-std::string fileName(std::string name) {
-    for (char& c : name)
-        if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '_') c = '_';
-    return "poppyscale-" + name;
+using control::OperatorSession;
+
+constexpr Nanos kJoinTimeout = 500 * kMillisecond;
+constexpr std::size_t kMinReportedClientChange = 8;
+
+// Nothing when no process listens there. Throws std::runtime_error when it can't be connected to.
+std::optional<PeerClient> connectToProcess(const std::string& path) {
+    try {
+        return PeerClient(path, kJoinTimeout);
+    } catch (const std::system_error& error) {
+        const int code = error.code().value();
+        if (code == ENOENT || code == ECONNREFUSED) return std::nullopt;
+        throw;
+    }
 }
 
 }  // namespace
 
 PeerProcesses::PeerProcesses(transport::EventLoop& loop, transport::BufferPool& pool,
-                             const std::string& folder, const std::string& name, Handler& owner, Log say)
-    : owner_(owner), log_(std::move(say)) {
-    if (folder.empty()) return;
-    const std::string base = folder + "/" + fileName(name);
-    path_ = base + ".sock";
-    file_.emplace(base + ".words");
-    server_.emplace(loop, pool, [this](auto& session, const auto& asked) { return answer(session, asked); });
+                             std::optional<std::string> socketPath, OperatorStateStore& operatorState,
+                             Host& host, LogFunction log)
+    : operatorState_(operatorState), host_(host), log_(std::move(log)), socketPath_(std::move(socketPath)) {
+    if (socketPath_)
+        server_.emplace(loop, pool,
+                        [this](auto& session, const auto& message) { return handle(session, message); });
 }
 
-void PeerProcesses::start(bool besides) {
-    if (!file_) return;
-    if (const auto problem = file_->read(state_); !problem.empty())
-        log_(LogLevel::error,
-             fmt::format("of the operators' words on file only what can be read holds: {}", problem));
-    if (besides) {
-        std::string said;
-        try {
-            const int socket = fetchOperatorState(path_, kAskWithin, said);
-            if (socket >= 0) {
-                state_ = {};
-                if (const auto problem = state_.parse(said); !problem.empty())
-                    log_(LogLevel::error,
-                         fmt::format("of the other process's words only a part holds: {}", problem));
-                addPeer(server_->adopt(socket), false);
-            }
-        } catch (const std::exception& problem) {
-            log_(LogLevel::error, fmt::format("goes by what is on file: {}", problem.what()));
-        }
+void PeerProcesses::joinOldProcess() {
+    if (!server_) return;
+    try {
+        auto client = connectToProcess(*socketPath_);
+        if (!client) return;
+        client->write(joinRequest());
+        const std::string state = readJoinReply(client->read());
+        operatorState_.replaceBy(state);
+        add(server_->adopt(client->release()), false);
+    } catch (const std::exception& problem) {
+        log_(LogLevel::error, fmt::format("uses the operator state on file: {}", problem.what()));
     }
-    reconcile();
 }
 
-std::string PeerProcesses::listen() { return server_ ? server_->listen(path_) : ""; }
-
-std::string PeerProcesses::applyCommand(const std::string& word) {
-    OperatorState next = state_;
-    if (!next.apply(word))
-        return fmt::format("it can't be kept: {} servers are out already", state_.ejectedServers.size());
-    if (next == state_) return "";
-    if (file_)
-        if (const auto problem = file_->write(next); !problem.empty())
-            return "it could not be written down: " + problem;
-    state_ = next;
-    reconcile();
-    notifyPeers({{"do", "word"}, {"word", word}});
-    return "";
+void PeerProcesses::listen() {
+    if (!server_) return;
+    if (const auto error = server_->listen(*socketPath_))
+        log_(LogLevel::error, fmt::format("a later process can't connect to this one: {}", *error));
 }
 
-void PeerProcesses::reloadState() {
-    OperatorState fresh;
-    if (!file_ || !file_->read(fresh).empty()) return;
-    state_ = fresh;
-    reconcile();
+void PeerProcesses::announce(const OperatorStateChange& change) {
+    sendToAll(operatorCommandNotice(change.line()));
 }
 
 std::size_t PeerProcesses::peerClientCount() const {
     std::size_t sum = 0;
-    for (const PeerProcess& k : peers_) sum += k.clients;
+    for (const Peer& peer : peers_) sum += peer.clients;
     return sum;
 }
 
 void PeerProcesses::reportClientCount(std::size_t clients) {
-    const auto apart = std::max(clients, reportedClients_) - std::min(clients, reportedClients_);
-    if (peers_.empty() || (apart < kWorthTelling && (clients > 0 || apart == 0))) return;
+    if (peers_.empty()) return;
+    const auto difference = std::max(clients, reportedClients_) - std::min(clients, reportedClients_);
+    if (difference < kMinReportedClientChange && (clients > 0 || difference == 0)) return;
     reportedClients_ = clients;
-    notifyPeers({{"do", "holds"}, {"clients", clients}});
+    sendToAll(clientCountNotice(clients));
 }
 
-nlohmann::json PeerProcesses::answer(control::OperatorSession& session, const nlohmann::json& asked) {
-    const auto what = asked.value("do", "");
-    if (what == "succeed") {
-        addPeer(session, true);
-        // The newcomer will have its own socket at that path.
-        server_->releasePath();
-        return {{"words", state_.serialize()}};
+nlohmann::json PeerProcesses::handle(OperatorSession& session, const nlohmann::json& message) {
+    const std::string name = requestName(message);
+    if (name == kJoinRequest) return onJoin(session);
+    const auto peer = find(session);
+    if (peer != peers_.end()) {
+        onNotice(*peer, message);
+        return nullptr;
     }
-    const auto kin = std::find_if(peers_.begin(), peers_.end(),
-                                  [&](const PeerProcess& k) { return k.session == &session; });
-    if (kin == peers_.end())
-        return what.empty() ? nlohmann::json() : nlohmann::json{{"error", "not known here"}};
-    if (what == "holds") {
-        kin->clients = asked.at("clients").get<std::size_t>();
-        owner_.onPeersChanged();
+    return name.empty() ? nlohmann::json() : errorReply("not known here");
+}
+
+nlohmann::json PeerProcesses::onJoin(OperatorSession& session) {
+    add(session, true);
+    // The new process will have its own socket at that path.
+    server_->releasePath();
+    return joinReply(operatorState_.state().serialize());
+}
+
+void PeerProcesses::onNotice(Peer& peer, const nlohmann::json& message) {
+    const std::string name = requestName(message);
+    if (name == kClientCountNotice) {
+        peer.clients = readClientCount(message);
+        host_.onPeersChanged();
     }
-    if (what == "word") {
-        OperatorState next = state_;
-        const auto word = asked.at("word").get<std::string>();
-        if (next.apply(word) && next != state_) {
-            state_ = next;
-            if (file_) file_->write(state_);
-            reconcile();
-            notifyPeers(asked, &session);
-        }
+    if (name == kOperatorCommandNotice) {
+        const OperatorSession* const sender = peer.session;
+        const bool isChanged = operatorState_.applyFromPeer(readOperatorCommand(message));
+        if (isChanged) sendToAll(message, sender);
     }
-    return nullptr;
 }
 
-void PeerProcesses::addPeer(control::OperatorSession& session, bool heir) {
-    peers_.push_back({&session, heir});
+PeerProcesses::PeerIterator PeerProcesses::find(const OperatorSession& session) {
+    return std::find_if(peers_.begin(), peers_.end(),
+                        [&](const Peer& peer) { return peer.session == &session; });
+}
+
+void PeerProcesses::add(OperatorSession& session, bool isNewer) {
+    peers_.push_back({&session, isNewer});
     reportedClients_ = 0;
-    session.onPeerClosed = [this, at = &session] {
-        const auto it =
-            std::find_if(peers_.begin(), peers_.end(), [&](const PeerProcess& k) { return k.session == at; });
-        const bool wasHeir = it->isNewer;
-        peers_.erase(it);
-        // A successor that is gone before this one was told to go has left the path to nobody.
-        if (wasHeir && !isShuttingDown_) listen();
-        owner_.onPeersChanged();
-    };
-    owner_.onPeersChanged();
+    session.onPeerClosed = [this, closed = &session] { onClosed(*closed); };
+    host_.onPeersChanged();
 }
 
-void PeerProcesses::notifyPeers(const nlohmann::json& what, const control::OperatorSession* but) {
-    for (const PeerProcess& k : peers_)
-        if (k.session != but) k.session->send(what);
+void PeerProcesses::onClosed(const OperatorSession& session) {
+    const auto peer = find(session);
+    const bool wasNewer = peer->isNewer;
+    peers_.erase(peer);
+    // A new process that has gone before this one was to end has left the path to nobody.
+    if (wasNewer && !isShuttingDown_) static_cast<void>(server_->listen(*socketPath_));
+    host_.onPeersChanged();
 }
 
-void PeerProcesses::reconcile() {
-    for (const auto& id : applied_.ejectedServers)
-        if (!state_.ejectedServers.contains(id)) owner_.setEjected(id, false);
-    for (const auto& id : state_.ejectedServers)
-        if (!applied_.ejectedServers.contains(id)) owner_.setEjected(id, true);
-    if (applied_.isStandby != state_.isStandby) owner_.setStandby(state_.isStandby);
-    applied_ = state_;
+void PeerProcesses::sendToAll(const nlohmann::json& message, const OperatorSession* except) {
+    for (const Peer& peer : peers_)
+        if (peer.session != except) peer.session->send(message);
 }
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/peer_processes.hpp
+++ b/src/process/hot_restart/peer_processes.hpp
@@ -1,69 +1,73 @@
-// The processes that are one router for a while, as one takes over from the other: what operators said
-// crosses between them both ways, and each knows what the other holds.
+// The processes that are the same router for a while, as a new one replaces an old one.
 #pragma once
 
-#include <memory>
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "config/operator_config.hpp"
 #include "control/operator_socket.hpp"
-#include "process/operator_state.hpp"
+#include "process/operator_state_store.hpp"
+#include "process/process_logger.hpp"
 
 namespace poppyscale::process {
 
+// Owns the connections to the other processes of this router, and the Unix socket at which a new one finds
+// this one. Passes operators' changes on in both directions, and each process's number of clients. Runs on
+// the event loop but for `joinOldProcess`. All references outlive it.
 class PeerProcesses {
   public:
-    class Handler {
+    class Host {
       public:
-        virtual ~Handler() = default;
-        // The words that hold, wherever they were said.
-        virtual void setEjected(const std::string& id, bool on) = 0;
-        virtual void setStandby(bool on) = 0;
-        // A process beside this one has come or gone, or holds another number of clients.
+        virtual ~Host() = default;
+        // A process has joined or left, or its number of clients has changed.
         virtual void onPeersChanged() = 0;
     };
-    using Log = std::function<void(config::LogLevel level, std::string_view text)>;
-    // `folder` is where processes that come later look, or empty.
-    PeerProcesses(transport::EventLoop& loop, transport::BufferPool& pool, const std::string& folder,
-                  const std::string& name, Handler& owner, Log say);
 
-    // What was written down, and from a predecessor, if there is to be one, what holds now. Waits for its
-    // answer, but not long: it may hang.
-    void start(bool besides);
-    // Where a successor finds this process; empty, or what is wrong.
-    std::string listen();
-    // A word from this process's door. Empty once it binds here and will bind later, else why it can't.
-    std::string applyCommand(const std::string& word);
-    // What another wrote while this one was held up.
-    void reloadState();
+    // `socketPath` is where a new process connects; without one this process never has peers.
+    PeerProcesses(transport::EventLoop& loop, transport::BufferPool& pool,
+                  std::optional<std::string> socketPath, OperatorStateStore& operatorState, Host& host,
+                  LogFunction log);
+
+    // Connects to the old process, if one listens, and takes its operators' state. Blocks for a short time at
+    // most: the old process may be suspended.
+    void joinOldProcess();
+    // Listens for a new process; logs when that fails.
+    void listen();
+    // Sends a change that an operator made here.
+    void announce(const OperatorStateChange& change);
+    // This process is to end: a new one that leaves does not give the socket's path back to it.
     void onShutdown() { isShuttingDown_ = true; }
 
-    const OperatorState& operatorState() const { return state_; }
     bool isAlone() const { return peers_.empty(); }
+    // Clients of all other processes.
     std::size_t peerClientCount() const;
+    // To be called in each iteration with the number of clients of this process.
     void reportClientCount(std::size_t clients);
 
   private:
-    struct PeerProcess {
+    struct Peer {
         control::OperatorSession* session;
-        bool isNewer;
+        bool isNewer;  // it has joined this process, and not this process it
         std::size_t clients = 0;
     };
-    nlohmann::json answer(control::OperatorSession& session, const nlohmann::json& asked);
-    void addPeer(control::OperatorSession& session, bool heir);
-    void notifyPeers(const nlohmann::json& what, const control::OperatorSession* but = nullptr);
-    void reconcile();
+    using PeerIterator = std::vector<Peer>::iterator;
+
+    PeerIterator find(const control::OperatorSession& session);
+    nlohmann::json handle(control::OperatorSession& session, const nlohmann::json& message);
+    nlohmann::json onJoin(control::OperatorSession& session);
+    void onNotice(Peer& peer, const nlohmann::json& message);
+    void add(control::OperatorSession& session, bool isNewer);
+    void onClosed(const control::OperatorSession& session);
+    void sendToAll(const nlohmann::json& message, const control::OperatorSession* except = nullptr);
 
-    Handler& owner_;
-    Log log_;
-    std::string path_;  // of the socket
-    std::optional<OperatorStateFile> file_;
+    OperatorStateStore& operatorState_;
+    Host& host_;
+    LogFunction log_;
+    std::optional<std::string> socketPath_;
     std::optional<control::OperatorSocket> server_;
-    std::vector<PeerProcess> peers_;
-    OperatorState state_, applied_;
-    std::size_t reportedClients_ = 0;  // clients
+    std::vector<Peer> peers_;
+    std::size_t reportedClients_ = 0;
     bool isShuttingDown_ = false;
 };
 
--- /dev/null
+++ b/src/process/hot_restart/spawned_process.cpp
@@ -0,0 +1,43 @@
+#include "process/hot_restart/spawned_process.hpp"
+
+#include <fmt/format.h>
+#include <signal.h>
+#include <spawn.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <cstring>
+#include <stdexcept>
+
+namespace poppyscale::process {
+
+SpawnedProcess::SpawnedProcess(const std::vector<std::string>& commandLine) {
+    std::vector<std::string> words = commandLine;
+    std::vector<char*> arguments;
+    for (auto& word : words) arguments.push_back(word.data());
+    arguments.push_back(nullptr);
+    posix_spawnattr_t attributes;
+    posix_spawnattr_init(&attributes);
+    sigset_t noSignals;
+    sigemptyset(&noSignals);
+    posix_spawnattr_setsigmask(&attributes, &noSignals);
+    posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
+    const int error = ::posix_spawnp(&pid_, arguments[0], nullptr, &attributes, arguments.data(), environ);
+    posix_spawnattr_destroy(&attributes);
+    if (error) throw std::runtime_error(fmt::format("can't start {}: {}", words[0], std::strerror(error)));
+}
+
+SpawnedProcess::~SpawnedProcess() {
+    if (pid_ < 0 || hasExited()) return;
+    ::kill(pid_, SIGKILL);
+    ::waitpid(pid_, nullptr, 0);
+}
+
+bool SpawnedProcess::hasExited() {
+    if (pid_ < 0) return true;
+    if (::waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
+    pid_ = -1;
+    return true;
+}
+
+}  // namespace poppyscale::process
--- a/src/process/operator_state.cpp
+++ b/src/process/operator_state.cpp
@@ -10,85 +10,145 @@
 #include <cstring>
 #include <utility>
 
+#include "control/file_descriptor.hpp"
+
 namespace poppyscale::process {
 namespace {
 
-constexpr std::string_view kHead = "poppyscale words 1";
-constexpr std::string_view kOut = "out ";
-constexpr std::size_t kLongestFile = 1 << 20;  // it is read whole at a start, and handed over in one line
-constexpr std::size_t kLongestId = 256;
-// As many servers out as fit into the file, whatever their ids.
-constexpr std::size_t kMostOut = (kLongestFile - 64) / (kOut.size() + kLongestId + 1);
-static_assert(kMostOut > 4'000);
+using control::FileDescriptor;
+
+constexpr std::string_view kHeader = "poppyscale words 1";
+constexpr std::string_view kEjectPrefix = "out ";
+constexpr std::string_view kRestorePrefix = "in ";
+constexpr std::string_view kEnterStandbyLine = "standby";
+constexpr std::string_view kLeaveStandbyLine = "active";
+// Read at once at a start, and sent in one line to a new process.
+constexpr std::size_t kMaxFileBytes = 1 << 20;
+constexpr std::size_t kMaxServerIdBytes = 256;
+// As many as fit into the file, whatever their ids.
+constexpr std::size_t kMaxEjectedServers =
+    (kMaxFileBytes - 64) / (kEjectPrefix.size() + kMaxServerIdBytes + 1);
+static_assert(kMaxEjectedServers > 4'000);
 
-bool isId(std::string_view id) {
-    return !id.empty() && id.size() <= kLongestId &&
+bool isServerId(std::string_view id) {
+    return !id.empty() && id.size() <= kMaxServerIdBytes &&
            std::all_of(id.begin(), id.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
 }  // namespace
 
+std::string OperatorStateChange::line() const {
+    switch (kind) {
+        case Kind::eject:
+            return std::string(kEjectPrefix) + server;
+        case Kind::restore:
+            return std::string(kRestorePrefix) + server;
+        case Kind::enterStandby:
+            return std::string(kEnterStandbyLine);
+        case Kind::leaveStandby:
+            break;
+    }
+    return std::string(kLeaveStandbyLine);
+}
+
+std::optional<OperatorStateChange> OperatorStateChange::fromLine(std::string_view line) {
+    if (line == kEnterStandbyLine) return OperatorStateChange{Kind::enterStandby, ""};
+    if (line == kLeaveStandbyLine) return OperatorStateChange{Kind::leaveStandby, ""};
+    for (const auto& [prefix, kind] :
+         {std::pair(kEjectPrefix, Kind::eject), std::pair(kRestorePrefix, Kind::restore)}) {
+        if (!line.starts_with(prefix)) continue;
+        const auto server = line.substr(prefix.size());
+        if (!isServerId(server)) return std::nullopt;
+        return OperatorStateChange{kind, std::string(server)};
+    }
+    return std::nullopt;
+}
+
+bool OperatorState::apply(const OperatorStateChange& change) {
+    switch (change.kind) {
+        case OperatorStateChange::Kind::enterStandby:
+            isStandby = true;
+            return true;
+        case OperatorStateChange::Kind::leaveStandby:
+            isStandby = false;
+            return true;
+        case OperatorStateChange::Kind::restore:
+            if (!isServerId(change.server)) return false;
+            ejectedServers.erase(change.server);
+            return true;
+        case OperatorStateChange::Kind::eject:
+            break;
+    }
+    if (!isServerId(change.server)) return false;
+    const bool isFull = ejectedServers.size() >= kMaxEjectedServers;
+    if (isFull && !ejectedServers.contains(change.server)) return false;
+    ejectedServers.emplace(change.server);
+    return true;
+}
+
+bool OperatorState::applyLine(std::string_view line) {
+    const auto change = OperatorStateChange::fromLine(line);
+    return change && apply(*change);
+}
+
 std::string OperatorState::serialize() const {
-    std::string text(kHead);
+    std::string text(kHeader);
     text += '\n';
-    for (const auto& id : ejectedServers) text.append(kOut).append(id) += '\n';
-    if (isStandby) text += "standby\n";
+    for (const auto& server : ejectedServers) text.append(kEjectPrefix).append(server) += '\n';
+    if (isStandby) text.append(kEnterStandbyLine) += '\n';
     return text;
 }
 
-std::string OperatorState::parse(std::string_view text) {
-    std::string problem;
-    if (text.size() > kLongestFile) {
+std::optional<std::string> OperatorState::parse(std::string_view text) {
+    std::optional<std::string> problem;
+    if (text.size() > kMaxFileBytes) {
         problem = "it is too long";
-        text = text.substr(0, kLongestFile);
+        text = text.substr(0, kMaxFileBytes);
     }
-    bool first = true;
+    bool isFirstLine = true;
     while (!text.empty()) {
         const auto end = text.find('\n');
-        // A line without its end may be half an id: another cache's, perhaps.
+        // A line without its end may hold half an id, which may be another server's.
         if (end == std::string_view::npos) return "it is cut short";
         const auto line = text.substr(0, end);
         text.remove_prefix(end + 1);
-        if (std::exchange(first, false) && line != kHead && problem.empty())
-            problem = "it is of another version, or nonsense";
-        if (line == kHead) continue;
-        if (!apply(line) && problem.empty()) problem = "a line in it can't be read";
+        if (isFirstLine && line != kHeader && !problem) problem = "it is of another version, or nonsense";
+        isFirstLine = false;
+        if (line == kHeader) continue;
+        const bool isApplied = applyLine(line);
+        if (!isApplied && !problem) problem = "a line in it can't be read";
     }
     return problem;
 }
 
-bool OperatorState::apply(std::string_view word) {
-    if (word == "standby" || word == "active") return isStandby = word == "standby", true;
-    const auto id = word.substr(std::min(word.size(), word.find(' ') + 1));
-    if (!isId(id)) return false;
-    if (word.starts_with("in ")) return ejectedServers.erase(std::string(id)), true;
-    if (!word.starts_with(kOut)) return false;
-    if (ejectedServers.size() >= kMostOut && !ejectedServers.contains(std::string(id))) return false;
-    ejectedServers.emplace(id);
-    return true;
-}
-
-std::string OperatorStateFile::write(const OperatorState& words) const {
-    // A name of its own: the other process may write at the same moment.
-    const std::string text = words.serialize(), fresh = fmt::format("{}.{}", path_, ::getpid());
-    const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    if (file < 0) return std::strerror(errno);
-    const auto written = ::write(file, text.data(), text.size());
-    const std::string why = written < 0 ? std::strerror(errno) : "no room";
-    ::close(file);
-    if (written != static_cast<ssize_t>(text.size())) return ::unlink(fresh.c_str()), why;
-    return ::rename(fresh.c_str(), path_.c_str()) == 0 ? "" : std::strerror(errno);
+std::optional<std::string> OperatorStateFile::write(const OperatorState& state) const {
+    const std::string text = state.serialize();
+    // A temporary name of its own: another process of this router may write at the same moment.
+    const std::string temporaryPath = fmt::format("{}.{}", path_, ::getpid());
+    FileDescriptor file(::open(temporaryPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    if (!file.isOpen()) return std::strerror(errno);
+    const auto writtenBytes = ::write(file.get(), text.data(), text.size());
+    const std::string error = writtenBytes < 0 ? std::strerror(errno) : "no room";
+    file.reset();
+    if (writtenBytes != static_cast<ssize_t>(text.size())) {
+        ::unlink(temporaryPath.c_str());
+        return error;
+    }
+    if (::rename(temporaryPath.c_str(), path_.c_str()) != 0) return std::strerror(errno);
+    return std::nullopt;
 }
 
-std::string OperatorStateFile::read(OperatorState& words) const {
-    const int file = ::open(path_.c_str(), O_RDONLY | O_CLOEXEC);
-    if (file < 0) return errno == ENOENT ? "" : std::strerror(errno);
-    std::string text(kLongestFile + 1, '\0');
-    const auto got = ::read(file, text.data(), text.size());
-    ::close(file);
-    if (got < 0) return std::strerror(errno);
-    text.resize(static_cast<std::size_t>(got));
-    return words.parse(text);
+std::optional<std::string> OperatorStateFile::read(OperatorState& state) const {
+    const FileDescriptor file(::open(path_.c_str(), O_RDONLY | O_CLOEXEC));
+    if (!file.isOpen()) {
+        if (errno == ENOENT) return std::nullopt;
+        return std::strerror(errno);
+    }
+    std::string text(kMaxFileBytes + 1, '\0');
+    const auto readBytes = ::read(file.get(), text.data(), text.size());
+    if (readBytes < 0) return std::strerror(errno);
+    text.resize(static_cast<std::size_t>(readBytes));
+    return state.parse(text);
 }
 
 }  // namespace poppyscale::process
--- /dev/null
+++ b/src/process/operator_state_store.cpp
@@ -0,0 +1,74 @@
+#include "process/operator_state_store.hpp"
+
+#include <fmt/format.h>
+
+#include <utility>
+
+namespace poppyscale::process {
+
+using config::LogLevel;
+
+OperatorStateStore::OperatorStateStore(std::optional<std::string> path, Host& host, LogFunction log)
+    : host_(host), log_(std::move(log)) {
+    if (path) file_.emplace(std::move(*path));
+}
+
+void OperatorStateStore::load() {
+    if (!file_) return;
+    if (const auto problem = file_->read(state_))
+        log_(LogLevel::error,
+             fmt::format("the operator state file is not complete, its readable lines apply: {}", *problem));
+}
+
+void OperatorStateStore::replaceBy(std::string_view text) {
+    state_ = {};
+    if (const auto problem = state_.parse(text))
+        log_(LogLevel::error,
+             fmt::format("the old process's operator state is not complete, its readable lines apply: {}",
+                         *problem));
+}
+
+void OperatorStateStore::reconcile() {
+    for (const auto& server : applied_.ejectedServers)
+        if (!state_.ejectedServers.contains(server)) host_.setEjected(server, false);
+    for (const auto& server : state_.ejectedServers)
+        if (!applied_.ejectedServers.contains(server)) host_.setEjected(server, true);
+    if (applied_.isStandby != state_.isStandby) host_.setStandby(state_.isStandby);
+    applied_ = state_;
+}
+
+OperatorStateStore::ChangeResult OperatorStateStore::apply(const OperatorStateChange& change) {
+    using Outcome = ChangeResult::Outcome;
+    OperatorState next = state_;
+    if (!next.apply(change))
+        return {Outcome::rejected,
+                fmt::format("it can't be kept: {} servers are out already", state_.ejectedServers.size())};
+    if (next == state_) return {Outcome::unchanged, ""};
+    if (file_)
+        if (const auto problem = file_->write(next))
+            return {Outcome::rejected, "it could not be written down: " + *problem};
+    state_ = next;
+    reconcile();
+    return {Outcome::applied, ""};
+}
+
+bool OperatorStateStore::applyFromPeer(std::string_view line) {
+    OperatorState next = state_;
+    const bool isApplied = next.applyLine(line);
+    if (!isApplied || next == state_) return false;
+    state_ = next;
+    // The process where the operator made the change has written it too, and has reported any error.
+    if (file_) file_->write(state_);
+    reconcile();
+    return true;
+}
+
+void OperatorStateStore::reload() {
+    if (!file_) return;
+    OperatorState fresh;
+    if (file_->read(fresh)) return;
+    state_ = fresh;
+    reconcile();
+}
+
+}  // namespace poppyscale::process
--- /dev/null
+++ b/src/process/process_lifecycle.hpp
@@ -0,0 +1,60 @@
+// The state of a router process, and what it does as it enters each state.
+#pragma once
+
+#include <functional>
+
+#include "process/active_config.hpp"
+#include "process/data_path.hpp"
+#include "process/process_logger.hpp"
+#include "process/process_state.hpp"
+#include "transport/event_loop.hpp"
+
+namespace poppyscale::process {
+
+// Owns the state, its timer, and how the stop came about. Guarantees: the state changes by `kTransitions`
+// alone; client connections are drained with a schedule that ends before the process does; when `stopped` is
+// entered every client that still waits is answered and the event loop is told to end. All references outlive
+// it.
+class ProcessLifecycle {
+  public:
+    // `beforeLeavingServing` is called ahead of each entry into a state other than `serving`.
+    ProcessLifecycle(transport::EventLoop& loop, DataPath& dataPath, const ActiveConfig& config,
+                     ProcessLogger& logger, std::function<void()> beforeLeavingServing);
+
+    ProcessState state() const { return state_; }
+    bool isServing() const { return state_ == ProcessState::serving; }
+
+    // All sockets are open.
+    void start() { apply(ProcessEvent::ready); }
+    // The first request drains, a further one stops at once. When `isSocketPassed`, the platform holds the
+    // listening socket and another process accepts what is in its backlog.
+    void requestStop(bool isSocketPassed);
+    // Another process accepts clients from now on.
+    void onReplaced();
+    // The operator's `stop`: open requests are failed.
+    void stopNow() { apply(ProcessEvent::stopCommanded); }
+    // To be called at the end of each iteration of the event loop.
+    void runIteration();
+
+  private:
+    void apply(ProcessEvent event);
+    void enter(ProcessState state);
+    void enterServing();
+    void enterLameDuck();
+    void enterDraining();
+    void enterStopped();
+    // How long open requests may go on once no new client is accepted.
+    Nanos drainDuration() const;
+
+    transport::EventLoop& loop_;
+    DataPath& dataPath_;
+    const ActiveConfig& config_;
+    ProcessLogger& logger_;
+    std::function<void()> beforeLeavingServing_;
+    transport::Timer stateTimer_;  // ends the lame-duck and draining states
+    ProcessState state_ = ProcessState::starting;
+    bool isStopRequested_ = false;
+    bool isReplaced_ = false;
+};
+
+}  // namespace poppyscale::process
--- a/src/process/process_logger.cpp
+++ b/src/process/process_logger.cpp
@@ -3,7 +3,7 @@
 namespace poppyscale::process {
 namespace {
 
-spdlog::level::level_enum levelOf(config::LogLevel level) {
+spdlog::level::level_enum spdlogLevel(config::LogLevel level) {
     switch (level) {
         case config::LogLevel::debug:
             return spdlog::level::debug;
@@ -21,17 +21,20 @@
 
 }  // namespace
 
-void ProcessLogger::configure(const config::LogConfig& plan) {
-    config_ = plan;
-    log_.configure(plan.json ? logging::Format::json : logging::Format::text, plan.perSecond);
+void ProcessLogger::configure(const config::LogConfig& config) {
+    config_ = config;
+    logger_.configure(config.isJson ? logging::Format::json : logging::Format::text,
+                      config.maxLinesPerSecond);
 }
 
 void ProcessLogger::log(std::string_view part, config::LogLevel level, std::string_view text) {
-    const auto own = config_.parts.find(std::string(part));
-    if (level < (own == config_.parts.end() ? config_.level : own->second)) return;
+    const auto partLevel = config_.partLevels.find(std::string(part));
+    const config::LogLevel minLevel =
+        partLevel == config_.partLevels.end() ? config_.level : partLevel->second;
+    if (level < minLevel) return;
     nlohmann::json fields;
-    if (config_.json) fields = {{"part", part}, {"text", text}};
-    log_.write(levelOf(level), text, std::move(fields));
+    if (config_.isJson) fields = {{"part", part}, {"text", text}};
+    logger_.write(spdlogLevel(level), text, std::move(fields));
 }
 
 }  // namespace poppyscale::process
--- /dev/null
+++ b/src/process/status_report.hpp
@@ -0,0 +1,43 @@
+// What an instance reports of itself on the operator's socket.
+#pragma once
+
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "process/active_config.hpp"
+#include "process/data_path.hpp"
+#include "process/hot_restart/hot_restart.hpp"
+#include "process/process_lifecycle.hpp"
+
+namespace poppyscale::process {
+
+// Reads the state of an instance and writes it as JSON; the keys are mapped here alone. All references
+// outlive it.
+class StatusReport {
+  public:
+    // `version` is the program's, as `--version` prints it.
+    StatusReport(const ActiveConfig& config, DataPath& dataPath, const ProcessLifecycle& lifecycle,
+                 const HotRestart& hotRestart, std::string version);
+
+    // The process: its state, configuration and endpoint list.
+    nlohmann::json status() const;
+    // Counters since the start; only where metrics are enabled.
+    nlohmann::json metrics() const;
+    // The open requests, the oldest first, as many as their limit of memory allows.
+    nlohmann::json requests() const;
+    // The endpoints, and what the policy has learned of them.
+    nlohmann::json endpoints() const;
+
+  private:
+    nlohmann::json endpointListStatus() const;
+    std::int64_t uptimeMs() const;
+
+    const ActiveConfig& config_;
+    DataPath& dataPath_;
+    const ProcessLifecycle& lifecycle_;
+    const HotRestart& hotRestart_;
+    const std::string version_;
+    const Nanos startedAt_ = transport::EventLoop::now();
+};
+
+}  // namespace poppyscale::process
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -126,7 +126,7 @@
     for (int i = 0; i < count; ++i) {
         std::string id = serverId("out", i);
         id.resize(idLength, 'x');
-        CHECK(words.apply("out " + id));
+        CHECK(words.applyLine("out " + id));
     }
     return words;
 }
@@ -166,9 +166,9 @@
     REQUIRE(words.ejectedServers.size() == kServers);
     Folder folder;
     const std::string path = folder.path + "/poppyscale-n0.words";
-    REQUIRE(process::OperatorStateFile(path).write(words).empty());
+    REQUIRE_FALSE(process::OperatorStateFile(path).write(words).has_value());
     process::OperatorState read;
-    CHECK(process::OperatorStateFile(path).read(read).empty());
+    CHECK_FALSE(process::OperatorStateFile(path).read(read).has_value());
     CHECK(read == words);
 
     TestServer discovery, origin, listening;
@@ -204,12 +204,12 @@
 TEST_CASE("what operators say is refused where there is no room for it, instead of passed over") {
     process::OperatorState words;
     int taken = 0;
-    while (words.apply("out " + serverId("out", taken))) ++taken;
+    while (words.applyLine("out " + serverId("out", taken))) ++taken;
     CHECK(taken > 4'000);
     CHECK(words.ejectedServers.size() == static_cast<std::size_t>(taken));
-    CHECK(words.apply("out " + serverId("out", 0)));  // which is out already
-    CHECK(words.apply("in " + serverId("out", 0)));
-    CHECK(words.apply("out " + serverId("out", taken)));
+    CHECK(words.applyLine("out " + serverId("out", 0)));  // which is out already
+    CHECK(words.applyLine("in " + serverId("out", 0)));
+    CHECK(words.applyLine("out " + serverId("out", taken)));
 }
 
 TEST_CASE("a process that has 3,100 servers in its file hands over to another one") {
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -102,17 +102,21 @@
 
 TEST_CASE("a line at the console is a call or words why it is none") {
     using Kind = control::ConsoleCommand::Kind;
-    std::string wrong;
-    CHECK(control::readConsoleCommand("status\r", wrong)->kind == Kind::status);
-    CHECK(control::readConsoleCommand("maint-on  s-5be2a07c ", wrong)->server == "s-5be2a07c");
-    CHECK(control::readConsoleCommand("maint-off c0", wrong)->kind == Kind::restore);
-    CHECK(control::readConsoleCommand("standby", wrong)->kind == Kind::standby);
-    CHECK(control::readConsoleCommand("active", wrong)->kind == Kind::active);
-    for (const char* line :
+    const auto commandOf = [](const char* text) {
+        const control::ConsoleLine line = control::readConsoleLine(text);
+        REQUIRE_MESSAGE(line.command.has_value(), line.problem);
+        return *line.command;
+    };
+    CHECK(commandOf("status\r").kind == Kind::status);
+    CHECK(commandOf("maint-on  s-5be2a07c ").server == "s-5be2a07c");
+    CHECK(commandOf("maint-off c0").kind == Kind::restore);
+    CHECK(commandOf("standby").kind == Kind::standby);
+    CHECK(commandOf("active").kind == Kind::active);
+    for (const char* text :
          {"", " ", "dance", "STATUS", "maint-on", "maint-on a b", "status now", "\xff\x01", "*1"}) {
-        wrong.clear();
-        CHECK(!control::readConsoleCommand(line, wrong));
-        CHECK(!wrong.empty());
+        const control::ConsoleLine line = control::readConsoleLine(text);
+        CHECK(!line.command.has_value());
+        CHECK(!line.problem.empty());
     }
 }
 
@@ -157,7 +161,9 @@
     CHECK(late.starts_with("-BUSY"));
     // A reload is no word of an operator's.
     router->program.signal(SIGHUP);
-    for (int tries = 0; tries < 250 && router->program.log().find("anew") == std::string::npos; ++tries)
+    for (int tries = 0;
+         tries < 250 && router->program.log().find("reloaded the configuration") == std::string::npos;
+         ++tries)
         usleep(20'000);
     CHECK(site.client().say(array({"PING"})).line() != "+PONG");
     CHECK(asked(router->console, "status").starts_with("ACK serving, standing by"));
@@ -237,14 +243,17 @@
 }
 
 TEST_CASE("operators' words on file: what can be read holds, whatever is wrong with the rest") {
+    // An empty `problem` means none.
     const auto read = [](const std::string& text, const std::string& problem) {
-        process::OperatorState words;
-        CHECK(words.parse(text).find(problem) != std::string::npos);
-        CHECK(words.parse(text).empty() == problem.empty());
-        return words;
+        process::OperatorState state;
+        const auto found = state.parse(text);
+        CHECK(found.value_or("").find(problem) != std::string::npos);
+        CHECK(found.has_value() == !problem.empty());
+        CHECK(state.parse(text).has_value() == !problem.empty());
+        return state;
     };
-    process::OperatorState words{{"c0", "s-5be2a07c"}, true};
-    CHECK(read(words.serialize(), "") == words);
+    process::OperatorState state{{"c0", "s-5be2a07c"}, true};
+    CHECK(read(state.serialize(), "") == state);
     CHECK(read("", "") == process::OperatorState{});
     CHECK(read("poppyscale words 1\nout c0\nout s-5b", "cut short").ejectedServers ==
           std::set<std::string>{"c0"});
@@ -254,11 +263,11 @@
               .ejectedServers.size() == 1);
     CHECK(read(std::string(2'000'000, '\n'), "too long") == process::OperatorState{});
     CHECK(read(std::string("\0\xff\x80\n", 4), "nonsense") == process::OperatorState{});
-    CHECK(words.apply("in c0"));
-    CHECK(words.apply("active"));
-    CHECK(words == process::OperatorState{{"s-5be2a07c"}, false});
-    CHECK(!words.apply("in"));
-    CHECK(!words.apply("out"));
+    CHECK(state.applyLine("in c0"));
+    CHECK(state.applyLine("active"));
+    CHECK(state == process::OperatorState{{"s-5be2a07c"}, false});
+    CHECK(!state.applyLine("in"));
+    CHECK(!state.applyLine("out"));
 }
 
 TEST_CASE("a word that can't be written down is refused and holds nowhere; what is there already goes on") {
@@ -318,12 +327,12 @@
     third->program.signal(SIGSTOP);
     auto fourth = site.start();
     CHECK(asked(fourth->console, "status").find("out: c0 c1") != std::string::npos);
-    CHECK(fourth->program.log().find("goes by what is on file") != std::string::npos);
+    CHECK(fourth->program.log().find("uses the operator state on file") != std::string::npos);
     CHECK(asked(fourth->console, "maint-off c0").starts_with("ACK"));
     third->program.signal(SIGTERM);
     third->program.signal(SIGCONT);
     CHECK(third->program.exitCode() == 0);
-    CHECK(third->program.log().find("c0 is let in") != std::string::npos);
+    CHECK(third->program.log().find("c0 is restored by the operator") != std::string::npos);
 }
 
 TEST_CASE("upgrades under load, one after the other: every command is answered, none is lost") {
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -263,10 +263,12 @@
             requestClasses[2]["name"] = "was pay";
             d.program.configure(broken ? "{" : anew.dump());
             d.program.signal(SIGTERM);
-            REQUIRE(soon([&] { return d.program.log().find("was told to stop") != std::string::npos; }));
+            REQUIRE(
+                soon([&] { return d.program.log().find("received a stop request") != std::string::npos; }));
             usleep(static_cast<useconds_t>(after) * 1'000);
             d.program.signal(SIGHUP);
-            const std::string words = broken ? "goes on with the old configuration" : "configuration anew";
+            const std::string words =
+                broken ? "goes on with the old configuration" : "reloaded the configuration";
             CHECK(soon([&] { return d.program.log().find(words) != std::string::npos; }));
             usleep(900'000);  // past the new limits, and the drain's end by those
             CHECK(client.quiet(0));
@@ -377,7 +379,7 @@
             REQUIRE(passed >= 0);
         }
         d.program.signal(SIGTERM);
-        REQUIRE(soon([&] { return d.program.log().find("was told to stop") != std::string::npos; }));
+        REQUIRE(soon([&] { return d.program.log().find("received a stop request") != std::string::npos; }));
         if (!ours) heir.say({{"do", "ready"}, {"pid", 1}});
         CHECK(heir.line().contains("error"));
         if (ours) CHECK(soon([&] { return kill(started, 0) != 0; }));
@@ -507,10 +509,10 @@
     Socket origin = d.origin.accept();
     origin.head();
     d.program.signal(SIGTERM);
-    CHECK(soon([&] { return d.program.log().find("was told to stop") != std::string::npos; }));
+    CHECK(soon([&] { return d.program.log().find("received a stop request") != std::string::npos; }));
     d.program.signal(SIGTERM);
     CHECK(d.program.exitCode() == 0);
-    CHECK(d.program.log().find("1 pay given up") != std::string::npos);
+    CHECK(d.program.log().find("1 pay failed unanswered") != std::string::npos);
     CHECK(client.answer() == "-ERR failed");  // it may have run
 }
 
