--- a/src/control/console_connection.cpp
+++ b/src/control/console_connection.cpp
@@ -28,7 +28,10 @@
     }
     if (end == std::string_view::npos) return;
     const ConsoleLine line = readConsoleLine(line_);
-    reply(line.command ? owner_.execute(*line.command) : ConsoleReply{false, line.problem});
+    if (line.command)
+        reply(owner_.execute(*line.command));
+    else
+        reply({false, line.problem});
 }
 
 void ConsoleConnection::onClosed() { owner_.remove(*this); }
--- a/src/process/hot_restart/hot_restart.cpp
+++ b/src/process/hot_restart/hot_restart.cpp
@@ -63,8 +63,8 @@
     };
     const auto console = callbacks_.consoleDescriptor();
     session.send(toJson(PassSocketsReply{config_.describedFiles(), console.has_value()}));
-    const bool isPassed = session.passDescriptor(dataPath_.clientListener().descriptor()) &&
-                          (!console || session.passDescriptor(*console));
+    bool isPassed = session.passDescriptor(dataPath_.clientListener().descriptor());
+    if (isPassed && console) isPassed = session.passDescriptor(*console);
     if (!isPassed) fail("the listening sockets could not be passed");
     return nullptr;
 }
--- a/src/process/hot_restart/peer_processes.cpp
+++ b/src/process/hot_restart/peer_processes.cpp
@@ -58,8 +58,8 @@
 
 void PeerProcesses::listen() {
     if (!server_) return;
-    if (const auto error = server_->listen(*socketPath_))
-        log_(LogLevel::error, fmt::format("a later process can't connect to this one: {}", *error));
+    const auto error = server_->listen(*socketPath_);
+    if (error) log_(LogLevel::error, fmt::format("a later process can't connect to this one: {}", *error));
 }
 
 void PeerProcesses::announce(const OperatorStateChange& change) {
--- a/src/process/operator_state_store.cpp
+++ b/src/process/operator_state_store.cpp
@@ -15,14 +15,16 @@
 
 void OperatorStateStore::load() {
     if (!file_) return;
-    if (const auto problem = file_->read(state_))
+    const auto problem = file_->read(state_);
+    if (problem)
         log_(LogLevel::error,
              fmt::format("the operator state file is not complete, its readable lines apply: {}", *problem));
 }
 
 void OperatorStateStore::replaceBy(std::string_view text) {
     state_ = {};
-    if (const auto problem = state_.parse(text))
+    const auto problem = state_.parse(text);
+    if (problem)
         log_(LogLevel::error,
              fmt::format("the old process's operator state is not complete, its readable lines apply: {}",
                          *problem));
@@ -44,9 +46,10 @@
         return {Outcome::rejected,
                 fmt::format("it can't be kept: {} servers are out already", state_.ejectedServers.size())};
     if (next == state_) return {Outcome::unchanged, ""};
-    if (file_)
-        if (const auto problem = file_->write(next))
-            return {Outcome::rejected, "it could not be written down: " + *problem};
+    if (file_) {
+        const auto problem = file_->write(next);
+        if (problem) return {Outcome::rejected, "it could not be written down: " + *problem};
+    }
     state_ = next;
     reconcile();
     return {Outcome::applied, ""};
@@ -66,7 +69,8 @@
 void OperatorStateStore::reload() {
     if (!file_) return;
     OperatorState fresh;
-    if (file_->read(fresh)) return;
+    const auto problem = file_->read(fresh);
+    if (problem) return;
     state_ = fresh;
     reconcile();
 }
--- a/src/process/router_process.cpp
+++ b/src/process/router_process.cpp
@@ -93,8 +93,8 @@
     listenForPeers();
     if (!operatorSocket_) return;
     const std::string& path = config_.operatorConfig().operatorSocket;
-    if (const auto error = operatorSocket_->listen(path))
-        throw ParseError(fmt::format("can't have the operator's socket {}: {}", path, *error));
+    const auto error = operatorSocket_->listen(path);
+    if (error) throw ParseError(fmt::format("can't have the operator's socket {}: {}", path, *error));
 }
 
 void RouterProcess::requestInheritedSockets() {
@@ -117,8 +117,8 @@
     control::FileDescriptor listener = inheritedSockets_->takeListener();
     const std::string problem = dataPath_.clientListener().listenOn(listener.release());
     if (!problem.empty()) throw ParseError("can't go on with what was taken over: " + problem);
-    if (const auto error = operatorSocket_->listen(config_.operatorConfig().operatorSocket))
-        throw ParseError("can't go on with what was taken over: " + *error);
+    const auto error = operatorSocket_->listen(config_.operatorConfig().operatorSocket);
+    if (error) throw ParseError("can't go on with what was taken over: " + *error);
     listenOnConsole();
     listenForPeers();
     inheritedSockets_.reset();
