--- a/src/config/deployment_config.cpp
+++ b/src/config/deployment_config.cpp
@@ -58,7 +58,8 @@
         static_cast<std::size_t>(table.integer("descriptors", kDefaultDescriptors, 64, 10'000'000));
     startup.policy.routerCount = table.integer("routers", kDefaultRouters, 1, 1'000'000);
     startup.policy.zone = table.string("zone", "");
-    const auto seed = protocol::parse<std::uint64_t>(table.string("seed", kDefaultSeed), 16);
+    const std::string seedText = table.string("seed", kDefaultSeed);
+    const auto seed = protocol::parse<std::uint64_t>(seedText, 16);
     if (!seed) table.problem("seed", "is not a hexadecimal number");
     startup.policy.seed = seed.value_or(0);
 }
--- a/src/process/operator_state_store.hpp
+++ b/src/process/operator_state_store.hpp
@@ -53,7 +53,7 @@
     Host& host_;
     LogFunction log_;
     OperatorState state_;
-    OperatorState applied_;  // what the host was last told
+    OperatorState applied_;  // what the host has applied
 };
 
 }  // namespace poppyscale::process
--- a/src/process/process_lifecycle.hpp
+++ b/src/process/process_lifecycle.hpp
@@ -13,8 +13,7 @@
 
 // Owns the state, its timer, and how the stop came about. Guarantees: the state changes by `kTransitions`
 // alone; client connections are drained with a schedule that ends before the process does; when `stopped` is
-// entered every client that still waits is answered and the event loop is told to end. All references outlive
-// it.
+// entered every client that still waits is answered and the event loop ends. All references outlive it.
 class ProcessLifecycle {
   public:
     // `beforeLeavingServing` is called ahead of each entry into a state other than `serving`.
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -9,10 +9,13 @@
 #include <atomic>
 #include <cstring>
 #include <fstream>
+#include <set>
 #include <thread>
+#include <utility>
 
 #include "config/operator_config.hpp"
 #include "fixtures.hpp"
+#include "process/process_state.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -142,6 +145,29 @@
 
 }  // namespace
 
+TEST_CASE("process states: each is reached from starting, and each but stopped is left for stopped") {
+    using process::ProcessEvent;
+    using process::ProcessState;
+    std::set<ProcessState> reached{ProcessState::starting};
+    for (std::size_t round = 0; round < process::kTransitions.size(); ++round)
+        for (const process::Transition& transition : process::kTransitions)
+            if (reached.contains(transition.from)) reached.insert(transition.to);
+    CHECK(reached.size() == 5);
+    std::set<std::pair<ProcessState, ProcessEvent>> rows;
+    for (const process::Transition& transition : process::kTransitions) {
+        CHECK(rows.emplace(transition.from, transition.event).second);  // one row for a state and an event
+        CHECK(process::nextState(transition.from, transition.event) == transition.to);
+        if (transition.from == ProcessState::stopped) CHECK(transition.to == ProcessState::stopped);
+    }
+    for (const ProcessState state : {ProcessState::serving, ProcessState::lameDuck, ProcessState::draining})
+        CHECK(process::nextState(state, ProcessEvent::stopCommanded) == ProcessState::stopped);
+    // A first stop request drains, and a further one stops; while starting there is none to serve.
+    CHECK(process::nextState(ProcessState::serving, ProcessEvent::stopRequested) == ProcessState::lameDuck);
+    CHECK(process::nextState(ProcessState::lameDuck, ProcessEvent::stopRepeated) == ProcessState::stopped);
+    CHECK(process::nextState(ProcessState::draining, ProcessEvent::stopRepeated) == ProcessState::stopped);
+    CHECK(!process::nextState(ProcessState::starting, ProcessEvent::stopRequested));
+}
+
 TEST_CASE("all problems of an operator's file are reported, each with its line and key") {
     const std::string text = problemsOf(
         "[instance]\nlisten = \"nowhere\"\n[log]\nlevel = \"loud\"\nshape = 1\n[[verbs]]\nname = \"read\"\n"
