--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/toml_table.hpp"
-#include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 
 namespace poppyscale::config {
 
--- a/src/process/router_process.hpp
+++ b/src/process/router_process.hpp
@@ -16,7 +16,7 @@
 #include "process/hot_restart/inherited_sockets.hpp"
 #include "process/hot_restart/peer_processes.hpp"
 #include "process/process_logger.hpp"
-#include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 #include "proxy/client_listener.hpp"
 #include "proxy/request_dispatcher.hpp"
 #include "transport/buffer_pool.hpp"
--- /dev/null
+++ b/src/protocol/attempt_message.cpp
@@ -0,0 +1,109 @@
+#include "protocol/attempt_message.hpp"
+
+#include <algorithm>
+#include <cctype>
+#include <cstdint>
+#include <utility>
+#include <vector>
+
+#include "protocol/info_list.hpp"
+#include "protocol/number.hpp"
+
+namespace poppyscale::protocol {
+namespace {
+
+constexpr std::string_view kErrorWord = "ERR";
+constexpr std::string_view kBusyWord = "BUSY";
+constexpr std::size_t kCacheResponseItems = 3;
+
+// The info list of an attempt: as the client sent it, except for the time that is left.
+std::string attemptInfo(const Request& request, Nanos timeLeft) {
+    const auto milliseconds = std::max<Nanos>(timeLeft, kMinForwardedTimeout) / kMillisecond;
+    std::string info;
+    forEachInfoItem(request.info, [&](const InfoItem& item) {
+        if (!info.empty()) info += ',';
+        if (item.name == kTimeoutItem)
+            info.append(kTimeoutItem).append("=").append(std::to_string(milliseconds));
+        else
+            info += item.text;
+    });
+    return info;
+}
+
+// The path of a key, percent-encoded where a path may not have a character.
+std::string pathOf(std::string_view key) {
+    constexpr std::string_view kDigits = "0123456789ABCDEF";
+    constexpr std::string_view kPathCharacters = "-._~!$&'()*+,;=:@";
+    std::string path = "/";
+    for (const char c : key) {
+        const auto byte = static_cast<unsigned char>(c);
+        if (std::isalnum(byte) || kPathCharacters.find(c) != std::string_view::npos) {
+            path += c;
+        } else {
+            path += '%';
+            path += kDigits[byte >> 4];
+            path += kDigits[byte & 15];
+        }
+    }
+    return path;
+}
+
+// Only exactly this proves that the request was not executed: a corrupted line may come after it was.
+bool isBusy(std::string_view error) {
+    if (!error.starts_with(kBusyWord)) return false;
+    error.remove_prefix(kBusyWord.size());
+    if (error.empty()) return true;
+    return error[0] == ' ' && parse<std::uint32_t>(error.substr(1));
+}
+
+AttemptResponse readCacheError(std::string_view error) {
+    if (error.starts_with(kErrorWord)) return {AttemptOutcome::failed, {}, true};
+    if (isBusy(error)) return {AttemptOutcome::overloaded, {}, true};
+    return {};
+}
+
+// Other words are skipped, and the response counts all the same.
+ReadThroughResult readThroughOf(std::string_view word) {
+    if (word == "hit") return ReadThroughResult::cached;
+    if (word == "miss" || word == "pending") return ReadThroughResult::fetched;
+    return ReadThroughResult::unknown;
+}
+
+}  // namespace
+
+std::string cacheRequest(const Request& request, Nanos timeLeft) {
+    const std::string info = attemptInfo(request, timeLeft);
+    std::vector<std::string_view> arguments{request.isWrite ? kWriteCommand : kReadCommand, request.key,
+                                            request.id, info};
+    const bool isStreamed = request.streamedLength > 0;
+    if (request.isWrite && !isStreamed) arguments.push_back(request.value);
+    std::string bytes = command(arguments, isStreamed ? 1 : 0);
+    if (isStreamed) bytes += bulkHead(request.streamedLength);
+    return bytes;
+}
+
+std::string originRequest(const Request& request, std::string_view host, Nanos timeLeft) {
+    std::string bytes(request.isWrite ? "PUT " : "GET ");
+    bytes.append(pathOf(request.key)).append(" HTTP/1.1\r\nHost: ").append(host);
+    bytes.append("\r\nX-Call-Id: ").append(request.id);
+    bytes.append("\r\nX-Call-Info: ").append(attemptInfo(request, timeLeft));
+    const std::size_t length = request.streamedLength ? request.streamedLength : request.value.size();
+    if (request.isWrite) bytes.append("\r\nContent-Length: ").append(std::to_string(length));
+    return bytes.append("\r\n\r\n").append(request.value);
+}
+
+// Three items: the value or receipt, the word on how a read went, and a load report, which may be of any kind
+// since nothing here reads it.
+AttemptResponse readCacheResponse(RespValue response) {
+    using Kind = RespValue::Kind;
+    if (response.kind == Kind::error) return readCacheError(response.text);
+    if (response.kind != Kind::array || response.items.size() != kCacheResponseItems) return {};
+    const RespValue& word = response.items[1];
+    if (word.kind != Kind::bulk && word.kind != Kind::null) return {};
+    RespValue& value = response.items[0];
+    if (value.kind == Kind::null) return {AttemptOutcome::cacheMiss, {}, true};
+    if (value.kind != Kind::bulk) return {};
+    return {AttemptOutcome::succeeded, std::move(value.text), true, readThroughOf(word.text)};
+}
+
+}  // namespace poppyscale::protocol
--- /dev/null
+++ b/src/protocol/client_response.cpp
@@ -0,0 +1,30 @@
+#include "protocol/client_response.hpp"
+
+#include "protocol/resp.hpp"
+
+namespace poppyscale::protocol {
+
+std::string valueResponse(std::string_view value) { return bulk(value); }
+
+std::string streamedValueHead(std::size_t length) { return bulkHead(length); }
+
+std::string rejectedResponse(Nanos retryAfter) {
+    const auto milliseconds = (retryAfter + kMillisecond - 1) / kMillisecond;
+    return milliseconds > 0 ? "-BUSY " + std::to_string(milliseconds) + "\r\n" : "-BUSY\r\n";
+}
+
+std::string failedResponse() { return errorResponse("failed"); }
+
+std::string errorResponse(std::string_view problem) {
+    return std::string("-ERR ").append(problem).append("\r\n");
+}
+
+std::string protocolErrorResponse(std::string_view problem) {
+    return std::string("-ERR Protocol error: ").append(problem).append("\r\n");
+}
+
+std::string standbyResponse() { return errorResponse("standing by"); }
+
+bool isErrorResponse(std::string_view response) { return response.starts_with('-'); }
+
+}  // namespace poppyscale::protocol
--- /dev/null
+++ b/src/protocol/client_response.hpp
@@ -0,0 +1,29 @@
+// The responses that clients get, as RESP2.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "policy/routing_policy.hpp"
+
+namespace poppyscale::protocol {
+
+// A value that is complete.
+std::string valueResponse(std::string_view value);
+// What stands before a value of `length` bytes that follows in chunks; `kBulkTerminator` ends it.
+std::string streamedValueHead(std::size_t length);
+// The request was not executed, and may be sent again. A `retryAfter` of 0 names no time; otherwise it is
+// rounded up to milliseconds.
+std::string rejectedResponse(Nanos retryAfter = 0);
+// The request may have been executed.
+std::string failedResponse();
+// The request can't be accepted, however often it is sent.
+std::string errorResponse(std::string_view problem);
+// The connection is closed behind this one.
+std::string protocolErrorResponse(std::string_view problem);
+// The router accepts no clients from load balancers at present.
+std::string standbyResponse();
+bool isErrorResponse(std::string_view response);
+
+}  // namespace poppyscale::protocol
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 requests without a body, as a server of lists and status gets them.
+// HTTP/1.1 requests without a body, as servers of endpoint lists and status get them.
 #pragma once
 
 #include <http_parser.h>
@@ -10,6 +10,7 @@
 
 namespace poppyscale::protocol {
 
+// Parses one request at a time; `clear` makes it ready for the next one. A request with a body is malformed.
 class HttpRequest {
   public:
     HttpRequest();
@@ -21,22 +22,26 @@
     State feed(std::string_view& bytes);
     void clear();
 
+    // Valid after `complete`.
     bool isGet() const { return parser_.method == HTTP_GET; }
+    // Without the query.
     std::string_view path() const;
-    // A value of the part behind '?'; empty without one.
+    // The value of a query parameter, as it was sent; empty without one.
     std::string_view query(std::string_view name) const;
-    bool isKeepAlive() const { return keepsOpen_; }
+    // Another request may follow on the connection.
+    bool isKeepAlive() const { return isKeepAlive_; }
 
   private:
     static HttpRequest& of(http_parser* parser) { return *static_cast<HttpRequest*>(parser->data); }
-    int count(std::size_t bytes);
+    // Other results than 0 end the parser.
+    int countBytes(std::size_t bytes);
 
     http_parser_settings callbacks_{};
     http_parser parser_{};
     std::string target_;
-    std::size_t size_ = 0;
-    bool whole_ = false;
-    bool keepsOpen_ = false;
+    std::size_t bytes_ = 0;  // of the target and the headers
+    bool isComplete_ = false;
+    bool isKeepAlive_ = false;
 };
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/http_response.cpp
+++ b/src/protocol/http_response.cpp
@@ -9,92 +9,126 @@
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::size_t kMostHeaders = 16 * 1024;
-constexpr int kMostInterim = 8;
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr int kMaxInterimResponses = 8;
 constexpr std::int64_t kMaxListAgeMs = 1'000'000'000;  // in nanoseconds it must not overflow
 
+constexpr const char* kRejectedHeader = "X-Rejected";
+constexpr const char* kListAgeHeader = "X-List-Age-Ms";
+
 }  // namespace
 
-HttpResponse::HttpResponse(std::size_t longestKept, std::size_t longestBody)
-    : longestKept_(longestKept), longestBody_(longestBody) {
-    http_parser_settings_init(&calls_);
-    calls_.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
-        HttpResponse& a = of(p);
-        if (a.valueSeen_) a.headerDone();
-        a.field_.append(at, size);
-        return (a.headers_ += size) > kMostHeaders ? 1 : 0;
-    };
-    calls_.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
-        HttpResponse& a = of(p);
-        a.valueSeen_ = true;
-        a.value_.append(at, size);
-        return (a.headers_ += size) > kMostHeaders ? 1 : 0;
-    };
-    calls_.on_headers_complete = [](http_parser* p) {
-        HttpResponse& a = of(p);
-        a.headerDone();
-        // Told by the length it names, before any of it is kept.
-        if (p->content_length == ~std::uint64_t{0} || p->content_length <= a.longestKept_) return 0;
-        if (p->content_length > a.longestBody_ || p->status_code != 200) return -1;
-        a.longLength_ = p->content_length;
-        return 0;
+HttpResponse::HttpResponse(std::size_t maxBufferedBody, std::size_t maxBody)
+    : maxBufferedBody_(maxBufferedBody), maxBody_(maxBody) {
+    http_parser_settings_init(&callbacks_);
+    callbacks_.on_header_field = [](http_parser* parser, const char* at, std::size_t size) {
+        return of(parser).onHeaderField({at, size});
     };
-    calls_.on_body = [](http_parser* p, const char* at, std::size_t size) {
-        HttpResponse& a = of(p);
-        // In one stretch: a body with a length has nothing between its bytes.
-        if (a.longLength_) return a.piece_ = {at, size}, 0;
-        a.body_.append(at, size);
-        return a.body_.size() > a.longestKept_ ? 1 : 0;
+    callbacks_.on_header_value = [](http_parser* parser, const char* at, std::size_t size) {
+        return of(parser).onHeaderValue({at, size});
     };
-    calls_.on_message_complete = [](http_parser* p) {
-        // Not the answer yet, but for 101, after which something else than HTTP would follow.
-        if (p->status_code / 100 == 1) {
-            of(p).neverRan_ = false;
-            return p->status_code != 101 && ++of(p).interim_ <= kMostInterim ? 0 : 1;
-        }
-        of(p).whole_ = true;
-        of(p).keepsOpen_ = http_should_keep_alive(p) != 0;
-        http_parser_pause(p, 1);  // whatever follows was not asked for
-        return 0;
+    callbacks_.on_headers_complete = [](http_parser* parser) { return of(parser).onHeadersComplete(); };
+    callbacks_.on_body = [](http_parser* parser, const char* at, std::size_t size) {
+        return of(parser).onBody({at, size});
     };
+    callbacks_.on_message_complete = [](http_parser* parser) { return of(parser).onMessageComplete(); };
     clear();
 }
 
+int HttpResponse::countHeaderBytes(std::size_t bytes) {
+    headerBytes_ += bytes;
+    return headerBytes_ > kMaxHeaderBytes ? 1 : 0;
+}
+
+// Fields and values come in parts; a field after a value begins the next header.
+int HttpResponse::onHeaderField(std::string_view part) {
+    if (hasHeaderValue_) finishHeader();
+    headerField_.append(part);
+    return countHeaderBytes(part.size());
+}
+
+int HttpResponse::onHeaderValue(std::string_view part) {
+    hasHeaderValue_ = true;
+    headerValue_.append(part);
+    return countHeaderBytes(part.size());
+}
+
+// Decides by the length that the response names, before anything of the body is buffered.
+int HttpResponse::onHeadersComplete() {
+    finishHeader();
+    const bool hasLength = parser_.content_length != ~std::uint64_t{0};
+    if (!hasLength || parser_.content_length <= maxBufferedBody_) return 0;
+    if (parser_.content_length > maxBody_ || parser_.status_code != 200) return -1;
+    streamedLength_ = parser_.content_length;
+    return 0;
+}
+
+int HttpResponse::onBody(std::string_view part) {
+    // In one part for each call of `feed`: a body with a length has nothing between its bytes.
+    if (streamedLength_) {
+        chunk_ = part;
+        return 0;
+    }
+    body_.append(part);
+    return body_.size() > maxBufferedBody_ ? 1 : 0;
+}
+
+int HttpResponse::onMessageComplete() {
+    // An interim response is not the final one, except that after 101 something else than HTTP would follow.
+    if (parser_.status_code / 100 == 1) {
+        wasNotExecuted_ = false;
+        if (parser_.status_code == 101) return 1;
+        ++interimResponses_;
+        return interimResponses_ <= kMaxInterimResponses ? 0 : 1;
+    }
+    isComplete_ = true;
+    isKeepAlive_ = http_should_keep_alive(&parser_) != 0;
+    http_parser_pause(&parser_, 1);  // what follows was not requested
+    return 0;
+}
+
 void HttpResponse::clear() {
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
-    headers_ = 0;
-    interim_ = 0;
+    headerBytes_ = 0;
+    interimResponses_ = 0;
     listAgeMs_ = 0;
-    longLength_ = 0;
-    // Given back, not only emptied: connections keep one of these each for as long as they idle.
-    field_ = value_ = body_ = std::string();
-    valueSeen_ = neverRan_ = keepsOpen_ = whole_ = false;
+    streamedLength_ = 0;
+    // Their memory is released as well: idle connections have one of these each.
+    headerField_ = std::string();
+    headerValue_ = std::string();
+    body_ = std::string();
+    hasHeaderValue_ = false;
+    wasNotExecuted_ = false;
+    isKeepAlive_ = false;
+    isComplete_ = false;
 }
 
-void HttpResponse::headerDone() {
-    if (strcasecmp(field_.c_str(), "X-Rejected") == 0 && value_ == "1") neverRan_ = true;
-    if (strcasecmp(field_.c_str(), "X-List-Age-Ms") == 0)
-        listAgeMs_ = std::clamp<std::int64_t>(parse<std::int64_t>(value_).value_or(0), 0, kMaxListAgeMs);
-    field_.clear();
-    value_.clear();
-    valueSeen_ = false;
+void HttpResponse::finishHeader() {
+    if (strcasecmp(headerField_.c_str(), kRejectedHeader) == 0 && headerValue_ == "1") wasNotExecuted_ = true;
+    if (strcasecmp(headerField_.c_str(), kListAgeHeader) == 0) {
+        const std::int64_t age = parse<std::int64_t>(headerValue_).value_or(0);
+        listAgeMs_ = std::clamp<std::int64_t>(age, 0, kMaxListAgeMs);
+    }
+    headerField_.clear();
+    headerValue_.clear();
+    hasHeaderValue_ = false;
 }
 
 HttpResponse::State HttpResponse::feed(std::string_view bytes) {
-    piece_ = {};
-    const std::size_t parsed = http_parser_execute(&parser_, &calls_, bytes.data(), bytes.size());
-    if (whole_) {
-        // What follows is no part of it: served all the same, but nothing more is read of that connection.
-        if (parsed < bytes.size()) keepsOpen_ = false;
+    chunk_ = {};
+    const std::size_t parsed = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
+    if (isComplete_) {
+        // Bytes that follow belong to no request: the response counts, but the connection ends with it.
+        if (parsed < bytes.size()) isKeepAlive_ = false;
         return State::complete;
     }
     return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::malformed;
 }
 
 HttpResponse::State HttpResponse::end() {
-    http_parser_execute(&parser_, &calls_, nullptr, 0);
-    return whole_ ? State::complete : State::malformed;
+    http_parser_execute(&parser_, &callbacks_, nullptr, 0);
+    return isComplete_ ? State::complete : State::malformed;
 }
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/number.hpp
+++ b/src/protocol/number.hpp
@@ -1,4 +1,4 @@
-// Text to numbers, all of it or nothing.
+// Text to numbers.
 #pragma once
 
 #include <charconv>
@@ -8,6 +8,7 @@
 
 namespace poppyscale::protocol {
 
+// None unless all of the text is one number of type T.
 template <class T>
 std::optional<T> parse(std::string_view text, int base = 10) {
     T result{};
--- /dev/null
+++ b/src/protocol/parse_error.hpp
@@ -0,0 +1,28 @@
+// What can't be read as it is.
+#pragma once
+
+#include <stdexcept>
+#include <string>
+
+namespace poppyscale::protocol {
+
+// Its text is one plain line for the operator.
+struct ParseError : std::runtime_error {
+    using std::runtime_error::runtime_error;
+};
+
+// A setting that is missing or can't be used.
+struct SettingError : ParseError {
+    // The text is "setting PATH PROBLEM".
+    SettingError(const std::string& path, const std::string& problem)
+        : ParseError("setting " + path + " " + problem), path(path) {}
+    // The text is "missing setting PATH".
+    static SettingError missing(const std::string& path) { return SettingError(path); }
+
+    std::string path;  // as `SettingsMap` has it
+
+  private:
+    explicit SettingError(const std::string& path) : ParseError("missing setting " + path), path(path) {}
+};
+
+}  // namespace poppyscale::protocol
--- a/src/protocol/policy_settings.cpp
+++ b/src/protocol/policy_settings.cpp
@@ -1,34 +1,38 @@
 #include "protocol/policy_settings.hpp"
 
 #include <array>
-#include <cmath>
-
-#include "protocol/number.hpp"
+#include <string>
+#include <string_view>
 
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::int64_t kNanosPerMicro = 1000;
-constexpr std::int64_t kLongestMicros = 1'000'000'000'000;  // a setting's time span: eleven days
+constexpr std::int64_t kMaxCount = 1'000'000;
+constexpr std::int64_t kMaxListedItems = 10'000;  // request classes, or tenants
 
 template <class T>
-using Words = std::array<std::pair<std::string_view, T>, 3>;
-constexpr Words<Idempotency> kEffects{{{"free", Idempotency::safe},
-                                       {"guarded", Idempotency::idempotentWithKey},
-                                       {"single_shot", Idempotency::nonIdempotent}}};
-constexpr Words<DeduplicationScope> kGroups{{{"all", DeduplicationScope::all},
-                                             {"zone", DeduplicationScope::zone},
-                                             {"cell", DeduplicationScope::cell}}};
+struct Word {
+    std::string_view text;
+    T value;
+};
+constexpr std::array<Word<Idempotency>, 3> kIdempotencyWords{{{"free", Idempotency::safe},
+                                                              {"guarded", Idempotency::idempotentWithKey},
+                                                              {"single_shot", Idempotency::nonIdempotent}}};
+constexpr std::array<Word<DeduplicationScope>, 3> kDeduplicationScopeWords{
+    {{"all", DeduplicationScope::all},
+     {"zone", DeduplicationScope::zone},
+     {"cell", DeduplicationScope::cell}}};
 
-template <class T>
-T word(const SettingsMap& paths, const std::string& path, const Words<T>& words) {
-    const auto text = paths.text(path);
-    for (const auto& [name, value] : words)
-        if (name == text) return value;
-    throw ParseError("setting " + path + " has an unknown value");
+template <class T, std::size_t Size>
+T readWord(const SettingsMap& settings, const std::string& path, const std::array<Word<T>, Size>& words) {
+    const auto text = settings.text(path);
+    for (const Word<T>& word : words)
+        if (word.text == text) return word.value;
+    throw SettingError(path, "has an unknown value");
 }
 
-std::string_view item(std::string_view list, std::int64_t index) {
+// Of a list whose items are parted by commas; empty past its end.
+std::string_view itemAt(std::string_view list, std::int64_t index) {
     for (; index > 0; --index) {
         const auto comma = list.find(',');
         if (comma == std::string_view::npos) return {};
@@ -37,88 +41,93 @@
     return list.substr(0, list.find(','));
 }
 
-}  // namespace
-
-std::string_view SettingsMap::text(const std::string& path) const {
-    const auto it = values_.find(path);
-    if (it == values_.end()) throw ParseError("missing setting " + path);
-    return it->second;
+void readDeployment(const SettingsMap& settings, PolicySettings& policy) {
+    policy.routerCount = static_cast<int>(settings.integer("replicasOfMe", kMaxCount));
+    if (policy.routerCount == 0) throw SettingError("replicasOfMe", "is 0");
+    policy.cacheAside = settings.text("familyInfo.mode") == "aside";
+    if (policy.cacheAside) {
+        const auto shape = settings.integer("familyInfo.originKind", kMaxCount);
+        policy.originShape = itemAt(settings.text("shapes"), shape);
+    }
+    if (settings.has("myZone")) policy.zone = settings.text("myZone");
+    if (settings.has("costs.crossZone")) policy.crossZoneCost = settings.number("costs.crossZone");
+    if (policy.crossZoneCost < 0) throw SettingError("costs.crossZone", "is negative");
 }
 
-double SettingsMap::number(const std::string& path) const {
-    const auto value = parse<double>(text(path));
-    if (value && std::isfinite(*value)) return *value;
-    throw ParseError("setting " + path + " is not a number");
+void readPolls(const SettingsMap& settings, PolicySettings& policy) {
+    policy.pollsEndpoints = settings.text("membershipMode") == "on_request";
+    if (policy.pollsEndpoints) policy.pollInterval = settings.duration("rules.askWithinUs");
+    policy.maxFirstPollDelay = policy.pollInterval / 2;
 }
 
-std::int64_t SettingsMap::integer(const std::string& path, std::int64_t most) const {
-    const auto value = parse<std::int64_t>(text(path));
-    if (value && *value >= 0 && *value <= most) return *value;
-    throw ParseError("setting " + path + " is not a whole number in its range");
+void readAttempts(const SettingsMap& settings, PolicySettings& policy) {
+    policy.retryAfterAllowed = settings.boolean("allowed.retryAfter");
+    if (policy.retryAfterAllowed) policy.maxRetryAfter = settings.duration("allowed.maxRetryAfterUs");
+    policy.maxAttempts = static_cast<int>(settings.integer("allowed.maxRelays", kMaxCount));
 }
 
-Nanos SettingsMap::duration(const std::string& path) const {
-    return integer(path, kLongestMicros) * kNanosPerMicro;
+void readWeights(const SettingsMap& settings, PolicySettings& policy) {
+    if (!settings.has("weights")) return;
+    const auto meaning = settings.text("weights");
+    if (meaning != "off" && meaning != "nominal" && meaning != "rough" && meaning != "live")
+        throw SettingError("weights", "has an unknown value");
+    policy.weightsFollowLoad = meaning == "live";
 }
 
-bool SettingsMap::boolean(const std::string& path) const {
-    const auto value = text(path);
-    if (value == "true" || value == "1") return true;
-    if (value == "false" || value == "0") return false;
-    throw ParseError("setting " + path + " is neither true nor false");
+void readSlowStart(const SettingsMap& settings, PolicySettings& policy) {
+    policy.initialFraction = settings.number("rules.startCapacity");
+    policy.rampDuration = settings.duration("rules.rampTimeUs");
+    policy.overloadMultiple = settings.number("rules.tipMultiple");
+    policy.overloadWindow = settings.duration("rules.fallUs");
 }
 
-PolicySettings readPolicySettings(const SettingsMap& paths, std::uint64_t seed) {
-    PolicySettings terms;
-    terms.seed = seed;
-    terms.routerCount = static_cast<int>(paths.integer("replicasOfMe", 1'000'000));
-    if (terms.routerCount == 0) throw ParseError("setting replicasOfMe is 0");
-    terms.cacheAside = paths.text("familyInfo.mode") == "aside";
-    if (terms.cacheAside) {
-        const auto shape = paths.integer("familyInfo.originKind", 1'000'000);
-        terms.originShape = item(paths.text("shapes"), shape);
-    }
-    if (paths.has("myZone")) terms.zone = paths.text("myZone");
-    if (paths.has("costs.crossZone")) terms.crossZoneCost = paths.number("costs.crossZone");
-    if (terms.crossZoneCost < 0) throw ParseError("setting costs.crossZone is negative");
-    terms.pollsEndpoints = paths.text("membershipMode") == "on_request";
-    if (terms.pollsEndpoints) terms.pollInterval = paths.duration("rules.askWithinUs");
-    terms.maxFirstPollDelay = terms.pollInterval / 2;
-    terms.retryAfterAllowed = paths.boolean("allowed.retryAfter");
-    if (terms.retryAfterAllowed) terms.maxRetryAfter = paths.duration("allowed.maxRetryAfterUs");
-    terms.maxAttempts = static_cast<int>(paths.integer("allowed.maxRelays", 1'000'000));
-    if (paths.has("weights")) {
-        const auto meaning = paths.text("weights");
-        if (meaning != "off" && meaning != "nominal" && meaning != "rough" && meaning != "live")
-            throw ParseError("setting weights has an unknown value");
-        terms.weightsFollowLoad = meaning == "live";
+RequestClass readRequestClass(const SettingsMap& settings, const std::string& prefix) {
+    RequestClass requestClass;
+    requestClass.name = settings.text(prefix + "name");
+    requestClass.idempotency = readWord(settings, prefix + "effect", kIdempotencyWords);
+    if (requestClass.idempotency == Idempotency::idempotentWithKey) {
+        requestClass.deduplicationScope = readWord(settings, prefix + "group", kDeduplicationScopeWords);
+        requestClass.idempotencyKeyTtl = settings.duration(prefix + "keyTtlUs");
     }
-    terms.initialFraction = paths.number("rules.startCapacity");
-    terms.rampDuration = paths.duration("rules.rampTimeUs");
-    terms.overloadMultiple = paths.number("rules.tipMultiple");
-    terms.overloadWindow = paths.duration("rules.fallUs");
-    const auto requestClasses = paths.integer("verbs.count", 10'000);
-    for (std::int64_t i = 0; i < requestClasses; ++i) {
-        const std::string at = "verbs." + std::to_string(i) + ".";
-        RequestClass requestClass;
-        requestClass.name = paths.text(at + "name");
-        requestClass.idempotency = word(paths, at + "effect", kEffects);
-        if (requestClass.idempotency == Idempotency::idempotentWithKey) {
-            requestClass.deduplicationScope = word(paths, at + "group", kGroups);
-            requestClass.idempotencyKeyTtl = paths.duration(at + "keyTtlUs");
-        }
-        requestClass.latencyObjective = paths.duration(at + "responseGoalUs");
-        if (paths.has(at + "timeLimitUs")) requestClass.timeout = paths.duration(at + "timeLimitUs");
-        requestClass.priorityWeight = paths.number(at + "utility");
-        if (paths.has(at + "lateUtility")) requestClass.lateWeight = paths.number(at + "lateUtility");
-        terms.requestClasses.push_back(std::move(requestClass));
-    }
-    const auto tenants = paths.has("orgs.count") ? paths.integer("orgs.count", 10'000) : 0;
-    for (std::int64_t i = 0; i < tenants; ++i) {
-        const std::string at = "orgs." + std::to_string(i) + ".";
-        terms.tenants.push_back({std::string(paths.text(at + "name")), paths.number(at + "quotaPerS")});
+    requestClass.latencyObjective = settings.duration(prefix + "responseGoalUs");
+    if (settings.has(prefix + "timeLimitUs"))
+        requestClass.timeout = settings.duration(prefix + "timeLimitUs");
+    requestClass.priorityWeight = settings.number(prefix + "utility");
+    if (settings.has(prefix + "lateUtility"))
+        requestClass.lateWeight = settings.number(prefix + "lateUtility");
+    return requestClass;
+}
+
+void readRequestClasses(const SettingsMap& settings, PolicySettings& policy) {
+    const auto count = settings.integer("verbs.count", kMaxListedItems);
+    for (std::int64_t i = 0; i < count; ++i)
+        policy.requestClasses.push_back(readRequestClass(settings, "verbs." + std::to_string(i) + "."));
+}
+
+void readTenants(const SettingsMap& settings, PolicySettings& policy) {
+    if (!settings.has("orgs.count")) return;
+    const auto count = settings.integer("orgs.count", kMaxListedItems);
+    for (std::int64_t i = 0; i < count; ++i) {
+        const std::string prefix = "orgs." + std::to_string(i) + ".";
+        const auto name = settings.text(prefix + "name");
+        policy.tenants.push_back({std::string(name), settings.number(prefix + "quotaPerS")});
     }
-    return terms;
+}
+
+}  // namespace
+
+// In this order: of several problems the first one is reported.
+PolicySettings readPolicySettings(const SettingsMap& settings, std::uint64_t seed) {
+    PolicySettings policy;
+    policy.seed = seed;
+    readDeployment(settings, policy);
+    readPolls(settings, policy);
+    readAttempts(settings, policy);
+    readWeights(settings, policy);
+    readSlowStart(settings, policy);
+    readRequestClasses(settings, policy);
+    readTenants(settings, policy);
+    return policy;
 }
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -7,135 +7,156 @@
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::size_t kLongestLine = 1024;  // of an error or a simple string too
+constexpr std::size_t kMaxLineLength = 1024;  // of an error or a simple string too
+// The last byte of a streamed bulk string is withheld until its terminator has come.
+constexpr std::size_t kWithheldBytes = 1 + kBulkTerminator.size();
 
-void appendCount(std::string& out, char kind, std::size_t count) {
-    out += kind;
+void appendHead(std::string& out, char type, std::size_t count) {
+    out += type;
     out += std::to_string(count);
     out += "\r\n";
 }
 
 }  // namespace
 
-RespDecoder::State RespDecoder::fail(std::string_view what) {
-    problem_ = what;
+RespDecoder::State RespDecoder::fail(std::string_view problem) {
+    problem_ = problem;
     return State::malformed;
 }
 
 RespDecoder::State RespDecoder::feed(std::string_view& bytes) {
     if (!problem_.empty()) return State::malformed;
-    if (longLength_) {
-        const State state = feedLong(bytes);
-        if (state != State::more || longLength_) return state;
+    if (streamedLength_) {
+        const State state = feedStreamed(bytes);
+        if (state != State::more || streamedLength_) return state;
     }
     while (!bytes.empty()) {
-        State state = State::more;
-        begun_ = true;
-        if (bulkLeft_) {
-            const std::size_t size = std::min(*bulkLeft_, bytes.size());
-            bulk_.text.append(bytes.substr(0, size));
-            bytes.remove_prefix(size);
-            held_ += size;
-            if ((*bulkLeft_ -= size) > 0) return State::more;
-            bulkLeft_.reset();
-            if (!bulk_.text.ends_with("\r\n")) return fail("bulk string without its end");
-            bulk_.text.resize(bulk_.text.size() - 2);
-            state = put(std::move(bulk_));
-        } else {
-            const auto end = bytes.find('\n');
-            const auto part = bytes.substr(0, end == std::string_view::npos ? end : end + 1);
-            if (line_.size() + part.size() > kLongestLine) return fail("line too long");
-            line_ += part;
-            bytes.remove_prefix(part.size());
-            held_ += part.size();
-            // Told by its first byte, before a line that may never end.
-            if (bounds_.commandsOnly && line_[0] != (open_.empty() ? '*' : '$'))
-                return fail(open_.empty() ? "expected an array" : "expected a bulk string");
-            if (end == std::string_view::npos) return State::more;
-            state = header();
-            line_.clear();
-        }
-        if (held_ > bounds_.maxValueSize) return fail("value too large");
+        isInValue_ = true;
+        const State state = bulkBytesLeft_ ? feedBulk(bytes) : feedLine(bytes);
         if (state != State::more) return state;
     }
     return State::more;
 }
 
-// Nothing of it is kept but its last byte and its end.
-RespDecoder::State RespDecoder::feedLong(std::string_view& bytes) {
-    if (longLeft_ == 0) {
-        longLength_ = 0;
-        return put({RespValue::Kind::bulk, {}, {}});
+RespDecoder::State RespDecoder::feedBulk(std::string_view& bytes) {
+    const std::size_t size = std::min(*bulkBytesLeft_, bytes.size());
+    bulk_.text.append(bytes.substr(0, size));
+    bytes.remove_prefix(size);
+    bufferedBytes_ += size;
+    *bulkBytesLeft_ -= size;
+    if (*bulkBytesLeft_ > 0) return State::more;
+    bulkBytesLeft_.reset();
+    if (!bulk_.text.ends_with(kBulkTerminator)) return fail("bulk string without its end");
+    bulk_.text.resize(bulk_.text.size() - kBulkTerminator.size());
+    return limitValueSize(addValue(std::move(bulk_)));
+}
+
+RespDecoder::State RespDecoder::feedLine(std::string_view& bytes) {
+    const auto end = bytes.find('\n');
+    const auto part = bytes.substr(0, end == std::string_view::npos ? end : end + 1);
+    if (line_.size() + part.size() > kMaxLineLength) return fail("line too long");
+    line_ += part;
+    bytes.remove_prefix(part.size());
+    bufferedBytes_ += part.size();
+    // Known by its first byte, before a line that may never end.
+    const bool isOutermost = openArrays_.empty();
+    if (limits_.commandsOnly && line_[0] != (isOutermost ? '*' : '$'))
+        return fail(isOutermost ? "expected an array" : "expected a bulk string");
+    if (end == std::string_view::npos) return State::more;
+    const State state = readLine();
+    line_.clear();
+    return limitValueSize(state);
+}
+
+RespDecoder::State RespDecoder::limitValueSize(State state) {
+    return bufferedBytes_ > limits_.maxValueSize ? fail("value too large") : state;
+}
+
+// Nothing of it is buffered but its last byte and its terminator.
+RespDecoder::State RespDecoder::feedStreamed(std::string_view& bytes) {
+    if (streamedBytesLeft_ == 0) {
+        streamedLength_ = 0;
+        return addValue({RespValue::Kind::bulk, {}, {}});
     }
     if (bytes.empty()) return State::more;
-    if (longLeft_ > 3) {
-        piece_ = bytes.substr(0, longLeft_ - 3);
-        bytes.remove_prefix(piece_.size());
-        longLeft_ -= piece_.size();
+    if (streamedBytesLeft_ > kWithheldBytes) {
+        chunk_ = bytes.substr(0, streamedBytesLeft_ - kWithheldBytes);
+        bytes.remove_prefix(chunk_.size());
+        streamedBytesLeft_ -= chunk_.size();
         return State::streamChunk;
     }
-    const std::size_t size = std::min(longLeft_, bytes.size());
+    const std::size_t size = std::min(streamedBytesLeft_, bytes.size());
     bulk_.text.append(bytes.substr(0, size));
     bytes.remove_prefix(size);
-    if ((longLeft_ -= size) > 0) return State::more;
-    if (!bulk_.text.ends_with("\r\n")) return fail("bulk string without its end");
-    piece_ = std::string_view(bulk_.text).substr(0, 1);
+    streamedBytesLeft_ -= size;
+    if (streamedBytesLeft_ > 0) return State::more;
+    if (!bulk_.text.ends_with(kBulkTerminator)) return fail("bulk string without its end");
+    chunk_ = std::string_view(bulk_.text).substr(0, 1);
     return State::streamChunk;
 }
 
-RespDecoder::State RespDecoder::header() {
+RespDecoder::State RespDecoder::readLine() {
     if (!line_.ends_with("\r\n") || line_.size() < 3) return fail("line without its end");
     const std::string_view rest(line_.data() + 1, line_.size() - 3);
-    const char kind = line_[0];
-    if (kind == '+') return put({RespValue::Kind::simple, std::string(rest), {}});
-    if (kind == '-') return put({RespValue::Kind::error, std::string(rest), {}});
+    const char type = line_[0];
+    if (type == '+') return addValue({RespValue::Kind::simple, std::string(rest), {}});
+    if (type == '-') return addValue({RespValue::Kind::error, std::string(rest), {}});
     const auto number = parse<std::int64_t>(rest);
     if (!number) return fail("not a number");
-    if (kind == ':') return put({RespValue::Kind::integer, std::string(rest), {}});
-    if (kind != '$' && kind != '*') return fail("unknown type");
-    if (*number == -1 && !bounds_.commandsOnly) return put({});
+    if (type == ':') return addValue({RespValue::Kind::integer, std::string(rest), {}});
+    if (type != '$' && type != '*') return fail("unknown type");
+    if (*number == -1 && !limits_.commandsOnly) return addValue({});
     if (*number < 0) return fail("negative length");
-    const auto size = static_cast<std::size_t>(*number);
-    if (kind == '$') {
-        const bool there = open_.size() == 1 && open_[0].array.items.size() == bounds_.streamedItem;
-        if (size > bounds_.maxBulkLength && size <= bounds_.maxStreamedLength && there) {
-            longLength_ = size;
-            longLeft_ = size + 2;
-            bulk_ = {RespValue::Kind::bulk, {}, {}};
-            return State::streamBegins;
-        }
-        if (size > bounds_.maxBulkLength) return fail("bulk string too long");
+    const auto length = static_cast<std::size_t>(*number);
+    return type == '$' ? beginBulk(length) : beginArray(length);
+}
+
+RespDecoder::State RespDecoder::beginBulk(std::size_t length) {
+    const bool isStreamable =
+        openArrays_.size() == 1 && openArrays_[0].array.items.size() == limits_.streamedItem;
+    const bool isTooLong = length > limits_.maxBulkLength;
+    if (isTooLong && length <= limits_.maxStreamedLength && isStreamable) {
+        streamedLength_ = length;
+        streamedBytesLeft_ = length + kBulkTerminator.size();
         bulk_ = {RespValue::Kind::bulk, {}, {}};
-        bulkLeft_ = size + 2;
-        return State::more;
+        return State::streamBegins;
     }
-    if (size > bounds_.maxItems) return fail("array too long");
-    if (open_.size() >= bounds_.maxDepth) return fail("arrays too deep");
-    if (size == 0) return put({RespValue::Kind::array, {}, {}});
-    open_.push_back({{RespValue::Kind::array, {}, {}}, size});
+    if (isTooLong) return fail("bulk string too long");
+    bulk_ = {RespValue::Kind::bulk, {}, {}};
+    bulkBytesLeft_ = length + kBulkTerminator.size();
     return State::more;
 }
 
-RespDecoder::State RespDecoder::put(RespValue value) {
-    while (!open_.empty()) {
-        Open& top = open_.back();
-        top.array.items.push_back(std::move(value));
-        if (--top.left > 0) return State::more;
-        value = std::move(top.array);
-        open_.pop_back();
+RespDecoder::State RespDecoder::beginArray(std::size_t length) {
+    if (length > limits_.maxItems) return fail("array too long");
+    if (openArrays_.size() >= limits_.maxDepth) return fail("arrays too deep");
+    if (length == 0) return addValue({RespValue::Kind::array, {}, {}});
+    openArrays_.push_back({{RespValue::Kind::array, {}, {}}, length});
+    return State::more;
+}
+
+// To the innermost array; what that completes is added to the one around it.
+RespDecoder::State RespDecoder::addValue(RespValue value) {
+    while (!openArrays_.empty()) {
+        OpenArray& innermost = openArrays_.back();
+        innermost.array.items.push_back(std::move(value));
+        --innermost.itemsLeft;
+        if (innermost.itemsLeft > 0) return State::more;
+        value = std::move(innermost.array);
+        openArrays_.pop_back();
     }
-    done_ = std::move(value);
-    begun_ = false;
-    held_ = 0;
+    value_ = std::move(value);
+    isInValue_ = false;
+    bufferedBytes_ = 0;
     return State::complete;
 }
 
-RespValue RespDecoder::takeValue() { return std::move(done_); }
+RespValue RespDecoder::takeValue() { return std::move(value_); }
 
 void appendBulk(std::string& out, std::string_view text) {
-    appendCount(out, '$', text.size());
+    appendHead(out, '$', text.size());
     out += text;
-    out += "\r\n";
+    out += kBulkTerminator;
 }
 
 std::string bulk(std::string_view text) {
@@ -144,10 +165,16 @@
     return out;
 }
 
-std::string command(const std::vector<std::string_view>& words, std::size_t more) {
+std::string bulkHead(std::size_t length) {
+    std::string out;
+    appendHead(out, '$', length);
+    return out;
+}
+
+std::string command(const std::vector<std::string_view>& arguments, std::size_t appendedArguments) {
     std::string out;
-    appendCount(out, '*', words.size() + more);
-    for (const auto word : words) appendBulk(out, word);
+    appendHead(out, '*', arguments.size() + appendedArguments);
+    for (const auto argument : arguments) appendBulk(out, argument);
     return out;
 }
 
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -1,6 +1,7 @@
-// RESP2: what clients and caches speak. Bytes to values and back, taken in pieces as they come.
+// RESP2, which clients and cache servers speak: bytes to values and back.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -9,74 +10,95 @@
 
 namespace poppyscale::protocol {
 
+// The commands that read and write a key.
+constexpr std::string_view kReadCommand = "OBJ.GET";
+constexpr std::string_view kWriteCommand = "OBJ.SET";
+// Follows the bytes of a bulk string.
+constexpr std::string_view kBulkTerminator = "\r\n";
+
 struct RespValue {
     enum class Kind : std::uint8_t { simple, error, integer, bulk, array, null };
     Kind kind = Kind::null;
-    std::string text;  // of all but arrays
-    std::vector<RespValue> items;
+    std::string text;              // of all but arrays
+    std::vector<RespValue> items;  // of an array
 };
 
-// Takes one value after the other out of a stream; never holds more than its bounds allow.
+// Takes one value after the other out of a stream of bytes. Never buffers more than its limits allow. After
+// `malformed` it is of no further use.
 class RespDecoder {
   public:
     struct Limits {
         std::size_t maxBulkLength = 64 * 1024;
         std::size_t maxItems = 64;              // of one array
-        std::size_t maxDepth = 3;               // arrays within arrays
-        std::size_t maxValueSize = 256 * 1024;  // bytes of one value with all it holds
+        std::size_t maxDepth = 3;               // of arrays within arrays
+        std::size_t maxValueSize = 256 * 1024;  // bytes of one value with all it contains
         bool commandsOnly = false;              // an array of bulk strings and nothing else
-        // A bulk string of this length at most, in that place of an outermost array, comes in pieces.
+        // A bulk string longer than `maxBulkLength`, up to this length, is streamed where it is the item
+        // `streamedItem` of an outermost array.
         std::size_t maxStreamedLength = 0;
         std::size_t streamedItem = 0;
     };
-    // A long bulk string is told first: what stands before it in its array is `before()`. Then come pieces of
-    // it, until all of its length did; its last byte comes only once its end was right.
+    // streamBegins: `itemsBeforeStream` and `streamedLength` are known; streamChunk: `chunk` is the next part
+    // of the streamed bulk string, whose last byte comes only once its terminator was right.
     enum class State : std::uint8_t { more, complete, malformed, streamBegins, streamChunk };
 
-    explicit RespDecoder(const Limits& bounds) : bounds_(bounds) {}
+    explicit RespDecoder(const Limits& limits) : limits_(limits) {}
 
-    // Eats of `bytes` up to the end of one value at most.
+    // Takes from the front of `bytes` up to the end of one value, or of one chunk, at most.
     State feed(std::string_view& bytes);
+    // After `complete`.
     RespValue takeValue();
-    const std::vector<RespValue>& itemsBeforeStream() const { return open_.front().array.items; }
-    std::size_t streamedLength() const { return longLength_; }
-    std::string_view chunk() const { return piece_; }  // until the next call of `feed`
+    const std::vector<RespValue>& itemsBeforeStream() const { return openArrays_.front().array.items; }
+    // Of the bulk string that is being streamed; 0 without one.
+    std::size_t streamedLength() const { return streamedLength_; }
+    // Valid until the next call of `feed`.
+    std::string_view chunk() const { return chunk_; }
+    // What is wrong, after `malformed`.
     const std::string& problem() const { return problem_; }
-    bool isInValue() const { return begun_; }  // a value has begun and is not whole
-    // Within the bulk string that may be long, whether or not this one is.
+    // A value has begun and is incomplete.
+    bool isInValue() const { return isInValue_; }
+    // Within the bulk string that may be streamed, whether or not it is.
     bool isInStreamedItem() const {
-        return (bulkLeft_ || longLength_) && open_.size() == 1 &&
-               open_[0].array.items.size() == bounds_.streamedItem;
+        return (bulkBytesLeft_ || streamedLength_) && openArrays_.size() == 1 &&
+               openArrays_[0].array.items.size() == limits_.streamedItem;
     }
-    std::size_t bufferedBytes() const { return held_; }
+    // Of an incomplete value.
+    std::size_t bufferedBytes() const { return bufferedBytes_; }
 
   private:
-    struct Open {
+    struct OpenArray {
         RespValue array;
-        std::size_t left;
+        std::size_t itemsLeft;
     };
-    State header();
-    State feedLong(std::string_view& bytes);
-    State put(RespValue value);
-    State fail(std::string_view what);
+    State feedBulk(std::string_view& bytes);
+    State feedLine(std::string_view& bytes);
+    State feedStreamed(std::string_view& bytes);
+    State readLine();
+    State beginBulk(std::size_t length);
+    State beginArray(std::size_t length);
+    State addValue(RespValue value);
+    State limitValueSize(State state);
+    State fail(std::string_view problem);
 
-    Limits bounds_;
+    Limits limits_;
     std::string line_;
-    std::optional<std::size_t> bulkLeft_;  // with its closing CR LF
+    std::optional<std::size_t> bulkBytesLeft_;  // with its terminator
     RespValue bulk_;
-    std::size_t longLength_ = 0;  // of the one that comes in pieces now; 0: none does
-    std::size_t longLeft_ = 0;    // of it, with its closing CR LF
-    std::string_view piece_;
-    std::vector<Open> open_;
-    RespValue done_;
+    std::size_t streamedLength_ = 0;
+    std::size_t streamedBytesLeft_ = 0;  // with its terminator
+    std::string_view chunk_;
+    std::vector<OpenArray> openArrays_;  // the innermost last
+    RespValue value_;
     std::string problem_;
-    std::size_t held_ = 0;
-    bool begun_ = false;
+    std::size_t bufferedBytes_ = 0;
+    bool isInValue_ = false;
 };
 
 void appendBulk(std::string& out, std::string_view text);
 std::string bulk(std::string_view text);
-// `more` words follow that are not written here.
-std::string command(const std::vector<std::string_view>& words, std::size_t more = 0);
+// What stands before the bytes of a bulk string.
+std::string bulkHead(std::size_t length);
+// An array of bulk strings, to which the caller appends `appendedArguments` more.
+std::string command(const std::vector<std::string_view>& arguments, std::size_t appendedArguments = 0);
 
 }  // namespace poppyscale::protocol
--- /dev/null
+++ b/src/protocol/startup_config.hpp
@@ -0,0 +1,34 @@
+// The configuration that a router is started with, from JSON.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "policy/routing_policy.hpp"
+#include "protocol/endpoint_list.hpp"
+#include "protocol/policy_settings.hpp"
+
+namespace poppyscale::protocol {
+
+struct StartupConfig {
+    std::string name;
+    std::string listen;     // ADDRESS:PORT for clients
+    std::string discovery;  // ADDRESS:PORT
+    std::string console;    // ADDRESS:PORT for operators; no console if empty
+    PolicySettings policy;
+    EndpointList knownEndpoints;
+    Nanos serverIdleTimeout = 0;      // after which cache servers close a connection
+    bool endpointsArePushed = false;  // a change counts as notified as soon as discovery has it
+    Nanos pollWait = 0;               // how long a poll may wait at discovery for a change
+    Nanos connectTimeout = 0;         // to a cache server or the origin
+    Nanos maxRequestTimeout = 0;      // of any request class
+    std::size_t maxOpenRequests = 0;
+    std::size_t maxDescriptors = 0;
+    std::size_t memoryLimitBytes = 0;
+};
+
+// Throws `ParseError`.
+StartupConfig readStartupConfig(std::string_view json);
+
+}  // namespace poppyscale::protocol
--- /dev/null
+++ b/src/proxy/attempt.cpp
@@ -0,0 +1,29 @@
+#include "proxy/attempt.hpp"
+
+#include <utility>
+
+#include "proxy/upstream_server.hpp"
+
+namespace poppyscale::proxy {
+
+Attempt::Attempt(transport::EventLoop& loop, const protocol::Request& message, UpstreamServer& server,
+                 const Parameters& parameters)
+    : requestId_(parameters.requestId),
+      number_(parameters.number),
+      message_(message),
+      server_(server),
+      deadline_(parameters.deadline),
+      latestStart_(parameters.latestStart),
+      sentAt_(parameters.startedAt),
+      body_(parameters.body),
+      timeout_(loop, [this] { server_.abandon(*this); }) {}
+
+RequestBody* Attempt::takeBody() { return std::exchange(body_, nullptr); }
+
+// The client's time, and the origin's, count from the last byte of the value.
+void Attempt::onBodySent(Nanos now) {
+    sentAt_ = now;
+    timeout_.start(now + message_.timeout);
+}
+
+}  // namespace poppyscale::proxy
--- a/src/proxy/body_stream.hpp
+++ b/src/proxy/body_stream.hpp
@@ -1,5 +1,7 @@
-// A long value on its way, in pieces, between two sides of which neither keeps it. Each tells the other when
-// it goes, and is not called again after that.
+// Flow of a value that is too long to be buffered, in chunks from a source to a sink, with backpressure.
+//
+// Neither side owns the other. Each side notifies the other when it goes away (`BodySink::onAborted`,
+// `BodySource::cancel`) and is not called again after that.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +9,38 @@
 
 namespace poppyscale::proxy {
 
-enum class FlowControl : std::uint8_t { ready, full, closed };
+// What a sink answers to a chunk.
+enum class FlowControl : std::uint8_t {
+    ready,  // the next chunk may follow
+    full,   // no chunk may follow before `BodySource::resume`
+    closed  // the sink is gone: no further call of either side
+};
 
+// The receiving side of a stream.
 class BodySink {
   public:
     virtual ~BodySink() = default;
-    // All of it is taken, whatever is said. After `full` nothing may come until `more`, after `gone` nothing.
+    // Takes all of `bytes`, which are valid during the call only, whatever it returns.
     virtual FlowControl onChunk(std::string_view bytes) = 0;
-    virtual void onAborted() = 0;  // the rest won't come
+    // The rest of the value will not come.
+    virtual void onAborted() = 0;
 };
 
+// The sending side of a stream.
 class BodySource {
   public:
     virtual ~BodySource() = default;
-    virtual void resume() = 0;  // there is room again
-    virtual void cancel() = 0;  // nothing more is wanted
+    // The sink has capacity again.
+    virtual void resume() = 0;
+    // The sink needs no further chunk.
+    virtual void cancel() = 0;
 };
 
-// The value of a write, which waits until somebody takes it.
+// The value of a write, which waits until an attempt streams it.
 class RequestBody : public BodySource {
   public:
-    virtual void streamTo(BodySink& taker) = 0;
+    // Sends the value to `sink`, beginning within this call.
+    virtual void streamTo(BodySink& sink) = 0;
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/client_listener.hpp
+++ b/src/proxy/client_listener.hpp
@@ -1,100 +1,116 @@
-// The front that speaks RESP2 with clients: commands in, answers out in their order.
+// Accepts clients, and decides which of their connections stay.
 #pragma once
 
-#include <limits>
-#include <list>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "protocol/resp.hpp"
+#include "proxy/client_connection.hpp"
+#include "proxy/drain_schedule.hpp"
 #include "proxy/request_dispatcher.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
 
 namespace poppyscale::proxy {
 
-class ClientConnection;
-
-class ClientListener {
+// Owns the clients' connections. Keeps their number and memory within limits, by closing those that are of
+// least use, and closes them all while draining. Guarantees that a connection on which nothing is wrong is
+// not closed while a request on it has no response.
+class ClientListener : private ClientConnection::Owner {
   public:
-    ClientListener(transport::EventLoop& loop, transport::BufferPool& pool, RequestDispatcher& core,
-                   std::size_t most, std::size_t mostHeld, Nanos patience);
-    ~ClientListener();
+    using DrainSchedule = proxy::DrainSchedule;
+
+    // `maxBufferedBytes` bounds responses that can't be written and, apart from them, incomplete requests;
+    // `maxRequestTimeout` is for how long a client may leave responses unread.
+    ClientListener(transport::EventLoop& loop, transport::BufferPool& buffers, RequestDispatcher& dispatcher,
+                   std::size_t maxClients, std::size_t maxBufferedBytes, Nanos maxRequestTimeout);
+    ~ClientListener() override;
+    ClientListener(const ClientListener&) = delete;
+    ClientListener& operator=(const ClientListener&) = delete;
 
-    std::string listen(const transport::Address& at) { return listener_->listen(at); }
-    // On a socket that another process has listened on so far.
+    // Both return an empty text, or what the system said.
+    std::string listen(const transport::Address& address) { return listener_->listen(address); }
+    // On a socket that another process has bound.
     std::string listenOn(int descriptor) { return listener_->adopt(descriptor); }
+    // Below 0 when it does not listen.
     int descriptor() const { return listener_ ? listener_->descriptor() : -1; }
-    // Another process accepts from now on, also what stands in the backlog.
+    // Leaves the socket's backlog to another process, which accepts from now on.
     void stopListening() { listener_.reset(); }
-    // How the connections that there are go: each as soon as it was answered and nothing is owed on it, those
-    // that idle spread over a time, so that few closes cross a command; then no command is taken any more.
-    struct DrainSchedule {
-        Nanos since = 0;
-        Nanos idleFrom = 0;
-        Nanos idleUntil = 0;
-        Nanos acceptUntil = 0;
-        Nanos deadline = std::numeric_limits<Nanos>::max();  // what may last longer is not taken either
-    };
-    void drain(const DrainSchedule& how) {
-        drain_ = how;
-        clientsAtDrainStart_ = clients_.size();
-    }
-    void cancelDrain() { drain_.reset(); }  // as if nothing had been said of going
-    // Whoever asks whether this router wants clients gets a no.
-    void setStandby(bool on) { isStandby_ = on; }
-    void setLimits(std::size_t most, std::size_t mostHeld) {
-        maxClients_ = most;
-        maxBufferedBytes_ = mostHeld;
-    }
-    void setMaxRequestTimeout(Nanos patience) { maxRequestTimeout_ = patience; }
-    // Takes what the kernel has accepted, then no more.
+    // Accepts what is in the backlog, then no more.
     void close();
     bool isClosed() const { return !listener_ && clients_.empty(); }
+
+    // Closes connections by that schedule from now on.
+    void drain(const DrainSchedule& schedule);
+    void cancelDrain() { drain_.reset(); }
+    // While on standby, health checks of clients fail.
+    void setStandby(bool standby) { isStandby_ = standby; }
+    void setLimits(std::size_t maxClients, std::size_t maxBufferedBytes);
+    void setMaxRequestTimeout(Nanos timeout) { maxRequestTimeout_ = timeout; }
+
     std::size_t count() const { return clients_.size(); }
-    // Those that have had their part of the last turn are read again.
+    // Removes what is due, and reads the connections that have used their share of the last iteration.
     void runIteration();
     // The system has nothing left for another connection, for the reason given.
     std::function<void(std::string_view)> onExhausted;
 
   private:
-    friend class ClientConnection;
+    using Position = ClientConnection::List::iterator;
+
+    // As the owner of the connections.
+    bool acceptsRequests(Nanos timeout) const override;
+    bool isStandby() const override { return isStandby_; }
+    Nanos maxRequestTimeout() const override { return maxRequestTimeout_; }
+    std::uint64_t iteration() const override { return iteration_; }
+    void onActive(ClientConnection& client) override;
+    void onUseful() override { ++usefulClients_; }
+    void updateUnsentBytes(std::size_t before, std::size_t after) override;
+    void updatePartialRequestBytes(std::size_t before, std::size_t after) override;
+    void deferReading(ClientConnection& client) override { deferred_.push_back(&client); }
+    void onDisconnected(ClientConnection& client) override { disconnected_.push_back(&client); }
+    bool relieveMemory(const ClientConnection& writing) override;
+    void remove(ClientConnection& client) override { clients_.erase(client.position()); }
+    void onDestroyed(ClientConnection& client) override;
+
     void onAccept(const std::function<bool(transport::Connection&)>& finish);
-    void remove(ClientConnection& client);  // which is gone after this
-    using ConnectionIterator = std::list<std::unique_ptr<ClientConnection>>::iterator;
-    // The only way in which a connection is closed that nothing is wrong with. False when it stays.
-    bool closeIdle(ConnectionIterator client);
+    void reportExhaustion(std::string_view reason);
+    // Whether one more client has a place; closes a connection of less use if it must.
     bool ensureCapacity();
-    void exhausted(std::string_view why);
     Nanos idleTimeout() const;
-    ConnectionIterator longestIdle();
-    // False when `writing` itself had to go.
-    bool relieveMemory(const ClientConnection& writing);
+    // The useful connection that has idled longest, past the idle timeout; the end if there is none.
+    Position longestIdle();
+    // Closes a connection on which nothing is wrong. False when it stays.
+    bool closeIdle(Position client);
+    bool isOverMemory() const;
+    Position largestMemoryUser();
     void closeDueConnections();
-    void detectDisconnects();
-    bool acceptsRequests(Nanos patience = 0) const {
-        const Nanos now = transport::EventLoop::now();
-        return !drain_ || (now < drain_->acceptUntil && patience <= drain_->deadline - now);
-    }
+    void closeAboveIdleShare();
+    void removeDisconnected();
+    void readDeferred();
 
     transport::EventLoop& loop_;
-    transport::BufferPool& pool_;
+    transport::BufferPool& buffers_;
     RequestDispatcher& dispatcher_;
     std::size_t maxClients_;
-    std::size_t maxBufferedBytes_;         // of each of the two below
-    Nanos maxRequestTimeout_;              // with a client that doesn't read its answers
-    std::size_t unsentBytes_ = 0;          // bytes of answers that can't go out yet, over all clients
-    std::size_t usefulClients_ = 0;        // clients that have said something right
-    std::size_t partialRequestBytes_ = 0;  // bytes of commands that are not whole yet
+    std::size_t maxBufferedBytes_;
+    Nanos maxRequestTimeout_;
+    std::size_t unsentBytes_ = 0;          // of responses, over all clients
+    std::size_t partialRequestBytes_ = 0;  // of incomplete requests, over all clients
+    std::size_t usefulClients_ = 0;        // that have sent a valid request
     std::optional<DrainSchedule> drain_;
     std::size_t clientsAtDrainStart_ = 0;
     bool isStandby_ = false;
     std::unique_ptr<transport::Listener> listener_;
-    std::list<std::unique_ptr<ClientConnection>> clients_;  // the one heard of longest ago comes first
-    std::vector<ClientConnection*> deferred_;               // not read until the next turn
-    std::vector<ClientConnection*> disconnected_;  // seen to have left, to be dropped with the next turn
-    Nanos nextCheckAt_ = 0;
+    ClientConnection::List clients_;               // the least recently active first
+    std::vector<ClientConnection*> deferred_;      // read again with the next iteration
+    std::vector<ClientConnection*> disconnected_;  // removed with the next iteration
+    Nanos nextDisconnectCheckAt_ = 0;
     Nanos exhaustionReportedAt_ = 0;
     std::uint64_t iteration_ = 1;
 };
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -1,127 +1,88 @@
-// The connections to one cache or to the origin, and the relays that are out on them.
+// The limits that all upstream connections of a router share.
 #pragma once
 
-#include <deque>
-#include <memory>
-#include <optional>
-#include <string>
+#include <cstddef>
+#include <cstdint>
 #include <vector>
 
 #include "policy/routing_policy.hpp"
-#include "protocol/request.hpp"
-#include "proxy/body_stream.hpp"
+#include "proxy/attempt_handler.hpp"
 #include "proxy/invariant_guard.hpp"
-#include "transport/connection.hpp"
+#include "transport/buffer_pool.hpp"
+#include "transport/event_loop.hpp"
 
 namespace poppyscale::proxy {
 
-class UpstreamConnection;
 class UpstreamServer;
-struct Attempt;
 
-class AttemptHandler {
+// Counts the connections and the buffered response bytes of all upstream servers, and closes the connection
+// that has idled longest where another one needs its place. Owns no connection: each belongs to its server,
+// which registers here for as long as it lives. The pool outlives all servers.
+class ConnectionPool {
   public:
-    virtual ~AttemptHandler() = default;
-    // It answers with a value that comes in pieces; null when nobody waits for it any more.
-    virtual BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& from) = 0;
-    // Somebody still waits for what a relay brings; asked before its command is written.
-    virtual bool isAwaited(Attempt& attempt) = 0;
-    // The relay is gone after this.
-    virtual void onAttemptEnded(Attempt& attempt, protocol::AttemptResponse outcome) = 0;
-};
+    struct Limits {
+        std::size_t maxConnections = 0;
+        Nanos idleTimeout = 0;             // after which an idle connection is closed
+        Nanos connectTimeout = 0;          // within which a connection must be established
+        std::size_t maxBufferedBytes = 0;  // of incomplete responses, over all connections
+    };
 
-struct Attempt {
-    Attempt(transport::EventLoop& loop, const protocol::Request& said, UpstreamServer& to);
-    RequestId request = 0;
-    const protocol::Request& message;
-    UpstreamServer& server;
-    int number = 0;
-    Nanos sentAt = 0;
-    Nanos deadline = 0;
-    Nanos latestStart = kNever;                // not written after it
-    Nanos firstByteAt = 0;                     // where the value comes in pieces: when the first one did
-    RequestBody* body = nullptr;               // what it writes, where that comes in pieces
-    UpstreamConnection* connection = nullptr;  // null while it waits for a connection
-    transport::Timer timeout;
-};
+    ConnectionPool(transport::EventLoop& loop, transport::BufferPool& buffers, AttemptHandler& handler,
+                   InvariantGuard& guard, const Limits& limits)
+        : loop_(loop), buffers_(buffers), handler_(handler), guard_(guard), limits_(limits) {}
+    ConnectionPool(const ConnectionPool&) = delete;
+    ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-// What all upstreams of a router share: the loop, and how many connections there may be.
-struct ConnectionPool {
-    transport::EventLoop& loop;
-    transport::BufferPool& pool;
-    AttemptHandler& handler;
-    InvariantGuard& guard;
-    std::size_t maxConnections = 0;
-    Nanos idleTimeout = 0;
-    Nanos connectTimeout = 0;
-    std::vector<UpstreamServer*> servers;
-    std::size_t maxBufferedBytes = 0;  // bytes of answers that are not whole yet
-    std::size_t bufferedBytes = 0;
-    std::size_t connectionCount = 0;
-    std::uint64_t connectionsOpened = 0;  // since the start
-    // A connection is free or there is room for one. Relays that wait for that go with the next turn and not
-    // at once: what else came on a connection, or that it has ended, is only read by then.
-    bool hasCapacityFreed = false;
-
-    bool ensureCapacity();  // closes the connection that has idled longest, if it must
-    void trim();            // the same while there are more than may be
-    void serveWaiting();    // to the relays that wait
+    transport::EventLoop& loop() const { return loop_; }
+    transport::BufferPool& buffers() const { return buffers_; }
+    AttemptHandler& handler() const { return handler_; }
+    InvariantGuard& guard() const { return guard_; }
 
-  private:
-    bool closeLongestIdle();
-};
+    // New timeouts count for connections that become idle, or are opened, from now on.
+    void setIdleTimeout(Nanos timeout) { limits_.idleTimeout = timeout; }
+    void setConnectTimeout(Nanos timeout) { limits_.connectTimeout = timeout; }
+    Nanos idleTimeout() const { return limits_.idleTimeout; }
+    Nanos connectTimeout() const { return limits_.connectTimeout; }
+    // Closes idle connections above the new limit.
+    void setCapacity(std::size_t maxConnections, std::size_t maxBufferedBytes);
 
-class UpstreamServer {
-  public:
-    UpstreamServer(ConnectionPool& links, bool origin);
-    ~UpstreamServer();
-    UpstreamServer(const UpstreamServer&) = delete;
-    UpstreamServer& operator=(const UpstreamServer&) = delete;
-
-    void updateEndpoint(EndpointState presence, const std::optional<transport::Address>& address,
-                        const std::string& host);
-    // Nothing goes there, whatever it is listed as, until this is undone.
-    void setEjected(bool on);
-    void send(Attempt& attempt);
-    void abandon(Attempt& attempt);
-    // Nobody waits for it any more: it ends as never sent, unless it was written.
-    void withdraw(Attempt& attempt);
-    bool isOrigin() const { return origin_; }
-    bool isUsable() const { return state_ == EndpointState::ready && !isEjected_; }
-    bool isDraining() const { return state_ == EndpointState::draining; }
-    std::uint64_t attemptCount() const {
-        return attemptCount_;
-    }  // that it was given since it was first listed
-    bool isUnused() const {
-        return state_ == EndpointState::removed && connections_.empty() && waiting_.empty();
-    }
+    std::size_t connectionCount() const { return connectionCount_; }
+    // Since the start of the process.
+    std::uint64_t connectionsOpened() const { return connectionsOpened_; }
 
-  private:
-    friend class UpstreamConnection;
-    friend struct ConnectionPool;
-    friend struct Attempt;
+    void addServer(UpstreamServer& server) { servers_.push_back(&server); }
+    void removeServer(UpstreamServer& server) { std::erase(servers_, &server); }
 
-    // Why a relay that has waited for a connection may not be written on it now; none if it may.
-    std::optional<BlockedAction> blockedBy(Attempt& attempt) const;
-    void closeIdle();
+    // Whether one more connection may be opened; closes the one that has idled longest if it must.
+    bool ensureCapacity();
+    void onConnectionOpened();
+    void onConnectionsClosed(std::size_t count) { connectionCount_ -= count; }
+
+    // A connection is idle, or one more may be opened. Attempts that wait for that start in the next
+    // iteration and not at once: further bytes, or the end of the connection, are only read by then.
+    void notifyCapacityFreed() { hasFreedCapacity_ = true; }
+    bool hasFreedCapacity() const { return hasFreedCapacity_; }
+    // Starts waiting attempts as far as there is capacity.
     void serveWaiting();
-    void closeSurplus();
-    std::size_t connectingCount() const;
-    void remove(UpstreamConnection& link);  // which is gone after this
-    Attempt* nextWaiting();
-    UpstreamConnection* idleConnection();
-    Nanos maxIdleTime() const;
-
-    ConnectionPool& pool_;
-    bool origin_;
-    EndpointState state_ = EndpointState::removed;
-    bool isEjected_ = false;
-    std::optional<transport::Address> address_;
-    std::string host_;
-    Nanos lastActivity_ = 0;  // when a byte last came from there, or a connection came up
-    std::vector<std::unique_ptr<UpstreamConnection>> connections_;
-    std::deque<Attempt*> waiting_;
-    std::uint64_t attemptCount_ = 0;
+
+    // The response bytes that one connection buffers have changed from `before` to `after`.
+    void updateBufferedBytes(std::size_t before, std::size_t after);
+    std::size_t bufferedBytes() const { return bufferedBytes_; }
+    bool isOverBufferLimit() const { return bufferedBytes_ > limits_.maxBufferedBytes; }
+
+  private:
+    bool closeLongestIdle();
+
+    transport::EventLoop& loop_;
+    transport::BufferPool& buffers_;
+    AttemptHandler& handler_;
+    InvariantGuard& guard_;
+    Limits limits_;
+    std::vector<UpstreamServer*> servers_;
+    std::size_t bufferedBytes_ = 0;
+    std::size_t connectionCount_ = 0;
+    std::uint64_t connectionsOpened_ = 0;
+    bool hasFreedCapacity_ = false;
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -1,19 +1,21 @@
-// The invariants of a router at run time: each thing that must not happen is refused at one place, counted
-// there, and looked for a second time at the last moment. A count of violations above zero is a bug report.
+// The invariants of a router at run time.
 //
-// - Sending: a request's bytes go to a server only while the list has it as ready at that address and no
-// operator
-//   has taken it out, its client is there, and its time has not passed.
-// - Repeating: what may have run and may not run twice is not sent again; what may be repeated for a while
-// only
-//   within it.
-// - Closing: a client's connection is not closed by this router while a request on it has no answer, but for
-// a
-//   client that breaks the protocol, does not read, or fills the memory.
-// - Starting: an attempt begins only for a request that is open, and as the only one of that request.
+// Whatever would violate one is blocked at one place and counted there, and checked for a second time at the
+// last moment. A count of violations above zero is a bug report.
+//
+// - Sending: a request's bytes go to a server only while the endpoint list has it as ready at that address
+// and
+//   no operator has ejected it, its client is connected, and its time has not passed.
+// - Repeating: a request that may have executed and must not execute twice is not sent again; one that may be
+//   repeated for a limited time is repeated only within that.
+// - Closing: the router does not close a client's connection while a request on it has no response, unless
+// the
+//   client breaks the protocol, does not read, or fills the memory.
+// - Starting: an attempt starts only for an open request, and as its only one in flight.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <nlohmann/json_fwd.hpp>
@@ -24,27 +26,28 @@
 
 enum class Invariant : std::uint8_t { sending, repeating, closing, starting, count };
 
-// Why an attempt was not begun, or a connection not closed.
+// Why an attempt was not started, or a connection not closed.
 enum class BlockedAction : std::uint8_t {
-    serverUnavailable,   // it drains, is gone or was taken out
-    clientDisconnected,  // nobody waits for the answer
-    deadlinePassed,      // the request's time, or the one by which it may be repeated, is over
-    mayNotRepeat,        // it may have run
-    requestClosed,       // it has its answer
-    responsePending,     // a request on the connection has no answer
+    serverUnavailable,   // the server is draining, removed or ejected
+    clientDisconnected,  // no client waits for the response
+    deadlinePassed,      // the request's deadline, or the one for repeating it, has passed
+    mayNotRepeat,        // the request may have executed
+    requestClosed,       // the request has an attempt in flight or its final response
+    responsePending,     // a request on the connection has no response
     count
 };
 
+// Counts what was blocked and what was violated. Each guard belongs to one dispatcher and its thread.
 class InvariantGuard {
   public:
     using Log = std::function<void(std::string_view)>;
     explicit InvariantGuard(Log log) : log_(std::move(log)) {}
 
-    void recordBlocked(BlockedAction why) { ++blocked_[static_cast<std::size_t>(why)]; }
-    // It happened all the same. `what` names the request, server or client.
-    void reportViolation(Invariant invariant, const std::string& what);
+    void recordBlocked(BlockedAction reason) { ++blocked_[static_cast<std::size_t>(reason)]; }
+    // The action was taken all the same. `subject` names the request, server or client.
+    void reportViolation(Invariant invariant, const std::string& subject);
 
-    // By name, for operators.
+    // All counts by their names in the operator socket's replies.
     nlohmann::json json() const;
 
   private:
--- /dev/null
+++ b/src/proxy/pipelined_request.cpp
@@ -0,0 +1,63 @@
+#include "proxy/pipelined_request.hpp"
+
+#include <utility>
+
+namespace poppyscale::proxy {
+
+void PipelinedRequest::respond(std::string_view text) {
+    if (state_ == State::awaiting) state_ = State::complete;
+    unsent_ = text;
+}
+
+bool PipelinedRequest::countStreamed(std::size_t size) {
+    streamedBytesLeft_ -= size;
+    const bool isLast = streamedBytesLeft_ == 0;
+    if (isLast) state_ = State::complete;
+    return isLast;
+}
+
+BodySource* PipelinedRequest::takeSource() { return std::exchange(source_, nullptr); }
+
+void PipelinedRequest::restoreSource(BodySource* source, bool isPaused) {
+    source_ = source;
+    isSourcePaused_ = isPaused;
+}
+
+void PipelinedRequest::resumeSource() {
+    isSourcePaused_ = false;
+    source_->resume();
+}
+
+void PipelinedRequest::cancelSource() {
+    if (source_) source_->cancel();
+}
+
+void PipelinedRequest::complete(FinalResponse response) {
+    pending_ = nullptr;
+    owner_.onCompleted(*this, std::move(response));
+}
+
+bool PipelinedRequest::isClientConnected() {
+    if (owner_.isClientConnected()) return true;
+    pending_ = nullptr;
+    return false;
+}
+
+BodySink& PipelinedRequest::beginStream(std::size_t length, BodySource& source) {
+    pending_ = nullptr;
+    source_ = &source;
+    streamedBytesLeft_ = length;
+    state_ = State::streaming;
+    owner_.onStreamBegins(*this, length);
+    return *this;
+}
+
+FlowControl PipelinedRequest::onChunk(std::string_view bytes) { return owner_.onStreamChunk(*this, bytes); }
+
+// A response that is cut off can only be shown by the end of its connection.
+void PipelinedRequest::onAborted() {
+    source_ = nullptr;
+    owner_.onStreamAborted();
+}
+
+}  // namespace poppyscale::proxy
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -1,288 +1,251 @@
 #include "proxy/request_dispatcher.hpp"
 
-#include <fmt/format.h>
-
 #include <algorithm>
-#include <chrono>
+#include <utility>
+#include <variant>
 
 namespace poppyscale::proxy {
 namespace {
 
-// Of the monotonic clock over the machines' wall clock.
-Nanos leadOverWallClock() {
-    const auto wall = std::chrono::duration_cast<std::chrono::nanoseconds>(
-        std::chrono::system_clock::now().time_since_epoch());
-    return transport::EventLoop::now() - wall.count();
-}
-
-// Between two looks at the wall clock for a step of it.
-constexpr Nanos kClockLookEvery = 100 * kMillisecond;
-
-// What a command costs beside its words, here and in the module: of short ones it is the most.
-constexpr std::size_t kMemoryOfCommand = 1024;
+// Names of removed servers may take this part of the memory, since servers come under ever new names.
+constexpr std::size_t kRemovedServersMemoryDivisor = 32;
+constexpr std::size_t kRequestMemoryDivisor = 8;
+constexpr std::size_t kResponseMemoryDivisor = 16;
 
-// Servers that are gone are remembered in this part of the memory: their ids are ever new. With the least
-// memory that is 1,200 ids of the longest that can be banned.
-constexpr std::size_t kKnownServersPart = 32;
+// Servers close an idle connection at the settings' timeout at the latest: a tenth of it is left for a
+// request that is on its way.
+Nanos idleTimeoutBefore(Nanos serverIdleTimeout) { return serverIdleTimeout - serverIdleTimeout / 10; }
 
-// Caches close an idle connection at the settings' time at the latest. A tenth of it is ample for what is
-// on its way; a router that sees a cache every ten seconds opens twice as many where it keeps half of it.
-Nanos keptFor(Nanos idle) { return idle - idle / 10; }
-
-bool mayHaveExecuted(AttemptOutcome ending) {
-    return ending == AttemptOutcome::succeeded || ending == AttemptOutcome::failed ||
-           ending == AttemptOutcome::timedOut || ending == AttemptOutcome::connectionLost ||
-           ending == AttemptOutcome::notExecuted;
+bool mayHaveExecuted(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome::succeeded || outcome == AttemptOutcome::failed ||
+           outcome == AttemptOutcome::timedOut || outcome == AttemptOutcome::connectionLost ||
+           outcome == AttemptOutcome::notExecuted;
 }
 
-std::size_t heldBy(const protocol::Request& said) {
-    return kMemoryOfCommand + said.key.size() + said.id.size() + said.info.size() + said.value.size();
+ConnectionPool::Limits limitsOf(const protocol::StartupConfig& config, std::size_t maxConnections) {
+    return {.maxConnections = maxConnections,
+            .idleTimeout = idleTimeoutBefore(config.serverIdleTimeout),
+            .connectTimeout = config.connectTimeout,
+            .maxBufferedBytes = config.memoryLimitBytes / kResponseMemoryDivisor};
 }
 
 }  // namespace
 
-RequestDispatcher::RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
-                                     const protocol::StartupConfig& start, std::size_t mostLinks, Log log)
+RequestDispatcher::RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& buffers,
+                                     const protocol::StartupConfig& config, std::size_t maxConnections,
+                                     Log log)
     : loop_(loop),
       log_(std::move(log)),
       guard_(log_),
-      pool_{loop,
-            pool,
-            *this,
-            guard_,
-            mostLinks,
-            keptFor(start.serverIdleTimeout),
-            start.connectTimeout,
-            {},
-            start.memoryLimitBytes / 16},
-      maxOpenRequests_(start.maxOpenRequests),
-      maxBufferedBytes_(start.memoryLimitBytes / 8),
-      originShape_(start.policy.originShape),
-      cacheAside_(start.policy.cacheAside),
-      removedEndpoints_(start.memoryLimitBytes / kKnownServersPart),
-      wakeUp_(loop, [this] { hasPendingWork_ = true; }),
-      policy_(start.policy, *this, transport::EventLoop::now()) {
-    for (const RequestClass& requestClass : start.policy.requestClasses)
+      pool_(loop, buffers, *this, guard_, limitsOf(config, maxConnections)),
+      maxOpenRequests_(config.maxOpenRequests),
+      maxBufferedBytes_(config.memoryLimitBytes / kRequestMemoryDivisor),
+      servers_(pool_, config.policy, config.memoryLimitBytes / kRemovedServersMemoryDivisor, log_),
+      wakeup_(loop, [this] { isWakeupDue_ = true; }),
+      policy_(config.policy, *this, transport::EventLoop::now()) {
+    for (const RequestClass& requestClass : config.policy.requestClasses)
         requestClasses_.emplace(requestClass.name, requestClass);
-    RequestDispatcher::onEndpointList(EndpointUpdateKind::cached, start.knownEndpoints);
+    RequestDispatcher::onEndpointList(EndpointUpdateKind::cached, config.knownEndpoints);
 }
 
-RequestDispatcher::AcceptResult RequestDispatcher::accept(ResponseSink& asker, protocol::Request said,
-                                                          Nanos now, RequestBody* body) {
-    // Of an unknown verb nobody can say whether it may be repeated, nor by when it is to be answered.
-    const auto requestClass = requestClasses_.find(said.requestClass);
+// ---- Requests
+
+RequestDispatcher::AcceptResult RequestDispatcher::accept(ResponseSink& sink, protocol::Request message,
+                                                          Nanos arrivedAt, RequestBody* body) {
+    // Of an unknown class nobody can say whether it may be repeated, nor by when a response is due.
+    const auto requestClass = requestClasses_.find(message.requestClass);
     if (requestClass == requestClasses_.end()) return {nullptr, "unknown verb"};
-    // Caches and origin tell commands apart by their ids: under one id, one could get what is another's.
-    if (clientIds_.contains(said.id)) return {nullptr, "id of an open command"};
-    if (requests_.size() >= maxOpenRequests_ || bufferedBytes_ >= maxBufferedBytes_) {
-        if (metrics_) metrics_->recordRejected(said.requestClass, metrics::Rejection::requestLimit);
+    // Servers tell requests apart by their ids: under one id, a client could get another's response.
+    if (requests_.hasClientId(message.id)) return {nullptr, "id of an open command"};
+    if (requests_.size() >= maxOpenRequests_ || requests_.bufferedBytes() >= maxBufferedBytes_) {
+        if (metrics_) metrics_->recordRejected(message.requestClass, metrics::Rejection::requestLimit);
         return {};
     }
-    if (metrics_) metrics_->recordAccepted(said.requestClass);
-    auto made = std::make_unique<PendingRequest>();
-    PendingRequest& command = *made;
-    command.id = ++lastId_;
-    command.acceptedAt = now;
-    command.sink = &asker;
-    command.body = body;
-    command.deadline = now + said.timeout;
-    command.idempotency = requestClass->second.idempotency;
-    command.idempotencyKeyTtl = requestClass->second.idempotencyKeyTtl;
-    command.message = std::move(said);
-    bufferedBytes_ += heldBy(command.message);
-    clientIds_.insert(command.message.id);
-    requests_.emplace(command.id, std::move(made));
-    events_.push_back({now, RequestArrived{&command}});
-    return {&command, {}};
-}
-
-std::map<std::string, RequestDispatcher::ServerAttempts> RequestDispatcher::attemptsByServer() const {
-    std::map<std::string, ServerAttempts> all;
-    for (const auto& [name, u] : upstreams_)
-        if (!u->isOrigin()) all[name] = {u->attemptCount(), u->isDraining()};
-    return all;
+    if (metrics_) metrics_->recordAccepted(message.requestClass);
+    auto request = std::make_unique<PendingRequest>();
+    request->acceptedAt = arrivedAt;
+    request->sink = &sink;
+    request->body = body;
+    request->deadline = arrivedAt + message.timeout;
+    request->idempotency = requestClass->second.idempotency;
+    request->idempotencyKeyTtl = requestClass->second.idempotencyKeyTtl;
+    request->message = std::move(message);
+    PendingRequest& accepted = requests_.add(std::move(request));
+    addEvent(arrivedAt, RequestArrived{&accepted});
+    return {&accepted, {}};
+}
+
+void RequestDispatcher::onClientDisconnected(PendingRequest& request) {
+    abandon(request);
+    if (request.attempt) request.attempt->server().withdraw(*request.attempt);
+}
+
+void RequestDispatcher::abandon(PendingRequest& request) {
+    if (metrics_ && request.sink) metrics_->recordAbandoned(request.message.requestClass);
+    request.sink = nullptr;
+    request.body = nullptr;
+    addEvent(transport::EventLoop::now(), ClientDisconnected{request.id});
+}
+
+bool RequestDispatcher::isAwaited(PendingRequest& request) {
+    if (!request.sink) return false;
+    if (request.sink->isClientConnected()) return true;
+    abandon(request);
+    return false;
 }
 
-void RequestDispatcher::enableMetrics(const std::vector<RequestClass>& requestClasses) {
-    metrics_ = std::make_unique<metrics::RouterMetrics>(requestClasses);
+std::vector<RequestStatus> RequestDispatcher::requestStatuses() const {
+    const auto serverNames = servers_.names();
+    std::vector<RequestStatus> statuses;
+    for (const PendingRequest* request : requests_.oldestFirst()) {
+        RequestStatus& status = statuses.emplace_back();
+        status.id = request->message.id;
+        status.requestClass = request->message.requestClass;
+        status.tenant = request->message.tenant;
+        status.key = request->message.key;
+        status.since = request->acceptedAt;
+        status.deadline = request->deadline;
+        status.attemptCount = request->attemptCount;
+        status.isAwaited = request->sink != nullptr;
+        if (!request->attempt) continue;
+        const auto name = serverNames.find(&request->attempt->server());
+        if (name != serverNames.end()) status.server = name->second;
+        status.sentAt = request->attempt->sentAt();
+    }
+    return statuses;
 }
 
-void RequestDispatcher::applyConfig(const protocol::StartupConfig& start) {
-    if (metrics_) metrics_->updateRequestClasses(start.policy.requestClasses);
-    requestClasses_.clear();
-    for (const RequestClass& requestClass : start.policy.requestClasses)
-        requestClasses_.emplace(requestClass.name, requestClass);
-    maxOpenRequests_ = start.maxOpenRequests;
-    pool_.idleTimeout = keptFor(start.serverIdleTimeout);
-    pool_.connectTimeout = start.connectTimeout;
-    // In its place among the events: what came before it has arrived under the terms before.
-    events_.push_back({transport::EventLoop::now(), SettingsChanged{start.policy}});
+void RequestDispatcher::failAll() {
+    using Kind = FinalResponse::Kind;
+    for (auto& [id, request] : requests_.all()) {
+        const Kind kind = request->attemptCount == 0 ? Kind::rejected : Kind::failed;
+        complete(*request, {kind, {}, 0});
+    }
 }
 
-std::vector<RequestStatus> RequestDispatcher::requestStatuses() const {
-    std::unordered_map<const UpstreamServer*, std::string_view> names;
-    for (const auto& [name, upstream] : upstreams_) names[upstream.get()] = name;
-    std::vector<const PendingRequest*> order;
-    for (const auto& [id, command] : requests_) order.push_back(command.get());
-    std::sort(order.begin(), order.end(),
-              [](const PendingRequest* a, const PendingRequest* b) { return a->id < b->id; });
-    std::vector<RequestStatus> all;
-    for (const PendingRequest* c : order) {
-        RequestStatus& s = all.emplace_back();
-        s.id = c->message.id;
-        s.requestClass = c->message.requestClass;
-        s.tenant = c->message.tenant;
-        s.key = c->message.key;
-        s.since = c->acceptedAt;
-        s.deadline = c->deadline;
-        s.attemptCount = c->attemptCount;
-        s.isAwaited = c->sink != nullptr;
-        if (!c->attempt) continue;
-        s.server = names[&c->attempt->server];
-        s.sentAt = c->attempt->sentAt;
+void RequestDispatcher::complete(PendingRequest& request, FinalResponse response) {
+    ResponseSink* const sink = std::exchange(request.sink, nullptr);
+    if (!sink) return;
+    if (metrics_) recordFinalResponse(request, response.kind);
+    sink->complete(std::move(response));
+}
+
+void RequestDispatcher::recordFinalResponse(const PendingRequest& request, FinalResponse::Kind kind) {
+    const std::string& requestClass = request.message.requestClass;
+    switch (kind) {
+        case FinalResponse::Kind::succeeded:
+            return metrics_->recordSucceeded(requestClass, loop_.earliestArrival() - request.acceptedAt);
+        case FinalResponse::Kind::failed:
+            return metrics_->recordFailed(requestClass);
+        case FinalResponse::Kind::rejected:
+            return metrics_->recordRejected(requestClass, request.attemptCount
+                                                              ? metrics::Rejection::afterAttempt
+                                                              : metrics::Rejection::beforeFirstAttempt);
     }
-    return all;
 }
 
-void RequestDispatcher::onClientDisconnected(PendingRequest& command) {
-    abandon(command);
-    if (command.attempt) command.attempt->server.withdraw(*command.attempt);
+// ---- Upstream servers, discovery and operation
+
+void RequestDispatcher::setEjected(const std::string& name, bool ejected) {
+    if (!servers_.setEjected(name, ejected)) return;
+    addEvent(transport::EventLoop::now(), EjectionChanged{name, ejected});
 }
 
-void RequestDispatcher::abandon(PendingRequest& command) {
-    if (metrics_ && command.sink) metrics_->recordAbandoned(command.message.requestClass);
-    command.sink = nullptr;
-    command.body = nullptr;
-    events_.push_back({transport::EventLoop::now(), ClientDisconnected{command.id}});
+void RequestDispatcher::onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& list) {
+    const Nanos now = transport::EventLoop::now();
+    auto endpoints = servers_.update(kind, list, now);
+    addEvent(now, EndpointsUpdated{kind, std::move(endpoints)});
 }
 
-bool RequestDispatcher::isAwaited(PendingRequest& command) {
-    if (!command.sink) return false;
-    if (command.sink->isClientConnected()) return true;
-    abandon(command);
-    return false;
+void RequestDispatcher::onPollFailed() {
+    addEvent(transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::failed, {}});
 }
 
-void RequestDispatcher::failAll() {
-    using Kind = FinalResponse::Kind;
-    for (auto& [id, command] : requests_)
-        complete(*command, {command->attemptCount == 0 ? Kind::rejected : Kind::failed, {}, 0});
+// No changes, which is a success to the policy: its backoff begins short again.
+void RequestDispatcher::onDiscoveryMoved() {
+    addEvent(transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::delta, {}});
 }
 
-void RequestDispatcher::onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster) {
-    EndpointsUpdated news{kind, {}};
-    const Nanos now = transport::EventLoop::now();
-    startTimes_.recordClockOffset(now, leadOverWallClock());
-    std::unordered_set<std::string_view> named;
-    for (const auto& place : roster.entries) {
-        named.insert(place.endpoint.name);
-        Endpoint entry = place.endpoint;
-        entry.startedAt = startTimes_.startOf(entry.name, place.startedMs, now);
-        auto& upstream = upstreams_[entry.name];
-        if (!upstream) {
-            upstream = std::make_unique<UpstreamServer>(pool_, cacheAside_ && entry.shape == originShape_);
-            upstream->setEjected(ejectedServers_.contains(entry.name));
-            removedEndpoints_.remove(entry.name);
-        }
-        const auto address = transport::parseAddress(place.address);
-        if (!address && entry.state != EndpointState::removed)
-            log_(fmt::format("{} is listed without an address to connect to", entry.name));
-        upstream->updateEndpoint(entry.state, address, place.address);
-        news.entries.push_back(std::move(entry));
-    }
-    if (kind != EndpointUpdateKind::delta)
-        for (auto& [name, upstream] : upstreams_)
-            if (!named.contains(name)) upstream->updateEndpoint(EndpointState::removed, std::nullopt, "");
-    std::erase_if(upstreams_, [this](const auto& entry) {
-        if (!entry.second->isUnused()) return false;
-        removedEndpoints_.add(entry.first);
-        startTimes_.forget(entry.first);
-        return true;
-    });
-    events_.push_back({now, std::move(news)});
+void RequestDispatcher::enableMetrics(const std::vector<RequestClass>& requestClasses) {
+    metrics_ = std::make_unique<metrics::RouterMetrics>(requestClasses);
 }
 
-void RequestDispatcher::sampleClockOffset(Nanos now) {
-    if (now - clockSampledAt_ < kClockLookEvery) return;
-    clockSampledAt_ = now;
-    startTimes_.recordClockOffset(now, leadOverWallClock());
+void RequestDispatcher::applyConfig(const protocol::StartupConfig& config) {
+    if (metrics_) metrics_->updateRequestClasses(config.policy.requestClasses);
+    requestClasses_.clear();
+    for (const RequestClass& requestClass : config.policy.requestClasses)
+        requestClasses_.emplace(requestClass.name, requestClass);
+    maxOpenRequests_ = config.maxOpenRequests;
+    pool_.setIdleTimeout(idleTimeoutBefore(config.serverIdleTimeout));
+    pool_.setConnectTimeout(config.connectTimeout);
+    // In its place among the events: what came before it arrived under the earlier settings.
+    addEvent(transport::EventLoop::now(), SettingsChanged{config.policy});
 }
 
-std::string RequestDispatcher::ejectionProblem(const std::string& name) const {
-    const auto it = upstreams_.find(name);
-    if (it != upstreams_.end()) return it->second->isOrigin() ? "that is the origin, not a cache" : "";
-    const bool known = ejectedServers_.contains(name) || removedEndpoints_.contains(name);
-    return known ? "" : "no server of that id was ever listed here";
+void RequestDispatcher::setLimits(std::size_t memory, std::size_t maxConnections) {
+    maxBufferedBytes_ = memory / kRequestMemoryDivisor;
+    pool_.setCapacity(maxConnections, memory / kResponseMemoryDivisor);
 }
 
-void RequestDispatcher::setEjected(const std::string& name, bool on) {
-    if (on ? !ejectedServers_.insert(name).second : ejectedServers_.erase(name) == 0) return;
-    const auto it = upstreams_.find(name);
-    if (it != upstreams_.end()) it->second->setEjected(on);
-    // Known from now on, also when it was told by another process that had it listed.
-    if (it == upstreams_.end() && !on) removedEndpoints_.add(name);
-    events_.push_back({transport::EventLoop::now(), EjectionChanged{name, on}});
+// ---- Events
+
+void RequestDispatcher::runIteration() {
+    servers_.sampleClockOffset(transport::EventLoop::now());
+    while (isWakeupDue_ || !events_.empty() || pool_.hasFreedCapacity()) {
+        isWakeupDue_ = false;
+        if (pool_.hasFreedCapacity()) pool_.serveWaiting();
+        applyEvents();
+        policy_.reconcile(transport::EventLoop::now());
+        executeActions();
+        const bool isPollRequested = std::exchange(isPollRequested_, false);
+        if (isPollRequested && requestPoll) requestPoll();
+    }
 }
 
-void RequestDispatcher::setLimits(std::size_t memory, std::size_t mostLinks) {
-    maxBufferedBytes_ = memory / 8;
-    pool_.maxBufferedBytes = memory / 16;
-    pool_.maxConnections = mostLinks;
-    pool_.trim();
+void RequestDispatcher::applyEvents() {
+    const std::vector<DispatcherEvent> events = std::exchange(events_, {});
+    for (const DispatcherEvent& event : events)
+        std::visit([&](const auto& what) { apply(event.at, what); }, event.what);
 }
 
-void RequestDispatcher::onPollFailed() {
-    events_.push_back({transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::failed, {}}});
+void RequestDispatcher::apply(Nanos at, const RequestArrived& event) {
+    const PendingRequest& request = *event.request;
+    const protocol::Request& message = request.message;
+    policy_.onRequest(at, {request.id, message.requestClass, message.tenant, message.key, request.deadline,
+                           message.isWrite, message.isRetry, request.body != nullptr});
 }
 
-// No changes, which is a success to the module: its pauses between tries begin short again.
-void RequestDispatcher::onDiscoveryMoved() {
-    events_.push_back({transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::delta, {}}});
+void RequestDispatcher::apply(Nanos at, const AttemptEnded& event) {
+    AttemptResult result = event.result;
+    const PendingRequest* const request = requests_.find(result.id);
+    result.requestCompleted = !request || !request->sink;
+    policy_.onAttemptEnded(at, result);
+    if (result.requestCompleted) requests_.remove(result.id);
 }
 
-void RequestDispatcher::runIteration() {
-    sampleClockOffset(transport::EventLoop::now());
-    while (hasPendingWork_ || !events_.empty() || pool_.hasCapacityFreed) {
-        hasPendingWork_ = false;
-        if (pool_.hasCapacityFreed) pool_.serveWaiting();
-        for (const Event& event : std::exchange(events_, {})) applyEvent(event);
-        policy_.reconcile(transport::EventLoop::now());
-        // What is carried out may end at once and bring events of its own, for the next time round.
-        for (Action& action : std::exchange(actions_, {})) execute(action);
-        if (std::exchange(pollRequested_, false) && requestPoll) requestPoll();
-    }
+void RequestDispatcher::apply(Nanos at, const ClientDisconnected& event) {
+    policy_.onClientDisconnected(at, event.id);
+    const PendingRequest* const request = requests_.find(event.id);
+    if (request && !request->attempt) requests_.remove(event.id);
 }
 
-void RequestDispatcher::applyEvent(const Event& event) {
-    if (const auto* arrived = std::get_if<RequestArrived>(&event.what)) {
-        const PendingRequest& c = *arrived->request;
-        policy_.onRequest(event.at, {c.id, c.message.requestClass, c.message.tenant, c.message.key,
-                                     c.deadline, c.message.isWrite, c.message.isRetry, c.body != nullptr});
-    } else if (const auto* ended = std::get_if<AttemptEnded>(&event.what)) {
-        AttemptResult end = ended->end;
-        const auto it = requests_.find(end.id);
-        end.requestCompleted = it == requests_.end() || !it->second->sink;
-        policy_.onAttemptEnded(event.at, end);
-        if (end.requestCompleted) forget(end.id);
-    } else if (const auto* left = std::get_if<ClientDisconnected>(&event.what)) {
-        policy_.onClientDisconnected(event.at, left->id);
-        const auto it = requests_.find(left->id);
-        if (it != requests_.end() && !it->second->attempt) forget(left->id);
-    } else if (const auto* changed = std::get_if<SettingsChanged>(&event.what)) {
-        policy_.onSettingsChanged(event.at, changed->settings);
-    } else if (const auto* banned = std::get_if<EjectionChanged>(&event.what)) {
-        policy_.onOperatorEjection(event.at, banned->name, banned->isEjected);
-    } else {
-        const auto& news = std::get<EndpointsUpdated>(event.what);
-        policy_.onEndpointUpdate(event.at, news.kind, news.entries);
-    }
+void RequestDispatcher::apply(Nanos at, const EndpointsUpdated& event) {
+    policy_.onEndpointUpdate(at, event.kind, event.endpoints);
+}
+
+void RequestDispatcher::apply(Nanos at, const SettingsChanged& event) {
+    policy_.onSettingsChanged(at, event.settings);
 }
 
-void RequestDispatcher::startAttempt(RequestId id, std::string_view cache, Nanos deadline,
+void RequestDispatcher::apply(Nanos at, const EjectionChanged& event) {
+    policy_.onOperatorEjection(at, event.server, event.isEjected);
+}
+
+// ---- Actions
+
+void RequestDispatcher::startAttempt(RequestId id, std::string_view server, Nanos deadline,
                                      Nanos latestStart) {
-    const auto it = upstreams_.find(std::string(cache));
-    actions_.push_back(
-        {id, StartAttempt{it == upstreams_.end() ? nullptr : it->second.get(), deadline, latestStart}});
+    actions_.push_back({id, StartAttempt{servers_.find(server), deadline, latestStart}});
 }
 
 void RequestDispatcher::reject(RequestId id, Nanos retryAfter) {
@@ -293,107 +256,93 @@
     actions_.push_back({id, FinalResponse{FinalResponse::Kind::failed, {}, 0}});
 }
 
-void RequestDispatcher::execute(Action& action) {
-    const auto it = requests_.find(action.id);
-    if (it == requests_.end()) return;
-    PendingRequest& command = *it->second;
-    if (auto* final = std::get_if<FinalResponse>(&action.what)) {
-        complete(command, std::move(*final));
-        return forget(action.id);
+// An action may end at once and leave events, which `runIteration` applies in its next round.
+void RequestDispatcher::executeActions() {
+    std::vector<DispatcherAction> actions = std::exchange(actions_, {});
+    for (DispatcherAction& action : actions) {
+        PendingRequest* const request = requests_.find(action.id);
+        if (!request) continue;
+        std::visit([&](auto& what) { execute(*request, what); }, action.what);
     }
-    const auto& send = std::get<StartAttempt>(action.what);
+}
+
+void RequestDispatcher::execute(PendingRequest& request, FinalResponse& response) {
+    const RequestId id = request.id;
+    complete(request, std::move(response));
+    requests_.remove(id);
+}
+
+void RequestDispatcher::execute(PendingRequest& request, StartAttempt& action) {
     const Nanos now = transport::EventLoop::now();
-    const int number = command.attemptCount++;
-    const Nanos deadline = std::min(send.deadline, command.deadline);
-    if (const auto why = blockedBy(send, command, deadline, now)) {
-        guard_.recordBlocked(*why);
-        events_.push_back({now, AttemptEnded{{command.id, number, AttemptOutcome::notSent, false, 0}}});
-        return;
+    const int number = request.attemptCount;
+    ++request.attemptCount;
+    const Nanos deadline = std::min(action.deadline, request.deadline);
+    if (const auto reason = blockedBy(action, request, deadline, now)) {
+        guard_.recordBlocked(*reason);
+        return addEvent(now, AttemptEnded{{request.id, number, AttemptOutcome::notSent, false, 0}});
     }
-    if (metrics_) metrics_->recordAttempt(send.to->isOrigin());
-    command.attempt = std::make_unique<Attempt>(loop_, command.message, *send.to);
-    Attempt& attempt = *command.attempt;
-    attempt.request = command.id;
-    attempt.number = number;
-    attempt.sentAt = now;
-    attempt.deadline = deadline;
-    attempt.latestStart = send.latestStart;
-    attempt.body = std::exchange(command.body, nullptr);
-    send.to->send(attempt);
-}
-
-std::optional<BlockedAction> RequestDispatcher::blockedBy(const StartAttempt& send, PendingRequest& command,
+    if (metrics_) metrics_->recordAttempt(action.server->isOrigin());
+    const Attempt::Parameters parameters{.requestId = request.id,
+                                         .number = number,
+                                         .startedAt = now,
+                                         .deadline = deadline,
+                                         .latestStart = action.latestStart,
+                                         .body = std::exchange(request.body, nullptr)};
+    request.attempt = std::make_unique<Attempt>(loop_, request.message, *action.server, parameters);
+    action.server->send(*request.attempt);
+}
+
+std::optional<BlockedAction> RequestDispatcher::blockedBy(const StartAttempt& action, PendingRequest& request,
                                                           Nanos deadline, Nanos now) {
-    if (command.attempt) {
+    if (request.attempt) {
         guard_.reportViolation(Invariant::starting,
-                               "a second attempt beside the one of request " + command.message.id);
+                               "a second attempt beside the one of request " + request.message.id);
         return BlockedAction::requestClosed;
     }
-    if (!send.to) return BlockedAction::serverUnavailable;
+    if (!action.server) return BlockedAction::serverUnavailable;
     if (deadline - now < protocol::kMinForwardedTimeout) return BlockedAction::deadlinePassed;
-    if (!mayRepeat(command, now)) {
-        guard_.reportViolation(Invariant::repeating,
-                               "another attempt of request " + command.message.id + ", which may have run");
+    if (!mayRepeat(request, now)) {
+        guard_.reportViolation(Invariant::repeating, "another attempt of request " + request.message.id +
+                                                         ", which may have executed");
         return BlockedAction::mayNotRepeat;
     }
-    if (!isAwaited(command)) return BlockedAction::clientDisconnected;
+    if (!isAwaited(request)) return BlockedAction::clientDisconnected;
     return std::nullopt;
 }
 
-bool RequestDispatcher::mayRepeat(const PendingRequest& command, Nanos now) {
-    if (command.idempotency == Idempotency::safe || command.firstPossiblyExecutedAt == kNever) return true;
-    return command.idempotency == Idempotency::idempotentWithKey &&
-           now < command.firstPossiblyExecutedAt + command.idempotencyKeyTtl;
-}
-
-BodySink* RequestDispatcher::onStreamBegins(Attempt& attempt, std::size_t length, BodySource& from) {
-    attempt.firstByteAt = loop_.earliestArrival();
-    ResponseSink* const asker = std::exchange(requests_.at(attempt.request)->sink, nullptr);
-    if (metrics_ && asker) {
-        const PendingRequest& command = *requests_.at(attempt.request);
-        metrics_->recordSucceeded(command.message.requestClass, attempt.firstByteAt - command.acceptedAt);
-    }
-    return asker ? &asker->beginStream(length, from) : nullptr;
-}
-
-void RequestDispatcher::onAttemptEnded(Attempt& attempt, protocol::AttemptResponse outcome) {
-    PendingRequest& command = *requests_.at(attempt.request);
-    // What this process was held up for is not the cache's time, nor is what a long value takes on its way.
-    const Nanos until = attempt.firstByteAt ? attempt.firstByteAt : loop_.earliestArrival();
-    const Nanos spent = std::max<Nanos>(until - attempt.sentAt, 0);
-    if (metrics_) metrics_->recordAttemptEnded(outcome.outcome, spent);
-    if (mayHaveExecuted(outcome.outcome))
-        command.firstPossiblyExecutedAt = std::min(command.firstPossiblyExecutedAt, attempt.sentAt);
-    events_.push_back({transport::EventLoop::now(), AttemptEnded{{command.id, attempt.number, outcome.outcome,
-                                                                  false, spent, outcome.readThrough}}});
-    command.attempt.reset();
-    if (outcome.outcome == AttemptOutcome::succeeded)
-        complete(command, {FinalResponse::Kind::succeeded, std::move(outcome.value), 0});
-}
-
-void RequestDispatcher::complete(PendingRequest& command, FinalResponse final) {
-    ResponseSink* const asker = std::exchange(command.sink, nullptr);
-    if (!asker) return;
-    if (metrics_) {
-        using Kind = FinalResponse::Kind;
-        const auto& requestClass = command.message.requestClass;
-        if (final.kind == Kind::succeeded)
-            metrics_->recordSucceeded(requestClass, loop_.earliestArrival() - command.acceptedAt);
-        if (final.kind == Kind::failed) metrics_->recordFailed(requestClass);
-        if (final.kind == Kind::rejected)
-            metrics_->recordRejected(requestClass, command.attemptCount
-                                                       ? metrics::Rejection::afterAttempt
-                                                       : metrics::Rejection::beforeFirstAttempt);
-    }
-    asker->complete(std::move(final));
-}
-
-void RequestDispatcher::forget(RequestId id) {
-    const auto it = requests_.find(id);
-    if (it == requests_.end()) return;
-    bufferedBytes_ -= heldBy(it->second->message);
-    clientIds_.erase(it->second->message.id);
-    requests_.erase(it);
+bool RequestDispatcher::mayRepeat(const PendingRequest& request, Nanos now) {
+    if (request.idempotency == Idempotency::safe || request.firstPossiblyExecutedAt == kNever) return true;
+    return request.idempotency == Idempotency::idempotentWithKey &&
+           now < request.firstPossiblyExecutedAt + request.idempotencyKeyTtl;
+}
+
+// ---- Attempts
+
+BodySink* RequestDispatcher::onStreamBegins(Attempt& attempt, std::size_t length, BodySource& source) {
+    attempt.onFirstByte(loop_.earliestArrival());
+    PendingRequest& request = requests_.at(attempt.requestId());
+    ResponseSink* const sink = std::exchange(request.sink, nullptr);
+    if (!sink) return nullptr;
+    if (metrics_)
+        metrics_->recordSucceeded(request.message.requestClass, attempt.firstByteAt() - request.acceptedAt);
+    return &sink->beginStream(length, source);
+}
+
+void RequestDispatcher::onAttemptEnded(Attempt& attempt, protocol::AttemptResponse response) {
+    PendingRequest& request = requests_.at(attempt.requestId());
+    // Neither a time in which this process did not run, nor that of a long value's transfer, counts as the
+    // server's.
+    const Nanos firstByteAt = attempt.firstByteAt();
+    const Nanos respondedAt = firstByteAt ? firstByteAt : loop_.earliestArrival();
+    const Nanos duration = std::max<Nanos>(respondedAt - attempt.sentAt(), 0);
+    if (metrics_) metrics_->recordAttemptEnded(response.outcome, duration);
+    if (mayHaveExecuted(response.outcome))
+        request.firstPossiblyExecutedAt = std::min(request.firstPossiblyExecutedAt, attempt.sentAt());
+    addEvent(transport::EventLoop::now(), AttemptEnded{{request.id, attempt.number(), response.outcome, false,
+                                                        duration, response.readThrough}});
+    request.attempt.reset();
+    if (response.outcome == AttemptOutcome::succeeded)
+        complete(request, {FinalResponse::Kind::succeeded, std::move(response.value), 0});
 }
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -1,224 +1,164 @@
-// The module's host: gathers what a turn of the loop brings, hands it over, carries out what comes back.
-// Decides nothing, and knows nothing of what fronts and caches speak.
+// The policy's host: collects the events of an event-loop iteration, passes them to the policy, and executes
+// the actions that it answers with.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <memory>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
 #include <unordered_map>
-#include <unordered_set>
-#include <variant>
 #include <vector>
 
-#include "discovery/removed_endpoints.hpp"
-#include "discovery/server_start_times.hpp"
 #include "metrics/router_metrics.hpp"
 #include "policy/routing_policy.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "protocol/request.hpp"
+#include "protocol/startup_config.hpp"
+#include "proxy/attempt_handler.hpp"
 #include "proxy/connection_pool.hpp"
+#include "proxy/dispatcher_events.hpp"
 #include "proxy/invariant_guard.hpp"
+#include "proxy/pending_request.hpp"
+#include "proxy/request_table.hpp"
+#include "proxy/response_sink.hpp"
+#include "proxy/upstream_registry.hpp"
 #include "transport/buffer_pool.hpp"
 #include "transport/event_loop.hpp"
 
 namespace poppyscale::proxy {
 
-// The one final answer of a command.
-struct FinalResponse {
-    enum class Kind : std::uint8_t { succeeded, rejected, failed };
-    Kind kind = Kind::failed;
-    std::string value;
-    Nanos retryAfter = 0;
-};
-
-// Who waits for it, at a front.
-class ResponseSink {
-  public:
-    virtual ~ResponseSink() = default;
-    virtual void complete(FinalResponse final) = 0;
-    // The client has not closed its connection, by a look that is recent enough for an attempt to begin. Once
-    // this returns false, the asker has let go of the command.
-    virtual bool isClientConnected() = 0;
-    // Or a value that is too long to be kept: its first piece is at hand, and it is answered with that.
-    virtual BodySink& beginStream(std::size_t length, BodySource& from) = 0;
-};
-
-struct PendingRequest {
-    RequestId id = 0;
-    Nanos acceptedAt = 0;
-    protocol::Request message;
-    ResponseSink* sink = nullptr;  // null once told, or when the client has left
-    RequestBody* body = nullptr;   // of a write that is too long to be kept
-    Nanos deadline = 0;
-    int attemptCount = 0;
-    std::unique_ptr<Attempt> attempt;
-    // By the terms under which it was taken.
-    Idempotency idempotency = Idempotency::nonIdempotent;
-    Nanos idempotencyKeyTtl = 0;
-    Nanos firstPossiblyExecutedAt = kNever;  // when the first attempt was sent that may have run
-};
-
-// A command as it stands, to be looked at.
-struct RequestStatus {
-    std::string id, requestClass, tenant, key;
-    Nanos since = 0;
-    Nanos deadline = 0;
-    int attemptCount = 0;
-    bool isAwaited = false;  // somebody still waits for its answer
-    std::string server;      // where a relay is out, or empty
-    Nanos sentAt = 0;
-};
-
 using Log = std::function<void(std::string_view)>;
 
+// Decides nothing itself, and does not know what clients and servers speak. Guarantees that each accepted
+// request gets exactly one final response, unless its client has disconnected; that it has at most one
+// attempt in flight; and that what may have executed is repeated only if the request's class allows it.
+//
+// Owns the requests with their attempts, the upstream servers and the policy. Response sinks belong to the
+// clients' side, which calls `onClientDisconnected` before a sink goes away. One thread: that of the loop.
+//
+// Virtual functions are for the testbed, whose defective variants are this class with one defect.
 class RequestDispatcher : private PolicyHost, protected AttemptHandler {
   public:
-    RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
-                      const protocol::StartupConfig& start, std::size_t mostLinks, Log log);
+    RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& buffers,
+                      const protocol::StartupConfig& config, std::size_t maxConnections, Log log);
     ~RequestDispatcher() override = default;
 
-    // What is virtual from here on is so for the lab, whose harmful versions are this router but for their
-    // harm.
+    // ---- Requests
 
-    // Without a command, the asker is to be told: what is wrong with it, or else that the router holds as
-    // many as it may.
+    // Without a request, `problem` says what is wrong with the message; if that is empty as well, the router
+    // holds as many requests as it may.
     struct AcceptResult {
         PendingRequest* request = nullptr;
         std::string_view problem;
     };
-    virtual AcceptResult accept(ResponseSink& asker, protocol::Request said, Nanos now,
+    // `arrivedAt` is when the client's timeout began; `body` is the value of a write that is streamed.
+    virtual AcceptResult accept(ResponseSink& sink, protocol::Request message, Nanos arrivedAt,
                                 RequestBody* body = nullptr);
-    virtual void onClientDisconnected(PendingRequest& command);
+    // The sink of that request goes away.
+    virtual void onClientDisconnected(PendingRequest& request);
+    // Accepted and not yet forgotten.
     std::size_t openRequests() const { return requests_.size(); }
-    // The end of all: whoever still waits is told, in the turn that this is called in.
-    void failAll();
-    std::size_t connectionCount() const { return pool_.connectionCount; }
-    std::uint64_t connectionsOpened() const { return pool_.connectionsOpened; }
-    // By the server's name: how many relays it was given, and whether it is listed as leaving.
-    struct ServerAttempts {
-        std::uint64_t attempts;
-        bool isDraining;
-    };
-    std::map<std::string, ServerAttempts> attemptsByServer() const;
-    // From now on what is done is counted; null until then.
-    void enableMetrics(const std::vector<RequestClass>& requestClasses);
-    metrics::RouterMetrics* metrics() { return metrics_.get(); }
     // The oldest first.
     std::vector<RequestStatus> requestStatuses() const;
+    // Completes all requests within this call: rejects those without an attempt, fails the others.
+    void failAll();
+
+    // ---- Upstream servers
+
+    std::size_t connectionCount() const { return pool_.connectionCount(); }
+    std::uint64_t connectionsOpened() const { return pool_.connectionsOpened(); }
+    std::map<std::string, ServerAttempts> attemptsByServer() const { return servers_.attemptsByServer(); }
     std::vector<EndpointStatus> endpointStatuses() {
         return policy_.endpointStatuses(transport::EventLoop::now());
     }
-    // Other verbs, customers and figures from the next turn on; what is open ends by what it came under.
-    void applyConfig(const protocol::StartupConfig& start);
+    // Why an operator can't eject or readmit that server; empty if he can.
+    std::string ejectionProblem(const std::string& name) const { return servers_.ejectionProblem(name); }
+    // Ejects a cache server for an operator, or readmits it. No attempt starts there once this returns.
+    void setEjected(const std::string& name, bool ejected);
 
-    InvariantGuard& guard() { return guard_; }
+    // ---- Discovery
 
-    // Why an operator can't take that server out, or let it in; or nothing.
-    std::string ejectionProblem(const std::string& name) const;
-    // Takes a cache out by an operator's word, or lets it serve again; binding when this returns.
-    void setEjected(const std::string& name, bool on);
-    // Other bounds than at the start, while another process has a part of them.
-    void setLimits(std::size_t memory, std::size_t mostLinks);
-    virtual void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster);
+    virtual void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& list);
     void onPollFailed();
-    void onDiscoveryMoved();  // what failed before was another discovery's
+    // Polls go to another address from now on, so that earlier failures don't count.
+    void onDiscoveryMoved();
+    // Called when the policy wants the endpoint list to be polled.
     std::function<void()> requestPoll;
 
-    // Hands over what has been gathered, until nothing is left of it.
+    // ---- Operation
+
+    // Counts from now on; `metrics` is null until then.
+    void enableMetrics(const std::vector<RequestClass>& requestClasses);
+    metrics::RouterMetrics* metrics() { return metrics_.get(); }
+    InvariantGuard& guard() { return guard_; }
+    // Requests that are open end by the settings under which they were accepted.
+    void applyConfig(const protocol::StartupConfig& config);
+    // `memory` in bytes, of the whole process.
+    void setLimits(std::size_t memory, std::size_t maxConnections);
+    // Processes events until none is left.
     void runIteration();
 
   protected:
-    void onAttemptEnded(Attempt& attempt, protocol::AttemptResponse outcome) override;
-    void setIdleTimeout(Nanos time) { pool_.idleTimeout = time; }
+    void onAttemptEnded(Attempt& attempt, protocol::AttemptResponse response) override;
+    void setIdleTimeout(Nanos timeout) { pool_.setIdleTimeout(timeout); }
 
   private:
-    struct RequestArrived {
-        PendingRequest* request;
-    };
-    struct AttemptEnded {
-        AttemptResult end;
-    };
-    struct ClientDisconnected {
-        RequestId id;
-    };
-    struct EndpointsUpdated {
-        EndpointUpdateKind kind;
-        std::vector<Endpoint> entries;
-    };
-    struct SettingsChanged {
-        PolicySettings settings;
-    };
-    struct EjectionChanged {
-        std::string name;
-        bool isEjected;
-    };
-    struct Event {
-        Nanos at;
-        std::variant<RequestArrived, AttemptEnded, ClientDisconnected, EndpointsUpdated, SettingsChanged,
-                     EjectionChanged>
-            what;
-    };
-    struct StartAttempt {
-        UpstreamServer* to;
-        Nanos deadline, latestStart;
-    };
-    struct Action {
-        RequestId id;
-        std::variant<StartAttempt, FinalResponse> what;
-    };
-
-    void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override;
+    // As the policy's host.
+    void startAttempt(RequestId id, std::string_view server, Nanos deadline, Nanos latestStart) override;
     void reject(RequestId id, Nanos retryAfter) override;
     void fail(RequestId id) override;
-    void scheduleWakeup(Nanos at) override { wakeUp_.start(at); }
-    void pollEndpoints() override { pollRequested_ = true; }
+    void scheduleWakeup(Nanos at) override { wakeup_.start(at); }
+    void pollEndpoints() override { isPollRequested_ = true; }
     void log(std::string_view text) override { log_(text); }
 
-    BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& from) override;
-    bool isAwaited(Attempt& attempt) override { return isAwaited(*requests_.at(attempt.request)); }
-    bool isAwaited(PendingRequest& command);
-    void abandon(PendingRequest& command);
+    // As the handler of attempts.
+    BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& source) override;
+    bool isAwaited(Attempt& attempt) override { return isAwaited(requests_.at(attempt.requestId())); }
 
-    void sampleClockOffset(Nanos now);
-    void applyEvent(const Event& event);
-    void execute(Action& action);
-    void complete(PendingRequest& command, FinalResponse final);
-    void forget(RequestId id);
+    bool isAwaited(PendingRequest& request);
+    void abandon(PendingRequest& request);
+    void complete(PendingRequest& request, FinalResponse response);
+    void recordFinalResponse(const PendingRequest& request, FinalResponse::Kind kind);
 
-    // Why that attempt may not begin; none if it may.
-    std::optional<BlockedAction> blockedBy(const StartAttempt& send, PendingRequest& command, Nanos deadline,
-                                           Nanos now);
-    // Whether the next attempt of a command may take effect beside an earlier one.
-    static bool mayRepeat(const PendingRequest& command, Nanos now);
+    template <class What>
+    void addEvent(Nanos at, What what) {
+        events_.push_back({at, std::move(what)});
+    }
+    void applyEvents();
+    void apply(Nanos at, const RequestArrived& event);
+    void apply(Nanos at, const AttemptEnded& event);
+    void apply(Nanos at, const ClientDisconnected& event);
+    void apply(Nanos at, const EndpointsUpdated& event);
+    void apply(Nanos at, const SettingsChanged& event);
+    void apply(Nanos at, const EjectionChanged& event);
+
+    void executeActions();
+    void execute(PendingRequest& request, StartAttempt& action);
+    void execute(PendingRequest& request, FinalResponse& response);
+
+    // Why an attempt may not start; none if it may.
+    std::optional<BlockedAction> blockedBy(const StartAttempt& action, PendingRequest& request,
+                                           Nanos deadline, Nanos now);
+    // Whether the next attempt of a request may be executed beside an earlier one.
+    static bool mayRepeat(const PendingRequest& request, Nanos now);
 
     transport::EventLoop& loop_;
     Log log_;
     InvariantGuard guard_;
     ConnectionPool pool_;
     std::size_t maxOpenRequests_;
-    std::size_t maxBufferedBytes_;  // bytes of what clients sent
-    std::size_t bufferedBytes_ = 0;
-    discovery::ServerStartTimes startTimes_;
-    Nanos clockSampledAt_ = 0;
-    std::string originShape_;
-    bool cacheAside_;
-    bool hasPendingWork_ = true;
-    bool pollRequested_ = false;
-    RequestId lastId_ = 0;
+    std::size_t maxBufferedBytes_;  // of the requests' messages
     std::unordered_map<std::string, RequestClass> requestClasses_;
     std::unique_ptr<metrics::RouterMetrics> metrics_;
-    std::unordered_map<RequestId, std::unique_ptr<PendingRequest>> requests_;
-    std::unordered_set<std::string_view> clientIds_;  // that clients gave the commands
-    std::unordered_map<std::string, std::unique_ptr<UpstreamServer>> upstreams_;
-    std::set<std::string> ejectedServers_;
-    discovery::RemovedEndpoints removedEndpoints_;  // that were listed and are gone
-    std::vector<Event> events_;
-    std::vector<Action> actions_;
-    transport::Timer wakeUp_;
+    RequestTable requests_;  // outlives the servers, whose connections refer to attempts
+    UpstreamRegistry servers_;
+    std::vector<DispatcherEvent> events_;
+    std::vector<DispatcherAction> actions_;
+    bool isWakeupDue_ = true;
+    bool isPollRequested_ = false;
+    transport::Timer wakeup_;
     RoutingPolicy policy_;
 };
 
--- /dev/null
+++ b/src/proxy/streamed_write.cpp
@@ -0,0 +1,95 @@
+#include "proxy/streamed_write.hpp"
+
+#include <utility>
+
+namespace poppyscale::proxy {
+
+void StreamedWrite::begin(PipelinedRequest& request, std::size_t length) {
+    request_ = &request;
+    bytesLeft_ = length;
+    isAllRead_ = false;
+    state_ = State::discarding;
+}
+
+void StreamedWrite::onBytes(std::string_view bytes) {
+    switch (state_) {
+        case State::inactive:
+        case State::discarding:
+            return;
+        case State::awaitingSink:
+        case State::paused:
+        case State::delivered:
+            buffered_ += bytes;
+            return;
+        case State::streaming:
+            return forward(bytes);
+    }
+}
+
+void StreamedWrite::onAllRead() {
+    isAllRead_ = true;
+    finishIfDone();
+}
+
+void StreamedWrite::forward(std::string_view bytes) {
+    const FlowControl control = sink_->onChunk(bytes);
+    bytesLeft_ -= bytes.size();
+    if (control == FlowControl::closed) {
+        sink_ = nullptr;
+        discard();
+    } else if (bytesLeft_ == 0) {
+        sink_ = nullptr;
+        state_ = State::delivered;
+    } else {
+        state_ = control == FlowControl::full ? State::paused : State::streaming;
+    }
+    finishIfDone();
+}
+
+void StreamedWrite::finishIfDone() {
+    if (!isActive() || !isAllRead_) return;
+    const bool isDone = state_ == State::discarding || bytesLeft_ == 0;
+    if (!isDone) return;
+    request_ = nullptr;
+    state_ = State::inactive;
+    owner_.onStreamedWriteFinished();
+}
+
+void StreamedWrite::discard() {
+    if (!isActive()) return;
+    state_ = State::discarding;
+    buffered_ = {};
+    BodySink* const sink = std::exchange(sink_, nullptr);
+    if (sink) sink->onAborted();
+}
+
+void StreamedWrite::discardAndFinish() {
+    discard();
+    finishIfDone();
+}
+
+void StreamedWrite::abandon() {
+    discard();
+    request_ = nullptr;
+    state_ = State::inactive;
+}
+
+void StreamedWrite::streamTo(BodySink& sink) {
+    sink_ = &sink;
+    resume();
+}
+
+void StreamedWrite::resume() {
+    state_ = State::streaming;
+    const std::string buffered = std::exchange(buffered_, {});
+    if (!buffered.empty()) forward(buffered);
+    owner_.onStreamedWriteProgress();
+}
+
+void StreamedWrite::cancel() {
+    sink_ = nullptr;
+    discardAndFinish();
+    owner_.onStreamedWriteProgress();
+}
+
+}  // namespace poppyscale::proxy
--- /dev/null
+++ b/src/proxy/upstream_connection.cpp
@@ -0,0 +1,252 @@
+#include "proxy/upstream_connection.hpp"
+
+#include <utility>
+
+namespace poppyscale::proxy {
+namespace {
+
+constexpr std::size_t kMaxBufferedValue = 64 * 1024;  // bytes; longer values are streamed
+constexpr std::size_t kMaxValue = 4 * 1024 * 1024;    // bytes
+// A streamed value fails its attempt when nothing of it moved for this long.
+constexpr Nanos kBodyIdleTimeout = 5'000 * kMillisecond;
+constexpr protocol::RespDecoder::Limits kResponseLimits{.maxBulkLength = kMaxBufferedValue,
+                                                        .maxItems = 16,
+                                                        .maxDepth = 3,
+                                                        .maxValueSize = 2 * kMaxBufferedValue,
+                                                        .commandsOnly = false,
+                                                        .maxStreamedLength = kMaxValue,
+                                                        .streamedItem = 0};
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(Owner& owner, ConnectionPool& pool, const transport::Address& address,
+                                       bool isOrigin)
+    : owner_(owner),
+      pool_(pool),
+      address_(address),
+      connection_(pool.loop(), pool.buffers(), *this),
+      timer_(pool.loop(), [this] { onTimer(); }),
+      decoder_(kResponseLimits) {
+    if (isOrigin) http_.emplace(kMaxBufferedValue, kMaxValue);
+}
+
+UpstreamConnection::~UpstreamConnection() {
+    pool_.updateBufferedBytes(bufferedBytes_, 0);
+    if (responseSink_) responseSink_->onAborted();
+    if (requestBody_) requestBody_->cancel();
+}
+
+bool UpstreamConnection::open() {
+    timer_.start(transport::EventLoop::now() + pool_.connectTimeout());
+    return connection_.connect(address_);
+}
+
+bool UpstreamConnection::isStale() const {
+    const auto& listed = owner_.address();
+    return !owner_.isUsable() || !listed || !transport::sameAddress(address_, *listed);
+}
+
+void UpstreamConnection::start(Attempt& attempt) {
+    timer_.stop();
+    attempt.startTimeout(attempt.deadline());
+    state_ = State::busy;
+    attempt_ = &attempt;
+    attempt.attach(*this);
+    const protocol::Request& message = attempt.message();
+    const Nanos timeLeft = attempt.deadline() - transport::EventLoop::now();
+    // Every request passes here: whatever was decided before, nothing may be wrong with it now.
+    if (isStale() || timeLeft <= 0)
+        pool_.guard().reportViolation(Invariant::sending, "request " + message.id + " to " + owner_.host());
+    const std::string head = http_ ? protocol::originRequest(message, owner_.host(), timeLeft)
+                                   : protocol::cacheRequest(message, timeLeft);
+    // The request's last byte was not taken.
+    if (!connection_.write(head)) return breakOff(AttemptOutcome::connectFailed);
+    requestBody_ = attempt.takeBody();
+    if (!requestBody_) return;
+    requestBodyLeft_ = message.streamedLength;
+    extendTimeout();
+    requestBody_->streamTo(*this);
+}
+
+Attempt* UpstreamConnection::releaseAttempt() {
+    Attempt* const attempt = std::exchange(attempt_, nullptr);
+    if (!attempt) return nullptr;
+    state_ = State::releasing;
+    attempt->detach();
+    return attempt;
+}
+
+void UpstreamConnection::onConnected(bool success) {
+    if (!success) return onConnectFailed();
+    state_ = State::idle;
+    owner_.onActivity();
+    // The server was removed or ejected meanwhile, or is at another address.
+    if (isStale()) return owner_.remove(*this);
+    connection_.setReading(true);
+    becomeIdle();
+}
+
+void UpstreamConnection::onConnectFailed() {
+    removeAndEnd(owner_.takeNextWaiting(), AttemptOutcome::connectFailed);
+}
+
+void UpstreamConnection::onTimer() {
+    if (state_ == State::connecting) return onConnectFailed();
+    owner_.remove(*this);
+}
+
+void UpstreamConnection::onData(std::string_view bytes) {
+    owner_.onActivity();
+    // Nothing was requested.
+    if (!attempt_) return owner_.remove(*this);
+    if (http_)
+        onHttpData(bytes);
+    else
+        onRespData(bytes);
+}
+
+void UpstreamConnection::onHttpData(std::string_view bytes) {
+    using State = protocol::HttpResponse::State;
+    const State state = http_->feed(bytes);
+    if (!http_->chunk().empty() && !forwardChunk(http_->streamedLength(), http_->chunk())) return;
+    if (state == State::complete) {
+        auto response = takeHttpResponse();
+        return endAttempt(std::move(response), http_->isKeepAlive());
+    }
+    if (state == State::malformed) return endAttempt({}, false);
+    bufferBytes(http_->bufferedBytes());
+}
+
+void UpstreamConnection::onRespData(std::string_view bytes) {
+    using State = protocol::RespDecoder::State;
+    State state = State::streamBegins;
+    while (state == State::streamBegins || state == State::streamChunk) {
+        state = decoder_.feed(bytes);
+        if (state == State::streamChunk && !forwardChunk(decoder_.streamedLength(), decoder_.chunk())) return;
+    }
+    if (state == State::complete)
+        return endAttempt(protocol::readCacheResponse(decoder_.takeValue()), bytes.empty());
+    if (state == State::malformed) return endAttempt({}, false);
+    bufferBytes(decoder_.bufferedBytes());
+}
+
+// Each response has its limit, but all of them together would fill a small machine.
+void UpstreamConnection::bufferBytes(std::size_t bytes) {
+    pool_.updateBufferedBytes(bufferedBytes_, bytes);
+    bufferedBytes_ = bytes;
+    if (pool_.isOverBufferLimit()) endAttempt({}, false);
+}
+
+void UpstreamConnection::onClosed() {
+    if (state_ == State::connecting) return onConnectFailed();
+    // A response without a length lasts to the end of the connection; one that was cut off by a reset would
+    // pass for a shorter one.
+    if (attempt_ && http_ && isWritten() && connection_.hasPeerFinished() &&
+        http_->end() == protocol::HttpResponse::State::complete)
+        return endAttempt(takeHttpResponse(), false);
+    breakOff(isWritten() ? AttemptOutcome::connectionLost : AttemptOutcome::connectFailed);
+}
+
+bool UpstreamConnection::forwardChunk(std::size_t length, std::string_view bytes) {
+    if (attempt_->firstByteAt() == 0) {
+        responseBodyLeft_ = length;
+        responseSink_ = pool_.handler().onStreamBegins(*attempt_, length, *this);
+    }
+    responseBodyLeft_ -= bytes.size();
+    const FlowControl control = responseSink_ ? responseSink_->onChunk(bytes) : FlowControl::closed;
+    if (control == FlowControl::closed) {
+        responseSink_ = nullptr;
+        endAttempt({AttemptOutcome::succeeded, {}, false}, false);
+        return false;
+    }
+    if (responseBodyLeft_ == 0) responseSink_ = nullptr;
+    extendTimeout();
+    if (control == FlowControl::full && responseSink_) {
+        // The client reads slowly; the client's connection limits for how long it may.
+        connection_.setReading(false);
+        attempt_->stopTimeout();
+    }
+    return true;
+}
+
+void UpstreamConnection::resume() {
+    connection_.setReading(true);
+    extendTimeout();
+}
+
+void UpstreamConnection::cancel() {
+    responseSink_ = nullptr;
+    breakOff(AttemptOutcome::succeeded);
+}
+
+FlowControl UpstreamConnection::onChunk(std::string_view bytes) {
+    requestBodyLeft_ -= bytes.size();
+    const bool isLast = requestBodyLeft_ == 0;
+    bool isWriteAccepted = connection_.write(bytes);
+    if (isWriteAccepted && isLast && !http_) isWriteAccepted = connection_.write(protocol::kBulkTerminator);
+    if (!isWriteAccepted) {
+        requestBody_ = nullptr;
+        breakOff(AttemptOutcome::connectFailed);
+        return FlowControl::closed;
+    }
+    extendTimeout();
+    if (!isLast) return connection_.unsentBytes() > 0 ? FlowControl::full : FlowControl::ready;
+    requestBody_ = nullptr;
+    attempt_->onBodySent(transport::EventLoop::now());
+    return FlowControl::ready;
+}
+
+// By its client, which does not concern the server.
+void UpstreamConnection::onAborted() {
+    requestBody_ = nullptr;
+    breakOff(AttemptOutcome::notSent);
+}
+
+void UpstreamConnection::onDrained() {
+    if (requestBody_) requestBody_->resume();
+}
+
+void UpstreamConnection::extendTimeout() {
+    attempt_->startTimeout(transport::EventLoop::now() + kBodyIdleTimeout);
+}
+
+void UpstreamConnection::becomeIdle() {
+    state_ = State::idle;
+    idleSince_ = transport::EventLoop::now();
+    timer_.start(idleSince_ + pool_.idleTimeout());
+    pool_.notifyCapacityFreed();
+}
+
+void UpstreamConnection::endAttempt(protocol::AttemptResponse response, bool isReusable) {
+    AttemptHandler& handler = pool_.handler();
+    // After a response that came before the request was complete, it is not known what was read of that.
+    const bool isKept = isReusable && response.isWellFormed && isWritten() && !isStale();
+    Attempt* const attempt = releaseAttempt();
+    if (http_) http_->clear();
+    pool_.updateBufferedBytes(bufferedBytes_, 0);
+    bufferedBytes_ = 0;
+    responseBodyLeft_ = 0;
+    if (isKept)
+        becomeIdle();
+    else
+        owner_.remove(*this);
+    handler.onAttemptEnded(*attempt, std::move(response));
+}
+
+void UpstreamConnection::breakOff(AttemptOutcome outcome) { removeAndEnd(releaseAttempt(), outcome); }
+
+// The attempt is taken before the connection is removed: for a waiting one another would be opened.
+void UpstreamConnection::removeAndEnd(Attempt* attempt, AttemptOutcome outcome) {
+    AttemptHandler& handler = pool_.handler();
+    owner_.remove(*this);
+    if (attempt) handler.onAttemptEnded(*attempt, {outcome, {}});
+}
+
+protocol::AttemptResponse UpstreamConnection::takeHttpResponse() {
+    const int status = http_->status();
+    if (status == 200) return {AttemptOutcome::succeeded, std::move(http_->body()), true};
+    const bool wasNotExecuted = (status == 503 || status == 504) && http_->wasNotExecuted();
+    return {wasNotExecuted ? AttemptOutcome::overloaded : AttemptOutcome::failed, {}, status >= 500};
+}
+
+}  // namespace poppyscale::proxy
--- /dev/null
+++ b/src/proxy/upstream_server.cpp
@@ -0,0 +1,194 @@
+#include "proxy/upstream_server.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace poppyscale::proxy {
+
+UpstreamServer::UpstreamServer(ConnectionPool& pool, bool isOrigin) : pool_(pool), isOrigin_(isOrigin) {
+    pool_.addServer(*this);
+}
+
+UpstreamServer::~UpstreamServer() {
+    pool_.onConnectionsClosed(connections_.size());
+    pool_.removeServer(*this);
+}
+
+void UpstreamServer::updateEndpoint(EndpointState state, const std::optional<transport::Address>& address,
+                                    const std::string& host) {
+    state_ = state;
+    address_ = address;
+    host_ = host;
+    closeStale();
+}
+
+void UpstreamServer::setEjected(bool ejected) {
+    isEjected_ = ejected;
+    closeStale();
+}
+
+void UpstreamServer::closeStale() {
+    std::vector<UpstreamConnection*> stale;
+    for (auto& connection : connections_)
+        if (!connection->isBusy() && connection->isStale()) stale.push_back(connection.get());
+    for (UpstreamConnection* connection : stale) remove(*connection);
+    if (isUsable()) return;
+    // What still waits for a connection would be sent to a server that must get nothing new.
+    while (Attempt* const attempt = takeNextWaiting()) endAttempt(*attempt, AttemptOutcome::notSent);
+}
+
+// Closes connections that are being established and that no attempt waits for, the newest first.
+void UpstreamServer::closeSurplus() {
+    for (auto left = connectingCount(); left > waiting_.size(); --left) {
+        const auto newest = std::find_if(connections_.rbegin(), connections_.rend(),
+                                         [](auto& connection) { return connection->isConnecting(); });
+        remove(**newest);
+    }
+}
+
+std::size_t UpstreamServer::connectingCount() const {
+    return static_cast<std::size_t>(
+        std::count_if(connections_.begin(), connections_.end(),
+                      [](auto& connection) { return connection->isConnecting(); }));
+}
+
+void UpstreamServer::send(Attempt& attempt) {
+    if (isEjected_) {
+        pool_.guard().recordBlocked(BlockedAction::serverUnavailable);
+        return endAttempt(attempt, AttemptOutcome::notSent);
+    }
+    if (!address_) return endAttempt(attempt, AttemptOutcome::connectFailed);
+    attempt.startTimeout(std::min(attempt.deadline(), attempt.latestStart()));
+    waiting_.push_back(&attempt);
+    ++attemptCount_;
+    serveWaiting();
+}
+
+void UpstreamServer::serveWaiting() {
+    while (!waiting_.empty()) {
+        UpstreamConnection* const connection = mostRecentlyUsedIdle();
+        if (!connection) break;
+        // Ended, or written to, since its last response, and not read yet: a request would be lost on it.
+        if (!connection->isQuiet()) {
+            remove(*connection);
+            continue;
+        }
+        startOn(*connection, *takeNextWaiting());
+    }
+    openConnections();
+}
+
+void UpstreamServer::startOn(UpstreamConnection& connection, Attempt& attempt) {
+    const auto reason = blockedBy(attempt);
+    if (!reason) return connection.start(attempt);
+    pool_.guard().recordBlocked(*reason);
+    endAttempt(attempt, AttemptOutcome::notSent);
+}
+
+// As many connections are being established as attempts wait; whichever is idle first takes the next attempt.
+void UpstreamServer::openConnections() {
+    for (auto count = connectingCount(); count < waiting_.size() && address_ && pool_.ensureCapacity();
+         ++count) {
+        auto& owner = static_cast<UpstreamConnection::Owner&>(*this);
+        connections_.push_back(std::make_unique<UpstreamConnection>(owner, pool_, *address_, isOrigin_));
+        pool_.onConnectionOpened();
+        UpstreamConnection& connection = *connections_.back();
+        if (!connection.open()) return connection.onConnectFailed();
+    }
+}
+
+std::optional<BlockedAction> UpstreamServer::blockedBy(Attempt& attempt) const {
+    const Nanos now = transport::EventLoop::now();
+    if (!isUsable()) return BlockedAction::serverUnavailable;
+    if (now >= attempt.latestStart() || attempt.deadline() - now < protocol::kMinForwardedTimeout)
+        return BlockedAction::deadlinePassed;
+    if (!pool_.handler().isAwaited(attempt)) return BlockedAction::clientDisconnected;
+    return std::nullopt;
+}
+
+// Not the one that has idled longest, so that the others can reach their idle timeout.
+UpstreamConnection* UpstreamServer::mostRecentlyUsedIdle() {
+    UpstreamConnection* best = nullptr;
+    for (auto& connection : connections_)
+        if (connection->isIdle() && (!best || connection->idleSince() > best->idleSince()))
+            best = connection.get();
+    return best;
+}
+
+Nanos UpstreamServer::oldestIdleSince() const {
+    Nanos since = 0;
+    for (auto& connection : connections_)
+        if (connection->isIdle() && (since == 0 || connection->idleSince() < since))
+            since = connection->idleSince();
+    return since;
+}
+
+void UpstreamServer::closeLongestIdle() {
+    const auto oldest = std::min_element(connections_.begin(), connections_.end(), [](auto& a, auto& b) {
+        return std::pair(!a->isIdle(), a->idleSince()) < std::pair(!b->isIdle(), b->idleSince());
+    });
+    std::swap(*oldest, connections_.back());
+    connections_.pop_back();
+    pool_.onConnectionsClosed(1);
+}
+
+Attempt* UpstreamServer::takeNextWaiting() {
+    if (waiting_.empty()) return nullptr;
+    Attempt* const attempt = waiting_.front();
+    waiting_.pop_front();
+    return attempt;
+}
+
+void UpstreamServer::abandon(Attempt& attempt) {
+    UpstreamConnection* const connection = attempt.connection();
+    if (!connection) {
+        std::erase(waiting_, &attempt);
+        return endAttempt(attempt,
+                          connectingCount() > 0 ? AttemptOutcome::connectFailed : AttemptOutcome::notSent);
+    }
+    // Closed before the attempt's end is reported: a retry must not start while this one is in flight.
+    AttemptOutcome outcome =
+        connection->isWritten() ? AttemptOutcome::timedOut : AttemptOutcome::connectFailed;
+    const bool isStreamStalled = attempt.firstByteAt() != 0;
+    if (isStreamStalled) outcome = AttemptOutcome::failed;
+    connection->releaseAttempt();
+    remove(*connection);
+    // Not a byte came from there while the attempt was in flight: a machine that is cut off leaves its
+    // connections open and silent. On a new connection that shows as not executed, on these only as one more
+    // attempt that may have executed.
+    while (lastActivity_ < attempt.sentAt()) {
+        UpstreamConnection* const silent = mostRecentlyUsedIdle();
+        if (!silent) break;
+        remove(*silent);
+    }
+    endAttempt(attempt, outcome);
+}
+
+void UpstreamServer::withdraw(Attempt& attempt) {
+    UpstreamConnection* const connection = attempt.connection();
+    if (connection && connection->isWritten()) return;
+    if (connection) {
+        connection->releaseAttempt();
+        remove(*connection);
+    } else {
+        std::erase(waiting_, &attempt);
+        closeSurplus();
+    }
+    endAttempt(attempt, AttemptOutcome::notSent);
+}
+
+void UpstreamServer::endAttempt(Attempt& attempt, AttemptOutcome outcome) {
+    pool_.handler().onAttemptEnded(attempt, {outcome, {}});
+}
+
+// The connection is destroyed after its place was given up, and before this returns.
+void UpstreamServer::remove(UpstreamConnection& connection) {
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](auto& candidate) { return candidate.get() == &connection; });
+    const auto removed = std::move(*it);
+    connections_.erase(it);
+    pool_.onConnectionsClosed(1);
+    pool_.notifyCapacityFreed();
+}
+
+}  // namespace poppyscale::proxy
--- a/src/testbed/defective_variants/defect.cpp
+++ b/src/testbed/defective_variants/defect.cpp
@@ -81,12 +81,13 @@
         return harm_.kind == kind && std::generate_canonical<double, 32>(random_) < harm_.size;
     }
     void onAttemptEnded(proxy::Attempt& attempt, protocol::AttemptResponse outcome) override {
-        if (harm_.kind != Kind::slower || outcome.outcome != AttemptOutcome::succeeded || attempt.firstByteAt)
+        if (harm_.kind != Kind::slower || outcome.outcome != AttemptOutcome::succeeded ||
+            attempt.firstByteAt())
             return RequestDispatcher::onAttemptEnded(attempt, std::move(outcome));
         // Its connection is free by now; the relay stays out until it is passed on.
-        attempt.timeout.stop();
+        attempt.stopTimeout();
         const Nanos now = transport::EventLoop::now();
-        const auto more = static_cast<Nanos>(harm_.size * static_cast<double>(now - attempt.sentAt));
+        const auto more = static_cast<Nanos>(harm_.size * static_cast<double>(now - attempt.sentAt()));
         late_.emplace(now + more, Late{&attempt, std::move(outcome)});
         later_.start(late_.begin()->first);
     }
--- a/src/testbed/drivers/live/baseline_proxy.cpp
+++ b/src/testbed/drivers/live/baseline_proxy.cpp
@@ -16,10 +16,12 @@
 #include <unordered_map>
 #include <vector>
 
+#include "protocol/attempt_message.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "protocol/http_response.hpp"
 #include "protocol/request.hpp"
 #include "protocol/resp.hpp"
+#include "protocol/startup_config.hpp"
 #include "testbed/emulator/scenario.hpp"
 #include "transport/connection.hpp"
 #include "transport/event_loop.hpp"
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -9,6 +9,7 @@
 
 #include "discovery/endpoint_watcher.hpp"
 #include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 #include "proxy/request_dispatcher.hpp"
 #include "testbed/scale/record.hpp"
 #include "testbed/stub_routers/list_image.hpp"
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -3,10 +3,12 @@
 #include <random>
 
 #include "fixtures.hpp"
+#include "protocol/attempt_message.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "protocol/http_response.hpp"
 #include "protocol/request.hpp"
 #include "protocol/resp.hpp"
+#include "protocol/startup_config.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::protocol;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -6,6 +6,7 @@
 
 #include "fixtures.hpp"
 #include "proxy/connection_pool.hpp"
+#include "proxy/upstream_server.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -39,40 +40,47 @@
     return {std::move(first), std::move(second)};
 }
 
-// One cache's connections without a program round them. Notes how relays end, and stops the loop for the
-// story to go on.
-struct Bare : proxy::AttemptHandler {
-    explicit Bare(std::size_t mostHeld)
-        : links{loop, pool, *this, guard, 8, 1'000 * ms, 200 * ms, {}, mostHeld} {
-        loop.onIteration([this] { links.serveWaiting(); });
-        cache.updateEndpoint(EndpointState::ready, transport::parseAddress(door.address()), door.address());
+// One cache server's connections without a process around them. Records how attempts end, and stops the loop
+// then, so that the test continues.
+struct UpstreamFixture : proxy::AttemptHandler {
+    explicit UpstreamFixture(std::size_t maxBufferedBytes)
+        : connectionPool(loop, buffers, *this, guard,
+                         {.maxConnections = 8,
+                          .idleTimeout = 1'000 * ms,
+                          .connectTimeout = 200 * ms,
+                          .maxBufferedBytes = maxBufferedBytes}) {
+        loop.onIteration([this] { connectionPool.serveWaiting(); });
+        cache.updateEndpoint(EndpointState::ready, transport::parseAddress(server.address()),
+                             server.address());
     }
     proxy::BodySink* onStreamBegins(proxy::Attempt&, std::size_t, proxy::BodySource&) override {
         return nullptr;
     }
     bool isAwaited(proxy::Attempt&) override { return true; }
     void onAttemptEnded(proxy::Attempt&, protocol::AttemptResponse outcome) override {
-        endings.push_back(outcome.outcome);
+        outcomes.push_back(outcome.outcome);
         loop.stop();
     }
-    // Sends the relay and lets the loop run for a moment.
+    static proxy::Attempt::Parameters parameters() {
+        return {.deadline = transport::EventLoop::now() + 5'000 * ms};
+    }
+    // Sends the attempt and runs the loop for a moment.
     void send(proxy::Attempt& attempt) {
-        attempt.deadline = transport::EventLoop::now() + 5'000 * ms;
         transport::Timer pause(loop, [this] { loop.stop(); });
         pause.start(transport::EventLoop::now() + 100 * ms);
         cache.send(attempt);
         loop.run();
     }
 
-    transport::BufferPool pool{64};
+    transport::BufferPool buffers{64};
     transport::EventLoop loop;
     proxy::InvariantGuard guard{[this](std::string_view text) { violations.emplace_back(text); }};
     std::vector<std::string> violations;
-    proxy::ConnectionPool links;
-    TestServer door;
-    proxy::UpstreamServer cache{links, false};
-    protocol::Request said;
-    std::vector<AttemptOutcome> endings;
+    proxy::ConnectionPool connectionPool;
+    TestServer server;
+    proxy::UpstreamServer cache{connectionPool, false};
+    protocol::Request request;
+    std::vector<AttemptOutcome> outcomes;
 };
 
 }  // namespace
@@ -163,30 +171,31 @@
 }
 
 TEST_CASE("a kept connection found broken before the command is written leaves it unrun") {
-    Bare bare(64 * 1024);
-    bare.said.info = "c=pay,d=900";
-    proxy::Attempt first(bare.loop, bare.said, bare.cache), second(bare.loop, bare.said, bare.cache);
-    bare.send(first);
-    Socket served = bare.door.accept();
-    CHECK(served.command().size() == 4);
-    served.say(hit("v"));
-    bare.loop.run();
-    served.reset();
+    UpstreamFixture upstream(64 * 1024);
+    upstream.request.info = "c=pay,d=900";
+    proxy::Attempt first(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
+    upstream.send(first);
+    Socket connection = upstream.server.accept();
+    CHECK(connection.command().size() == 4);
+    connection.say(hit("v"));
+    upstream.loop.run();
+    connection.reset();
     usleep(50'000);
-    bare.door.shut();
-    bare.send(second);
-    CHECK(bare.endings == std::vector{AttemptOutcome::succeeded, AttemptOutcome::connectFailed});
+    upstream.server.shut();
+    proxy::Attempt second(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
+    upstream.send(second);
+    CHECK(upstream.outcomes == std::vector{AttemptOutcome::succeeded, AttemptOutcome::connectFailed});
 }
 
 TEST_CASE("a half-read answer past what all of them may hold fails its relay, as one that may have run") {
-    Bare bare(16 * 1024);
-    proxy::Attempt attempt(bare.loop, bare.said, bare.cache);
-    bare.send(attempt);
-    Socket half = bare.door.accept();
-    half.say(std::string_view(hit(std::string(40 * 1024, 'x'))).substr(0, 30 * 1024));
-    bare.loop.run();
-    CHECK(bare.endings == std::vector{AttemptOutcome::failed});
-    CHECK(bare.links.bufferedBytes == 0);
+    UpstreamFixture upstream(16 * 1024);
+    proxy::Attempt attempt(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
+    upstream.send(attempt);
+    Socket connection = upstream.server.accept();
+    connection.say(std::string_view(hit(std::string(40 * 1024, 'x'))).substr(0, 30 * 1024));
+    upstream.loop.run();
+    CHECK(upstream.outcomes == std::vector{AttemptOutcome::failed});
+    CHECK(upstream.connectionPool.bufferedBytes() == 0);
 }
 
 TEST_CASE("answers go out in the order of the commands, and no command waits behind another at a cache") {
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -9,6 +9,7 @@
 
 #include "fixtures.hpp"
 #include "proxy/connection_pool.hpp"
+#include "proxy/upstream_server.hpp"
 
 using namespace poppyscale;
 using namespace poppyscale::test;
@@ -261,28 +262,32 @@
 }
 
 TEST_CASE("a command whose last byte the kernel has taken may have run, though nobody was called back yet") {
-    struct Owner : proxy::AttemptHandler {
+    struct Handler : proxy::AttemptHandler {
         proxy::BodySink* onStreamBegins(proxy::Attempt&, std::size_t, proxy::BodySource&) override {
             return nullptr;
         }
         bool isAwaited(proxy::Attempt&) override { return true; }
-        void onAttemptEnded(proxy::Attempt&, protocol::AttemptResponse outcome) override {
-            ended = outcome.outcome;
+        void onAttemptEnded(proxy::Attempt&, protocol::AttemptResponse response) override {
+            outcome = response.outcome;
         }
-        std::optional<AttemptOutcome> ended;
+        std::optional<AttemptOutcome> outcome;
     };
-    transport::BufferPool pool{64};
+    transport::BufferPool buffers{64};
     transport::EventLoop loop;
-    Owner owner;
+    Handler handler;
     proxy::InvariantGuard guard{[](std::string_view) {}};
-    proxy::ConnectionPool links{loop, pool, owner, guard, 8, 60'000 * ms, 2'000 * ms, {}, 64 * 1024};
-    TestServer door;
-    proxy::UpstreamServer cache{links, false};
-    cache.updateEndpoint(EndpointState::ready, transport::parseAddress(door.address()), door.address());
-    const auto bound = [](int socket, int which, int bytes) {
-        setsockopt(socket, SOL_SOCKET, which, &bytes, sizeof bytes);
+    proxy::ConnectionPool connectionPool(loop, buffers, handler, guard,
+                                         {.maxConnections = 8,
+                                          .idleTimeout = 60'000 * ms,
+                                          .connectTimeout = 2'000 * ms,
+                                          .maxBufferedBytes = 64 * 1024});
+    TestServer server;
+    proxy::UpstreamServer cache{connectionPool, false};
+    cache.updateEndpoint(EndpointState::ready, transport::parseAddress(server.address()), server.address());
+    const auto setBufferSize = [](int socket, int option, int bytes) {
+        setsockopt(socket, SOL_SOCKET, option, &bytes, sizeof bytes);
     };
-    bound(door.descriptor(), SO_RCVBUF, 4096);
+    setBufferSize(server.descriptor(), SO_RCVBUF, 4096);
     protocol::Request first, heavy;
     first.info = heavy.info = "c=pay,d=9000";
     // Ten or eleven buffers of the router's, whatever part of the first goes out at once: libuv calls back
@@ -292,8 +297,8 @@
     heavy.isWrite = true;
     heavy.value = std::string(180'000, 'x');
     const std::size_t all = protocol::cacheRequest(heavy, 14'000 * ms).size();
-    proxy::Attempt opens(loop, first, cache), attempt(loop, heavy, cache);
-    opens.deadline = attempt.deadline = transport::EventLoop::now() + 15'000 * ms;
+    const proxy::Attempt::Parameters parameters{.deadline = transport::EventLoop::now() + 15'000 * ms};
+    proxy::Attempt opening(loop, first, cache, parameters), attempt(loop, heavy, cache, parameters);
     transport::Timer late(loop, [&] { loop.stop(); });
     late.start(transport::EventLoop::now() + 10'000 * ms);
     std::optional<Socket> peer;
@@ -310,21 +315,21 @@
     std::size_t before = 0;
     bool sent = false, inGap = false;
     loop.onIteration([&] {
-        links.serveWaiting();
-        if (!peer && !door.quiet(0)) peer = door.accept();
-        if (peer && !sent && !owner.ended && !peer->quiet(0)) {
+        connectionPool.serveWaiting();
+        if (!peer && !server.quiet(0)) peer = server.accept();
+        if (peer && !sent && !handler.outcome && !peer->quiet(0)) {
             peer->command();
             peer->say(hit("v"));
         }
-        if (!sent && owner.ended) {
-            owner.ended.reset();
-            router = connectedTo(door.port);
+        if (!sent && handler.outcome) {
+            handler.outcome.reset();
+            router = connectedTo(server.port);
             before = taken();
-            bound(router, SO_SNDBUF, 4096);
+            setBufferSize(router, SO_SNDBUF, 4096);
             cache.send(attempt);
             // It stands half way; from now on there is room for all of the rest at once.
             REQUIRE(taken() - before < all);
-            bound(router, SO_SNDBUF, 1 << 20);
+            setBufferSize(router, SO_SNDBUF, 1 << 20);
             sent = true;
         }
         if (!sent || inGap) return;
@@ -334,9 +339,9 @@
         cache.abandon(attempt);
         loop.stop();
     });
-    cache.send(opens);
+    cache.send(opening);
     loop.run();
     REQUIRE(inGap);
-    REQUIRE(owner.ended.has_value());
-    CHECK(static_cast<int>(*owner.ended) == static_cast<int>(AttemptOutcome::timedOut));
+    REQUIRE(handler.outcome.has_value());
+    CHECK(static_cast<int>(*handler.outcome) == static_cast<int>(AttemptOutcome::timedOut));
 }
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 #include "testbed/audit/slow_start_load.hpp"
 #include "testbed/drivers/simulated/simulated_run.hpp"
 #include "testbed/emulator/scenario.hpp"
