--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,6 +1,6 @@
-// The term "a client that closes its connection has gone; an attempt that begins more than 0.1 s after the
-// close is a break", for each way in which a close can go unnoticed. The start of an attempt is the arrival
-// of its first bytes at a stand-in of a cache or of the origin.
+// The operators' rule "a client that closes its connection has gone; an attempt that begins more than 0.1 s
+// after the close is a break", for each way in which a close can go unnoticed. The start of an attempt is the
+// arrival of its first bytes at a test server for a cache server or the origin.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -19,13 +19,13 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::milliseconds;
 
-constexpr Milliseconds kLatestStart{100};  // after the close: the term's bound
-constexpr Milliseconds kWatched{300};      // for attempts, once everything that held them up is gone
-// Bytes: over the 64 KiB up to which a value is taken whole, and little enough that the close behind it comes
-// to the router's kernel while the value is not read yet.
-constexpr std::size_t kLongValue = 66'000;
+constexpr Milliseconds kMaxStartDelay{100};  // after the close, by that rule
+constexpr Milliseconds kWatchDuration{300};  // once nothing delays attempts any more
+// Bytes: over the 64 KiB up to which a value is buffered, and little enough that the close behind it reaches
+// the router's kernel while the value is unread.
+constexpr std::size_t kLongValueSize = 66'000;
 
-// Times between a client's close and the event that lets the router begin an attempt.
+// Between a client's close and the event that lets the router start an attempt.
 constexpr Milliseconds kDelays[] = {Milliseconds{0},  Milliseconds{30},  Milliseconds{60},
                                     Milliseconds{90}, Milliseconds{110}, Milliseconds{150}};
 
@@ -43,7 +43,7 @@
     return start;
 }
 
-// A connection the router opened to a stand-in; blocks until it is opened.
+// Accepts a connection of the router and reads its request; blocks until both have come.
 Socket acceptWithRequest(TestServer& door, std::string& key) {
     Socket connection = door.accept();
     const auto words = connection.command();
@@ -62,24 +62,24 @@
     return cache;
 }
 
-// A client that the router has heard before, so that it reads from it at once.
-Socket heardClient(const Stage& stage) {
+// A client that has got a response, so that the router reads its further requests at once.
+Socket activeClient(const Stage& stage) {
     Socket client = stage.client();
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
     return client;
 }
 
-// Watches stand-ins for the first bytes of attempts.
-class AttemptWatch {
+// Watches test servers for the first bytes of attempts.
+class AttemptWatcher {
   public:
-    explicit AttemptWatch(Stage& stage) {
+    explicit AttemptWatcher(Stage& stage) {
         for (TestServer& cache : stage.caches) doors_.push_back(&cache);
         doors_.push_back(&stage.origin);
     }
     // A connection on which further attempts may come.
     void add(Socket&& connection) { connections_.push_back(std::move(connection)); }
 
-    // How long after `closed` the last attempt began that began before `until`; nothing if none did.
+    // How long after `closed` the last attempt started that started before `until`; none if none did.
     std::optional<Milliseconds> lastStart(Clock::time_point closed, Clock::time_point until) {
         std::optional<Milliseconds> last;
         while (Clock::now() < until) {
@@ -111,13 +111,13 @@
     std::list<Socket> connections_;
 };
 
-void checkNoLateAttempt(AttemptWatch& watch, Clock::time_point closed) {
-    const auto last = watch.lastStart(closed, Clock::now() + kWatched);
+void checkNoLateAttempt(AttemptWatcher& watch, Clock::time_point closed) {
+    const auto last = watch.lastStart(closed, Clock::now() + kWatchDuration);
     if (!last) return;
-    CHECK_MESSAGE(*last <= kLatestStart, "an attempt began ", last->count(), " ms after the close");
+    CHECK_MESSAGE(*last <= kMaxStartDelay, "an attempt started ", last->count(), " ms after the close");
 }
 
-// Attempts of a client's requests that wait for the stand-in's answers, at most `count` of them.
+// Attempts of a client's requests that wait for the server's responses, at most `count` of them.
 std::list<Socket> acceptAttempts(TestServer& door, std::size_t count) {
     std::list<Socket> attempts;
     std::string key;
@@ -125,10 +125,10 @@
     return attempts;
 }
 
-// Closes the client, answers all attempts after `delay`, and checks what begins then.
-void closeThenAnswer(Stage& stage, Socket& client, std::list<Socket>& attempts, Milliseconds delay,
-                     std::string_view answer = kMiss) {
-    AttemptWatch watch(stage);
+// Closes the client, responds to all attempts after `delay`, and checks what starts then.
+void closeThenRespond(Stage& stage, Socket& client, std::list<Socket>& attempts, Milliseconds delay,
+                      std::string_view answer = kMiss) {
+    AttemptWatcher watch(stage);
     const auto closed = Clock::now();
     client.hangUp();
     std::this_thread::sleep_until(closed + delay);
@@ -139,31 +139,31 @@
 
 }  // namespace
 
-TEST_CASE("client left: between the attempts of one request that is read from") {
+TEST_CASE("client disconnected: between the attempts of a request, on a connection that is read") {
     for (const Milliseconds delay : kDelays) {
         CAPTURE(delay.count());
         Stage stage;
-        Socket client = heardClient(stage);
+        Socket client = activeClient(stage);
         client.say(patientGet("k"));
         auto attempts = acceptAttempts(stage.caches[0], 1);
         REQUIRE(attempts.size() == 1);
-        closeThenAnswer(stage, client, attempts, delay);
+        closeThenRespond(stage, client, attempts, delay);
     }
 }
 
-TEST_CASE("client left: several pipelined requests in line") {
+TEST_CASE("client disconnected: with several pipelined requests") {
     for (const Milliseconds delay : kDelays) {
         CAPTURE(delay.count());
         Stage stage;
-        Socket client = heardClient(stage);
+        Socket client = activeClient(stage);
         client.say(manyGets(6, "k"));
         auto attempts = acceptAttempts(stage.caches[0], 6);
         REQUIRE_FALSE(attempts.empty());
-        closeThenAnswer(stage, client, attempts, delay);
+        closeThenRespond(stage, client, attempts, delay);
     }
 }
 
-TEST_CASE("client left: more requests than are read before answers go out") {
+TEST_CASE("client disconnected: with more requests than are read before responses are sent") {
     // A miss makes the router try the origin, a hit makes it read the client's further requests.
     for (const std::string& answer : {std::string(kMiss), hit("V")})
         for (const Milliseconds delay : kDelays) {
@@ -174,11 +174,11 @@
             client.say(manyGets(1'000, "k"));
             auto attempts = acceptAttempts(stage.caches[0], 1'000);
             REQUIRE_FALSE(attempts.empty());
-            closeThenAnswer(stage, client, attempts, delay, answer);
+            closeThenRespond(stage, client, attempts, delay, answer);
         }
 }
 
-TEST_CASE("client left: while requests wait for a connection on its way") {
+TEST_CASE("client disconnected: while requests wait for a connection to be established") {
     Stage stage(1, patientStart());
     stage.caches[0].hold();
     stage.origin.hold();
@@ -186,13 +186,14 @@
     const auto sent = Clock::now();
     for (int i = 0; i < 8; ++i) {
         const std::string key = "k" + std::to_string(i);
-        Socket& client = clients.emplace(key, heardClient(stage)).first->second;
+        Socket& client = clients.emplace(key, activeClient(stage)).first->second;
         client.say(patientGet(key));
     }
     usleep(50'000);
     stage.caches[0].let();
     stage.origin.let();
-    // The kernel tries again a second after the first time: they close from 0.15 s before that to just after.
+    // The kernel retries a second after its first attempt: clients close from 0.15 s before that to just
+    // after.
     std::map<std::string, Clock::time_point> closed;
     Milliseconds at{850};
     for (auto& [key, client] : clients) {
@@ -213,8 +214,9 @@
                 connection.hangUp();
                 continue;
             }
-            const auto late = std::chrono::ceil<Milliseconds>(began - closed[words[1]]);
-            CHECK_MESSAGE(late <= kLatestStart, words[1], " began ", late.count(), " ms after the close");
+            const auto delay = std::chrono::ceil<Milliseconds>(began - closed[words[1]]);
+            CHECK_MESSAGE(delay <= kMaxStartDelay, words[1], " started ", delay.count(),
+                          " ms after the close");
         }
         std::erase_if(connections, [](const Socket& connection) { return !connection.open(); });
         usleep(1'000);
@@ -222,40 +224,40 @@
     CHECK(stage.origin.quiet(0));
 }
 
-TEST_CASE("client left: request and close came while the router was held up") {
-    // Just over the bound the request itself looks younger than the bound.
+TEST_CASE("client disconnected: request and close arrived while the router was suspended") {
+    // Just over the limit the request itself looks younger than the limit.
     for (int round = 0; round < 3; ++round)
-        for (const int held : {101, 103, 105, 108, 112, 120, 150}) {
-            CAPTURE(held);
+        for (const int suspendedMs : {101, 103, 105, 108, 112, 120, 150}) {
+            CAPTURE(suspendedMs);
             Stage stage;
-            AttemptWatch watch(stage);
+            AttemptWatcher watch(stage);
             watch.add(warmUp(stage));
-            Socket client = heardClient(stage);
+            Socket client = activeClient(stage);
             stage.program.signal(SIGSTOP);
             usleep(1'000);
             client.say(manyGets(2, "k"));
             const auto closed = Clock::now();
             client.hangUp();
-            std::this_thread::sleep_until(closed + Milliseconds{held});
+            std::this_thread::sleep_until(closed + Milliseconds{suspendedMs});
             stage.program.signal(SIGCONT);
-            // Anything that begins now is too late.
+            // Any attempt that starts now is too late.
             const auto last = watch.lastStart(closed, Clock::now() + Milliseconds{100});
-            CHECK_MESSAGE(!last, "an attempt began ", last.value_or(Milliseconds{0}).count(),
+            CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
                           " ms after the close");
         }
 }
 
-TEST_CASE("client left: the end of an attempt and the close came while the router was held up") {
+TEST_CASE("client disconnected: the end of an attempt and the close arrived while the router was suspended") {
     for (const bool closeFirst : {true, false})
-        for (const int held : {101, 110, 150}) {
+        for (const int suspendedMs : {101, 110, 150}) {
             CAPTURE(closeFirst);
-            CAPTURE(held);
+            CAPTURE(suspendedMs);
             Stage stage;
-            Socket client = heardClient(stage);
+            Socket client = activeClient(stage);
             client.say(manyGets(200, "k"));
             auto attempts = acceptAttempts(stage.caches[0], 200);
             REQUIRE_FALSE(attempts.empty());
-            AttemptWatch watch(stage);
+            AttemptWatcher watch(stage);
             stage.program.signal(SIGSTOP);
             usleep(1'000);
             if (!closeFirst)
@@ -265,62 +267,61 @@
             if (closeFirst)
                 for (Socket& attempt : attempts) attempt.say(kMiss);
             for (Socket& attempt : attempts) watch.add(std::move(attempt));
-            std::this_thread::sleep_until(closed + Milliseconds{held});
+            std::this_thread::sleep_until(closed + Milliseconds{suspendedMs});
             stage.program.signal(SIGCONT);
-            const auto last = watch.lastStart(closed, Clock::now() + kWatched);
-            CHECK_MESSAGE(!last, "an attempt began ", last.value_or(Milliseconds{0}).count(),
+            const auto last = watch.lastStart(closed, Clock::now() + kWatchDuration);
+            CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
                           " ms after the close");
         }
 }
 
 TEST_CASE(
-    "client left: a request is read behind a long write that was given up while the router was held up") {
-    for (const int held : {250, 400}) {
-        CAPTURE(held);
+    "client disconnected: a request follows a long write that timed out while the router was suspended") {
+    for (const int suspendedMs : {250, 400}) {
+        CAPTURE(suspendedMs);
         Stage stage(1, patientStart());
         stage.origin.hold();
-        AttemptWatch watch(stage);
-        Socket client = heardClient(stage);
-        // The write waits for a connection for 0.2 s, most of its value unread, and so is what stands behind
-        // it.
-        const std::string write = set("w", "c=mark,t=north,d=200,k=w", std::string(kLongValue, 'x'));
+        AttemptWatcher watch(stage);
+        Socket client = activeClient(stage);
+        // The write waits for a connection for 0.2 s, with most of its value and what follows it unread.
+        const std::string write = set("w", "c=mark,t=north,d=200,k=w", std::string(kLongValueSize, 'x'));
         client.say(write + patientGet("behind"));
         usleep(50'000);
         stage.program.signal(SIGSTOP);
         usleep(1'000);
         const auto closed = Clock::now();
         client.hangUp();
-        std::this_thread::sleep_until(closed + Milliseconds{held});
+        std::this_thread::sleep_until(closed + Milliseconds{suspendedMs});
         stage.program.signal(SIGCONT);
-        const auto last = watch.lastStart(closed, Clock::now() + kWatched);
-        CHECK_MESSAGE(!last, "an attempt began ", last.value_or(Milliseconds{0}).count(),
+        const auto last = watch.lastStart(closed, Clock::now() + kWatchDuration);
+        CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
                       " ms after the close");
     }
 }
 
-TEST_CASE("client left: requests stand unread behind a long answer") {
-    const std::string answer = hit(std::string(kLongValue, 'x'));
-    const std::size_t held = 10'000;  // bytes of it that come after the close only
+TEST_CASE("client disconnected: with unread requests behind a long response") {
+    const std::string answer = hit(std::string(kLongValueSize, 'x'));
+    const std::size_t withheld = 10'000;  // bytes that are sent after the close only
     for (const int ms : {0, 30, 60, 90, 110, 120, 130, 140, 150}) {
         const Milliseconds delay{ms};
         CAPTURE(delay.count());
         Stage stage;
-        Socket client = heardClient(stage);
+        Socket client = activeClient(stage);
         client.say(patientGet("long"));
         auto attempts = acceptAttempts(stage.caches[0], 1);
         REQUIRE(attempts.size() == 1);
-        attempts.front().say(answer.substr(0, answer.size() - held));
-        CHECK(client.bytes(kLongValue - held).size() == kLongValue - held);
-        // More than the router reads in one turn.
+        attempts.front().say(answer.substr(0, answer.size() - withheld));
+        CHECK(client.bytes(kLongValueSize - withheld).size() == kLongValueSize - withheld);
+        // More than the router reads in one iteration.
         client.say(manyGets(600, "k"));
         usleep(50'000);
         client.drain();
-        AttemptWatch watch(stage);
-        // As of a client on another machine, whose reset is on its way for as long as the answer is.
+        AttemptWatcher watch(stage);
+        // As with a client on another machine, whose reset takes as long to arrive as the response does.
         const auto closed = Clock::now();
         client.endSending();
         std::this_thread::sleep_until(closed + delay);
-        attempts.front().say(answer.substr(answer.size() - held));
+        attempts.front().say(answer.substr(answer.size() - withheld));
         watch.add(std::move(attempts.front()));
         checkNoLateAttempt(watch, closed);
     }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -19,19 +19,19 @@
 
 State feedAll(RespDecoder& decoder, std::string_view bytes) { return decoder.feed(bytes); }
 
-Request commandOf(const std::string& text) {
+Request requestOf(const std::string& text) {
     RespDecoder decoder(kCommands);
     REQUIRE(feedAll(decoder, text) == State::complete);
     return std::get<Request>(readRequest(decoder.takeValue()));
 }
-std::string refusalOf(const std::string& text) {
+std::string errorOf(const std::string& text) {
     RespDecoder decoder(kCommands);
     REQUIRE(feedAll(decoder, text) == State::complete);
     return std::get<ControlCommand>(readRequest(decoder.takeValue())).response;
 }
 }  // namespace
 
-TEST_CASE("a command that comes byte by byte is the same command") {
+TEST_CASE("a request that arrives byte by byte is the same request") {
     const std::string text = test::set("k", "c=pay,t=north,d=480,k=5c", "a\r\nb");
     RespDecoder decoder(kCommands);
     for (std::size_t i = 0; i + 1 < text.size(); ++i)
@@ -39,15 +39,15 @@
     CHECK(decoder.isInValue());
     REQUIRE(feedAll(decoder, text.substr(text.size() - 1)) == State::complete);
     CHECK_FALSE(decoder.isInValue());
-    const Request command = std::get<Request>(readRequest(decoder.takeValue()));
-    CHECK(command.isWrite);
-    CHECK(command.requestClass == "pay");
-    CHECK(command.tenant == "north");
-    CHECK(command.timeout == 480 * test::ms);
-    CHECK(command.value == "a\r\nb");
+    const Request request = std::get<Request>(readRequest(decoder.takeValue()));
+    CHECK(request.isWrite);
+    CHECK(request.requestClass == "pay");
+    CHECK(request.tenant == "north");
+    CHECK(request.timeout == 480 * test::ms);
+    CHECK(request.value == "a\r\nb");
 }
 
-TEST_CASE("lengths that would fill the machine are told by their header alone") {
+TEST_CASE("excessive lengths are rejected by their header alone") {
     for (const char* text : {"*1000000\r\n", "*1\r\n$1000000\r\n", "*-1\r\n", "*1\r\n$-1\r\n", "*1\r\n*1\r\n",
                              "*99999999999999999999\r\n", "PING\r\n", "*1\r\n:1\r\n", "*1\r\n$1\r\nab\r\n"}) {
         RespDecoder decoder(kCommands);
@@ -57,13 +57,13 @@
     CHECK(feedAll(endless, "*" + std::string(5000, '1')) == State::malformed);
 }
 
-TEST_CASE("mutated bytes end in a value or a problem, never in more than the bounds hold") {
-    std::mt19937 chance(5);
+TEST_CASE("mutated bytes end in a value or a problem, never in more than the limits allow") {
+    std::mt19937 random(5);
     const std::string good = test::get("k") + test::hit("value") + "-BUSY\r\n" + test::set("k", "c=pay,d=5");
     for (int i = 0; i < 20'000; ++i) {
         std::string text = good;
-        for (auto left = 1 + chance() % 4; left > 0; --left)
-            text[chance() % text.size()] = "*$-:+\r\n0139\0"[chance() % 12];
+        for (auto left = 1 + random() % 4; left > 0; --left)
+            text[random() % text.size()] = "*$-:+\r\n0139\0"[random() % 12];
         RespDecoder decoder(i % 2 ? kCommands : RespDecoder::Limits{});
         std::string_view bytes = text;
         while (!bytes.empty() && decoder.feed(bytes) == State::complete) {
@@ -74,53 +74,53 @@
     }
 }
 
-TEST_CASE("an attempt passes on the info list unchanged but for the time that is left") {
-    const Request command = commandOf(test::set("k", "c=mark,t=north,d=480,k=5c,size=9"));
-    CHECK(cacheRequest(command, 120 * test::ms) ==
+TEST_CASE("an attempt forwards the info list unchanged except for the remaining time") {
+    const Request request = requestOf(test::set("k", "c=mark,t=north,d=480,k=5c,size=9"));
+    CHECK(cacheRequest(request, 120 * test::ms) ==
           test::array({"OBJ.SET", "k", "9b1f-k", "c=mark,t=north,d=120,k=5c,size=9", "V"}));
-    CHECK(originRequest(command, "h", 120 * test::ms) ==
+    CHECK(originRequest(request, "h", 120 * test::ms) ==
           "PUT /k HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f-k\r\n"
           "X-Call-Info: c=mark,t=north,d=120,k=5c,size=9\r\nContent-Length: 1\r\n\r\nV");
 }
 
-TEST_CASE("a key is written into a path so that it can't end it, and words with line breaks are refused") {
-    CHECK(originRequest(commandOf(test::get("u:k/a?b%#")), "h", 5 * test::ms)
+TEST_CASE("a key is encoded in a path so that it can't end it, and arguments with line breaks are errors") {
+    CHECK(originRequest(requestOf(test::get("u:k/a?b%#")), "h", 5 * test::ms)
               .starts_with("GET /u:k%2Fa%3Fb%25%23 HTTP/1.1\r\n"));
-    CHECK(refusalOf(test::get("k\r\nX-Evil: 1")).starts_with("-ERR"));
-    CHECK(refusalOf(test::get("k", "c=read,d=5\r\nX: 1")).starts_with("-ERR"));
+    CHECK(errorOf(test::get("k\r\nX-Evil: 1")).starts_with("-ERR"));
+    CHECK(errorOf(test::get("k", "c=read,d=5\r\nX: 1")).starts_with("-ERR"));
 }
 
-TEST_CASE("wrong words are errors and never a refusal that asks to come back") {
+TEST_CASE("invalid requests are errors and never a rejection that may be retried") {
     for (const auto& text :
          {test::array({"FLUSHALL"}), test::array({"OBJ.GET", "k"}), test::get("k", "c=read"),
           test::get("k", "c=read,d=soon"), test::get("k", "d=5"), test::get("", "c=read,d=5"),
           test::array({"OBJ.SET", "k", "id", "c=pay,d=5"}), std::string("*0\r\n")})
-        CHECK_MESSAGE(refusalOf(text).starts_with("-ERR "), text);
-    CHECK(refusalOf(test::array({"ping"})) == "+PONG\r\n");
+        CHECK_MESSAGE(errorOf(text).starts_with("-ERR "), text);
+    CHECK(errorOf(test::array({"ping"})) == "+PONG\r\n");
 }
 
-TEST_CASE("an answer of a cache is taken only in its form") {
-    const auto ending = [](const std::string& text) {
+TEST_CASE("a cache response is accepted only in its exact form") {
+    const auto outcomeOf = [](const std::string& text) {
         RespDecoder decoder({});
         return feedAll(decoder, text) == State::complete ? readCacheResponse(decoder.takeValue()).outcome
                                                          : AttemptOutcome::connectionLost;
     };
-    CHECK(ending(test::hit("v")) == AttemptOutcome::succeeded);
-    CHECK(ending(std::string(test::kMiss)) == AttemptOutcome::cacheMiss);
-    CHECK(ending("-BUSY\r\n") == AttemptOutcome::overloaded);
-    CHECK(ending("-ERR failed\r\n") == AttemptOutcome::failed);
-    CHECK(ending("-BUSYBODY\r\n") == AttemptOutcome::failed);
+    CHECK(outcomeOf(test::hit("v")) == AttemptOutcome::succeeded);
+    CHECK(outcomeOf(std::string(test::kMiss)) == AttemptOutcome::cacheMiss);
+    CHECK(outcomeOf("-BUSY\r\n") == AttemptOutcome::overloaded);
+    CHECK(outcomeOf("-ERR failed\r\n") == AttemptOutcome::failed);
+    CHECK(outcomeOf("-BUSYBODY\r\n") == AttemptOutcome::failed);
     for (const char* odd : {"$1\r\nv\r\n", "+OK\r\n", "*0\r\n", "*1\r\n:1\r\n", "$-1\r\n", "-BUSY soon\r\n",
                             "*2\r\n$1\r\nv\r\n$3\r\nhit\r\n", "*3\r\n$1\r\nv\r\n:1\r\n$-1\r\n"}) {
-        CHECK(ending(odd) == AttemptOutcome::failed);
+        CHECK(outcomeOf(odd) == AttemptOutcome::failed);
         RespDecoder decoder({});
         feedAll(decoder, odd);
         CHECK_FALSE(readCacheResponse(decoder.takeValue()).isWellFormed);
     }
-    CHECK(ending("*3\r\n$1\r\nv\r\n$-1\r\n:7\r\n") == AttemptOutcome::succeeded);
+    CHECK(outcomeOf("*3\r\n$1\r\nv\r\n$-1\r\n:7\r\n") == AttemptOutcome::succeeded);
 }
 
-TEST_CASE("HTTP answers: by length, in chunks, up to the end, and too long") {
+TEST_CASE("HTTP responses: by length, in chunks, up to the end, and too long") {
     HttpResponse answer(16);
     CHECK(answer.feed("HTTP/1.1 200 OK\r\nContent-Le") == HttpResponse::State::more);
     CHECK(answer.feed("ngth: 2\r\n\r\nv") == HttpResponse::State::more);
@@ -163,10 +163,10 @@
     }
 }
 
-TEST_CASE("a client's mark of a further try and a cache's word on a read are taken, others passed over") {
-    CHECK(commandOf(test::get("k", "c=read,d=480,r=1")).isRetry);
-    CHECK_FALSE(commandOf(test::get("k", "c=read,d=480,r=x")).isRetry);
-    const auto found = [](const char* how, const char* report) {
+TEST_CASE("a client's retry flag and a cache's read-through result are read, other values ignored") {
+    CHECK(requestOf(test::get("k", "c=read,d=480,r=1")).isRetry);
+    CHECK_FALSE(requestOf(test::get("k", "c=read,d=480,r=x")).isRetry);
+    const auto readThrough = [](const char* how, const char* report) {
         RespDecoder decoder({64 * 1024, 16, 3, 80 * 1024, false});
         const std::string text = "*3\r\n" + bulk("v") + bulk(how) + report;
         REQUIRE(feedAll(decoder, text) == State::complete);
@@ -174,22 +174,22 @@
         CHECK(outcome.outcome == AttemptOutcome::succeeded);
         return outcome.readThrough;
     };
-    CHECK(found("hit", "$-1\r\n") == ReadThroughResult::cached);
-    CHECK(found("miss", "$-1\r\n") == ReadThroughResult::fetched);
-    CHECK(found("pending", "$9\r\nactive=-1\r\n") == ReadThroughResult::fetched);
-    CHECK(found("perhaps", ":7\r\n") == ReadThroughResult::unknown);
+    CHECK(readThrough("hit", "$-1\r\n") == ReadThroughResult::cached);
+    CHECK(readThrough("miss", "$-1\r\n") == ReadThroughResult::fetched);
+    CHECK(readThrough("pending", "$9\r\nactive=-1\r\n") == ReadThroughResult::fetched);
+    CHECK(readThrough("perhaps", ":7\r\n") == ReadThroughResult::unknown);
 }
 
-TEST_CASE("a list that makes no sense is none") {
+TEST_CASE("an invalid endpoint list is an error") {
     const std::string entry = R"({"id":"s","addr":"1.2.3.4:5","state":"Ready","weight":2,"started_ms":5})";
     const auto listOf = [](const std::string& e) {
         return R"({"version":3,"full":true,"servers":[)" + e + "]}";
     };
-    const EndpointList roster = readEndpointList(listOf(entry));
-    REQUIRE(roster.entries.size() == 1);
-    CHECK(roster.entries[0].endpoint.weight == 2);
-    CHECK(roster.entries[0].startedMs == 5);
-    // In the stream of lists an absurd weight costs that value alone.
+    const EndpointList list = readEndpointList(listOf(entry));
+    REQUIRE(list.entries.size() == 1);
+    CHECK(list.entries[0].endpoint.weight == 2);
+    CHECK(list.entries[0].startedMs == 5);
+    // From discovery an invalid weight costs that value alone.
     for (const char* weight : {"-1", "\"much\"", "null"}) {
         const EndpointList odd = readEndpointList(
             listOf(R"({"id":"s","state":"Ready","weight":)" + std::string(weight) + "}," + entry));
@@ -204,7 +204,7 @@
         CHECK_THROWS_AS(readEndpointList(bad), ParseError);
 }
 
-TEST_CASE("a process that starts with an old list asks for it within half of a drain's grace") {
+TEST_CASE("a process that starts with an old list polls within half of the drain grace period") {
     auto start = test::smallStart();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
     CHECK(readStartupConfig(start.dump()).policy.maxFirstPollDelay == 5'000 * test::ms);
@@ -218,20 +218,20 @@
     CHECK(readStartupConfig(start.dump()).policy.maxFirstPollDelay == 50 * test::ms);
 }
 
-TEST_CASE("settings told as JSON make the same terms as on the simulator's wire") {
+TEST_CASE("settings from JSON are the same as from the simulator's protocol") {
     auto start = test::smallStart();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
-    const StartupConfig read = readStartupConfig(start.dump());
-    CHECK(read.policy.seed == 7);
-    CHECK(read.policy.cacheAside);
-    CHECK(read.policy.originShape == "origin");
-    CHECK(read.policy.pollInterval == 10'000 * test::ms);
-    REQUIRE(read.policy.requestClasses.size() == 3);
-    CHECK(read.policy.requestClasses[1].idempotency == Idempotency::idempotentWithKey);
-    CHECK(read.policy.tenants[0].quotaPerSecond == 100);
-    CHECK(read.maxRequestTimeout == 2'000 * test::ms);
-    CHECK_FALSE(read.policy.weightsFollowLoad);
-    CHECK(read.policy.requestClasses[0].timeout == 2'000 * test::ms);
+    const StartupConfig config = readStartupConfig(start.dump());
+    CHECK(config.policy.seed == 7);
+    CHECK(config.policy.cacheAside);
+    CHECK(config.policy.originShape == "origin");
+    CHECK(config.policy.pollInterval == 10'000 * test::ms);
+    REQUIRE(config.policy.requestClasses.size() == 3);
+    CHECK(config.policy.requestClasses[1].idempotency == Idempotency::idempotentWithKey);
+    CHECK(config.policy.tenants[0].quotaPerSecond == 100);
+    CHECK(config.maxRequestTimeout == 2'000 * test::ms);
+    CHECK_FALSE(config.policy.weightsFollowLoad);
+    CHECK(config.policy.requestClasses[0].timeout == 2'000 * test::ms);
     start["settings"]["weights"] = "live";
     CHECK(readStartupConfig(start.dump()).policy.weightsFollowLoad);
     start["settings"]["weights"] = "heavy";
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,5 @@
-// The program as its peers see it: clients, caches, the origin and discovery are sockets of the story.
+// The router process as its peers see it: clients, cache servers, the origin and discovery are sockets of the
+// test.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -18,9 +19,9 @@
     return nlohmann::json{{"version", version}, {"full", false}, {"servers", entries}}.dump();
 }
 
-bool begins(const std::string& text, std::string_view with) { return text.starts_with(with); }
+bool startsWith(const std::string& text, std::string_view prefix) { return text.starts_with(prefix); }
 
-// Serves one command from the cache; returns the connection it came on.
+// Serves one read from the cache server; returns the connection that the attempt came on.
 Socket serveOne(Stage& stage, Socket& client, const std::string& key) {
     client.say(get(key));
     Socket cache = stage.caches[0].accept();
@@ -30,7 +31,7 @@
     return cache;
 }
 
-// Two commands of one client, each out at the cache on a connection of its own.
+// Two requests of one client, each in flight at the cache server on a connection of its own.
 std::pair<Socket, Socket> sendTwo(Stage& stage, Socket& client) {
     client.say(get("a") + get("b"));
     Socket first = stage.caches[0].accept();
@@ -85,7 +86,7 @@
 
 }  // namespace
 
-TEST_CASE("a read is answered by the cache, and the connection is used again") {
+TEST_CASE("a read is served by the cache server, and the connection is reused") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k", "c=read,t=north,d=1500,size=9"));
@@ -95,9 +96,9 @@
     CHECK(words[0] == "OBJ.GET");
     CHECK(words[1] == "k");
     CHECK(words[2] == "9b1f-k");
-    CHECK(begins(words[3], "c=read,t=north,d=1"));
+    CHECK(startsWith(words[3], "c=read,t=north,d=1"));
     CHECK(words[3].ends_with(",size=9"));
-    // In pieces, as a network may bring it.
+    // In single bytes, as a network may deliver it.
     const std::string answer = hit("value");
     for (const char c : answer) cache.say({&c, 1});
     CHECK(client.answer() == "value");
@@ -108,7 +109,7 @@
     CHECK(stage.caches[0].quiet(50));
 }
 
-TEST_CASE("what the cache lacks comes from the origin") {
+TEST_CASE("a cache miss is served by the origin") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
@@ -120,7 +121,7 @@
     REQUIRE(head.size() == 4);
     CHECK(head[0] == "GET /k HTTP/1.1");
     CHECK(head[2] == "X-Call-Id: 9b1f-k");
-    // All of the list as it came but for `d`: what is left of the client's time, never more.
+    // The info list as the client sent it, except `d`: what is left of the client's time, never more.
     const std::string list = "X-Call-Info: c=read,t=north,d=";
     REQUIRE(head[3].starts_with(list));
     const long left = std::stol(head[3].substr(list.size()));
@@ -131,7 +132,7 @@
     CHECK(client.answer() == "fetched");
 }
 
-TEST_CASE("a write of 64 KiB reaches the origin whole and its receipt comes back") {
+TEST_CASE("a write of 64 KiB reaches the origin complete and its receipt is returned") {
     Stage stage;
     Socket client = stage.client();
     const std::string value(64 * 1024, 'x');
@@ -143,7 +144,7 @@
     CHECK(client.answer() == "receipt");
 }
 
-TEST_CASE("a write that never ran is declined, one that may have run fails and is not sent again") {
+TEST_CASE("a write that was not executed is rejected; one that may have executed fails and is not retried") {
     Stage stage;
     Socket client = stage.client();
     client.say(set("k", "c=pay,d=900"));
@@ -153,24 +154,24 @@
         origin.bytes(1);
         origin.say(http(503, "", "X-Rejected: 1\r\n"));
     }
-    CHECK(begins(client.answer(), "-BUSY"));
+    CHECK(startsWith(client.answer(), "-BUSY"));
     client.say(set("k", "c=pay,d=900"));
     origin.head();
     origin.bytes(1);
     origin.say(http(500, ""));
-    CHECK(begins(client.answer(), "-ERR"));
+    CHECK(startsWith(client.answer(), "-ERR"));
     client.say(set("k", "c=pay,d=900"));
     origin.head();
     origin.bytes(1);
     origin.reset();
-    CHECK(begins(client.answer(), "-ERR"));
+    CHECK(startsWith(client.answer(), "-ERR"));
     CHECK(stage.origin.quiet(200));
     stage.origin.shut();
     client.say(set("k", "c=pay,d=900"));
-    CHECK(begins(client.answer(), "-BUSY"));
+    CHECK(startsWith(client.answer(), "-BUSY"));
 }
 
-TEST_CASE("a kept connection found broken before the command is written leaves it unrun") {
+TEST_CASE("an idle connection found broken before the request is written leaves it unexecuted") {
     UpstreamFixture upstream(64 * 1024);
     upstream.request.info = "c=pay,d=900";
     proxy::Attempt first(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
@@ -187,7 +188,7 @@
     CHECK(upstream.outcomes == std::vector{AttemptOutcome::succeeded, AttemptOutcome::connectFailed});
 }
 
-TEST_CASE("a half-read answer past what all of them may hold fails its relay, as one that may have run") {
+TEST_CASE("an incomplete response over the buffer limit fails its attempt, as one that may have executed") {
     UpstreamFixture upstream(16 * 1024);
     proxy::Attempt attempt(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
     upstream.send(attempt);
@@ -198,7 +199,7 @@
     CHECK(upstream.connectionPool.bufferedBytes() == 0);
 }
 
-TEST_CASE("answers go out in the order of the commands, and no command waits behind another at a cache") {
+TEST_CASE("responses are sent in request order, and no request waits behind another at a cache server") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("a") + array({"PING"}) + get("b"));
@@ -214,7 +215,7 @@
     CHECK(client.answer() == "vb");
 }
 
-TEST_CASE("a client that leaves midway takes nothing with it") {
+TEST_CASE("a client that disconnects midway affects no other") {
     Stage stage;
     Socket leaving = stage.client();
     auto [first, second] = sendTwo(stage, leaving);
@@ -229,7 +230,7 @@
     CHECK(client.answer() == "vc");
 }
 
-TEST_CASE("a relay that is given up closes its connection, and silent ones beside it are not used again") {
+TEST_CASE("an abandoned attempt closes its connection, and silent ones of that server are not reused") {
     Stage stage;
     Socket client = stage.client();
     auto [first, second] = sendTwo(stage, client);
@@ -238,13 +239,13 @@
     client.answer();
     client.answer();
     client.say(get("c", "c=read,d=300"));
-    CHECK(begins(client.answer(), "-"));
+    CHECK(startsWith(client.answer(), "-"));
     CHECK(first.ended());
     CHECK(second.ended());
     serveOne(stage, client, "d");
 }
 
-TEST_CASE("a router that was held up answers by the time limit its client counts, not by one of its own") {
+TEST_CASE("a router that was suspended responds by its client's timeout, not by a later one of its own") {
     Stage stage;
     Socket client = stage.client();
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
@@ -253,26 +254,26 @@
     const auto sent = std::chrono::steady_clock::now();
     usleep(600'000);
     stage.program.signal(SIGCONT);
-    CHECK(begins(client.answer(), "-ERR"));
+    CHECK(startsWith(client.answer(), "-ERR"));
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(1'200));
 }
 
-TEST_CASE("a cache that refuses connections leaves the command unrun") {
+TEST_CASE("a cache server that refuses connections leaves the request unexecuted") {
     Stage stage;
     stage.caches[0].shut();
     Socket client = stage.client();
     client.say(get("k"));
-    CHECK(begins(client.answer(), "-BUSY"));
+    CHECK(startsWith(client.answer(), "-BUSY"));
 }
 
-TEST_CASE("nonsense from a cache fails that relay alone") {
+TEST_CASE("malformed bytes from a cache server fail that attempt alone") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
     Socket cache = stage.caches[0].accept();
     cache.command();
     cache.say("!what\r\n");
-    CHECK(begins(client.answer(), "-"));
+    CHECK(startsWith(client.answer(), "-"));
     CHECK(cache.ended());
     Socket next = serveOne(stage, client, "d");
     next.say(hit("nobody asked"));
@@ -280,14 +281,14 @@
     serveOne(stage, client, "e");
 }
 
-TEST_CASE("an answer of another form ends its connection, and so does what follows a good one") {
+TEST_CASE("a response of another form ends its connection, and so does what follows a valid one") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
     Socket cache = stage.caches[0].accept();
     cache.command();
     cache.say("$5\r\nvalue\r\n");
-    CHECK(begins(client.answer(), "-"));
+    CHECK(startsWith(client.answer(), "-"));
     CHECK(cache.ended());
     cache = serveOne(stage, client, "a");
     client.say(get("b"));
@@ -295,8 +296,8 @@
     cache.say(hit("vb") + hit("va"));
     CHECK(client.answer() == "vb");
     CHECK(cache.ended());
-    // Two at once, one of which may wait for the connection of the other: its second copy is not for that
-    // one.
+    // Two at once, one of which may wait for the connection of the other: the first one's repeated response
+    // is not for that one.
     client.say(get("c"));
     cache = stage.caches[0].accept();
     cache.command();
@@ -311,7 +312,7 @@
     CHECK(other.command().at(1) == "e");
 }
 
-TEST_CASE("a connection that was ended behind its answer takes no further command with it") {
+TEST_CASE("a connection that was closed behind its response loses no further request") {
     Stage stage;
     Socket client = stage.client();
     Socket cache = serveOne(stage, client, "a");
@@ -328,28 +329,28 @@
     CHECK(client.answer() == "receipt");
 }
 
-TEST_CASE("broken bytes end the connection with an error, unknown words only get one") {
+TEST_CASE("malformed bytes end the connection with an error, unknown commands only get one") {
     Stage stage;
     Socket client = stage.client();
-    CHECK(begins(client.say(array({"FLUSHALL"})).answer(), "-ERR"));
+    CHECK(startsWith(client.say(array({"FLUSHALL"})).answer(), "-ERR"));
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
     client.say("GET / HTTP/1.1\r\n\r\n");
-    CHECK(begins(client.answer(), "-ERR Protocol error"));
+    CHECK(startsWith(client.answer(), "-ERR Protocol error"));
     CHECK(client.ended());
     Socket huge = stage.client();
     huge.say("*5\r\n$7\r\nOBJ.SET\r\n$99999999\r\n");
-    CHECK(begins(huge.answer(), "-ERR Protocol error"));
+    CHECK(startsWith(huge.answer(), "-ERR Protocol error"));
     CHECK(huge.ended());
 }
 
-TEST_CASE("where the simulator pushes the list, it is asked for all the same") {
+TEST_CASE("where the simulator pushes the endpoint list, it is polled all the same") {
     auto start = smallStart();
     start["settings"]["membershipMode"] = "pushed";
     Stage stage(1, start);
-    CHECK(begins(stage.discovery.accept().line(), "GET /api/targets?after=7&wait_ms="));
+    CHECK(startsWith(stage.discovery.accept().line(), "GET /api/targets?after=7&wait_ms="));
 }
 
-TEST_CASE("where lists are pushed, what a drain leaves is the pace at which a failing discovery is asked") {
+TEST_CASE("where lists are pushed, the drain grace period bounds the poll interval of a failing discovery") {
     auto start = smallStart();
     start["settings"]["membershipMode"] = "pushed";
     start["settings"]["replicasOfMe"] = 300;
@@ -358,31 +359,31 @@
     const auto began = std::chrono::steady_clock::now();
     for (int failed = 0; failed < 6; ++failed) {
         Socket discovery = stage.discovery.accept();
-        CHECK(begins(discovery.head().at(0), "GET /api/targets?after=7&wait_ms="));
+        CHECK(startsWith(discovery.head().at(0), "GET /api/targets?after=7&wait_ms="));
         discovery.say(http(503, ""));
     }
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1'800));
 }
 
-TEST_CASE("the watch goes on at once and what it tells is followed") {
+TEST_CASE("the endpoint watcher polls again at once and its updates are applied") {
     Stage stage(2);
     Socket discovery = stage.discovery.accept();
-    CHECK(begins(discovery.head().at(0), "GET /api/targets?after=7&wait_ms="));
+    CHECK(startsWith(discovery.head().at(0), "GET /api/targets?after=7&wait_ms="));
     discovery.say(http(200, listOf(8, {entryOf("c0", stage.caches[0], "m", "Terminating"),
                                        entryOf("c1", stage.caches[1], "m", "Ready", 5)})));
-    CHECK(begins(discovery.head().at(0), "GET /api/targets?after=8&wait_ms="));
+    CHECK(startsWith(discovery.head().at(0), "GET /api/targets?after=8&wait_ms="));
     Socket client = stage.client();
     for (const char* key : {"a", "b", "c", "d", "e", "f"}) client.say(get(key));
     CHECK(stage.caches[1].accept().command().size() == 4);
     CHECK(stage.caches[0].quiet(200));
 }
 
-TEST_CASE("a call to discovery that fails is made again, but not at once") {
+TEST_CASE("a failed poll is repeated, but not at once") {
     Stage stage;
     for (const char* answer : {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
                                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[7,]"}) {
         Socket discovery = stage.discovery.accept();
-        CHECK(begins(discovery.head().at(0), "GET /api/targets?after=7"));
+        CHECK(startsWith(discovery.head().at(0), "GET /api/targets?after=7"));
         discovery.say(answer);
         CHECK(stage.discovery.quiet(100));
     }
@@ -391,12 +392,13 @@
     serveOne(stage, client, "k");
 }
 
-TEST_CASE("SIGHUP: discovery is asked where the new configuration names it, a broken one changes nothing") {
+TEST_CASE(
+    "SIGHUP: discovery is polled where the new configuration names it, an invalid one changes nothing") {
     auto start = smallStart();
     Stage stage(2, start);
     stage.startOf(start);
     Socket old = stage.discovery.accept();
-    CHECK(begins(old.head().at(0), "GET /api/targets?after=7&wait_ms="));
+    CHECK(startsWith(old.head().at(0), "GET /api/targets?after=7&wait_ms="));
     Socket client = stage.client();
     client.say(set("a", "c=pay,d=9000"));
     Socket origin = stage.origin.accept();
@@ -412,7 +414,7 @@
     stage.program.configure(start.dump());
     stage.program.signal(SIGHUP);
     stage.program.signal(SIGHUP);
-    // At once, and for all of the list: that the old one answers no more is no failure to back off from.
+    // At once, and for the complete list: that the old one was closed is no failure to back off from.
     Socket fresh = moved.accept();
     CHECK(old.ended());
     CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
@@ -422,7 +424,7 @@
     auto list = nlohmann::json::parse(listOf(3, {entryOf("c1", stage.caches[1])}));
     list["full"] = true;
     fresh.say(http(200, list.dump()));
-    CHECK(begins(fresh.head().at(0), "GET /api/targets?after=3&wait_ms="));
+    CHECK(startsWith(fresh.head().at(0), "GET /api/targets?after=3&wait_ms="));
     CHECK(stage.discovery.quiet(50));
     origin.say(http(200, "receipt"));
     CHECK(client.answer() == "receipt");
@@ -437,7 +439,7 @@
     CHECK(log.find("goes on with the old configuration") != std::string::npos);
 }
 
-TEST_CASE("told to stop, it takes what still comes, answers all of it and exits with 0") {
+TEST_CASE("on SIGTERM it accepts what still comes, responds to all of it and exits with 0") {
     Stage stage;
     Socket idle = stage.client();
     idle.say(array({"PING"})).answer();
@@ -458,7 +460,7 @@
     CHECK(stage.program.exitCode() == 0);
 }
 
-TEST_CASE("a configuration that can't be used is one plain line and an exit code") {
+TEST_CASE("an invalid configuration is one plain line and an exit code") {
     auto start = smallStart();
     Stage taken(0);
     start["listen"] = "127.0.0.1:" + std::to_string(taken.port);
@@ -475,18 +477,18 @@
     }
 }
 
-TEST_CASE("a client that doesn't read stops being read, and the others are served") {
+TEST_CASE("a client that doesn't read is not read any more, and the others are served") {
     Stage stage;
-    Socket deaf = stage.client();
+    Socket unresponsive = stage.client();
     const std::string value(64 * 1024, 'x');
-    deaf.say(get("k"));
+    unresponsive.say(get("k"));
     Socket cache = stage.caches[0].accept();
     int answered = 0;
     for (; answered < 1000 && !cache.quiet(300); ++answered) {
         cache.command();
         cache.say(hit(value));
-        deaf.say(
-            get("k" + std::to_string(answered)));  // under one id it might come before that answer is told
+        unresponsive.say(get(
+            "k" + std::to_string(answered)));  // under one id it might come before that response is complete
     }
     CHECK(answered > 1);
     CHECK(answered < 1000);
@@ -497,14 +499,14 @@
     CHECK(client.answer() == "v");
 }
 
-TEST_CASE("more clients than descriptors: silent ones make room, of the others who idles longest and long") {
+TEST_CASE("more clients than descriptors: silent ones are closed first, then those that have idled longest") {
     auto start = smallStart();
     start["limits"]["sockets"] = 64;
     Stage stage(1, start);
-    std::vector<Socket> usual;
+    std::vector<Socket> regular;
     for (int i = 0; i < 3; ++i) {
-        usual.push_back(stage.client());
-        CHECK(usual.back().say(array({"PING"})).answer() == "+PONG");
+        regular.push_back(stage.client());
+        CHECK(regular.back().say(array({"PING"})).answer() == "+PONG");
         usleep(100'000);
     }
     std::vector<Socket> silent;
@@ -514,18 +516,18 @@
         if (i % 3 == 2) silent.back().say(get("k", "c=nothing,d=900"));
     }
     usleep(100'000);
-    CHECK(usual.front().say(array({"PING"})).answer() == "+PONG");
+    CHECK(regular.front().say(array({"PING"})).answer() == "+PONG");
     CHECK(silent.front().ended());
     silent.clear();
-    // Past half of the places who has idled for a quarter of a second goes, and leaves one for who asks.
+    // Over half of the limit, clients that have idled for a quarter of a second are closed.
     for (int i = 0; i < 4; ++i) {
-        usual.push_back(stage.client());
-        CHECK(usual.back().say(array({"PING"})).answer() == "+PONG");
+        regular.push_back(stage.client());
+        CHECK(regular.back().say(array({"PING"})).answer() == "+PONG");
     }
     usleep(400'000);
-    for (int i : {0, 1, 2}) CHECK(usual[i].ended());
-    CHECK(usual.back().quiet(0));
-    // Who is owed an answer keeps its place.
+    for (int i : {0, 1, 2}) CHECK(regular[i].ended());
+    CHECK(regular.back().quiet(0));
+    // Clients with an outstanding response stay.
     std::vector<Socket> busy;
     for (int i = 0; i < 7; ++i) {
         busy.push_back(stage.client());
@@ -540,15 +542,15 @@
     serveOne(stage, late, "k");
 }
 
-TEST_CASE("a verb that nobody knows and an id that is still open are errors at once and go nowhere") {
+TEST_CASE("an unknown request class and an id that is in use are errors at once and are not forwarded") {
     Stage stage;
     Socket client = stage.client(), other = stage.client();
     client.say(get("a"));
     Socket cache = stage.caches[0].accept();
     cache.command();
-    CHECK(begins(other.say(get("a")).answer(), "-ERR"));
-    CHECK(begins(other.say(get("b", "c=nothing,d=900")).answer(), "-ERR"));
-    CHECK(begins(other.say(set("b", "c=nothing,d=900")).answer(), "-ERR"));
+    CHECK(startsWith(other.say(get("a")).answer(), "-ERR"));
+    CHECK(startsWith(other.say(get("b", "c=nothing,d=900")).answer(), "-ERR"));
+    CHECK(startsWith(other.say(set("b", "c=nothing,d=900")).answer(), "-ERR"));
     CHECK(stage.caches[0].quiet(50));
     CHECK(stage.origin.quiet(50));
     cache.say(hit("va"));
@@ -557,22 +559,22 @@
     CHECK(cache.command().size() == 4);
 }
 
-TEST_CASE("who sends at full speed gets its part of a turn, and another is answered between") {
+TEST_CASE("a client that sends at full speed gets its share of an iteration, and others are served between") {
     Stage stage;
-    Socket loud = stage.client(), quiet = stage.client();
-    for (Socket* client : {&loud, &quiet}) CHECK(client->say(array({"PING"})).answer() == "+PONG");
+    Socket fast = stage.client(), quiet = stage.client();
+    for (Socket* client : {&fast, &quiet}) CHECK(client->say(array({"PING"})).answer() == "+PONG");
     stage.program.signal(SIGSTOP);
     std::string many;
     while (many.size() < 512 * 1024) many += array({"PING"});
-    while (loud.cram(many) > 0) {
+    while (fast.cram(many) > 0) {
     }
     quiet.say(array({"PING"}));
     stage.program.signal(SIGCONT);
     CHECK(quiet.answer() == "+PONG");
-    CHECK(loud.waits() < 200 * 1024);
+    CHECK(fast.waits() < 200 * 1024);
 }
 
-TEST_CASE("a connection is closed well before the cache would close it") {
+TEST_CASE("an idle connection is closed well before the cache server would close it") {
     auto start = smallStart();
     start["settings"]["allowed"]["connIdleUs"] = 600'000;
     Stage stage(1, start);
@@ -583,14 +585,16 @@
     serveOne(stage, client, "b");
 }
 
-TEST_CASE("who says nothing or half a command is told so within 3 s, a next one always half sent is not") {
+TEST_CASE(
+    "a silent or half-sent request ends its connection within 3 s, one always followed by half of the next "
+    "does not") {
     Stage stage;
     const std::string ping = array({"PING"});
-    Socket kept = stage.client();
-    CHECK(kept.say(ping).answer() == "+PONG");
+    Socket idle = stage.client();
+    CHECK(idle.say(ping).answer() == "+PONG");
     const auto began = std::chrono::steady_clock::now();
-    Socket silent = stage.client(), stuck = stage.client(), busy = stage.client();
-    stuck.say(get("k").substr(0, 10));
+    Socket silent = stage.client(), incomplete = stage.client(), busy = stage.client();
+    incomplete.say(get("k").substr(0, 10));
     busy.say(ping.substr(0, 5));
     for (int i = 0; i < 10; ++i) {
         usleep(250'000);
@@ -598,33 +602,33 @@
         CHECK(busy.answer() == "+PONG");
     }
     CHECK(silent.ended());
-    CHECK(begins(stuck.answer(), "-ERR Protocol error"));
-    CHECK(stuck.ended());
+    CHECK(startsWith(incomplete.answer(), "-ERR Protocol error"));
+    CHECK(incomplete.ended());
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(3'000));
-    CHECK(kept.quiet(0));
+    CHECK(idle.quiet(0));
 }
 
-TEST_CASE("mutated bytes from clients, caches and the origin leave the router serving") {
+TEST_CASE("mutated bytes from clients, cache servers and the origin leave the router serving") {
     Stage stage;
-    std::mt19937 chance(11);
+    std::mt19937 random(11);
     const auto mutated = [&](std::string text) {
-        for (auto left = chance() % 4; left > 0; --left)
-            text[chance() % text.size()] = "*$-:+\r\n019\0Z"[chance() % 12];
-        return text.substr(0, chance() % 3 ? text.size() : chance() % text.size());
+        for (auto left = random() % 4; left > 0; --left)
+            text[random() % text.size()] = "*$-:+\r\n019\0Z"[random() % 12];
+        return text.substr(0, random() % 3 ? text.size() : random() % text.size());
     };
     const std::vector<std::string> said{get("a") + get("b"), array({"PING"}) + get("c"),
                                         set("d", "c=mark,d=300"), get("e", "c=read,d=0"),
                                         set("f", "c=pay,d=200,k=1", std::string(9000, 'x'))};
     for (int i = 0; i < 150; ++i) {
         Socket client = stage.client();
-        client.say(mutated(said[chance() % said.size()]));
+        client.say(mutated(said[random() % said.size()]));
         while (!stage.caches[0].quiet(2)) {
             Socket cache = stage.caches[0].accept();
-            cache.say(mutated(chance() % 2 ? hit("value") : std::string(kMiss)));
-            if (chance() % 2) cache.reset();
+            cache.say(mutated(random() % 2 ? hit("value") : std::string(kMiss)));
+            if (random() % 2) cache.reset();
         }
         while (!stage.origin.quiet(2)) stage.origin.accept().say(mutated(http(200, "fetched")));
-        if (chance() % 2) client.reset();
+        if (random() % 2) client.reset();
     }
     Socket client = stage.client();
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
@@ -633,25 +637,25 @@
     CHECK(stage.program.exitCode() == 0);
 }
 
-TEST_CASE("halves of commands fill no small machine, and the others go on being served") {
+TEST_CASE("incomplete requests don't fill a small memory, and other clients are served") {
     auto start = smallStart();
     start["limits"]["memory_mb"] = 16;
     start["limits"]["sockets"] = 1024;
     Stage stage(1, start);
-    Socket usual = stage.client();
-    CHECK(usual.say(array({"PING"})).answer() == "+PONG");
+    Socket regular = stage.client();
+    CHECK(regular.say(array({"PING"})).answer() == "+PONG");
     const std::string most = set("k", "c=mark,d=900", std::string(60 * 1024, 'x'));
-    std::vector<Socket> halves;
+    std::vector<Socket> incomplete;
     for (int i = 0; i < 200; ++i) {
-        halves.push_back(stage.client());
-        halves.back().say(std::string_view(most).substr(0, most.size() - 9));
+        incomplete.push_back(stage.client());
+        incomplete.back().say(std::string_view(most).substr(0, most.size() - 9));
     }
-    CHECK(usual.say(array({"PING"})).answer() == "+PONG");
-    // Two hundred of them would be 12 MB. Those begun first are closed for the room, and not told that their
-    // time is over.
+    CHECK(regular.say(array({"PING"})).answer() == "+PONG");
+    // Two hundred of them would be 12 MB. Those begun first are closed to free memory, without the error of a
+    // request that timed out.
     for (int i = 0; i < 100; ++i) {
-        CHECK(halves[i].answer().empty());
-        CHECK(halves[i].ended());
+        CHECK(incomplete[i].answer().empty());
+        CHECK(incomplete[i].ended());
     }
-    serveOne(stage, usual, "k");
+    serveOne(stage, regular, "k");
 }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// Stories of what is owed when something ends. Each brings about the bad order every time: peers hold back
-// and let go on cue, and a process is stopped until all of it has come.
+// Outstanding requests when something ends. Each test forces the bad order of events: servers withhold their
+// accepts until they are told, and the process is suspended until everything has arrived.
 #include <doctest/doctest.h>
 #include <linux/sockios.h>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Connections may take long to come up, and commands wait for them as long as their clients do.
+// Connections may take long to be established, and requests wait for them as long as their clients do.
 nlohmann::json patientStart() {
     auto start = smallStart();
     start["settings"]["allowed"]["connectTimeoutUs"] = 8'000'000;
@@ -27,15 +27,15 @@
                        const std::string& value = "V") {
     return set(key, "c=" + requestClass + ",t=north,d=6000,k=" + key, value);
 }
-constexpr int kSentOn = 300;  // ms: a command whose client has left by then is not sent on any more
+constexpr int kDisconnectedMs = 300;  // a request whose client has disconnected so long ago is not forwarded
 
-bool begins(const std::string& text, std::string_view with) { return text.starts_with(with); }
+bool startsWith(const std::string& text, std::string_view prefix) { return text.starts_with(prefix); }
 
 std::string listOf(int version, bool full, const std::vector<nlohmann::json>& entries) {
     return nlohmann::json{{"version", version}, {"full", full}, {"servers", entries}}.dump();
 }
 
-// The socket of this process that is connected to a port, other than by what the story holds itself.
+// The socket of this process that is connected to a port.
 int connectedTo(std::uint16_t port) {
     for (int at = 0; at < 1'000; ++at) {
         sockaddr_in peer{};
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-TEST_CASE("whose client has left while it waits for a connection on its way is sent nowhere") {
+TEST_CASE("a request whose client disconnects while it waits for a connection is not forwarded") {
     Stage stage(1, patientStart());
     stage.caches[0].hold();
     stage.origin.hold();
@@ -58,7 +58,7 @@
     Socket closes = stage.client(), resets = stage.client(), floods = stage.client();
     closes.say(patientGet("read") + patientSet("mark", "mark"));
     resets.say(patientSet("pay", "pay") + patientGet("other"));
-    // More than is read of one connection before answers have gone: that it goes is not to be read there.
+    // More than is read of one connection before responses are sent: its end is not read there.
     std::string many;
     for (int i = 0; i < 200; ++i) many += patientGet("many" + std::to_string(i));
     floods.say(many);
@@ -66,7 +66,7 @@
     closes.hangUp();
     resets.reset();
     floods.hangUp();
-    usleep(kSentOn * 1'000);
+    usleep(kDisconnectedMs * 1'000);
     stage.caches[0].let();
     stage.origin.let();
     Socket cache = stage.caches[0].accept();
@@ -74,20 +74,22 @@
     cache.say(hit("V"));
     CHECK(stays.answer() == "V");
     CHECK(cache.quiet(50));
-    // Neither another command nor a connection that waits for one.
-    int opened = 0, sentOn = 0;
+    // Neither another request nor a connection that waits for one.
+    int opened = 0;
+    int forwarded = 0;
     for (TestServer* door : {&stage.caches[0], &stage.origin})
         while (!door->quiet(1'200)) {
             const Socket late = door->accept();
             ++opened;
-            sentOn += !late.quiet(200);
+            forwarded += !late.quiet(200);
         }
-    MESSAGE(sentOn, " of 204 commands sent on after their clients had left, ", opened, " connections opened");
-    CHECK(sentOn == 0);
+    MESSAGE(forwarded, " of 204 requests forwarded after their clients had disconnected, ", opened,
+            " connections opened");
+    CHECK(forwarded == 0);
     CHECK(opened == 0);
 }
 
-TEST_CASE("whose client has left while the router was held up is sent nowhere, on open connections neither") {
+TEST_CASE("a request whose client disconnects while the router is suspended is not forwarded") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("a"));
@@ -102,7 +104,7 @@
     resets.say(get("d"));
     closes.hangUp();
     resets.reset();
-    usleep((kSentOn + 100) * 1'000);
+    usleep((kDisconnectedMs + 100) * 1'000);
     stays.say(get("e"));
     stage.program.signal(SIGCONT);
     CHECK(cache.command().at(1) == "e");
@@ -113,7 +115,8 @@
     CHECK(stage.origin.quiet(0));
 }
 
-TEST_CASE("a command between two relays goes to no origin once its client has left unread") {
+TEST_CASE(
+    "a request between two attempts is not sent to the origin once its client has disconnected unread") {
     Stage stage(1, patientStart());
     Socket floods = stage.client();
     std::string many;
@@ -126,19 +129,19 @@
     }
     REQUIRE_FALSE(attempts.empty());
     floods.hangUp();
-    usleep(kSentOn * 1'000);
+    usleep(kDisconnectedMs * 1'000);
     for (Socket& attempt : attempts) attempt.say(kMiss);
     CHECK(stage.origin.quiet(300));
     for (Socket& attempt : attempts) CHECK(attempt.quiet(0));
 }
 
-TEST_CASE("a connection on its way to where a cache is no more is not used when it comes up") {
+TEST_CASE("a connection to an earlier address of a cache server is not used once it is established") {
     Stage stage(2, patientStart());
     Socket discovery = stage.discovery.accept();
     discovery.head();
     stage.caches[0].hold();
     TestServer moved;
-    // One by one until both are asked: which key goes where is the router's.
+    // Several keys, so that both servers get one: the router selects which.
     Socket client = stage.client();
     stage.caches[1].hold();
     for (const char* key : {"a", "b", "c", "d"}) client.say(patientGet(key));
@@ -148,22 +151,22 @@
     discovery.head();
     stage.caches[0].let();
     stage.caches[1].let();
-    // All four come where it is now, each on a connection of its own or behind another.
-    std::vector<std::string> came;
-    while (came.size() < 4 && !moved.quiet(1'000)) {
+    // All four arrive at the new address, each on a connection of its own or behind another.
+    std::vector<std::string> arrived;
+    while (arrived.size() < 4 && !moved.quiet(1'000)) {
         Socket at = moved.accept();
         for (auto words = at.command(); words.size() == 4;
              words = at.quiet(200) ? std::vector<std::string>{} : at.command()) {
-            came.push_back(words[1]);
+            arrived.push_back(words[1]);
             at.say(hit("V"));
         }
     }
-    CHECK(came.size() == 4);
+    CHECK(arrived.size() == 4);
     CHECK(stage.caches[0].quiet(1'200));
     CHECK(stage.caches[1].quiet(0));
 }
 
-TEST_CASE("a receipted repeat is not written once its mark may be forgotten, however late a connection is") {
+TEST_CASE("a retry is not written after its idempotency key may have expired, however late a connection is") {
     auto start = patientStart();
     start["settings"]["verbs"][1]["keyTtlUs"] = 900'000;
     Stage stage(2, start);
@@ -176,15 +179,15 @@
     TestServer& other = stage.caches[!second];
     Socket first = asked.accept();
     CHECK(first.command().at(1) == "k");
-    // It may have run. The next connection comes up with the kernel's next try, a second later.
+    // It may have executed. The next connection is established with the kernel's retry, a second later.
     other.hold();
     stage.origin.hold();
     first.reset();
     usleep(50'000);
     other.let();
     stage.origin.let();
-    // All caches know it again for 0.9 s from its first relay on: a decline, and at that time.
-    CHECK(begins(client.answer(), "-BUSY"));
+    // Cache servers recognize the key for 0.9 s from the first attempt: rejected, and at that time.
+    CHECK(startsWith(client.answer(), "-BUSY"));
     const auto took = std::chrono::steady_clock::now() - began;
     CHECK(took > std::chrono::milliseconds(800));
     CHECK(took < std::chrono::milliseconds(1'600));
@@ -193,10 +196,10 @@
     CHECK(asked.quiet(0));
 }
 
-TEST_CASE("an answer up to the end of its connection is none when that was cut off") {
+TEST_CASE("a response that lasts to the end of its connection is invalid when that was reset") {
     Stage stage;
     Socket client = stage.client();
-    for (const bool whole : {false, true}) {
+    for (const bool isComplete : {false, true}) {
         client.say(get("k", "c=pay,t=north,d=1500"));
         Socket cache = stage.caches[0].accept();
         cache.command();
@@ -204,14 +207,17 @@
         Socket origin = stage.origin.accept();
         origin.head();
         origin.say("HTTP/1.1 200 OK\r\n\r\nhalf of it");
-        whole ? origin.hangUp() : origin.reset();
+        if (isComplete)
+            origin.hangUp();
+        else
+            origin.reset();
         const std::string answer = client.answer();
-        CHECK_MESSAGE(begins(answer, whole ? "half of it" : "-ERR"), answer);
+        CHECK_MESSAGE(startsWith(answer, isComplete ? "half of it" : "-ERR"), answer);
         cache.hangUp();
     }
 }
 
-TEST_CASE("what is open at the end of a drain is answered, and what would outlast it is not taken") {
+TEST_CASE("open requests get a response at the end of a drain, and what would outlast it is not accepted") {
     auto start = smallStart();
     for (auto& requestClass : start["settings"]["verbs"]) requestClass["timeLimitUs"] = 1'000'000;
     Stage stage(1, start);
@@ -222,20 +228,20 @@
     Socket unsent = stage.client();
     stage.origin.hold();
     stage.program.signal(SIGTERM);
-    usleep(600'000);  // past leaving: connections on which something is owed stay
+    usleep(600'000);  // past the time for idle connections: those with outstanding responses stay
     client.say(get("short", "c=read,t=north,d=300") + get("outlasts", "c=read,t=north,d=1000"));
     Socket second = stage.caches[0].accept();
     CHECK(second.command().at(1) == "short");
     second.say(hit("V"));
-    CHECK(begins(client.answer(), "-ERR"));
+    CHECK(startsWith(client.answer(), "-ERR"));
     CHECK(client.answer() == "V");
-    CHECK(begins(client.answer(), "-BUSY"));
+    CHECK(startsWith(client.answer(), "-BUSY"));
     CHECK(client.ended());
     CHECK(stage.program.exitCode() == 0);
     CHECK(stage.caches[0].quiet(0));
 }
 
-TEST_CASE("what came while the router was held up is read before any time that it has run out by then") {
+TEST_CASE("what arrived while the router was suspended is read before timers that have expired fire") {
     Stage stage;
     Socket client = stage.client(), pays = stage.client(), says = stage.client();
     client.say(get("a", "c=read,t=north,d=400"));
@@ -250,7 +256,7 @@
     stage.program.signal(SIGSTOP);
     cache.say(hit("V"));
     origin.say(http(200, "receipt"));
-    usleep(2'700'000);  // past both time limits, and past that for the rest of a command
+    usleep(2'700'000);  // past both timeouts, and past that for the rest of a request
     says.say(late.substr(20));
     stage.program.signal(SIGCONT);
     CHECK(client.answer() == "V");
@@ -261,7 +267,8 @@
     CHECK(says.answer() == "W");
 }
 
-TEST_CASE("a command whose last byte the kernel has taken may have run, though nobody was called back yet") {
+TEST_CASE(
+    "a request whose last byte the kernel has taken may have executed, though the callback is still due") {
     struct Handler : proxy::AttemptHandler {
         proxy::BodySink* onStreamBegins(proxy::Attempt&, std::size_t, proxy::BodySource&) override {
             return nullptr;
@@ -290,10 +297,9 @@
     setBufferSize(server.descriptor(), SO_RCVBUF, 4096);
     protocol::Request first, heavy;
     first.info = heavy.info = "c=pay,d=9000";
-    // Ten or eleven buffers of the router's, whatever part of the first goes out at once: libuv calls back
-    // for nine of them before alarms ring, so that the last one is with the kernel and nobody was told. In
-    // service there are five at most; that it is libuv's count of rounds which keeps it right there is not to
-    // be leant on.
+    // Ten or eleven buffers of the router's, whatever part of the first is sent at once: libuv calls back for
+    // nine of them before timers fire, so that the last one is with the kernel and its callback is due. In
+    // service there are five at most; nothing may rely on libuv's number of rounds there.
     heavy.isWrite = true;
     heavy.value = std::string(180'000, 'x');
     const std::size_t all = protocol::cacheRequest(heavy, 14'000 * ms).size();
@@ -304,7 +310,7 @@
     std::optional<Socket> peer;
     int router = -1;
     const auto taken = [&] {
-        // Its sixteenth word is what the other side has acknowledged; the C library's header lacks it.
+        // The sixteenth field is what the peer has acknowledged; the C library's header lacks it.
         std::array<std::uint64_t, 32> info{};
         socklen_t size = sizeof info;
         int left = 0;
@@ -313,7 +319,7 @@
         return static_cast<std::size_t>(info[15]) + static_cast<std::size_t>(left);
     };
     std::size_t before = 0;
-    bool sent = false, inGap = false;
+    bool sent = false, isBetween = false;
     loop.onIteration([&] {
         connectionPool.serveWaiting();
         if (!peer && !server.quiet(0)) peer = server.accept();
@@ -327,21 +333,21 @@
             before = taken();
             setBufferSize(router, SO_SNDBUF, 4096);
             cache.send(attempt);
-            // It stands half way; from now on there is room for all of the rest at once.
+            // A part is sent; from now on the socket's buffer takes all of the rest at once.
             REQUIRE(taken() - before < all);
             setBufferSize(router, SO_SNDBUF, 1 << 20);
             sent = true;
         }
-        if (!sent || inGap) return;
+        if (!sent || isBetween) return;
         peer->drain();
         if (taken() - before < all) return;
-        inGap = true;
+        isBetween = true;
         cache.abandon(attempt);
         loop.stop();
     });
     cache.send(opening);
     loop.run();
-    REQUIRE(inGap);
+    REQUIRE(isBetween);
     REQUIRE(handler.outcome.has_value());
     CHECK(static_cast<int>(*handler.outcome) == static_cast<int>(AttemptOutcome::timedOut));
 }
