--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -6,20 +6,26 @@
 #include <array>
 #include <cmath>
 #include <limits>
-#include <random>
 #include <unordered_map>
 #include <unordered_set>
 #include <utility>
 
+#include "base/decaying_sum.hpp"
+#include "base/hash.hpp"
+#include "policy/concurrency_limiter.hpp"
+#include "policy/hint_filter.hpp"
+#include "policy/random.hpp"
+
 namespace poppyscale {
+
+using policy::ConcurrencyLimiter;
+using policy::HintFilter;
+using policy::Random;
+
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 
-constexpr int kEntries = 4;                   // hint entries a key, of the source's 3 to 6
-constexpr std::int64_t kCountersPerKey = 16;  // a quarter full at four entries: about 0.4% false hits
-constexpr std::size_t kLeastCounters = 1 << 8;
-constexpr std::size_t kMostCounters = 10 << 20;  // the source's largest hint space
 constexpr Nanos kGeneration = 10 * kSecond;
 constexpr std::size_t kCandidates = 2, kMostCandidates = 3;
 constexpr double kYieldMargin = 2, kYieldFloor = 2;
@@ -30,174 +36,26 @@
 constexpr Nanos kMemory = 5 * kSecond;        // over which this router's own state is weighed
 constexpr Nanos kCacheMemory = 15 * kSecond;  // and a cache's endings, of which a quiet router sees few
 constexpr Nanos kAside = 4 * kSecond;
-constexpr double kLatenessWanted = 0.4;   // of the goal: the spread about the median needs the rest
 constexpr double kOriginLateness = 0.25;  // for the origin, whose answer comes on top of a miss
-constexpr double kLatenessMost = 0.7;     // and no more than this, however slow a cache is when idle
 constexpr double kOpening = 6;            // relays for each cache that all routers together open with
 constexpr int kFewAnswers = 32;
 constexpr double kLeastAcross = 0.02, kCopyPrice = 0.01;  // of a zone's own copies, as a part of utility
 constexpr double kMixing = 4;  // times what more is lost in the own zone: from 1 on zones count no more
 constexpr Nanos kShareMemory = 10 * kSecond;  // in less, a quiet router can't tell greed from chance
 
-std::uint64_t mix(std::uint64_t x) {
-    x ^= x >> 30;
-    x *= 0xbf58476d1ce4e5b9ULL;
-    x ^= x >> 27;
-    x *= 0x94d049bb133111ebULL;
-    return x ^ (x >> 31);
-}
-
-// Fixed for all builds and routers: routers agree on a key's candidates without a word between them.
-std::uint64_t hashOf(std::string_view text) {
-    std::uint64_t h = 0xcbf29ce484222325ULL;
-    for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    return mix(h);
-}
-
-class DecayingSum {
-  public:
-    explicit DecayingSum(Nanos life) : life_(life) {}
-    double read(Nanos now) {
-        if (now > at_ && sum_ != 0) sum_ *= std::exp(-static_cast<double>(now - at_) / life_);
-        at_ = std::max(at_, now);
-        return sum_;
-    }
-    void add(Nanos now, double x) { sum_ = read(now) + x; }
-    void clear() { sum_ = 0; }
-
-  private:
-    double life_;
-    double sum_ = 0;
-    Nanos at_ = 0;
-};
-
-struct CountingBloomFilter {  // one Bloom filter, for as many keys as its size is meant for
-    explicit CountingBloomFilter(std::size_t size) : counts(size, 0) {}
-
-    template <class Visit>
-    bool visitCounters(std::uint64_t key, Visit visit) const {
-        const std::uint64_t step = mix(key ^ 0x9e3779b97f4a7c15ULL) | 1;
-        for (int i = 0; i < kEntries; ++i)
-            if (!visit((key + static_cast<std::uint64_t>(i) * step) & (counts.size() - 1))) return false;
-        return true;
-    }
-    bool mayContain(std::uint64_t key) const {
-        return visitCounters(key, [&](std::size_t at) { return counts[at] != 0; });
-    }
-    bool isFull() const { return keys * kCountersPerKey >= std::ssize(counts); }
-    void insert(std::uint64_t key) {
-        visitCounters(key, [&](std::size_t at) { return counts[at] += counts[at] != 255, true; });
-        ++keys;
-    }
-    // A saturated counter has lost its count: counting it down would unregister keys that are still held.
-    void remove(std::uint64_t key) {
-        visitCounters(key, [&](std::size_t at) { return counts[at] -= counts[at] != 255, true; });
-        --keys;
-    }
-
-    std::vector<std::uint8_t> counts;
-    std::int64_t keys = 0;
-};
-
-// Takes no memory before the first key, as most routers of a large fleet hold a key or two at each cache.
-class HintFilter {
-  public:
-    bool mayContain(std::uint64_t key) const { return contains(current_, key) || contains(previous_, key); }
-    void insert(std::uint64_t key) {
-        if (contains(current_, key)) return;
-        const std::size_t last = current_.empty() ? 0 : current_.back().counts.size();
-        if (last == 0 || (current_.back().isFull() && last < kMostCounters / 4))
-            current_.emplace_back(std::max(2 * last, kLeastCounters));
-        current_.back().insert(key);
-    }
-    void remove(std::uint64_t key) {
-        for (auto* generation : {&current_, &previous_})
-            for (CountingBloomFilter& block : *generation)
-                if (block.mayContain(key)) block.remove(key);
-    }
-    void reset() { *this = {}; }
-    std::int64_t keyCount() const {
-        std::int64_t sum = 0;
-        for (const auto* generation : {&current_, &previous_})
-            for (const CountingBloomFilter& block : *generation) sum += block.keys;
-        return sum;
-    }
-    void startGeneration() { previous_ = std::exchange(current_, {}); }
-
-  private:
-    using Generation = std::vector<CountingBloomFilter>;
-    static bool contains(const Generation& generation, std::uint64_t key) {
-        return std::any_of(generation.begin(), generation.end(), [&](auto& b) { return b.mayContain(key); });
-    }
-
-    Generation current_;
-    Generation previous_;
-};
-
-struct ConcurrencyLimiter {  // how many relays may be out, learnt from how answers fare against their goals
-    // Beyond its share a customer leaves a quarter free: what is within share would else find it full.
-    bool hasCapacity(Nanos now, bool beyondShare) const {
-        const double most = beyondShare ? size * 0.75 : std::max(1.0, std::floor(size));
-        return now >= nextAt && out + 1 <= most;
-    }
-
-    void decrease(Nanos now, Nanos spent, double factor) {
-        if (now - cutAt < spent) return;  // all that was out together tells of one and the same jam
-        size = std::max(0.05, size * factor);
-        cutAt = now;
-    }
-
-    void recordLatency(Nanos now, Nanos spent, Nanos goal) {
-        // Bounded: one absurd report must not throw the medians and the waits off for good.
-        goal = std::max(goal, kMillisecond);
-        spent = std::clamp<Nanos>(spent, 0, 4 * goal);
-        const double part = static_cast<double>(spent) / static_cast<double>(goal);
-        // Steps towards the median: a few heavy commands would move a mean, a queue delays all that is
-        // answered.
-        lateness = lateness == 0 ? part : std::max(0.01, lateness * (part > lateness ? 1.1 : 0.9));
-        // Slower, or its least would lie far under what idle caches take; less so where answers are few.
-        const double apart = static_cast<double>(now - learntAt) / (2 * kSecond);
-        const double step = std::max(std::clamp(apart, 0.02, 0.1), 1.0 / (2 + seen));
-        learntAt = now;
-        usual = usual == 0 ? part : std::max(0.01, usual * (part > usual ? 1 + step : 1 - step));
-        if (++seen == kFewAnswers) idle = usual;
-        idle = std::min(idle * 1.0002, usual);
-        const double wanted = std::clamp(2 * idle, least, kLatenessMost) + shared / std::max(size, 0.5);
-        if (lateness > wanted && usual > std::clamp(1.5 * idle, 0.6 * wanted, 0.8 * wanted))
-            decrease(now, std::max(spent, static_cast<Nanos>(usual * static_cast<double>(goal))), 0.85);
-        else
-            increase();
-        scheduleNext(now, spent);
-    }
-    // With many routers even one relay each is too much: a size under one is kept by waiting between.
-    void scheduleNext(Nanos now, Nanos spent) {
-        nextAt = size < 1 ? now + static_cast<Nanos>(static_cast<double>(spent) * (1 / size - 1)) : 0;
-    }
-    void increase() {
-        if (out + 1 >= std::floor(size) * 0.75)
-            size += std::min(cutAt == 0 ? 0.5 : 0.5 / std::max(size, 2.0), 0.2 * size);
-    }
-
-    double least;       // lateness below which nothing is held to queue
-    double shared = 0;  // what a window of one bears above that
-    double size = 4;
-    double lateness = 0, usual = 0;  // quick and slow running medians of an answer's part of its goal
-    double idle = 1;                 // the least the slower one has been, forgotten slower still
-    int seen = 0, out = 0;
-    Nanos cutAt = 0, nextAt = 0, learntAt = 0;
-};
+constexpr ConcurrencyLimiter::Target kServerTarget{policy::kTargetLatencyRatio};
 
 // As listed, but for a size that moves and a start that a lifted ban makes later.
 struct CacheServer : Endpoint, std::enable_shared_from_this<CacheServer> {
     explicit CacheServer(const std::string& id)
-        : Endpoint{id, "", "", EndpointState::removed, 0, 0}, hash(hashOf(id)) {}
+        : Endpoint{id, "", "", EndpointState::removed, 0, 0}, hash(hashText(id)) {}
 
     std::uint64_t hash;
     double listed = 0, held = 0;           // where sizes move: the last one told, and commands a core by that
     bool origin = false, wasGone = false;  // when the generations last changed
     bool owed = false;                     // a first relay since its ban was lifted
     HintFilter filter;
-    ConcurrencyLimiter window{kLatenessWanted};
+    ConcurrencyLimiter window{kServerTarget, 4};
     double credit = 0;  // further relays it may take; its answers earn them
     // Endings of all kinds, their sum of parts of the goal, and those that failed.
     DecayingSum heard{kCacheMemory}, lateness{kCacheMemory}, failures{kCacheMemory};
@@ -258,9 +116,7 @@
 
 struct RoutingPolicy::Inside {
     Inside(PolicySettings given, PolicyHost& host, Nanos now)
-        : terms(std::move(given)), host(host), startedAt(now), swapAt(now + kGeneration) {
-        std::seed_seq seed{static_cast<unsigned>(terms.seed), static_cast<unsigned>(terms.seed >> 32)};
-        chance.seed(seed);
+        : terms(std::move(given)), host(host), random(terms.seed), startedAt(now), swapAt(now + kGeneration) {
         readTerms();
         // Spread: discovery doesn't grow with the routers, and all may have been restarted together.
         const Nanos width = std::min(terms.maxFirstPollDelay, terms.routerCount * 10 * kMillisecond);
@@ -294,7 +150,7 @@
         for (const auto* list : {&fleet, &origins})
             for (CacheServer* c : *list)
                 all.push_back({c->name, c->zone, c->state, ejected.contains(c->name), c->origin,
-                               c->window.out, c->window.size, warmth(*c, now), c->heard.read(now),
+                               c->window.inFlight(), c->window.limit(), warmth(*c, now), c->heard.read(now),
                                c->failures.read(now),
                                c->lateness.read(now) / std::max(c->heard.read(now), 1e-9),
                                c->filter.keyCount(), c->asideUntil});
@@ -309,8 +165,8 @@
         return std::min(cmd.maxAttempts, terms.maxAttempts) - static_cast<int>(cmd.attempts.size());
     }
 
-    Nanos spread(Nanos width) { return static_cast<Nanos>(static_cast<double>(width) * draw()); }
-    double draw() { return chance() / 4294967296.0; }
+    Nanos spread(Nanos width) { return random.jitter(width); }
+    double draw() { return random.sample(); }
 
     double warmth(const CacheServer& c, Nanos now) const {
         if (c.startedAt <= 0 || now - c.startedAt >= terms.rampDuration) return 1;
@@ -318,9 +174,7 @@
         return terms.initialFraction + (1 - terms.initialFraction) * done;
     }
 
-    double lifeOf(Nanos memory, Nanos now) const {
-        return -static_cast<double>(memory) * std::expm1(-static_cast<double>(now - startedAt) / memory);
-    }
+    double lifeOf(Nanos memory, Nanos now) const { return effectiveDuration(memory, now - startedAt); }
 
     Nanos typical(Nanos now) {
         const double n = answers.read(now);
@@ -400,7 +254,7 @@
                                                        double RankedServer::*by) const {
         std::vector<std::pair<double, CacheServer*>> best(std::min(n, ranked.size()));
         for (const RankedServer& r : ranked) {
-            const double u = (static_cast<double>(mix(cmd.key ^ r.hash) >> 11) + 0.5) * 0x1p-53;
+            const double u = (static_cast<double>(mixBits(cmd.key ^ r.hash) >> 11) + 0.5) * 0x1p-53;
             // Since -log(u) is at least 1 - u, most are known to score too little without the logarithm.
             if (r.*by <= best.back().first * (1 - u)) continue;
             const std::pair<double, CacheServer*> entry{r.*by / -std::log(u), r.cache};
@@ -458,7 +312,8 @@
     bool listedBusy(const Request& cmd, const CacheServer& c, Nanos now) {
         const double each = static_cast<double>(std::max(typical(now), kMillisecond)) / (1 + meanHeld);
         const double limit = std::max(
-            kLatenessWanted * static_cast<double>(cmd.requestClass->latencyObjective) / each, meanHeld);
+            policy::kTargetLatencyRatio * static_cast<double>(cmd.requestClass->latencyObjective) / each,
+            meanHeld);
         return c.held > limit && cmd.luck > limit * limit / (c.held * c.held);
     }
 
@@ -469,15 +324,15 @@
             std::rotate(candidates.begin(), candidates.begin() + 2, candidates.end());
         // Of a lifted cache a quiet router would hear nothing for long: all its keys have their places.
         if (owed && cmd.requestClass->idempotency == Idempotency::safe && room(cmd, *owed, now)) return owed;
-        const double mean = whole.out / std::max<double>(static_cast<double>(ranked.size()), 1);
+        const double mean = whole.inFlight() / std::max<double>(static_cast<double>(ranked.size()), 1);
         const double busy = std::max(kYieldFloor, kYieldMargin * mean);
         // A quiet router hardly has two relays out, but what its few endings there took tells the same.
         const auto late = [&](CacheServer& c) {
-            return (c.lateness.read(now) + whole.usual) / (c.heard.read(now) + 1) >
-                   std::max(kLatenessWanted, kYieldMargin * whole.usual);
+            return (c.lateness.read(now) + whole.medianLatencyRatio()) / (c.heard.read(now) + 1) >
+                   std::max(policy::kTargetLatencyRatio, kYieldMargin * whole.medianLatencyRatio());
         };
         const auto yields = [&](CacheServer& c) {
-            return c.window.out >= busy || late(c) || listedBusy(cmd, c, now);
+            return c.window.inFlight() >= busy || late(c) || listedBusy(cmd, c, now);
         };
         CacheServer* yielding = nullptr;
         for (const bool hinted : {true, false}) {
@@ -508,9 +363,10 @@
     CacheServer* originFor(Request& cmd, Nanos now) {
         CacheServer* best = nullptr;
         for (CacheServer* c : origins)
-            if (usable(*c) && (!best || c->window.out < best->window.out)) best = c;
+            if (usable(*c) && (!best || c->window.inFlight() < best->window.inFlight())) best = c;
         if (!best || !room(cmd, *best, now)) return nullptr;
-        if (cmd.atCold && coldFetches >= std::max(1, static_cast<int>(best->window.size / 4))) return nullptr;
+        if (cmd.atCold && coldFetches >= std::max(1, static_cast<int>(best->window.limit() / 4)))
+            return nullptr;
         return best;
     }
 
@@ -529,7 +385,7 @@
         if (to.origin || cmd.requestClass->idempotency != Idempotency::safe || !cmd.attempts.empty())
             return cmd.deadline;
         // Just started, nothing is known of what answers take: a guess would set slow machines aside at once.
-        if (terms.weightsFollowLoad || whole.seen < kFewAnswers) return cmd.deadline;
+        if (terms.weightsFollowLoad || !whole.hasEnoughSamples()) return cmd.deadline;
         const Nanos usual = typical(now);
         const Nanos until = now + std::max(4 * usual, cmd.requestClass->latencyObjective / 2);
         const Nanos worthless =
@@ -545,8 +401,11 @@
             for (CacheServer* c : fleet) c->filter.remove(cmd.key);
         host.startAttempt(cmd.id, to.name, attemptDeadline(cmd, to, now), cmd.latestStart);
         cmd.attempts.push_back({to.shared_from_this(), now, AttemptState::inFlight});
-        ++to.window.out;
-        to.origin ? coldFetches += cmd.atCold : ++whole.out;
+        to.window.onAttemptStarted();
+        if (to.origin)
+            coldFetches += cmd.atCold;
+        else
+            whole.onAttemptStarted();
         to.due -= 1;
         fleetState += std::exchange(to.owed, false);
     }
@@ -585,8 +444,8 @@
         c.lateness.add(now, late);
         heardAll.add(now, 1);
         latenessAll.add(now, late);
-        const auto moment = static_cast<Nanos>(static_cast<double>(typical(now)) / (16 + c.window.size));
-        if (!timed || now - c.window.learntAt < moment ||
+        const auto moment = static_cast<Nanos>(static_cast<double>(typical(now)) / (16 + c.window.limit()));
+        if (!timed || now - c.window.lastSampleAt() < moment ||
             (!done && end.duration < cmd.requestClass->latencyObjective / 2))
             return;
         c.window.recordLatency(now, end.duration, cmd.requestClass->latencyObjective);
@@ -603,7 +462,7 @@
         }
         if (ending == AttemptOutcome::overloaded) c.window.decrease(now, typical(now), 0.7);
         if (ending == AttemptOutcome::connectFailed || ending == AttemptOutcome::connectionLost)
-            c.filter.reset();  // it may be back, empty
+            c.filter.clear();  // it may be back, empty
         if (isDone(ending) && !c.origin && warmth(c, now) >= 1) warmDone.add(now, 1);
         const bool failed =
             ending == AttemptOutcome::failed || ending == AttemptOutcome::connectionLost ||
@@ -633,7 +492,7 @@
         if (f <= std::max(chanceful, (2 * median + 0.1) * n)) return;
         host.log("set aside " + c.name + ": " + std::to_string(f) + " of " + std::to_string(n) + " failed");
         c.asideUntil = now + kAside + spread(kAside / 4);
-        c.window.size = 1;
+        c.window.setLimit(1);
         for (DecayingSum* sum : {&c.heard, &c.lateness, &c.failures}) sum->clear();
         ++fleetState;
     }
@@ -679,7 +538,7 @@
                     continue;
                 }
                 const Nanos lastStart = std::min(cmd.goalAt, cmd.deadline) - typical(now);
-                const bool inReach = whole.cutAt == 0 || ++ahead * answerGap < (lastStart - now) / 2;
+                const bool inReach = !whole.hasDecreased() || ++ahead * answerGap < (lastStart - now) / 2;
                 const bool roomMayCome = !cmd.pastGoal && (fetching || (!cmd.beyondShare && inReach));
                 const bool barred =
                     cmd.failedBefore || attemptsLeft(cmd) <= 0 || (!cmd.candidates[0] && origins.empty());
@@ -710,7 +569,8 @@
                 });
             for (CacheServer* c : fleet) c->filter.startGeneration();
         }
-        const double bearable = std::max(kLatenessWanted, whole.seen < kFewAnswers ? 0 : 2 * whole.idle);
+        const double bearable = std::max(policy::kTargetLatencyRatio,
+                                         !whole.hasEnoughSamples() ? 0 : 2 * whole.idleLatencyRatio());
         pressed = latenessAll.read(now) > bearable * std::max(heardAll.read(now), 1.0);
         if (now >= surveyUntil) ++fleetState, surveyUntil = kNever;
     }
@@ -733,14 +593,14 @@
                 slot = std::make_shared<CacheServer>(e.name);
                 slot->origin = terms.cacheAside && e.shape == terms.originShape;
                 slot->credit = kOpening / terms.routerCount;
-                if (slot->origin) slot->window.least = slot->window.shared = kOriginLateness;
+                if (slot->origin) slot->window = ConcurrencyLimiter({kOriginLateness, kOriginLateness}, 4);
                 (slot->origin ? origins : fleet).push_back(slot.get());
-                if (e.startedAt > 0 && now - e.startedAt < terms.rampDuration) slot->window.size = 2;
+                if (e.startedAt > 0 && now - e.startedAt < terms.rampDuration) slot->window.setLimit(2);
                 moved = true;
             } else if (cameUp > slot->startedAt) {
                 // Departure: a cache restarted under its old id has lost what its hints say it holds.
-                slot->filter.reset();
-                slot->window.size = std::min(slot->window.size, 2.0);
+                slot->filter.clear();
+                slot->window.lowerLimitTo(2);
             }
             moved = moved || e.state != slot->state || cameUp != slot->startedAt;
             if (cameUp != slot->startedAt) slot->dueAt = now;
@@ -753,7 +613,7 @@
         fleetState += (terms.weightsFollowLoad && weigh()) || moved;
         // Judged times all routers: a thousand that open with a few relays each start the day in a jam.
         const double part = kOpening * static_cast<double>(fleet.size()) / terms.routerCount;
-        if (whole.cutAt == 0) whole.size = std::max(part, whole.size);
+        if (!whole.hasDecreased()) whole.raiseLimitTo(part);
     }
 
     // A size that moves with load must not move the order: the largest listed of a shape stands for it.
@@ -787,8 +647,8 @@
         const auto it = known.find(name);
         if (on || it == known.end()) return;
         CacheServer& c = *it->second;
-        c.filter.reset();
-        c.window = {kLatenessWanted, 0, 2, 0, 0, 1, 0, c.window.out};
+        c.filter.clear();
+        c.window.restart(kServerTarget, 2);
         for (DecayingSum* sum : {&c.heard, &c.lateness, &c.failures}) sum->clear();
         c.startedAt = c.liftedAt = c.dueAt = now;
         c.asideUntil = c.timeOutsInRow = 0;
@@ -808,7 +668,7 @@
         for (const auto& u : usages)
             if (u->tenant.name == a.tenant) cmd.usage = u;
         cmd.keyed = !a.key.empty();
-        cmd.key = cmd.keyed ? hashOf(a.key) : mix(a.id);
+        cmd.key = cmd.keyed ? hashText(a.key) : mixBits(a.id);
         cmd.write = a.isWrite;
         cmd.deadline = a.deadline;
         cmd.goalAt = now + cmd.requestClass->latencyObjective;
@@ -840,9 +700,12 @@
         attempt.standing = end.outcome >= AttemptOutcome::overloaded ? AttemptState::neverExecuted
                                                                      : AttemptState::mayHaveExecuted;
         CacheServer& from = *attempt.to;
-        --from.window.out;
+        from.window.onAttemptEnded();
         // Answers on a connection may come in order: what a heavy one lets go tells of it, not of a queue.
-        from.origin ? coldFetches -= cmd.atCold : --whole.out;
+        if (from.origin)
+            coldFetches -= cmd.atCold;
+        else
+            whole.onAttemptEnded();
         if (end.outcome == AttemptOutcome::cacheMiss && warmth(from, now) < 1) cmd.atCold = true;
         const bool gone = end.requestCompleted &&
                           end.outcome == AttemptOutcome::notSent;  // with its client: it tells nothing
@@ -872,7 +735,7 @@
 
     PolicySettings terms;
     PolicyHost& host;
-    std::mt19937 chance;
+    Random random;
     std::unordered_map<std::string, std::shared_ptr<CacheServer>> known;
     std::unordered_set<std::string> ejected;
     CacheServer* owed = nullptr;               // one that is
@@ -884,9 +747,9 @@
     std::vector<Request*> waiting;
     const std::shared_ptr<const RequestClass> unknownVerb = std::make_shared<const RequestClass>();
     DecayingSum answers{kMemory}, answerTime{kMemory}, heardAll{kMemory}, latenessAll{kMemory};
-    ConcurrencyLimiter whole{kLatenessWanted, 0, 1};  // over all caches
-    std::vector<RankedServer> ranked;                 // those that may be candidates
-    std::uint64_t fleetState = 1, surveyed = 0;       // and the one that these were worked out for
+    ConcurrencyLimiter whole{kServerTarget, 1};  // over all caches
+    std::vector<RankedServer> ranked;            // those that may be candidates
+    std::uint64_t fleetState = 1, surveyed = 0;  // and the one that these were worked out for
     Nanos surveyUntil = 0;
     bool zoned = false;  // there are caches in the own zone and in others, and crossing has a price
     std::array<ZoneOutcomes, 2> sides;                         // the own zone's second
--- /dev/null
+++ b/src/policy/settings.hpp
@@ -0,0 +1,57 @@
+// What a deployment promises and allows, as far as the routing policy reads it.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "policy/types.hpp"
+
+namespace poppyscale {
+
+// Requests with the same promises to their clients.
+struct RequestClass {
+    std::string name;
+    Idempotency idempotency = Idempotency::nonIdempotent;
+    DeduplicationScope deduplicationScope = DeduplicationScope::all;  // of idempotentWithKey
+    Nanos idempotencyKeyTtl =
+        0;  // how long a key is remembered, from the first attempt that may have executed
+    Nanos latencyObjective = 0;
+    Nanos timeout = 0;          // of a client, over all its retries; 0 if not known
+    double priorityWeight = 1;  // of a response within the latency objective
+    double lateWeight = 0;      // the fraction of it that a later response still has
+    bool operator==(const RequestClass&) const = default;
+};
+
+struct Tenant {
+    std::string name;
+    double quotaPerSecond = 0;  // over all routers together; 0 for no quota
+    bool operator==(const Tenant&) const = default;
+};
+
+struct PolicySettings {
+    std::uint64_t seed = 0;  // of all random decisions
+    int routerCount = 1;     // routers that share the servers, this one included
+    bool cacheAside =
+        false;  // a server that lacks a key responds with a miss, and the router asks the origin
+    std::string originShape;   // the machine type that marks the origin in the endpoint list
+    std::string zone;          // this router's own
+    double crossZoneCost = 0;  // of an attempt in another zone, as a fraction of a request's priority weight
+    bool pollsEndpoints = false;
+    bool retryAfterAllowed = false;
+    int maxAttempts = 1;  // for each request
+    Nanos maxRetryAfter = 0;
+    Nanos pollInterval = 0;
+    Nanos maxFirstPollDelay = kNever;  // from the start to the first poll
+    // A listed weight falls with the server's load: weight / (1 + requests for each core).
+    bool weightsFollowLoad = false;
+    double initialFraction = 1;   // of its load, which a server bears when just started
+    Nanos rampDuration = 0;       // until a started server bears all of it
+    double overloadMultiple = 1;  // of the load that it bears, at which a server that is warming up collapses
+    Nanos overloadWindow = 0;     // over which that load is counted
+    std::vector<RequestClass> requestClasses;
+    std::vector<Tenant> tenants;
+    bool operator==(const PolicySettings&) const = default;
+};
+
+}  // namespace poppyscale
