--- /dev/null
+++ b/src/policy/candidate_selector.hpp
@@ -0,0 +1,68 @@
+// Chooses the server for an attempt.
+#pragma once
+
+#include "base/time.hpp"
+#include "policy/settings.hpp"
+
+namespace poppyscale::policy {
+
+class ConcurrencyLimiter;
+class EndpointRegistry;
+class LatencyStatistics;
+class LoadEstimator;
+class OriginFetches;
+class Random;
+class RendezvousRanking;
+class Request;
+class RetryPolicy;
+class Server;
+class SlowStart;
+class ZoneAffinity;
+
+// Sends a request to the candidate whose hints have its key, else to the first in rendezvous order; one that
+// is busy leaves it to another. Returns only servers that every other class of the policy allows at this
+// time: the one place where all of them are asked. Owns no state.
+class CandidateSelector {
+  public:
+    // What the choice rests on; all outlive the selector.
+    struct Parts {
+        const PolicySettings& settings;
+        const EndpointRegistry& registry;
+        RendezvousRanking& ranking;
+        const ZoneAffinity& zoneAffinity;
+        const RetryPolicy& retryPolicy;
+        SlowStart& slowStart;
+        const LoadEstimator& loadEstimator;
+        LatencyStatistics& statistics;
+        const ConcurrencyLimiter& totalLimiter;  // over all cache servers
+        const OriginFetches& originFetches;
+        Random& random;
+    };
+    struct Selection {
+        Server* server = nullptr;  // null: none at this time
+        bool awaitsFetch = false;  // of its key at the origin, by another request
+    };
+
+    explicit CandidateSelector(const Parts& parts) : parts_(parts) {}
+
+    // For a request that waits. May draw random numbers.
+    Selection select(Request& request, Nanos now);
+    // Whether a candidate is expected to have the request's key.
+    bool isHinted(Request& request, Nanos now);
+
+  private:
+    Server* selectCacheServer(Request& request, Nanos now);
+    Server* selectLastResort(const Request& request, Server* candidate, Server* fallback, double threshold,
+                             Nanos now);
+    Server* selectOrigin(const Request& request, Nanos now);
+    bool canServe(const Request& request, Server& server, Nanos now);
+    bool hasFailedAt(const Request& request, const Server& server) const;
+    double busyThreshold() const;
+    bool isBusy(const Request& request, Server& server, double threshold, Nanos now);
+    bool isLate(Server& server, Nanos now);
+    bool isBetterFallback(const Server& server, const Server* fallback) const;
+
+    const Parts parts_;
+};
+
+}  // namespace poppyscale::policy
--- /dev/null
+++ b/src/policy/key_popularity.hpp
@@ -0,0 +1,28 @@
+// Which keys are requested more often than one server should bear.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+
+namespace poppyscale::policy {
+
+class Random;
+
+// Spreads the requests of a popular key over as many servers as its part of the recent requests asks for.
+// Owns the keys of the recent requests.
+class KeyPopularity {
+  public:
+    // The place in the key's ranking from which a request takes its candidates: 0, unless the key is popular.
+    // Draws a number if it is. `serverCount`: those in the ranking.
+    std::size_t firstCandidate(std::uint64_t key, std::size_t serverCount, Random& random) const;
+    void record(std::uint64_t key);
+
+  private:
+    static constexpr std::size_t kRecentKeys = 64;
+
+    std::array<std::uint64_t, kRecentKeys> recent_{};  // a ring
+    std::size_t next_ = 0;
+};
+
+}  // namespace poppyscale::policy
--- /dev/null
+++ b/src/policy/slow_start.cpp
@@ -0,0 +1,65 @@
+#include "policy/slow_start.hpp"
+
+#include <algorithm>
+
+#include "policy/random.hpp"
+#include "policy/server.hpp"
+
+namespace poppyscale::policy {
+namespace {
+
+constexpr double kMaxWindowsSaved = 12;  // a quiet router rarely has a request for the server within one
+constexpr Nanos kRampSteps = 32;
+constexpr double kSafetyMargin = 0.5;  // of the load at which a server collapses
+
+}  // namespace
+
+void WarmupBudget::skipTo(Nanos now) { filledAt_ = std::max(filledAt_, now); }
+
+void WarmupBudget::restart(Nanos now) {
+    attempts_ = 1;
+    filledAt_ = now;
+}
+
+// By chance below one attempt: a thousand routers that all round up would be a flood.
+bool WarmupBudget::fill(double rate, Nanos window, Nanos now, Random& random) {
+    const double windows =
+        std::min(kMaxWindowsSaved, static_cast<double>(now - filledAt_) / static_cast<double>(window));
+    attempts_ = std::min(attempts_ + rate * windows, std::max(1.0, rate));
+    filledAt_ = now;
+    if (attempts_ < 1) attempts_ = random.sample() < attempts_ ? 1 : 0;
+    return attempts_ >= 1;
+}
+
+SlowStart::SlowStart(const PolicySettings& settings)
+    : settings_(settings), window_(std::max<Nanos>(settings.overloadWindow, 1)), answers_(window_) {}
+
+double SlowStart::warmupFraction(const Server& server, Nanos now) const {
+    const Nanos startedAt = server.endpoint().startedAt;
+    if (startedAt <= 0 || now - startedAt >= settings_.rampDuration) return 1;
+    const double progress = static_cast<double>(std::max<Nanos>(now - startedAt, 0)) /
+                            static_cast<double>(settings_.rampDuration);
+    return settings_.initialFraction + (1 - settings_.initialFraction) * progress;
+}
+
+Nanos SlowStart::stepDuration() const { return std::max(settings_.rampDuration / kRampSteps, kMillisecond); }
+
+bool SlowStart::hasBudget(Server& server, Nanos now, Random& random) {
+    const double fraction = warmupFraction(server, now);
+    if (fraction >= 1) return true;
+    updateThroughput(now);
+    const double rate =
+        kSafetyMargin * settings_.overloadMultiple * fraction * throughput_ * server.endpoint().weight;
+    return server.warmupBudget.fill(rate, window_, now, random);
+}
+
+void SlowStart::setWarmWeight(double weight, Nanos now) {
+    updateThroughput(now);
+    warmWeight_ = weight;
+}
+
+void SlowStart::updateThroughput(Nanos now) {
+    if (warmWeight_ > 0) throughput_ = answers_.read(now) / warmWeight_;
+}
+
+}  // namespace poppyscale::policy
