--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -21,103 +21,10 @@
 #include <utility>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "policy_fixture.hpp"
 
 namespace poppyscale::test {
 
-constexpr Nanos ms = 1'000'000;
-
-struct RecordedAction {
-    char kind;  // r relay, d decline, t terminate
-    RequestId id;
-    std::string cache;
-    Nanos at;
-    Nanos latestStart = kNever;
-};
-
-struct FakeHost : PolicyHost {
-    void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override {
-        actions.push_back({'r', id, std::string(cache), deadline, latestStart});
-    }
-    void reject(RequestId id, Nanos retryAfter) override { actions.push_back({'d', id, "", retryAfter}); }
-    void fail(RequestId id) override { actions.push_back({'t', id, "", 0}); }
-    void scheduleWakeup(Nanos at) override { wakes.push_back(at); }
-    void pollEndpoints() override { ++polls; }
-    void log(std::string_view text) override { logs.emplace_back(text); }
-
-    std::vector<RecordedAction> actions;
-    std::vector<Nanos> wakes;
-    std::vector<std::string> logs;
-    int polls = 0;
-};
-
-inline PolicySettings smallPolicySettings(bool aside) {
-    PolicySettings t;
-    t.seed = 7;
-    t.cacheAside = aside;
-    t.originShape = "store";
-    t.maxAttempts = 3;
-    t.initialFraction = 0.2;
-    t.rampDuration = 10'000 * ms;
-    t.overloadMultiple = 3;
-    t.overloadWindow = 1'000 * ms;
-    t.requestClasses = {
-        {"read", Idempotency::safe, DeduplicationScope::all, 0, 500 * ms, 1},
-        {"mark", Idempotency::idempotentWithKey, DeduplicationScope::zone, 2'000 * ms, 500 * ms, 1},
-        {"pay", Idempotency::nonIdempotent, DeduplicationScope::all, 0, 500 * ms, 4}};
-    return t;
-}
-
-// A router with caches a, b, c ... and, in aside mode, the origin.
-struct PolicyFixture {
-    explicit PolicyFixture(bool aside = false, int caches = 4)
-        : PolicyFixture(smallPolicySettings(aside), caches) {}
-    PolicyFixture(const PolicySettings& terms, int caches = 4) : policy(terms, host, 0) {
-        for (int i = 0; i < caches; ++i)
-            list.push_back({std::string(1, static_cast<char>('a' + i)), "z", "m"});
-        if (terms.cacheAside) list.push_back({"origin", "z", "store"});
-        policy.onEndpointUpdate(0, EndpointUpdateKind::cached, list);
-        policy.reconcile(0);
-    }
-    // Sends a command and returns where its relay went ("" when none did).
-    std::string ask(RequestId id, std::string_view key = "k", std::string_view requestClass = "read",
-                    bool write = false, std::string_view tenant = "") {
-        const auto before = host.actions.size();
-        policy.onRequest(now, {id, requestClass, tenant, key, now + 2'000 * ms, write});
-        policy.reconcile(now);
-        return since(before);
-    }
-    // Ends a relay and returns where the next one went, "declined", "terminated", or "".
-    std::string end(RequestId id, int attempt, AttemptOutcome ending, bool over = false,
-                    Nanos spent = 20 * ms) {
-        const auto before = host.actions.size();
-        policy.onAttemptEnded(now, {id, attempt, ending, over || ending == AttemptOutcome::succeeded, spent});
-        policy.reconcile(now);
-        return since(before);
-    }
-    std::string since(std::size_t before) const {
-        if (host.actions.size() <= before) return "";
-        const RecordedAction& t = host.actions[before];
-        return t.kind == 'r' ? t.cache : t.kind == 'd' ? "declined" : "terminated";
-    }
-    // Asks and answers at once; returns the cache that served it.
-    std::string serve(RequestId id, std::string_view key) {
-        const std::string where = ask(id, key);
-        end(id, 0, AttemptOutcome::succeeded);
-        return where;
-    }
-    std::size_t finals(RequestId id) const {
-        std::size_t n = 0;
-        for (const RecordedAction& t : host.actions) n += t.id == id && t.kind != 'r';
-        return n;
-    }
-
-    FakeHost host;
-    RoutingPolicy policy;
-    std::vector<Endpoint> list;
-    Nanos now = 1 * ms;
-};
-
 constexpr int kSoon = 5'000;  // ms: what must happen has happened by then, sanitizers and all
 
 inline bool readable(int descriptor, int within) {
--- /dev/null
+++ b/tests/server_selection_test.cpp
@@ -0,0 +1,313 @@
+#include <doctest/doctest.h>
+
+#include <cmath>
+#include <set>
+
+#include "policy_fixture.hpp"
+
+using namespace poppyscale;
+using namespace poppyscale::test;
+
+TEST_CASE(
+    "cache-aside: after a miss the request goes to the origin, whose response hints the key where it "
+    "missed") {
+    PolicyFixture fixture(true);
+    const std::string first = fixture.sendRequest(1);
+    CHECK(fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss) == "origin");
+    fixture.endAttempt(1, 1, AttemptOutcome::succeeded);
+    CHECK(fixture.sendRequest(2) == first);
+}
+
+TEST_CASE(
+    "one fetch of a key is in flight, and other requests for the key wait for it and go to the cache "
+    "server") {
+    PolicyFixture fixture(true);
+    const std::string first = fixture.sendRequest(1);
+    CHECK(fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss) == "origin");
+    CHECK(fixture.sendRequest(2) == "");
+    CHECK(fixture.endAttempt(1, 1, AttemptOutcome::succeeded) == first);
+}
+
+TEST_CASE("cache-aside: after a miss without a response of the origin the key is not hinted") {
+    PolicyFixture fixture(true);
+    fixture.sendRequest(1);
+    fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss);
+    CHECK(fixture.endAttempt(1, 1, AttemptOutcome::failed) == "origin");
+    CHECK(fixture.endAttempt(1, 2, AttemptOutcome::failed) == "rejected");
+    fixture.sendRequest(2);
+    CHECK(fixture.endAttempt(2, 0, AttemptOutcome::cacheMiss) == "origin");
+}
+
+TEST_CASE(
+    "a hinted candidate goes before rendezvous order, until a lost connection or a write removes the hint") {
+    for (const bool write : {false, true}) {
+        PolicyFixture fixture(write);
+        const std::string first = fixture.sendRequest(1);
+        Endpoint drained{first, "z", "m", EndpointState::draining};
+        fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {drained});
+        const std::string other = fixture.sendRequest(2);
+        CHECK(other != first);
+        fixture.endAttempt(2, 0, AttemptOutcome::succeeded);
+        fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {{first, "z", "m"}});
+        CHECK(fixture.sendRequest(3) == other);
+        fixture.endAttempt(3, 0, AttemptOutcome::succeeded);
+        if (write) {
+            CHECK(fixture.sendRequest(4, "k", "pay", true) == "origin");
+        } else {
+            fixture.sendRequest(5, "k", "pay");
+            fixture.endAttempt(5, 0, AttemptOutcome::connectionLost);
+        }
+        CHECK(fixture.sendRequest(6) == first);
+    }
+}
+
+TEST_CASE("hints last one generation beyond the one in which they were inserted") {
+    PolicyFixture fixture;
+    const std::string first = fixture.serveRequest(1, "k");
+    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
+                                    {{first, "z", "m", EndpointState::draining}});
+    const std::string other = fixture.serveRequest(2, "k");
+    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {{first, "z", "m"}});
+    fixture.now = 15'000 * ms;
+    fixture.policy.reconcile(fixture.now);
+    fixture.now = 25'000 * ms;
+    CHECK(fixture.sendRequest(3) == first);
+    CHECK(other != first);
+}
+
+TEST_CASE("a candidate with twice the mean in flight is passed over for the other") {
+    PolicyFixture fixture;
+    const std::string first = fixture.serveRequest(1, "k");
+    CHECK(fixture.sendRequest(2) == first);
+    CHECK(fixture.sendRequest(3) == first);
+    CHECK(fixture.sendRequest(4) != first);
+}
+
+TEST_CASE(
+    "a quiet router passes over a server that was slow lately, though with one attempt in flight at a time") {
+    PolicyFixture fixture(false, 6);
+    for (RequestId id = 1; id <= 20; ++id, fixture.now += 2'000 * ms)
+        fixture.serveRequest(id, std::to_string(id));
+    const std::string first = fixture.sendRequest(100);
+    fixture.endAttempt(100, 0, AttemptOutcome::succeeded, true, 900 * ms);
+    CHECK(fixture.sendRequest(101) != first);
+    fixture.endAttempt(101, 0, AttemptOutcome::cacheMiss);
+    fixture.now += 20'000 * ms;
+    CHECK(fixture.serveRequest(102, "k") == first);  // its latency is forgotten, so it is tried again
+}
+
+TEST_CASE("a hinted candidate that is only at its limit is waited for, not passed over") {
+    PolicyFixture fixture(false, 2);
+    RequestId id = 10;
+    for (int round = 0; round < 8; ++round, fixture.now += 600 * ms) {
+        const auto before = fixture.host.actions.size();
+        for (const RequestId last = id + 2; id < last; ++id)
+            fixture.sendRequest(id, "j" + std::to_string(id));
+        for (auto i = before; i < fixture.host.actions.size(); ++i)
+            if (const RecordedAction action = fixture.host.actions[i];
+                action.kind == ActionKind::startAttempt) {
+                fixture.now += ms;
+                fixture.endAttempt(action.id, 0, AttemptOutcome::succeeded, true, 480 * ms);
+            }
+    }
+    const std::string first = fixture.serveRequest(1, "k");
+    CHECK(fixture.sendRequest(2, "k") == first);
+    CHECK(fixture.sendRequest(3, "k").size() !=
+          1);  // waiting or rejected, but not sent to a server that lacks the key
+    CHECK(fixture.sendRequest(4, "other").size() == 1);
+}
+
+TEST_CASE("candidates are those of plain weighted rendezvous hashing, whatever the weights") {
+    const auto mixed = [](std::uint64_t x) {
+        x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
+        x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
+        return x ^ (x >> 31);
+    };
+    const auto hashed = [&](const std::string& text) {
+        std::uint64_t h = 0xcbf29ce484222325ULL;
+        for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+        return mixed(h);
+    };
+    PolicyFixture fixture(false, 40);
+    for (std::size_t i = 0; i < fixture.endpoints.size(); ++i)
+        fixture.endpoints[i].weight = 1.0 + static_cast<double>(i % 7);
+    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, fixture.endpoints);
+    for (RequestId id = 1; id <= 300; ++id, fixture.now += 100 * ms) {
+        std::pair<double, std::string> best;
+        for (const Endpoint& e : fixture.endpoints) {
+            const std::uint64_t mixedKey = mixed(hashed(std::to_string(id)) ^ hashed(e.name));
+            const double u = (static_cast<double>(mixedKey >> 11) + 0.5) * 0x1p-53;
+            best = std::max(best, {e.weight / -std::log(u), e.name});
+        }
+        CHECK(fixture.serveRequest(id, std::to_string(id)) == best.second);
+    }
+}
+
+TEST_CASE(
+    "a weight that follows load does not move the ranking, an absurd one is ignored, a loaded server "
+    "yields") {
+    // Of sixty keys, how many go elsewhere than with equal weights, and how many go to the first server.
+    PolicySettings settings = smallPolicySettings(false);
+    settings.weightsFollowLoad = true;
+    const auto listed = [&](double weight) {
+        PolicyFixture equal(settings, 6), unequal(settings, 6);
+        std::pair<int, int> moved;
+        for (PolicyFixture* fixture : {&equal, &unequal}) {
+            for (Endpoint& e : fixture->endpoints)
+                e.weight = fixture == &unequal && e.name == "a" ? weight : 4;
+            for (int i = 0; i < 8; ++i)
+                fixture->policy.onEndpointUpdate(fixture->now, EndpointUpdateKind::delta, fixture->endpoints);
+        }
+        for (RequestId id = 1; id <= 60; ++id) {
+            const auto before = equal.sendRequest(id, std::to_string(id)),
+                       after = unequal.sendRequest(id, std::to_string(id));
+            for (PolicyFixture* fixture : {&equal, &unequal})
+                fixture->endAttempt(id, 0, AttemptOutcome::succeeded, true, 100 * ms);
+            moved.first += before != after;
+            moved.second += after == "a";
+        }
+        return moved;
+    };
+    const auto calm = listed(4);
+    const auto busy = listed(4.0 / 90);
+    CHECK(calm.first == 0);
+    CHECK(busy.second < calm.second / 2);
+    CHECK(busy.first <= calm.second);
+    // Two requests for each core, latencies of 100 ms and an objective of 500 ms; then absurd and missing
+    // weights.
+    for (const double weight : {4.0 / 3, 1e12, 0.0, 1e-12}) CHECK(listed(weight) == calm);
+}
+
+TEST_CASE("a failed fetch of a read-through cache is no failure of the server and is not retried") {
+    PolicyFixture fixture;
+    const std::string first = fixture.serveRequest(1, "held");
+    for (RequestId id = 10; id < 14; ++id, fixture.now += 200 * ms) {
+        fixture.sendRequest(id, std::to_string(id));
+        const auto before = fixture.host.actions.size();
+        fixture.policy.onAttemptEnded(
+            fixture.now, {id, 0, AttemptOutcome::failed, false, 20 * ms, ReadThroughResult::fetched});
+        fixture.policy.reconcile(fixture.now);
+        CHECK(fixture.firstActionSince(before).size() != 1);
+    }
+    CHECK(fixture.host.logs.empty());
+    CHECK(fixture.sendRequest(30, "held") == first);
+}
+
+TEST_CASE(
+    "quiet routers: a popular key goes past the third candidate, and a slow start's budget is saved up") {
+    int cold = 0;
+    std::set<std::string> popular;
+    for (std::uint64_t r = 0; r < 200; ++r) {
+        PolicySettings settings = smallPolicySettings(false);
+        settings.weightsFollowLoad = true;
+        settings.routerCount = 100;
+        settings.seed = r;
+        settings.rampDuration = 60'000 * ms;
+        PolicyFixture fixture(settings, 20);
+        for (RequestId id = 1; id <= 70; ++id, fixture.now += 1'000 * ms) {
+            const bool hot = id < 30 && id % 2;
+            const std::string at = fixture.serveRequest(id, hot ? "hot" : std::to_string(id + 100 * r));
+            cold += at == "cold";
+            if (id == 29) popular.insert(at);
+            if (id == 30)
+                fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
+                                                {{"cold", "z", "m", EndpointState::ready, fixture.now}});
+        }
+    }
+    CHECK(popular.size() > 3);
+    // By rank alone one of forty requests of a router, half of what a warmed-up server gets; from the budget
+    // of one window, a tenth.
+    CHECK(cold > 20);
+    CHECK(cold < 200);
+}
+
+// Servers n0, n1 ... in the router's own zone and f0, f1 ... in others, where crossing costs `price`.
+struct ZonesFixture {
+    ZonesFixture(int localCount, int remoteCount, double price = 0.03, const char* own = "here",
+                 int routers = 300)
+        : fixture(settings(price, own, routers), 0) {
+        for (int i = 0; i < localCount; ++i) endpoints.push_back({"n" + std::to_string(i), "here", "m"});
+        for (int i = 0; i < remoteCount; ++i)
+            endpoints.push_back({"f" + std::to_string(i), i % 2 ? "there" : "beyond", "m"});
+        update();
+    }
+    static PolicySettings settings(double price, const char* own, int routers) {
+        PolicySettings settings = smallPolicySettings(false);
+        settings.routerCount = routers;
+        settings.zone = own;
+        settings.crossZoneCost = price;
+        return settings;
+    }
+    void update() { fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, endpoints); }
+    // Of `count` requests, each after the last has ended: the fraction that was first sent across zones.
+    // Attempts in the own zone end with `localOutcome`, others succeed.
+    double crossingFraction(int count, AttemptOutcome localOutcome, Nanos localLatency = 20 * ms) {
+        int crossed = 0;
+        for (int i = 0; i < count; ++i, fixture.now += 50 * ms) {
+            ++id;
+            std::string at = fixture.sendRequest(id, std::to_string(id % 97));
+            crossed += at[0] == 'f';
+            for (int attempt = 0; at[0] == 'n' || at[0] == 'f'; ++attempt) {
+                const bool isLocal = at[0] == 'n';
+                fixture.now += isLocal ? localLatency : 30 * ms;
+                at = fixture.endAttempt(id, attempt, isLocal ? localOutcome : AttemptOutcome::succeeded,
+                                        false, isLocal ? localLatency : 30 * ms);
+            }
+        }
+        return static_cast<double>(crossed) / count;
+    }
+    PolicyFixture fixture;
+    std::vector<Endpoint> endpoints;
+    RequestId id = 0;
+};
+
+TEST_CASE("keys stay in the own zone, but not where crossing is free, nor in a zone without servers") {
+    CHECK(ZonesFixture(4, 8).crossingFraction(400, AttemptOutcome::succeeded) < 0.2);
+    CHECK(ZonesFixture(4, 8, 0.01).crossingFraction(400, AttemptOutcome::succeeded) > 0.2);
+    // One of two routers has more of the traffic than its zone has of the servers: its zone's part stays
+    // there.
+    CHECK(ZonesFixture(4, 8, 0.03, "here", 2).crossingFraction(400, AttemptOutcome::succeeded) > 0.35);
+    CHECK(ZonesFixture(2, 10).crossingFraction(400, AttemptOutcome::succeeded) > 0.3);
+    // Free, not known, or without servers of its own: as if there were no zones.
+    const auto firsts = [](ZonesFixture&& z) {
+        std::vector<std::string> all;
+        for (RequestId id = 1'000; id < 1'050; ++id)
+            all.push_back(z.fixture.serveRequest(id, std::to_string(id)));
+        return all;
+    };
+    CHECK(firsts(ZonesFixture(4, 8, 0)) != firsts(ZonesFixture(4, 8)));
+    CHECK(firsts(ZonesFixture(4, 8, 0)) == firsts(ZonesFixture(4, 8, 0.03, "elsewhere")));
+    CHECK(firsts(ZonesFixture(4, 8, 0)) == firsts(ZonesFixture(4, 8, 0.03, "")));
+    CHECK(firsts(ZonesFixture(12, 0, 0)) == firsts(ZonesFixture(12, 0)));
+}
+
+TEST_CASE("a lost zone's requests cross zones at once, and its servers return in slow start") {
+    ZonesFixture z(4, 8);
+    z.crossingFraction(200, AttemptOutcome::succeeded);
+    // Before the endpoint list shows it: after failed connects the next attempt but one crosses zones.
+    CHECK(z.crossingFraction(60, AttemptOutcome::connectFailed, 200 * ms) > 0.3);
+    const auto all = z.endpoints;
+    z.endpoints.erase(z.endpoints.begin(), z.endpoints.begin() + 4);
+    z.update();
+    CHECK(z.crossingFraction(50, AttemptOutcome::succeeded) == 1);
+    z.endpoints = all;
+    for (int i = 0; i < 4; ++i) z.endpoints[i].startedAt = z.fixture.now;
+    z.update();
+    CHECK(z.crossingFraction(20, AttemptOutcome::succeeded) >
+          0.6);  // servers in slow start are not preferred yet
+    z.fixture.now += 10'000 * ms;
+    z.crossingFraction(100, AttemptOutcome::succeeded);
+    CHECK(z.crossingFraction(200, AttemptOutcome::succeeded) < 0.2);
+}
+
+TEST_CASE("the requests of a zone of one server, or of a slow zone, cross zones until that has ended") {
+    for (const int localCount : {1, 4}) {
+        ZonesFixture z(localCount, 8);
+        z.crossingFraction(100, AttemptOutcome::succeeded);
+        z.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // past the objective
+        CHECK(z.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms) > 0.5);
+        z.fixture.now += 60'000 * ms;  // a server with many late responses is passed over for as long
+        z.crossingFraction(200, AttemptOutcome::succeeded);
+        CHECK(z.crossingFraction(200, AttemptOutcome::succeeded) < (localCount == 1 ? 0.8 : 0.3));
+    }
+}
