--- a/src/ctl/fleet_command.cpp
+++ b/src/ctl/fleet_command.cpp
@@ -30,6 +30,7 @@
 #include "ctl/control_listener.hpp"
 #include "ctl/version_store.hpp"
 #include "logging/logger.hpp"
+#include "rollout/messages_codec.hpp"
 #include "rollout/rollout_agent.hpp"
 
 namespace poppyscale::ctl {
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -13,6 +13,7 @@
 #include "ctl/control_client.hpp"
 #include "ctl/version_store.hpp"
 #include "logging/logger.hpp"
+#include "rollout/messages_codec.hpp"
 #include "rollout/rollout_controller.hpp"
 
 namespace poppyscale::ctl {
--- a/src/rollout/evidence.cpp
+++ b/src/rollout/evidence.cpp
@@ -7,81 +7,47 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr double kLeastShare = 1e-5;
-constexpr double kLeastExpected = 0.5;
-constexpr double kShrink = 3;  // degrees of freedom with a chi-square of their own size, put in front
-
-double faded(Nanos since, Nanos half) {
-    return std::exp2(-static_cast<double>(since) / static_cast<double>(half));
-}
+constexpr double kMinBaseline = 1e-5;
 
 }  // namespace
 
-void Evidence::add(const Cell& c, double usual, double spread) {
-    bad_ += c.changedBad;
-    all_ += c.changedAll;
-    otherBad_ += c.unchangedBad;
-    otherAll_ += c.unchangedAll;
-    const double events = c.changedBad + c.unchangedBad;
-    if (c.changedAll <= 0 || c.unchangedAll <= 0) return;
-    // The usual share and not this window's: what is known only with the events must not weigh them.
-    const double share = std::max(usual, kLeastShare);
-    const double mine = c.changedAll * (margin_ * share + allowance_);
-    const double q = mine / (mine + c.unchangedAll * share);
-    const double most =
-        c.changedAll * (margin_ * std::max(share, c.unchangedBad / c.unchangedAll) + allowance_);
-    const double part = 1 / std::max(spread, 1.0);
+void Evidence::add(const PairedCounts& counts, double baseline, double overdispersion) {
+    changedBad_ += counts.changedBad;
+    changedTotal_ += counts.changedTotal;
+    unchangedBad_ += counts.unchangedBad;
+    unchangedTotal_ += counts.unchangedTotal;
+    const double events = counts.changedBad + counts.unchangedBad;
+    if (counts.changedTotal <= 0 || counts.unchangedTotal <= 0) return;
+    // The baseline and not this window's ratio: what is known only with the events must not weigh them.
+    const double ratio = std::max(baseline, kMinBaseline);
+    const double expectedChanged = counts.changedTotal * (margin_ * ratio + allowance_);
+    const double changedProbability = expectedChanged / (expectedChanged + counts.unchangedTotal * ratio);
+    const double toleratedChanged =
+        counts.changedTotal *
+        (margin_ * std::max(ratio, counts.unchangedBad / counts.unchangedTotal) + allowance_);
+    const double weight = 1 / std::max(overdispersion, 1.0);
     for (std::size_t i = 0; i < kRatios.size(); ++i) {
         const double r = kRatios[i];
-        logs_[i] += part * (c.changedBad * std::log(r) - events * std::log1p(q * (r - 1)));
-        counted_[i] += part * (c.changedBad * std::log(r) - most * (r - 1));
+        logBinomial_[i] +=
+            weight * (counts.changedBad * std::log(r) - events * std::log1p(changedProbability * (r - 1)));
+        logPoisson_[i] += weight * (counts.changedBad * std::log(r) - toleratedChanged * (r - 1));
     }
 }
 
-double Evidence::log() const {
-    const double most = std::max(*std::max_element(logs_.begin(), logs_.end()),
-                                 *std::max_element(counted_.begin(), counted_.end()));
+double Evidence::logValue() const {
+    // The largest term is factored out, so that the exponentials stay in range.
+    const double largest = std::max(*std::max_element(logBinomial_.begin(), logBinomial_.end()),
+                                    *std::max_element(logPoisson_.begin(), logPoisson_.end()));
     double sum = 0;
-    for (const double l : logs_) sum += std::exp(l - most);
-    for (const double l : counted_) sum += std::exp(l - most);
-    return most + std::log(sum / static_cast<double>(2 * logs_.size()));
-}
-
-void Evidence::clear() {
-    logs_ = counted_ = {};
-    bad_ = all_ = otherBad_ = otherAll_ = 0;
-}
-
-void Spread::add(Nanos now, int who, double bad, double expected) {
-    Sum& sum = sums_[who];
-    const double part = sum.at ? faded(now - sum.at, half_) : 0;
-    sum.at = now;
-    sum.bad = sum.bad * part + bad;
-    sum.expected = sum.expected * part + expected;
-}
-
-double Spread::value() const {
-    double chi = 0;
-    int free = -1;
-    for (const auto& [who, s] : sums_) {
-        if (s.expected < kLeastExpected) continue;
-        chi += (s.bad - s.expected) * (s.bad - s.expected) / s.expected;
-        ++free;
-    }
-    if (free < 1) return 1;
-    return std::max(1.0, (chi + kShrink) / (free + kShrink));
-}
-
-void Share::add(Nanos now, double bad, double all) {
-    const double part = at_ ? faded(now - at_, half_) : 0;
-    at_ = now;
-    bad_ = bad_ * part + bad;
-    all_ = all_ * part + all;
+    for (const double term : logBinomial_) sum += std::exp(term - largest);
+    for (const double term : logPoisson_) sum += std::exp(term - largest);
+    return largest + std::log(sum / static_cast<double>(2 * logBinomial_.size()));
 }
 
-double upperShare(double bad, double all, double chance) {
-    if (all <= 0 || bad >= all) return 1;
-    return boost::math::quantile(boost::math::beta_distribution<double>(bad + 1, all - bad), 1 - chance);
+double upperConfidenceBound(double bad, double total, double errorProbability) {
+    if (total <= 0 || bad >= total) return 1;
+    return boost::math::quantile(boost::math::beta_distribution<double>(bad + 1, total - bad),
+                                 1 - errorProbability);
 }
 
 }  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/fault_detector.hpp
@@ -0,0 +1,54 @@
+// Detects faults: times in which the unchanged instances do worse than they used to. No stage begins or
+// completes in one.
+//
+// A fault with an excuse is not the change's. One without an excuse that begins during a stage is taken to be
+// the change's.
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include "rollout/decaying_statistics.hpp"
+#include "rollout/fault_excuses.hpp"
+#include "rollout/fleet_view.hpp"
+
+namespace poppyscale::rollout {
+
+// A fault began or ended.
+struct FaultTransition {
+    bool isActive = false;  // from now on
+    double recentRatio = 0;
+    double baselineRatio = 0;  // before this window
+};
+
+class FaultDetector {
+  public:
+    FaultDetector();
+
+    // Reads the fleet's last window.
+    std::optional<FaultTransition> observe(Nanos now, const FleetView& fleet);
+    // Machines were interrupted.
+    void noteInterruption(Nanos now) { excuses_.noteInterruption(now); }
+
+    bool isActive() const { return isActive_; }
+    // Of the present or the last fault.
+    Nanos beganAt() const { return beganAt_; }
+    // What explains the fault, in words for the log; empty if nothing does.
+    const std::string& excuse() const { return excuse_; }
+    // Unsuccessful or late requests of the reference instances, as a ratio: in the last seconds, and before.
+    double recentRatio() const { return recent_.value(); }
+    double baselineRatio() const { return baseline_.value(); }
+
+  private:
+    void updateState(Nanos now, double baselineRatio);
+
+    DecayingRatio recent_;
+    DecayingRatio baseline_;  // learned only while there is no fault
+    FaultExcuses excuses_;
+    bool isActive_ = false;
+    Nanos beganAt_ = 0;
+    Nanos lastSeenAt_ = 0;
+    std::string excuse_;
+};
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/fault_excuses.hpp
@@ -0,0 +1,43 @@
+// What may not be blamed on the change: conditions of the fleet that explain why requests fail on both sides.
+//
+// Each condition compares the last seconds with a baseline, which is learned only while there is no fault.
+#pragma once
+
+#include <string>
+
+#include "rollout/decaying_statistics.hpp"
+#include "rollout/fleet_window.hpp"
+
+namespace poppyscale::rollout {
+
+class FaultExcuses {
+  public:
+    FaultExcuses();
+
+    // Adds a window to the present conditions.
+    void observe(Nanos now, const FleetWindow& window);
+    // Adds a window to the baseline. Only of windows without a fault.
+    void learn(Nanos now, const FleetWindow& window);
+    // Machines were interrupted, or agents are unreachable. The consequences for clients show only later, so
+    // this remains an excuse for some seconds.
+    void noteInterruption(Nanos now) { interruptedAt_ = now; }
+    // The condition that explains a fault now, in words for the log; empty if there is none.
+    // `unreachableAgents`: their names, empty if there are none.
+    std::string find(Nanos now, const std::string& unreachableAgents) const;
+
+  private:
+    // A ratio over the last seconds beside the same over the last minute or so.
+    struct Condition {
+        DecayingRatio recent;
+        DecayingRatio baseline;
+    };
+
+    Condition load_;           // requests per second
+    Condition attemptTime_;    // ms per attempt
+    Condition lostAttempts_;   // of the attempts of reference instances
+    int cachesReady_ = 0;      // in the last window
+    int baselineCaches_ = 0;   // the most that were ready
+    Nanos interruptedAt_ = 0;  // 0: never
+};
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/harm_exclusion.cpp
@@ -0,0 +1,50 @@
+#include "rollout/harm_exclusion.hpp"
+
+#include <algorithm>
+#include <array>
+
+namespace poppyscale::rollout {
+namespace {
+
+constexpr double kErrorProbability = 0.02;  // of ruling out a harm that is there
+constexpr double kMinEvents = 60;           // of a side, for it to say anything
+
+bool isRuledOut(const Comparison& comparison, double harm, bool hasUnchangedInstances) {
+    const Evidence& evidence = comparison.evidence;
+    // Unchanged instances without metrics prove nothing. Once all are changed, and this coordinator resumed a
+    // rollout and saw none of them before, the changed side's own ratio is all there is.
+    const bool hasReference =
+        evidence.unchangedTotal() > 0 || comparison.baseline.denominator() >= kMinEvents;
+    if (!hasReference && hasUnchangedInstances) return false;
+    if (evidence.changedTotal() < kMinEvents) return false;
+    const double upper =
+        upperConfidenceBound(evidence.changedBad(), evidence.changedTotal(), kErrorProbability);
+    return upper - comparison.referenceRatio() <= harm;
+}
+
+}  // namespace
+
+bool isHarmRuledOut(const SideComparison& comparison, const Thresholds& thresholds,
+                    const RolloutSchedule& schedule) {
+    struct Limit {
+        std::string_view kind;
+        double harm;
+    };
+    const std::array<Limit, 4> limits{{{event_kind::kUnanswered, thresholds.harm},
+                                       {event_kind::kLate, thresholds.harm},
+                                       {event_kind::kSlower, thresholds.slowHarm},
+                                       {event_kind::kNeverAnswered, thresholds.silent}}};
+    const bool hasUnchangedInstances = schedule.targetCount() < schedule.instanceCount();
+    // The harm of never answered requests is so small that the first stage's traffic seldom rules it out.
+    const bool needsNeverAnswered = schedule.stage() >= std::min(2, schedule.stageCount());
+    for (const Limit& limit : limits) {
+        if (limit.kind == event_kind::kNeverAnswered && !needsNeverAnswered) continue;
+        const Comparison* const found = comparison.find(limit.kind);
+        // Without a threshold for slow responses there is nothing to compare.
+        if (!found && limit.kind == event_kind::kSlower) continue;
+        if (!found || !isRuledOut(*found, limit.harm, hasUnchangedInstances)) return false;
+    }
+    return true;
+}
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/harm_exclusion.hpp
@@ -0,0 +1,15 @@
+// Whether harm of the plan's size is ruled out, which a stage needs to complete.
+#pragma once
+
+#include "rollout/rollout_plan.hpp"
+#include "rollout/rollout_schedule.hpp"
+#include "rollout/side_comparison.hpp"
+
+namespace poppyscale::rollout {
+
+// True if for unanswered, late, slower and never answered requests the upper confidence bound of the changed
+// side is within the plan's harm of the unchanged side. Too little traffic on either side is no proof.
+bool isHarmRuledOut(const SideComparison& comparison, const Thresholds& thresholds,
+                    const RolloutSchedule& schedule);
+
+}  // namespace poppyscale::rollout
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -1,10 +1,9 @@
-// What an instance tells of itself, as a staged change reads it. What it does not tell, or can't be right, is
-// unknown and never nothing.
+// Metrics that an instance reports of itself, as a staged rollout reads them. What is missing or implausible
+// is unknown and never zero.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 #include <vector>
@@ -13,12 +12,19 @@
 
 namespace poppyscale::rollout {
 
-// The form of figures, orders and reports; another one is refused by its number.
+// Version of the JSON form of metrics, orders and reports; another one is rejected by its number.
 constexpr int kFormat = 1;
 
+// Requests of one class.
 struct RequestClassMetrics {
-    std::uint64_t accepted = 0, withinObjective = 0, late = 0, rejected = 0, failed = 0, abandoned = 0;
-    std::vector<std::uint64_t> latencies;  // answers by class of their time, from the fastest class there is
+    std::uint64_t accepted = 0;
+    std::uint64_t withinObjective = 0;
+    std::uint64_t late = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t failed = 0;
+    std::uint64_t abandoned = 0;           // the client disconnected first
+    std::vector<std::uint64_t> latencies;  // responses by latency bucket, the fastest first
+
     std::uint64_t succeeded() const { return withinObjective + late; }
     std::uint64_t unsuccessful() const { return rejected + failed + abandoned; }
 };
@@ -29,31 +35,35 @@
     bool isDraining = false;
 };
 
-// Counted since the start of one process, but for the levels.
+// Counters since the start of one process, and levels as they are now.
 struct InstanceMetrics {
-    std::int64_t incarnation = 0;  // the process; another one counts from nothing
-    Nanos up = 0;
+    std::int64_t incarnation = 0;  // identifies the process; a new process counts from zero
+    Nanos up = 0;                  // time since its start, by its own clock
     std::string program;
     std::string zone;
     std::map<std::string, RequestClassMetrics> requestClasses;
     std::map<std::string, CacheMetrics> caches;
-    std::uint64_t attempts = 0, originAttempts = 0, attemptsLost = 0, connectionsOpened = 0,
-                  endpointPolls = 0;
-    std::uint64_t churned = 0;  // of a window: connections opened beyond those by which there are more now
-    double attemptMs = 0;       // that relays which had an answer were out, in all
-    // Levels: as they are.
-    double memoryKb = 0, descriptors = 0, connections = 0, openRequests = 0;
-    int cachesReady = 0, cachesListed = 0;
-    Nanos longestIteration = 0;
+    // Counters.
+    std::uint64_t attempts = 0;
+    std::uint64_t originAttempts = 0;
+    std::uint64_t attemptsLost = 0;
+    std::uint64_t connectionsOpened = 0;
+    std::uint64_t endpointPolls = 0;
+    std::uint64_t churned = 0;  // of a window: connections opened beyond the growth of open ones
+    double attemptMs = 0;       // sum of the durations of answered attempts
+    // Levels.
+    double memoryKb = 0;
+    double descriptors = 0;
+    double connections = 0;
+    double openRequests = 0;
+    int cachesReady = 0;
+    int cachesListed = 0;
+    Nanos longestIteration = 0;  // of its event loop
 };
 
-// As an instance's door answers `figures`; nothing when it is an older program's, of another form or
-// nonsense.
-std::optional<InstanceMetrics> readInstanceMetrics(const nlohmann::json& said);
-
-// What one instance did between two looks, or nothing: another process, counters that fell, more time than
-// has gone by. `between` is the time between the looks on the reader's clock.
+// What one instance did between two samples. Nothing if the process is another one, if counters fell, or if
+// more of its time passed than of the reader's. `elapsed`: time between the samples on the reader's clock.
 std::optional<InstanceMetrics> windowOf(const InstanceMetrics& before, const InstanceMetrics& after,
-                                        Nanos between);
+                                        Nanos elapsed);
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -1,8 +1,7 @@
-// What a coordinator and an agent say to each other: plain values, and their form as JSON. Fields that are
-// not known are let be; another format is refused by its number.
+// What a coordinator and an agent tell each other, as plain values. Their JSON form is messages_codec.hpp's.
 #pragma once
 
-#include <nlohmann/json.hpp>
+#include <cstdint>
 #include <optional>
 #include <set>
 #include <string>
@@ -12,36 +11,38 @@
 
 namespace poppyscale::rollout {
 
-// A program and an operator's form, by content.
+// A program and an operator's configuration template, by content.
 struct Version {
     std::string program;         // digest
-    std::string templateDigest;  // digest
+    std::string templateDigest;  // empty: none
     bool operator==(const Version&) const = default;
     bool none() const { return program.empty(); }
+    // Shortened, for logs.
     std::string shown() const { return program.substr(0, 8) + "/" + templateDigest.substr(0, 8); }
 };
 
-// What a coordinator wants of an agent, whole each time: an order that is lost or comes twice does no harm.
+// The complete state that a coordinator wants of an agent. An order that is lost or arrives twice does no
+// harm.
 struct Order {
-    std::uint64_t number = 0;   // of the roll; the highest that an agent has seen is the one that holds
-    std::uint64_t step = 0;     // grows with each order of a roll: one that was overtaken on its way is none
-    std::string digest;         // of what changes: a roll with another one is another change
-    std::string program;        // path, or empty where the program stays
-    std::string programDigest;  // of what is there, or empty where that was not looked at
-    std::string form;           // text, or empty where the form stays
+    std::uint64_t number = 0;   // of the rollout; an agent obeys the highest that it has seen
+    std::uint64_t step = 0;     // grows with each order of a rollout, so that an outdated order is recognized
+    std::string digest;         // of what changes; another digest is another change
+    std::string program;        // path; empty where the program stays
+    std::string programDigest;  // of the file at that path; empty if it was not read
+    std::string form;           // the configuration template's text; empty where it stays
     std::set<int> changed;      // instances that are to have the change; all others are to be as before
-    std::set<int> held;         // of those: whose change stays without further word
-    Nanos holdDuration = 0;     // the others' change stays for so long after this was heard
-    int batch = 1;              // at once
-    bool isFinished = false;    // the roll has ended: what is changed is from now on how things are
+    std::set<int> held;         // those of `changed` whose change stays without further orders
+    Nanos holdDuration = 0;     // how long the others' change stays after this order arrived
+    int batch = 1;              // instances that may be in transition at once
+    bool isFinished = false;    // the rollout has ended: the change is the new normal
 };
 
 enum class InstanceState : std::uint8_t {
-    original,     // runs what ran before the roll
-    changing,     // on its way to the change
+    original,     // runs what ran before the rollout
+    changing,     // in transition to the change
     changed,      // runs it
-    rollingBack,  // on its way back
-    failed        // could not be brought where it was to be
+    rollingBack,  // in transition to what ran before
+    failed        // could not be brought to the version that it is to run
 };
 
 struct InstanceReport {
@@ -49,27 +50,19 @@
     std::string zone;
     InstanceState state = InstanceState::original;
     bool ready = false;
-    Nanos since = 0;      // it has stood so for so long
-    int exitCount = 0;    // by itself, since its agent came or this roll began
-    std::string problem;  // why it is stuck, or could not be changed
+    Nanos since = 0;      // time spent in this state
+    int exitCount = 0;    // unrequested exits since its agent started or this rollout began
+    std::string problem;  // why it has failed, or could not be changed
     std::optional<InstanceMetrics> metrics;
 };
 
 struct Report {
-    std::uint64_t number = 0;  // the highest that it has seen
-    std::string digest;        // of the change that it holds or undoes; empty: none
+    std::uint64_t number = 0;  // the highest rollout number that the agent has seen
+    std::string digest;        // of the change that it has or rolls back; empty: none
     bool isFinished = false;
-    bool hasRolledBack = false;  // by itself, as it heard nothing
-    std::string problem;         // of the agent: it can't keep what it is told
+    bool hasRolledBack = false;  // on its own, as no order arrived in time
+    std::string problem;         // of the agent itself: it can't persist its orders
     std::vector<InstanceReport> instances;
 };
 
-nlohmann::json toJson(const Order& order);
-// Throws std::runtime_error that names the format or the field.
-Order readOrder(const nlohmann::json& said);
-nlohmann::json toJson(const Report& report, const std::vector<nlohmann::json>& figures);
-Report readReport(const nlohmann::json& said);
-
-std::string_view nameOf(InstanceState stand);
-
 }  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/resource_levels.hpp
@@ -0,0 +1,33 @@
+// Memory, descriptors and connections of changed instances, compared with the most that an unchanged one has
+// had since the rollout began.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "rollout/fleet_view.hpp"
+
+namespace poppyscale::rollout {
+
+class ResourceLevels {
+  public:
+    // `growth`: tolerated ratio to the unchanged side's most.
+    explicit ResourceLevels(double growth) : growth_(growth) {}
+
+    // Reads the last window of the unchanged instances.
+    void observe(const FleetView& fleet);
+    // Checks the last window of the changed instances. Names one that exceeds a level, and the level, once
+    // that has lasted for several checks in a row; empty if there is none.
+    std::string findExcess(const FleetView& fleet);
+
+  private:
+    std::string describeExcess(const InstanceMetrics& window) const;
+
+    double growth_;
+    double maxMemoryKb_ = 0;
+    double maxDescriptors_ = 0;
+    double maxConnections_ = 0;
+    std::map<int, int> excessiveChecks_;  // by instance: in a row
+};
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/rollback.hpp
@@ -0,0 +1,39 @@
+// Brings all instances back to what they ran before the rollout: the last that changed first, and no more
+// than a batch of the plan's size in transition at once.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "rollout/fleet_view.hpp"
+#include "rollout/rollout_host.hpp"
+#include "rollout/rollout_plan.hpp"
+#include "rollout/rollout_schedule.hpp"
+
+namespace poppyscale::rollout {
+
+class Rollback {
+  public:
+    // `plan` has to outlive the rollback.
+    explicit Rollback(const RolloutPlan& plan) : plan_(plan) {}
+
+    void begin(Nanos now) { beganAt_ = now; }
+    // Withdraws the next targets. Gives the outcome once all instances are as before or the plan's time is
+    // up. `number`: of the rollout; agents that have not seen it are not known to roll back.
+    std::optional<RolloutOutcome> advance(Nanos now, std::uint64_t number, const FleetView& fleet,
+                                          RolloutSchedule& schedule);
+
+    // Those that are not as before, by name and with the reason. Empty until the outcome is known.
+    const std::vector<std::string>& unrestoredInstances() const { return unrestoredInstances_; }
+
+  private:
+    void findUnrestored(Nanos now, const FleetView& fleet);
+
+    const RolloutPlan& plan_;
+    Nanos beganAt_ = 0;
+    std::vector<std::string> unrestoredInstances_;
+};
+
+}  // namespace poppyscale::rollout
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -1,10 +1,13 @@
-// The decisions of one machine's agent in a staged change. Free of I/O and of any clock.
+// The decisions of one machine's agent in a staged rollout. Free of I/O and of any clock.
 //
-// What it promises to whoever coordinates: it acts on the orders of the highest number that it has seen and
-// on no other's; a change that is not held stays for no longer than the order's time after the last order was
-// heard, then the agent goes back by itself; and what it answers to an order it has on disk.
+// What it guarantees to coordinators:
+//  - It obeys the orders of the highest number that it has seen, and nobody else's.
+//  - A change that is not held stays for the order's hold duration after the last order, then the agent rolls
+//    it back on its own.
+//  - An order is on disk before it is acknowledged.
 #pragma once
 
+#include <cstdint>
 #include <set>
 #include <string>
 #include <string_view>
@@ -16,53 +19,62 @@
 
 // What has to outlive the agent's process.
 struct AgentState {
-    std::uint64_t number = 0;
-    std::string digest;  // of the change that is under way; empty: none
-    Version before, change;
-    std::set<int> changed, held;  // that are wanted so
-    Nanos holdDuration = 0;
-    int batch = 1;
-    bool isFinished = false;
+    std::uint64_t number = 0;  // of the rollout
+    std::string digest;        // of the change in progress; empty: none
+    Version before;            // what runs apart from the change
+    Version change;            // what changed instances run
+    std::set<int> changed;     // instances that are to have the change
+    std::set<int> held;        // those of `changed` whose change stays without further orders
+    Nanos holdDuration = 0;    // of the others' change, after an order
+    int batch = 1;             // instances in transition at once
+    bool isFinished = false;   // the rollout has ended
     bool operator==(const AgentState&) const = default;
 };
 
 class AgentHost {
   public:
     virtual ~AgentHost() = default;
-    // To disk and synced; then `kept`.
-    virtual void persist(const AgentState& held) = 0;
-    // So that it runs that version, whatever it runs by now; then `brought`.
-    virtual void install(int i, const Version& to) = 0;
+    // Writes the state to disk and syncs it; then `onPersisted`.
+    virtual void persist(const AgentState& state) = 0;
+    // Makes the instance run that version, whatever it runs now; then `onInstalled`.
+    virtual void install(int instance, const Version& version) = 0;
     virtual void log(std::string_view text) = 0;
 };
 
 class RolloutAgent {
   public:
-    RolloutAgent(int instances, const Version& now, AgentHost& hands);
-    // What was on disk, before anything else is told: what it says is brought about, as nobody can know how
-    // far the process before came.
-    void restore(Nanos now, const AgentState& held);
+    // `original`: what all instances run. `host` has to outlive the agent.
+    RolloutAgent(int instances, const Version& original, AgentHost& host);
+    // Continues from what was on disk; before any other event. Changed instances are installed again, as
+    // nobody knows how far the process before came.
+    void restore(Nanos now, const AgentState& state);
 
-    // An order, and the version that it changes to, whose content is on disk. Empty, or why it is refused;
-    // what came of it is answered after `kept`.
+    // `change`: the version that the order changes to; its content is on disk. Gives an empty string, or why
+    // the order is rejected. An accepted order may be acknowledged once nothing is being persisted any more.
     std::string onOrder(Nanos now, const Order& order, const Version& change);
+    // `problem`: why the state could not be written; empty if it was.
     void onPersisted(Nanos now, std::string_view problem);
-    bool isPersisting() const { return isPersisting_; }
-    // What runs before any roll is another version from now on; false while a roll is under way.
-    bool setOriginalVersion(const Version& now);
-    // Running something else than it is to: it is brought there.
-    void onVersionMismatch(Nanos now, int i);
-    void onInstalled(Nanos now, int i, std::string_view problem);
-    void onReadyChanged(int i, bool is) { at(i).ready = is; }
-    void onExited(Nanos now, int i);
+    bool isPersisting() const { return persistence_ != Persistence::idle; }
+    // Instances run another version apart from any rollout. False, and without effect, during a rollout.
+    bool setOriginalVersion(const Version& version);
+    // The instance runs something else than it is to run: the right version is installed.
+    void onVersionMismatch(Nanos now, int instance);
+    // `problem`: why the installation failed; empty if it did not.
+    void onInstalled(Nanos now, int instance, std::string_view problem);
+    void onReadyChanged(int instance, bool isReady) { at(instance).ready = isReady; }
+    // The instance's process ended without a request to do so.
+    void onExited(Nanos now, int instance);
 
-    // Once after the events of a moment.
+    // Acts on all events of a moment, and on deadlines.
     void reconcile(Nanos now);
+    // When `reconcile` is due without an event; kNever if it is not.
     Nanos nextDeadline() const;
 
     // The version that a start of this instance is to run.
-    const Version& versionOf(int i) const;
+    const Version& versionOf(int instance) const;
+    // Instances' names, zones and metrics are left to the host.
     Report report(Nanos now) const;
+    // As it is on disk.
     const AgentState& state() const { return persisted_; }
 
   private:
@@ -72,24 +84,38 @@
         bool ready = true;
         int exitCount = 0;
         std::string problem;
-        Nanos retryAt = 0;  // when what is stuck is tried once more
+        Nanos retryAt = 0;  // while it has failed
     };
-    Instance& at(int i) { return instances_.at(static_cast<std::size_t>(i)); }
-    const Instance& at(int i) const { return instances_.at(static_cast<std::size_t>(i)); }
-    bool allBefore() const;
-    void enterState(Nanos now, int i, InstanceState stand);
-    void setWanted(const AgentState& held);
+    enum class Persistence : std::uint8_t {
+        idle,            // the wanted state is on disk, or could not be written
+        writing,         // it is being written
+        writingOutdated  // an older one is being written; the wanted state is written next
+    };
+
+    Instance& at(int instance) { return instances_.at(static_cast<std::size_t>(instance)); }
+    const Instance& at(int instance) const { return instances_.at(static_cast<std::size_t>(instance)); }
+    bool isUntouched() const;
+    bool areAllOriginal() const;
+    void enterState(Nanos now, int instance, InstanceState state);
+    void setWanted(const AgentState& state);
+    std::string rejectionOf(const Order& order) const;
+    std::string finish(const Order& order);
+    void abandonChange(std::uint64_t number);
+    void fallBackToPersisted();
+    void rollBackExpired(Nanos now);
+    void installNext(Nanos now);
+    bool mayRollBack(Nanos now, int instance) const;
+    bool mayChange(int instance, bool areAllReady) const;
 
     AgentHost& host_;
     std::vector<Instance> instances_;
     AgentState persisted_;  // as it is on disk
-    AgentState wanted_;     // as it was last told
-    std::uint64_t step_ = 0;
-    bool isPersisting_ = false, persistAgain_ = false;
-    bool mayAct_ = true;  // what is wanted is on disk
+    AgentState wanted_;     // as last ordered
+    std::uint64_t lastStep_ = 0;
+    Persistence persistence_ = Persistence::idle;
     Nanos orderValidUntil_ = 0;
-    bool hasRolledBack_ = false;
-    std::string problem_;
+    bool hasRolledBack_ = false;  // on its own, since the last order
+    std::string problem_;         // of the last write
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -1,165 +1,133 @@
-// The coordinator of a staged change. Free of I/O and of any clock: reports and time in, orders out.
+// The coordinator of a staged rollout. Free of I/O and of any clock: reports and time in, orders out.
 //
-// What it promises: no instance is told to change in a stage before the one before it has held; a stage holds
-// only if harm of the plan's size is ruled out by what was seen while nothing else was wrong; after a stop no
-// instance is told to change any more, and the way back goes in batches until each instance that can be heard
-// is as before, or is told by name. Its state is what the agents hold: one that comes anew goes on from
-// there.
+// A rollout discovers what the agents have, observes the fleet as it is, and then takes its stages one after
+// the other: a stage's instances change, and once all of them run the change they are judged beside the
+// unchanged ones. The first reason to stop begins the rollback.
+//
+// Guarantees:
+//  - No instance is ordered to change in a stage before the stage before it is complete.
+//  - A stage is complete only if harm of the plan's size is ruled out by what was seen without a fault,
+//  unless
+//    the plan lets undecided stages go on.
+//  - After a stop no instance is ordered to change any more. The rollback goes in batches until each
+//  reachable
+//    instance is as before or is named in unrestoredInstances().
+//  - The agents have all of its state. A new coordinator of the same change resumes from there.
+//
+// One owner, one thread. `reconcile` follows the events of a moment, about twice a second.
 #pragma once
 
-#include <map>
-#include <nlohmann/json.hpp>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "rollout/evidence.hpp"
+#include "rollout/draining_caches.hpp"
+#include "rollout/fault_detector.hpp"
+#include "rollout/fleet_view.hpp"
 #include "rollout/messages.hpp"
+#include "rollout/resource_levels.hpp"
+#include "rollout/rollback.hpp"
+#include "rollout/rollout_events.hpp"
+#include "rollout/rollout_host.hpp"
 #include "rollout/rollout_plan.hpp"
+#include "rollout/rollout_schedule.hpp"
+#include "rollout/rollout_status.hpp"
+#include "rollout/side_comparison.hpp"
+#include "rollout/slow_latency_tracker.hpp"
+#include "rollout/stage_monitor.hpp"
 
 namespace poppyscale::rollout {
 
-class RolloutHost {
-  public:
-    virtual ~RolloutHost() = default;
-    // What was seen, compared or decided: one word for what it is, and fields.
-    virtual void report(std::string_view what, const nlohmann::json& fields) = 0;
-};
-
-enum class RolloutOutcome : std::uint8_t { none, completed, rolledBack, rollbackIncomplete, notPossible };
-
 class RolloutController {
   public:
-    // `digest` of what changes: the same change by another coordinator has the same.
-    RolloutController(const RolloutPlan& plan, std::string digest, RolloutHost& hands);
+    // `digest` identifies the change: two coordinators with the same one roll out the same change. `host` has
+    // to outlive the controller.
+    RolloutController(const RolloutPlan& plan, std::string digest, RolloutHost& host);
+    RolloutController(const RolloutController&) = delete;
+    RolloutController& operator=(const RolloutController&) = delete;
+
+    // Events. `agent` is an index in the plan; another one throws std::out_of_range.
 
     void onReport(Nanos now, int agent, const Report& report);
-    // It was told that a coordinator with a higher number acts there.
-    void onSuperseded(Nanos now, int agent, std::string_view why);
-    // It answers, and can't do what it is told.
-    void onRefused(Nanos now, int agent, std::string_view why);
-    // The operator's word: back.
+    // The agent obeys a coordinator with a higher number. `successor`: that number, or the agent's answer.
+    void onSuperseded(Nanos now, int agent, std::string_view successor);
+    // The agent answers, and can't do what it was ordered.
+    void onRefused(Nanos now, int agent, std::string_view reason);
+    // The operator stops the rollout.
     void abandon(Nanos now);
-    // Once after the events of a moment; about twice a second.
+
+    // Acts on all events since the call before.
     void reconcile(Nanos now);
 
-    // What to tell that agent now; nothing while the roll only asks.
+    // What to send to that agent now; nothing while it is only to be asked for its report.
     std::optional<Order> orderFor(int agent);
-    // Nobody has to be told anything any more.
+    // Not `none` once no order is needed any more.
     RolloutOutcome outcome() const { return outcome_; }
+    // Why it stopped, in words; empty while it goes on.
     const std::string& reason() const { return reason_; }
-    // By name, each with why.
-    const std::vector<std::string>& unrestoredInstances() const { return unrestoredInstances_; }
-    int stage() const { return stage_; }  // counted from 1; 0 before the first
-    int stageCount() const { return static_cast<int>(counts_.size()); }
-    int changedCount() const { return static_cast<int>(wanted_.size()); }
-    int maxChangedCount() const { return maxChangedCount_; }
-    int instanceCount() const { return static_cast<int>(order_.size()); }
+    // Those that could not be rolled back, by name and with the reason.
+    const std::vector<std::string>& unrestoredInstances() const { return rollback_.unrestoredInstances(); }
+    // Counted from 1; 0 before the first.
+    int stage() const { return schedule_.stage(); }
+    int stageCount() const { return schedule_.stageCount(); }
+    // Instances that are to have the change now.
+    int changedCount() const { return schedule_.targetCount(); }
+    int maxChangedCount() const { return schedule_.maxTargetCount(); }
+    int instanceCount() const { return schedule_.instanceCount(); }
+    // Of the rollout: one more than any agent had seen. 0 until it is known.
     std::uint64_t number() const { return number_; }
-    std::string_view phaseName() const;
+    // For operators and programs.
     nlohmann::json status(Nanos now) const;
 
   private:
-    // asking: who is there and what they hold. watching: how the fleet does as it is. changing: a stage's
-    // instances are on their way. judging: all of them are there. back: everything returns. ending: the
-    // agents are told that it is over.
-    enum class Phase : std::uint8_t {
-        discovering,
-        observing,
-        changing,
-        judging,
-        rollingBack,
-        finishing,
-        finished
-    };
-    struct AgentState {
-        std::optional<Report> report;
-        Nanos lastReportAt = 0;
-        std::string refusal;
-        Nanos refusedSince = 0;  // without a time between in which it did not
-    };
-    struct Instance {
-        int agent = 0, index = 0;
-        std::string name, zone;
-        std::optional<InstanceMetrics> last;
-        Nanos lastAt = 0;
-        std::optional<InstanceMetrics> window;  // since the look before, if it can be known
-        int overLevel = 0;                      // looks in turn that it stood over the others' levels
-    };
-    struct Comparison {
-        Evidence evidence;
-        Share usual{60'000 * kMillisecond};  // of the unchanged
-        Spread spread{30'000 * kMillisecond};
-        bool pressure = false;
-        bool seen = false;
-    };
-    struct Counted {
-        double bad = 0, all = 0;
+    using Phase = RolloutPhase;
+
+    // What the agents have when the rollout begins.
+    struct Discovery {
+        std::uint64_t highestNumber = 0;
+        bool hasThisChange = false;
+        bool hasOtherChange = false;  // of a rollout that has not ended
     };
-    using Counts = std::map<std::string, Counted>;
 
-    void begin(Nanos now);
-    void enter(Nanos now, Phase phase);
-    void sampleWindow(Nanos now);
-    void judgeStage(Nanos now);
-    void detectFaults(Nanos now);
-    void reconcileRollback(Nanos now);
-    void beginRollback(Nanos now, std::string why);
+    Discovery inspectAgents() const;
+    void discover(Nanos now);
+    void begin(Nanos now, const Discovery& discovery);
+    void observeFleet(Nanos now);
+    void superviseBaseline(Nanos now);
+    void superviseStage(Nanos now, Nanos elapsed);
+    std::string findReasonToStop(Nanos now);
+    void concludeStage(Nanos now);
+    std::string describeIndecision(Nanos now) const;
+    void beginNextStage(Nanos now);
+    void beginRollback(Nanos now, const std::string& reason);
+    void continueRollback(Nanos now);
+    void continueFinishing(Nanos now);
+    void enterPhase(Nanos now, Phase phase);
     void end(RolloutOutcome outcome);
-    void windows(Nanos now);
-    Counts countsOf(const InstanceMetrics& window) const;
-    void compareSides(Nanos now);
-    void learnTimes(Nanos now);
-    void seeLeaving();
-    std::string worstOf(double lift) const;
-    std::string levelsOver();
-    std::string endsOver() const;
-    bool isHarmRuledOut() const;
-    bool knows(Nanos now, int agent) const;
-    const InstanceReport* reportOf(const Instance& m) const;
-    bool isChanged(const Instance& m) const;  // and counts as such
-    bool isUnchanged(const Instance& m) const;
-    bool stageStands() const;
-    std::string unheard(Nanos now) const;
-    int wantedUpTo(int stage) const { return stage > 0 ? counts_[static_cast<std::size_t>(stage - 1)] : 0; }
 
-    RolloutPlan plan_;
-    std::string digest_;
-    RolloutHost& host_;
+    const RolloutPlan plan_;
+    const std::string digest_;
+    RolloutEvents events_;
+
     Phase phase_ = Phase::discovering;
-    Nanos stageAt_ = 0, phaseAt_ = 0, startedAt_ = 0, lastLook_ = 0;
-    std::vector<AgentState> agents_;
-    std::vector<Instance> instances_;  // by agent and index
-    std::vector<int> order_;           // in which they change: spread over zones and machines
-    std::vector<int> counts_;          // of changed ones at the end of each stage
-    std::set<int> wanted_, held_;      // members
-    std::uint64_t number_ = 0, step_ = 0;
-    int stage_ = 0, maxChangedCount_ = 0;
-    Nanos judged_ = 0;  // time of this stage in which it could be
-    int endsSeen_ = 0;
-    std::map<std::string, Comparison> comparisons_;
-    std::map<std::string, std::vector<double>> times_;  // of the unchanged by verb, decaying
-    std::map<std::string, std::size_t> slow_;           // the class from which an answer counts as slow
-    // How things are, beside how they usually are.
-    Share harmNow_{3'000 * kMillisecond}, harmUsual_{60'000 * kMillisecond};
-    Share loadNow_{3'000 * kMillisecond}, loadUsual_{60'000 * kMillisecond};    // commands a second
-    Share relayNow_{3'000 * kMillisecond}, relayUsual_{60'000 * kMillisecond};  // ms a relay
-    Share lostNow_{3'000 * kMillisecond}, lostUsual_{60'000 * kMillisecond};    // relays of the unchanged
-    int cachesUsual_ = 0, cachesNow_ = 0;
-    std::map<std::string, int> leaving_;  // caches that unchanged instances say leave: in so many looks
-    double mostMemory_ = 0, mostDescriptors_ = 0, mostLinks_ = 0;  // of the unchanged
-    std::set<std::string> zones_;
-    bool fault_ = false;
-    Nanos faultAt_ = 0, faultSeen_ = 0, unexplained_ = 0;
-    Nanos heldUpAt_ = 0;  // when some instances had last not been heard for longer than they should
-    std::string explained_;
+    Nanos phaseSince_ = 0;
+    Nanos startedAt_ = 0;     // 0: not yet
+    Nanos lastSampleAt_ = 0;  // 0: never
+    std::uint64_t number_ = 0;
+    std::uint64_t lastStep_ = 0;  // of the orders
     RolloutOutcome outcome_ = RolloutOutcome::none;
     std::string reason_;
-    std::vector<std::string> unrestoredInstances_;
-};
 
-std::string_view nameOf(RolloutOutcome outcome);
+    FleetView fleet_;
+    RolloutSchedule schedule_;
+    StageMonitor stageMonitor_;
+    FaultDetector faults_;
+    DrainingCaches drainingCaches_;
+    SlowLatencyTracker slowLatencies_;
+    ResourceLevels resourceLevels_;
+    SideComparison comparison_;
+    Rollback rollback_;
+};
 
 }  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/rollout_status.hpp
@@ -0,0 +1,44 @@
+// A rollout's status as JSON: the one place that knows its words, which programs read.
+#pragma once
+
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "rollout/fleet_view.hpp"
+#include "rollout/rollout_host.hpp"
+#include "rollout/rollout_schedule.hpp"
+#include "rollout/side_comparison.hpp"
+
+namespace poppyscale::rollout {
+
+enum class RolloutPhase : std::uint8_t {
+    discovering,  // which agents answer, and what they already have
+    observing,    // how the fleet does before the first stage
+    changing,     // a stage's instances are in transition
+    judging,      // all of the stage's instances run the change
+    rollingBack,  // all instances return to what they ran before
+    finishing,    // agents are notified that the rollout has ended
+    finished
+};
+
+struct RolloutStatus {
+    std::uint64_t number = 0;
+    RolloutPhase phase = RolloutPhase::discovering;
+    bool isFaultActive = false;
+    std::string faultExcuse;
+    Nanos judgedTime = 0;  // of the present stage
+    RolloutOutcome outcome = RolloutOutcome::none;
+    std::string reason;
+    std::vector<std::string> unrestoredInstances;
+};
+
+nlohmann::json toJson(Nanos now, const RolloutStatus& status, const FleetView& fleet,
+                      const RolloutSchedule& schedule, const SideComparison& comparison);
+
+// The phase in a word, as the status carries it.
+std::string_view nameOf(RolloutPhase phase);
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/slow_latency_tracker.hpp
@@ -0,0 +1,32 @@
+// Which responses count as slow: those in the slowest quarter of the unchanged side's responses of their
+// request class.
+//
+// The threshold of a class is set once there are enough responses, and never moves afterwards: a moving one
+// would give the responses counted before it another meaning.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "rollout/fleet_view.hpp"
+
+namespace poppyscale::rollout {
+
+class SlowLatencyTracker {
+  public:
+    // Adds the last window of the unchanged instances. New thresholds are set only if `maySetThresholds`.
+    void observe(const FleetView& fleet, bool maySetThresholds);
+    // The first latency bucket whose responses count as slow; nothing while that is unknown.
+    std::optional<std::size_t> firstSlowBucket(const std::string& requestClass) const;
+
+  private:
+    void setThresholds();
+
+    std::map<std::string, std::vector<double>> latencies_;  // by request class and bucket, decaying
+    std::map<std::string, std::size_t> firstSlowBuckets_;   // by request class
+};
+
+}  // namespace poppyscale::rollout
--- /dev/null
+++ b/src/rollout/stage_monitor.cpp
@@ -0,0 +1,92 @@
+#include "rollout/stage_monitor.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+namespace poppyscale::rollout {
+namespace {
+
+// A sync that failed once is repaired by the next order.
+constexpr Nanos kMinRejectionDuration = 3'000 * kMillisecond;
+constexpr double kMinExits = 2;
+constexpr double kMinExitFactor = 3;          // exits per instance, beside the unchanged side
+constexpr double kMinExitsPerInstance = 0.1;  // once there is no unchanged side
+
+// Exits of the changed side that are too many beside the unchanged side; empty if they are not.
+std::string describeExits(const FleetView& fleet, const RolloutSchedule& schedule) {
+    double changedExits = 0;
+    double changedInstances = 0;
+    double unchangedExits = 0;
+    double unchangedInstances = 0;
+    for (int i = 0; i < fleet.instanceCount(); ++i) {
+        const InstanceReport* const report = fleet.reportOf(fleet.instance(i));
+        if (!report) continue;
+        if (schedule.isTarget(i)) {
+            changedExits += report->exitCount;
+            ++changedInstances;
+        } else {
+            unchangedExits += report->exitCount;
+            ++unchangedInstances;
+        }
+    }
+    if (changedExits < kMinExits) return "";
+    const double exitsPerInstance = changedExits / std::max(changedInstances, 1.0);
+    const bool areTooMany =
+        unchangedInstances > 0 ? exitsPerInstance > kMinExitFactor * unchangedExits / unchangedInstances
+                               : changedExits >= std::max(kMinExits, kMinExitsPerInstance * changedInstances);
+    if (!areTooMany) return "";
+    return fmt::format("{:.0f} ends by themselves at {:.0f} changed instances, {:.0f} at {:.0f} others",
+                       changedExits, changedInstances, unchangedExits, unchangedInstances);
+}
+
+// What makes this target a reason to stop; empty if nothing does.
+std::string describeProblem(Nanos now, const FleetView& fleet, const InstanceView& instance,
+                            const InstanceReport& report) {
+    const bool runsChange = report.state == InstanceState::changed;
+    if (runsChange && report.metrics && !fleet.isKnownZone(report.metrics->zone))
+        return fmt::format("{} is in zone '{}', where nobody was before", instance.name,
+                           report.metrics->zone);
+    const AgentView& agent = fleet.agentOf(instance);
+    const bool isRejecting = !agent.rejection.empty() && now - agent.rejectedSince >= kMinRejectionDuration;
+    if (!runsChange && isRejecting)
+        return fmt::format("{}: {}", fleet.agentName(instance.agent), agent.rejection);
+    if (!report.problem.empty() && fleet.hasRecentReport(now, instance.agent))
+        return fmt::format("{} can't be changed: {}", instance.name, report.problem);
+    return "";
+}
+
+}  // namespace
+
+void StageMonitor::beginStage(Nanos now) {
+    beganAt_ = now;
+    judgedTime_ = 0;
+    unexplainedFaultTime_ = 0;
+}
+
+std::string StageMonitor::checkInstances(Nanos now, const FleetView& fleet, const RolloutSchedule& schedule) {
+    std::string reason = describeExits(fleet, schedule);
+    int exits = 0;
+    for (int i = 0; i < fleet.instanceCount() && reason.empty(); ++i) {
+        const InstanceView& instance = fleet.instance(i);
+        const InstanceReport* const report = fleet.reportOf(instance);
+        if (!report || !schedule.isTarget(i)) continue;
+        exits += report->exitCount;
+        reason = describeProblem(now, fleet, instance, *report);
+    }
+    if (exits > maxExitCount_) judgedTime_ = 0;
+    maxExitCount_ = std::max(maxExitCount_, exits);
+    return reason;
+}
+
+std::string StageMonitor::checkUnexplainedFault(const FaultDetector& faults, Nanos sampleInterval) {
+    const bool beganInStage = faults.isActive() && faults.beganAt() >= beganAt_;
+    if (!beganInStage || !faults.excuse().empty()) return "";
+    unexplainedFaultTime_ += sampleInterval;
+    if (unexplainedFaultTime_ < plan_.minStageDuration) return "";
+    return fmt::format(
+        "both sides do worse than before this stage ({:.4g} beside {:.4g}), and nothing explains it",
+        faults.recentRatio(), faults.baselineRatio());
+}
+
+}  // namespace poppyscale::rollout
--- a/src/testbed/drivers/simulated/rollout_run.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -6,6 +6,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
+#include "rollout/messages_codec.hpp"
 #include "rollout/rollout_agent.hpp"
 #include "rollout/rollout_controller.hpp"
 #include "testbed/emulator/random.hpp"
--- a/tests/rollout_agent_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 
 #include "ctl/control_listener.hpp"
-#include "rollout/messages.hpp"
+#include "rollout/messages_codec.hpp"
 
 using namespace poppyscale;
 using nlohmann::json;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,12 +1,14 @@
-// Stories of staged changes: the evidence, the plan, an agent and a coordinator, against hands that only
-// write down what they are asked.
+// Tests of staged rollouts: the evidence, the plan, an agent and a coordinator, against hosts that only
+// record what they are asked.
 #include <doctest/doctest.h>
 
 #include <cmath>
 #include <fstream>
 #include <random>
 
+#include "rollout/decaying_statistics.hpp"
 #include "rollout/evidence.hpp"
+#include "rollout/messages_codec.hpp"
 #include "rollout/rollout_agent.hpp"
 #include "rollout/rollout_controller.hpp"
 
@@ -18,45 +20,60 @@
 constexpr Nanos ms = kMillisecond;
 constexpr Nanos s = 1'000 * ms;
 
-struct Disk : AgentHost {
-    void persist(const AgentState& held) override {
-        written = held;
-        asked += "K";
+// Records an agent's actions: "K" to persist, "+i" to install the change on instance i, "-i" to roll it back.
+struct RecordingAgentHost : AgentHost {
+    void persist(const AgentState& state) override {
+        persisted = state;
+        actions += "K";
     }
-    void install(int i, const Version& to) override {
-        asked += (to.program == "new" ? "+" : "-") + std::to_string(i);
+    void install(int instance, const Version& version) override {
+        actions += (version.program == "new" ? "+" : "-") + std::to_string(instance);
     }
     void log(std::string_view) override {}
-    std::string take() { return std::exchange(asked, {}); }
-    std::string asked;
-    AgentState written;
+    // The actions since the last call.
+    std::string take() {
+        std::string taken;
+        taken.swap(actions);
+        return taken;
+    }
+
+    std::string actions;
+    AgentState persisted;
 };
 
 Order orderOf(std::uint64_t number, std::uint64_t step, std::set<int> changed, std::set<int> held = {}) {
-    Order o;
-    o.number = number;
-    o.step = step;
-    o.digest = "d";
-    o.changed = std::move(changed);
-    o.held = std::move(held);
-    o.holdDuration = 4 * s;
-    return o;
+    Order order;
+    order.number = number;
+    order.step = step;
+    order.digest = "d";
+    order.changed = std::move(changed);
+    order.held = std::move(held);
+    order.holdDuration = 4 * s;
+    return order;
 }
 
 const Version kOld{"old", ""}, kNew{"new", ""};
 
-// Instances that answer as they are told, on agents that do at once what they are asked.
-struct Fleet : RolloutHost {
-    struct One {
-        InstanceState stand = InstanceState::original;
+// Instances whose metrics the test sets, on agents that carry out orders at once.
+struct FakeFleet : RolloutHost {
+    struct Instance {
+        InstanceState state = InstanceState::original;
         Nanos since = 0;
-        int ends = 0;
+        int exitCount = 0;
         std::string problem;
-        InstanceMetrics figures;
-        bool known = true;
+        InstanceMetrics metrics;
+        bool reportsMetrics = true;
     };
-    explicit Fleet(int agents, int each, RolloutPlan p = {}) : plan(std::move(p)) {
-        for (int a = 0; a < agents; ++a) plan.agents.push_back({"m" + std::to_string(a), ""});
+    struct Agent {
+        std::vector<Instance> instances;
+        std::uint64_t number = 0;
+        bool isFinished = false;
+        bool isUnreachable = false;
+    };
+
+    explicit FakeFleet(int agentCount, int instancesEach, RolloutPlan basePlan = {})
+        : plan(std::move(basePlan)) {
+        for (int a = 0; a < agentCount; ++a) plan.agents.push_back({"m" + std::to_string(a), ""});
         plan.stages = {{1, 0}, {0, 0.25}, {0, 1}};
         plan.minStageDuration = 5 * s;
         plan.maxStageDuration = 60 * s;
@@ -64,148 +81,183 @@
         plan.baselineTime = 5 * s;
         plan.agentHoldDuration = 5 * s;
         plan.rollbackTimeout = 20 * s;
-        all.assign(static_cast<std::size_t>(agents), std::vector<One>(static_cast<std::size_t>(each)));
-        for (auto& agent : all)
-            for (One& one : agent) one.figures.incarnation = 1;
-        numbers.assign(static_cast<std::size_t>(agents), 0);
-        over.assign(static_cast<std::size_t>(agents), false);
-        cut.assign(static_cast<std::size_t>(agents), false);
-        roll = std::make_unique<RolloutController>(plan, "d", static_cast<RolloutHost&>(*this));
+        agents.resize(static_cast<std::size_t>(agentCount));
+        for (Agent& agent : agents) {
+            agent.instances.resize(static_cast<std::size_t>(instancesEach));
+            for (Instance& instance : agent.instances) instance.metrics.incarnation = 1;
+        }
+        startCoordinator("d");
+    }
+    void report(std::string_view what, const nlohmann::json&) override { events += std::string(what) + ";"; }
+    void startCoordinator(const std::string& digest) {
+        controller = std::make_unique<RolloutController>(plan, digest, static_cast<RolloutHost&>(*this));
     }
-    void report(std::string_view what, const nlohmann::json&) override { said += std::string(what) + ";"; }
 
-    void serve(One& one, bool changed, const std::string& zone) {
-        InstanceMetrics& f = one.figures;
-        f.up += 500 * ms;
-        f.zone = zone;
-        f.cachesReady = f.cachesListed = 4;
-        RequestClassMetrics& v = f.requestClasses["read"];
-        std::binomial_distribution<int> bad(50, std::min(usual + (changed ? harm : 0.0), 1.0));
-        const int lost = bad(chance);
-        v.accepted += 50;
-        v.rejected += static_cast<std::uint64_t>(lost);
-        v.withinObjective += static_cast<std::uint64_t>(50 - lost);
-        v.latencies.resize(20);
-        for (int i = lost; i < 50; ++i) ++v.latencies[8 + chance() % 6];
-        f.attempts += static_cast<std::uint64_t>(changed ? 60 * pressure : 60);
-        f.attemptMs += 60 * 10;
+    // Half a second of requests.
+    void serve(Instance& instance, bool isChanged, const std::string& zone) {
+        InstanceMetrics& metrics = instance.metrics;
+        metrics.up += 500 * ms;
+        metrics.zone = zone;
+        metrics.cachesReady = 4;
+        metrics.cachesListed = 4;
+        RequestClassMetrics& reads = metrics.requestClasses["read"];
+        std::binomial_distribution<int> bad(50, std::min(baselineHarm + (isChanged ? addedHarm : 0.0), 1.0));
+        const int rejected = bad(random);
+        reads.accepted += 50;
+        reads.rejected += static_cast<std::uint64_t>(rejected);
+        reads.withinObjective += static_cast<std::uint64_t>(50 - rejected);
+        reads.latencies.resize(20);
+        for (int i = rejected; i < 50; ++i) ++reads.latencies[8 + random() % 6];
+        metrics.attempts += static_cast<std::uint64_t>(isChanged ? 60 * pressure : 60);
+        metrics.attemptMs += 60 * 10;
+    }
+    void carryOut(Agent& agent, const Order& order) {
+        agent.number = order.number;
+        agent.isFinished = order.isFinished;
+        if (order.isFinished) return;
+        for (std::size_t i = 0; i < agent.instances.size(); ++i) {
+            Instance& instance = agent.instances[i];
+            const bool isTarget = order.changed.contains(static_cast<int>(i));
+            const bool runsChange = instance.state == InstanceState::changed;
+            if (isTarget == runsChange || instance.state == InstanceState::failed) continue;
+            const InstanceState withdrawn = rollbackFails ? InstanceState::failed : InstanceState::original;
+            instance.state = isTarget ? InstanceState::changed : withdrawn;
+            instance.since = now;
+            ++instance.metrics.incarnation;
+            instance.metrics.up = 0;
+        }
+    }
+    Report reportOf(const Agent& agent, const std::string& zone) const {
+        Report result;
+        result.number = agent.number;
+        result.isFinished = agent.isFinished;
+        for (std::size_t i = 0; i < agent.instances.size(); ++i) {
+            const Instance& instance = agent.instances[i];
+            if (instance.state != InstanceState::original) result.digest = "d";
+            InstanceReport one;
+            one.name = "r" + std::to_string(i);
+            one.zone = zone;
+            one.state = instance.state;
+            one.ready = true;
+            one.since = now - instance.since;
+            one.exitCount = instance.exitCount;
+            one.problem = instance.problem;
+            const bool runsChange = instance.state == InstanceState::changed;
+            if (instance.reportsMetrics || (changedReportMetrics && runsChange))
+                one.metrics = instance.metrics;
+            result.instances.push_back(std::move(one));
+        }
+        return result;
     }
     void tick() {
         now += 500 * ms;
-        for (std::size_t a = 0; a < all.size(); ++a) {
-            for (One& one : all[a])
-                serve(one, one.stand == InstanceState::changed, a % 2 ? "north" : "south");
-            if (cut[a]) continue;
-            if (const auto order = roll->orderFor(static_cast<int>(a))) {
-                numbers[a] = order->number;
-                over[a] = order->isFinished;
-                for (std::size_t i = 0; i < all[a].size(); ++i) {
-                    One& one = all[a][i];
-                    const bool wanted = order->changed.contains(static_cast<int>(i));
-                    if (order->isFinished || wanted == (one.stand == InstanceState::changed) ||
-                        one.stand == InstanceState::failed)
-                        continue;
-                    one.stand = wanted  ? InstanceState::changed
-                                : stuck ? InstanceState::failed
-                                        : InstanceState::original;
-                    one.since = now;
-                    ++one.figures.incarnation;
-                    one.figures.up = 0;
-                }
-            }
-            Report r;
-            r.number = numbers[a];
-            r.isFinished = over[a];
-            bool any = false;
-            for (std::size_t i = 0; i < all[a].size(); ++i) {
-                One& one = all[a][i];
-                any |= one.stand != InstanceState::original;
-                r.instances.push_back({"r" + std::to_string(i), a % 2 ? "north" : "south", one.stand, true,
-                                       now - one.since, one.ends, one.problem,
-                                       one.known || (newTells && one.stand == InstanceState::changed)
-                                           ? std::optional(one.figures)
-                                           : std::nullopt});
-            }
-            r.digest = any ? "d" : "";
-            roll->onReport(now, static_cast<int>(a), r);
+        for (std::size_t a = 0; a < agents.size(); ++a) {
+            Agent& agent = agents[a];
+            const std::string zone = a % 2 ? "north" : "south";
+            for (Instance& instance : agent.instances)
+                serve(instance, instance.state == InstanceState::changed, zone);
+            if (agent.isUnreachable) continue;
+            const auto order = controller->orderFor(static_cast<int>(a));
+            if (order) carryOut(agent, *order);
+            controller->onReport(now, static_cast<int>(a), reportOf(agent, zone));
         }
-        roll->reconcile(now);
+        controller->reconcile(now);
     }
-    // Until it is over or so long has passed.
-    RolloutOutcome play(Nanos most = 300 * s) {
-        const Nanos until = now + most;
-        while (roll->outcome() == RolloutOutcome::none && now < until) tick();
-        return roll->outcome();
+    // Until the rollout has ended or the time has passed.
+    RolloutOutcome run(Nanos duration = 300 * s) {
+        const Nanos until = now + duration;
+        while (controller->outcome() == RolloutOutcome::none && now < until) tick();
+        return controller->outcome();
     }
-    int changed() const {
-        int n = 0;
-        for (const auto& agent : all)
-            for (const One& one : agent) n += one.stand != InstanceState::original;
-        return n;
+    template <typename Change>
+    void forEachInstance(Change change) {
+        for (Agent& agent : agents)
+            for (Instance& instance : agent.instances) change(instance);
+    }
+    int changedCount() const {
+        int count = 0;
+        for (const Agent& agent : agents)
+            for (const Instance& instance : agent.instances)
+                if (instance.state != InstanceState::original) ++count;
+        return count;
     }
 
     Nanos now = 1 * s;
     RolloutPlan plan;
-    std::vector<std::vector<One>> all;
-    std::vector<std::uint64_t> numbers;
-    std::vector<bool> over, cut;
-    double usual = 0.002, harm = 0, pressure = 1;
-    bool stuck = false;
-    bool newTells = false;  // who runs the change is known, whoever else is not
-    std::mt19937 chance{7};
-    std::string said;
-    std::unique_ptr<RolloutController> roll;
+    std::vector<Agent> agents;
+    double baselineHarm = 0.002;  // share of rejected requests
+    double addedHarm = 0;         // on changed instances
+    double pressure = 1;          // attempts of changed instances, beside the others'
+    bool rollbackFails = false;
+    bool changedReportMetrics = false;  // changed instances do, whatever reportsMetrics says
+    std::mt19937 random{7};
+    std::string events;
+    std::unique_ptr<RolloutController> controller;
 };
 
 }  // namespace
 
-TEST_CASE("evidence looked at after every window is seldom false, and soon true where harm is done") {
-    int falsely = 0, found = 0;
-    double windows = 0;
+TEST_CASE("evidence read after every window is seldom false, and soon true where harm is done") {
+    int falseAlarms = 0;
+    int detections = 0;
+    double windowsUntilDetected = 0;
+    const double bound = std::log(100);
     for (unsigned seed = 0; seed < 400; ++seed) {
-        std::mt19937 chance(seed);
-        Evidence same(1.2, 0.002), worse(1.2, 0.002);
-        std::binomial_distribution<int> few(20, 0.004), many(400, 0.004), harmed(20, 0.044);
-        bool wrong = false, right = false;
-        for (int w = 0; w < 300; ++w) {
-            const double beside = many(chance);
-            same.add({static_cast<double>(few(chance)), 20, beside, 400}, 0.004, 1);
-            if (!right) worse.add({static_cast<double>(harmed(chance)), 20, beside, 400}, 0.004, 1);
-            wrong |= same.log() > std::log(100);
-            if (!right && worse.log() > std::log(100)) right = true, windows += w;
+        std::mt19937 random(seed);
+        Evidence same(1.2, 0.002);
+        Evidence worse(1.2, 0.002);
+        std::binomial_distribution<int> changedBad(20, 0.004);
+        std::binomial_distribution<int> unchangedBad(400, 0.004);
+        std::binomial_distribution<int> harmedBad(20, 0.044);
+        bool isFalseAlarm = false;
+        bool isDetected = false;
+        for (int window = 0; window < 300; ++window) {
+            const double unchanged = unchangedBad(random);
+            same.add({static_cast<double>(changedBad(random)), 20, unchanged, 400}, 0.004, 1);
+            if (!isDetected)
+                worse.add({static_cast<double>(harmedBad(random)), 20, unchanged, 400}, 0.004, 1);
+            if (same.logValue() > bound) isFalseAlarm = true;
+            if (!isDetected && worse.logValue() > bound) {
+                isDetected = true;
+                windowsUntilDetected += window;
+            }
         }
-        falsely += wrong;
-        found += right;
+        if (isFalseAlarm) ++falseAlarms;
+        if (isDetected) ++detections;
     }
-    CHECK(falsely <= 4);  // one in a hundred is what the bound allows
-    CHECK(found == 400);
-    CHECK(windows / 400 < 30);
+    CHECK(falseAlarms <= 4);  // one in a hundred is what the bound allows
+    CHECK(detections == 400);
+    CHECK(windowsUntilDetected / 400 < 30);
 }
 
-TEST_CASE("trouble that hits both sides is no evidence, and instances that differ weaken it") {
-    std::mt19937 chance(3);
-    Evidence e(1.2, 0.002);
-    for (int w = 0; w < 100; ++w) {
-        const double share = w > 50 ? 0.4 : 0.002;
-        std::binomial_distribution<int> one(30, share), others(300, share);
-        e.add({static_cast<double>(one(chance)), 30, static_cast<double>(others(chance)), 300}, 0.002, 1);
+TEST_CASE("a fault that hits both sides is no evidence, and instances that differ weaken it") {
+    std::mt19937 random(3);
+    Evidence evidence(1.2, 0.002);
+    for (int window = 0; window < 100; ++window) {
+        const double badShare = window > 50 ? 0.4 : 0.002;
+        std::binomial_distribution<int> changedBad(30, badShare);
+        std::binomial_distribution<int> unchangedBad(300, badShare);
+        const double changed = changedBad(random);
+        const double unchanged = unchangedBad(random);
+        evidence.add({changed, 30, unchanged, 300}, 0.002, 1);
     }
-    CHECK(e.log() < std::log(100));
-    Evidence sure(1.2, 0), doubtful(1.2, 0);
-    for (int w = 0; w < 20; ++w) {
-        sure.add({3, 100, 3, 300}, 0.01, 1);
-        doubtful.add({3, 100, 3, 300}, 0.01, 5);
+    CHECK(evidence.logValue() < std::log(100));
+    Evidence uniform(1.2, 0);
+    Evidence overdispersed(1.2, 0);
+    for (int window = 0; window < 20; ++window) {
+        uniform.add({3, 100, 3, 300}, 0.01, 1);
+        overdispersed.add({3, 100, 3, 300}, 0.01, 5);
     }
-    CHECK(doubtful.log() < sure.log() / 3);
-    Spread spread(30 * s);
-    for (int i = 0; i < 6; ++i) spread.add(s, i, i == 0 ? 60 : 10, 18);
-    CHECK(spread.value() > 5);
-    CHECK(upperShare(0, 200, 0.02) ==
-          doctest::Approx(1 - std::pow(0.02, 1.0 / 200)));  // the rule of no events
+    CHECK(overdispersed.logValue() < uniform.logValue() / 3);
+    Overdispersion overdispersion(30 * s);
+    for (int i = 0; i < 6; ++i) overdispersion.add(s, i, i == 0 ? 60 : 10, 18);
+    CHECK(overdispersion.value() > 5);
+    // Without any events the bound has a closed form.
+    CHECK(upperConfidenceBound(0, 200, 0.02) == doctest::Approx(1 - std::pow(0.02, 1.0 / 200)));
 }
 
-TEST_CASE("figures that fall, come from the future, or are of another form are unknown") {
-    nlohmann::json said{{"format", 1},
+TEST_CASE("metrics that fall, come from the future, or are of another format are unknown") {
+    nlohmann::json json{{"format", 1},
                         {"pid", 7},
                         {"up_ms", 1000},
                         {"relays", 5},
@@ -234,14 +286,14 @@
                             {"left", 0},
                             {"times_from", -1},
                             {"times", {1, 0, 3}}}}}}};
-    const auto first = readInstanceMetrics(said);
+    const auto first = readInstanceMetrics(json);
     REQUIRE(first);
     CHECK(first->requestClasses.at("read").rejected == 2);
-    auto next = said;
+    auto next = json;
     next["up_ms"] = 2000;
     next["relays"] = 9;
     CHECK(windowOf(*first, *readInstanceMetrics(next), s)->attempts == 4);
-    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), -s));  // its second has not been one of ours
+    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), -s));  // no time has passed here
     next["relays"] = 4;
     CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), s));
     next["relays"] = 9;
@@ -250,11 +302,11 @@
     next["format"] = 2;
     CHECK_FALSE(readInstanceMetrics(next));
     CHECK_FALSE(readInstanceMetrics({{"error", "'figures' is not known here"}}));
-    said["memory_kb"] = -1;
-    CHECK_FALSE(readInstanceMetrics(said));
+    json["memory_kb"] = -1;
+    CHECK_FALSE(readInstanceMetrics(json));
 }
 
-TEST_CASE("a plan's problems are told all at once, each with its line and key") {
+TEST_CASE("a plan's problems are reported all at once, each with its line and key") {
     config::ConfigProblems problems("p.toml");
     readRolloutPlan(
         "[[agents]]\nname = \"a\"\nsocket = \"x\"\n[[agents]]\nname = \"a\"\nsocket = "
@@ -263,12 +315,12 @@
         "1.5\n[stage]\nleast_ms = 5000\nlongest_ms = 1000\n[wurse]\n",
         "p.toml", problems);
     const std::string text = problems.text();
-    for (const char* wanted : {"p.toml:3: agents[0].socket: is not an absolute path",
-                               "p.toml:5: agents[1].name: is another agent's too",
-                               "p.toml:8: change.program: is not a program that can be run",
-                               "p.toml:12: stages[1].share: does not grow", "p.toml:14: stages[2].share",
-                               "p.toml:17: stage.longest_ms: is under least_ms", "wurse: is not a key"})
-        CHECK_MESSAGE(text.find(wanted) != std::string::npos, text);
+    for (const char* expected : {"p.toml:3: agents[0].socket: is not an absolute path",
+                                 "p.toml:5: agents[1].name: is another agent's too",
+                                 "p.toml:8: change.program: is not a program that can be run",
+                                 "p.toml:12: stages[1].share: does not grow", "p.toml:14: stages[2].share",
+                                 "p.toml:17: stage.longest_ms: is under least_ms", "wurse: is not a key"})
+        CHECK_MESSAGE(text.find(expected) != std::string::npos, text);
     RolloutPlan plan;
     plan.stages = {{1, 0}, {0, 0.05}, {0, 0.25}, {0, 1}};
     CHECK(stagesOf(plan, 300) == std::vector<int>{1, 15, 75, 300});
@@ -276,32 +328,32 @@
     CHECK(stagesOf(plan, 1) == std::vector<int>{1});
 }
 
-TEST_CASE("an agent acts once it is on disk, one at a time, and goes back when it hears nothing") {
-    Disk disk;
-    RolloutAgent agent(3, kOld, disk);
+TEST_CASE("an agent acts once its order is on disk, one instance at a time, and rolls back without orders") {
+    RecordingAgentHost host;
+    RolloutAgent agent(3, kOld, host);
     CHECK(agent.onOrder(s, orderOf(5, 1, {0, 1}), kNew) == "");
     agent.reconcile(s);
-    CHECK(disk.take() == "K");  // and nothing else yet
+    CHECK(host.take() == "K");  // and nothing else yet
     CHECK(agent.isPersisting());
     agent.onPersisted(s, "");
     agent.reconcile(s);
-    CHECK(disk.take() == "+0");
+    CHECK(host.take() == "+0");
     agent.reconcile(2 * s);
-    CHECK(disk.take() == "");
+    CHECK(host.take() == "");
     agent.onInstalled(2 * s, 0, "");
     agent.reconcile(2 * s);
-    CHECK(disk.take() == "+1");
+    CHECK(host.take() == "+1");
     agent.onInstalled(3 * s, 1, "");
-    // Another coordinator's order, an overtaken one, and one that was on its way for too long.
+    // Rejects another coordinator's order and an outdated one; accepts the next.
     CHECK(agent.onOrder(3 * s, orderOf(4, 9, {}), kNew) == "overtaken by 5");
     CHECK(agent.onOrder(3 * s, orderOf(5, 1, {}), kNew).starts_with("overtaken"));
     CHECK(agent.onOrder(3 * s, orderOf(5, 2, {0, 1}, {0}), kNew) == "");
     agent.onPersisted(3 * s, "");
     CHECK(agent.nextDeadline() == 7 * s);
     agent.reconcile(6'999 * ms);
-    CHECK(disk.take() == "K");
+    CHECK(host.take() == "K");
     agent.reconcile(7 * s);
-    CHECK(disk.take() == "K-1");  // 0 is held
+    CHECK(host.take() == "K-1");  // 0 is held
     agent.onInstalled(8 * s, 1, "");
     agent.onPersisted(8 * s, "");
     CHECK(agent.report(8 * s).hasRolledBack);
@@ -310,196 +362,192 @@
     CHECK_FALSE(agent.setOriginalVersion(kNew));  // not in the middle of a roll
 }
 
-TEST_CASE("an agent whose disk is full goes on by what is on it, and still goes back") {
-    Disk disk;
-    RolloutAgent agent(2, kOld, disk);
+TEST_CASE("an agent whose disk is full continues with what is on it, and still rolls back") {
+    RecordingAgentHost host;
+    RolloutAgent agent(2, kOld, host);
     agent.onOrder(s, orderOf(1, 1, {0}), kNew);
     agent.onPersisted(s, "no space");
     agent.reconcile(s);
-    CHECK(disk.take() == "K");
+    CHECK(host.take() == "K");
     CHECK(agent.report(s).problem == "no space");
     CHECK(agent.report(s).number == 1);
     agent.onOrder(s, orderOf(1, 2, {0}), kNew);
     agent.onPersisted(s, "");
     agent.reconcile(s);
     agent.onInstalled(s, 0, "");
-    CHECK(disk.take() == "K+0");
+    CHECK(host.take() == "K+0");
     agent.onOrder(2 * s, orderOf(1, 3, {}), kNew);
     agent.reconcile(2 * s);
-    CHECK(disk.take() == "K-0");  // without waiting for the disk
+    CHECK(host.take() == "K-0");  // without waiting for the disk
     agent.onPersisted(2 * s, "no space");
     agent.onInstalled(2 * s, 0, "can't write");
     CHECK(agent.report(2 * s).instances[0].state == InstanceState::failed);
     agent.reconcile(3 * s);
-    CHECK(disk.take() == "");
+    CHECK(host.take() == "");
     agent.reconcile(4 * s);
-    CHECK(disk.take() == "-0");  // again, after a while
+    CHECK(host.take() == "-0");  // the retry
 }
 
-TEST_CASE("an agent that comes anew brings about what was on disk, soon without word back again") {
-    Disk before;
-    RolloutAgent first(2, kOld, before);
+TEST_CASE("a restarted agent installs what was on disk, and soon rolls it back without orders") {
+    RecordingAgentHost firstHost;
+    RolloutAgent first(2, kOld, firstHost);
     first.onOrder(s, orderOf(3, 1, {0, 1}, {0}), kNew);
-    Disk disk;
-    RolloutAgent agent(2, kOld, disk);
-    agent.restore(10 * s, before.written);
-    CHECK(disk.take() == "+0+1");
+    RecordingAgentHost host;
+    RolloutAgent agent(2, kOld, host);
+    agent.restore(10 * s, firstHost.persisted);
+    CHECK(host.take() == "+0+1");
     agent.onInstalled(11 * s, 0, "");
     agent.onInstalled(11 * s, 1, "");
     agent.reconcile(13 * s);
-    CHECK(disk.take() == "K-1");
-    // What can't be changed is brought back, told, and not tried again by itself.
-    RolloutAgent other(1, kOld, disk);
+    CHECK(host.take() == "K-1");
+    // What can't be changed is rolled back, reported, and not retried without a new rollout.
+    RolloutAgent other(1, kOld, host);
     other.onOrder(s, orderOf(1, 1, {0}), kNew);
     other.onPersisted(s, "");
     other.reconcile(s);
     other.onInstalled(s, 0, "it ends at its start");
-    CHECK(disk.take() == "K+0-0");
+    CHECK(host.take() == "K+0-0");
     other.onInstalled(s, 0, "");
     other.reconcile(2 * s);
-    CHECK(disk.take() == "");
+    CHECK(host.take() == "");
     CHECK(other.report(s).instances[0].problem == "it ends at its start");
 }
 
-TEST_CASE(
-    "once it is over the change is how things are, also before that is on disk, and another is another") {
-    Disk disk;
-    RolloutAgent agent(2, kOld, disk);
+TEST_CASE("after the end the change is what runs, also before that is on disk; another change waits") {
+    RecordingAgentHost host;
+    RolloutAgent agent(2, kOld, host);
     agent.onOrder(s, orderOf(1, 1, {0, 1}), kNew);
     agent.onPersisted(s, "");
     for (int i = 0; i < 2; ++i) {
         agent.reconcile(s);
         agent.onInstalled(s, i, "");
     }
-    CHECK(disk.take() == "K+0+1");
-    Order over = orderOf(1, 2, {});
-    over.isFinished = true;
-    CHECK(agent.onOrder(2 * s, over, kNew) == "");
+    CHECK(host.take() == "K+0+1");
+    Order finished = orderOf(1, 2, {});
+    finished.isFinished = true;
+    CHECK(agent.onOrder(2 * s, finished, kNew) == "");
     agent.reconcile(2 * s);
-    CHECK(disk.take() == "K");
+    CHECK(host.take() == "K");
     agent.onPersisted(2 * s, "");
     agent.reconcile(60 * s);
-    CHECK(disk.take() == "");
+    CHECK(host.take() == "");
     CHECK(agent.versionOf(0) == kNew);
     CHECK(agent.report(60 * s).isFinished);
-    // A change that is not whole can't be over; another roll's change waits until this one's is gone.
-    RolloutAgent half(2, kOld, disk);
-    half.onOrder(s, orderOf(1, 1, {0}), kNew);
-    half.onPersisted(s, "");
-    half.reconcile(s);
-    half.onInstalled(s, 0, "");
-    over.step = 5;
-    CHECK(half.onOrder(2 * s, over, kNew) == "not all are changed: it can't be over");
+    // A rollout can't end before all are changed; another change waits until this one is rolled back.
+    RolloutAgent partial(2, kOld, host);
+    partial.onOrder(s, orderOf(1, 1, {0}), kNew);
+    partial.onPersisted(s, "");
+    partial.reconcile(s);
+    partial.onInstalled(s, 0, "");
+    finished.step = 5;
+    CHECK(partial.onOrder(2 * s, finished, kNew) == "not all are changed: it can't be over");
     Order another = orderOf(2, 1, {1});
     another.digest = "e";
-    disk.take();
-    CHECK(half.onOrder(2 * s, another, {"newer", ""}) == "");
-    half.reconcile(2 * s);
-    CHECK(disk.take() == "K-0");
+    host.take();
+    CHECK(partial.onOrder(2 * s, another, {"newer", ""}) == "");
+    partial.reconcile(2 * s);
+    CHECK(host.take() == "K-0");
 }
 
-TEST_CASE("a change that does no harm goes through all stages, spread over zones") {
-    Fleet f(4, 5);
-    f.play(14 * s);
-    CHECK(f.changed() == 1);
-    CHECK(f.play() == RolloutOutcome::completed);
-    CHECK(f.changed() == 20);
-    CHECK(f.roll->stageCount() == 3);
-    CHECK(f.said.find("stops") == std::string::npos);
+TEST_CASE("a harmless change completes all stages, spread over zones") {
+    FakeFleet fleet(4, 5);
+    fleet.run(14 * s);
+    CHECK(fleet.changedCount() == 1);
+    CHECK(fleet.run() == RolloutOutcome::completed);
+    CHECK(fleet.changedCount() == 20);
+    CHECK(fleet.controller->stageCount() == 3);
+    CHECK(fleet.events.find("stops") == std::string::npos);
 }
 
-TEST_CASE("harm of a few in a hundred is stopped before a quarter has it, and undone in batches") {
-    Fleet f(4, 5);
-    f.harm = 0.04;
-    f.plan.rollbackBatchSize = 1;
-    CHECK(f.play() == RolloutOutcome::rolledBack);
-    CHECK(f.changed() == 0);
-    CHECK(f.roll->maxChangedCount() <= 5);
-    CHECK(f.roll->reason().find("unanswered") != std::string::npos);
-    Fleet presses(4, 5);
-    presses.pressure = 4;
-    CHECK(presses.play() == RolloutOutcome::rolledBack);
-    CHECK(presses.roll->reason().find("relays a command") != std::string::npos);
+TEST_CASE("harm of a few percent is stopped before a quarter has it, and rolled back in batches") {
+    FakeFleet fleet(4, 5);
+    fleet.addedHarm = 0.04;
+    fleet.plan.rollbackBatchSize = 1;
+    CHECK(fleet.run() == RolloutOutcome::rolledBack);
+    CHECK(fleet.changedCount() == 0);
+    CHECK(fleet.controller->maxChangedCount() <= 5);
+    CHECK(fleet.controller->reason().find("unanswered") != std::string::npos);
+    FakeFleet pressing(4, 5);
+    pressing.pressure = 4;
+    CHECK(pressing.run() == RolloutOutcome::rolledBack);
+    CHECK(pressing.controller->reason().find("relays a command") != std::string::npos);
 }
 
-TEST_CASE("trouble holds a stage up, and a stage that can't be told stops") {
-    Fleet f(4, 5);
-    f.play(13 * s);
-    REQUIRE(f.changed() == 1);
-    f.usual = 0.3;
-    for (auto& agent : f.all)
-        for (auto& one : agent) one.figures.cachesReady = 2;
-    const auto lose = [&] {
-        for (auto& agent : f.all)
-            for (auto& one : agent) one.figures.attemptsLost += 10;  // that explains it
-    };
-    for (int i = 0; i < 40; ++i) lose(), f.tick();
-    CHECK(f.changed() == 1);
-    CHECK(f.roll->outcome() == RolloutOutcome::none);
-    f.usual = 0.002;
-    CHECK(f.play() == RolloutOutcome::completed);
-    // The same without anything that explains it: since the stage began both sides do worse.
-    Fleet alone(4, 5);
-    alone.play(14 * s);
-    alone.usual = 0.3;
-    CHECK(alone.play(60 * s) == RolloutOutcome::rolledBack);
-    CHECK(alone.roll->reason().find("both sides") != std::string::npos);
-    // Instances that tell nothing are unknown: too little is heard to say anything.
-    // So it is beside an old program that tells none, where only the changed one does.
-    Fleet silent(4, 5);
-    silent.newTells = true;
-    for (auto& agent : silent.all)
-        for (auto& one : agent) one.known = false;
-    CHECK(silent.play() == RolloutOutcome::rolledBack);
-    CHECK(silent.roll->reason().find("could not be told") != std::string::npos);
+TEST_CASE("a fault delays a stage, and a stage that can't be judged stops") {
+    FakeFleet fleet(4, 5);
+    fleet.run(13 * s);
+    REQUIRE(fleet.changedCount() == 1);
+    fleet.baselineHarm = 0.3;
+    fleet.forEachInstance([](auto& instance) { instance.metrics.cachesReady = 2; });
+    for (int i = 0; i < 40; ++i) {
+        // Lost attempts explain the fault.
+        fleet.forEachInstance([](auto& instance) { instance.metrics.attemptsLost += 10; });
+        fleet.tick();
+    }
+    CHECK(fleet.changedCount() == 1);
+    CHECK(fleet.controller->outcome() == RolloutOutcome::none);
+    fleet.baselineHarm = 0.002;
+    CHECK(fleet.run() == RolloutOutcome::completed);
+    // The same fault without an excuse, begun during a stage.
+    FakeFleet unexplained(4, 5);
+    unexplained.run(14 * s);
+    unexplained.baselineHarm = 0.3;
+    CHECK(unexplained.run(60 * s) == RolloutOutcome::rolledBack);
+    CHECK(unexplained.controller->reason().find("both sides") != std::string::npos);
+    // Beside an old program without metrics nothing can be judged, even if the changed side has them.
+    FakeFleet silent(4, 5);
+    silent.changedReportMetrics = true;
+    silent.forEachInstance([](auto& instance) { instance.reportsMetrics = false; });
+    CHECK(silent.run() == RolloutOutcome::rolledBack);
+    CHECK(silent.controller->reason().find("could not be told") != std::string::npos);
 }
 
-TEST_CASE("ends by themselves, refusals and agents that are not heard stop a roll; what is stuck is told") {
-    Fleet ends(4, 5);
-    ends.play(13 * s);
-    ends.all[0][0].ends = 2;
-    CHECK(ends.play() == RolloutOutcome::rolledBack);
-    Fleet cut(4, 5);
-    cut.play(13 * s);
-    cut.cut[1] = true;
-    CHECK(cut.play(40 * s) == RolloutOutcome::none);  // it may come back
-    CHECK(cut.play(120 * s) == RolloutOutcome::rollbackIncomplete);
-    CHECK(cut.roll->unrestoredInstances().size() == 5);
-    Fleet stuck(4, 5);
-    stuck.stuck = true;
-    stuck.harm = 0.1;
-    CHECK(stuck.play() == RolloutOutcome::rollbackIncomplete);
-    REQUIRE(stuck.roll->unrestoredInstances().size() == 1);
-    CHECK(stuck.roll->unrestoredInstances()[0].find("stuck") != std::string::npos);
-    Fleet gone(4, 5);
-    gone.cut[2] = true;
-    CHECK(gone.play() == RolloutOutcome::notPossible);
-    CHECK(gone.roll->reason() == "not there: m2");
-    CHECK(gone.changed() == 0);
-    Fleet told(4, 5);
-    told.play(14 * s);
-    told.roll->abandon(told.now);
-    CHECK(told.play() == RolloutOutcome::rolledBack);
+TEST_CASE("exits and unreachable agents stop a rollout; instances that fail to roll back are named") {
+    FakeFleet exiting(4, 5);
+    exiting.run(13 * s);
+    exiting.agents[0].instances[0].exitCount = 2;
+    CHECK(exiting.run() == RolloutOutcome::rolledBack);
+    FakeFleet unreachable(4, 5);
+    unreachable.run(13 * s);
+    unreachable.agents[1].isUnreachable = true;
+    CHECK(unreachable.run(40 * s) == RolloutOutcome::none);  // the agent may return
+    CHECK(unreachable.run(120 * s) == RolloutOutcome::rollbackIncomplete);
+    CHECK(unreachable.controller->unrestoredInstances().size() == 5);
+    FakeFleet failing(4, 5);
+    failing.rollbackFails = true;
+    failing.addedHarm = 0.1;
+    CHECK(failing.run() == RolloutOutcome::rollbackIncomplete);
+    REQUIRE(failing.controller->unrestoredInstances().size() == 1);
+    CHECK(failing.controller->unrestoredInstances()[0].find("stuck") != std::string::npos);
+    FakeFleet missing(4, 5);
+    missing.agents[2].isUnreachable = true;
+    CHECK(missing.run() == RolloutOutcome::notPossible);
+    CHECK(missing.controller->reason() == "not there: m2");
+    CHECK(missing.changedCount() == 0);
+    FakeFleet abandoned(4, 5);
+    abandoned.run(14 * s);
+    abandoned.controller->abandon(abandoned.now);
+    CHECK(abandoned.run() == RolloutOutcome::rolledBack);
 }
 
-TEST_CASE("a coordinator that comes anew goes on where the agents stand, and the one before is told") {
-    Fleet f(4, 5);
-    f.play(13 * s);
-    REQUIRE(f.changed() == 1);
-    auto before = std::move(f.roll);
-    f.roll = std::make_unique<RolloutController>(f.plan, "d", static_cast<RolloutHost&>(f));
-    f.play(2 * s);
-    CHECK(f.roll->number() == 2);
-    CHECK(f.roll->stage() == 1);
+TEST_CASE("a new coordinator resumes where the agents are, and the one before is superseded") {
+    FakeFleet fleet(4, 5);
+    fleet.run(13 * s);
+    REQUIRE(fleet.changedCount() == 1);
+    const auto superseded = std::move(fleet.controller);
+    fleet.startCoordinator("d");
+    fleet.run(2 * s);
+    CHECK(fleet.controller->number() == 2);
+    CHECK(fleet.controller->stage() == 1);
     Report seen;
     seen.number = 2;
-    before->onReport(f.now, 0, seen);
-    CHECK(before->outcome() == RolloutOutcome::notPossible);
-    CHECK(before->reason().find("overtaken") != std::string::npos);
-    CHECK(f.play() == RolloutOutcome::completed);
-    // Of another change nothing is begun while this one's is in place.
-    Fleet other(4, 5);
-    other.play(13 * s);
-    other.roll = std::make_unique<RolloutController>(other.plan, "e", static_cast<RolloutHost&>(other));
-    CHECK(other.play(70 * s) == RolloutOutcome::notPossible);
+    superseded->onReport(fleet.now, 0, seen);
+    CHECK(superseded->outcome() == RolloutOutcome::notPossible);
+    CHECK(superseded->reason().find("overtaken") != std::string::npos);
+    CHECK(fleet.run() == RolloutOutcome::completed);
+    // A rollout of another change does not begin while this change is in place.
+    FakeFleet other(4, 5);
+    other.run(13 * s);
+    other.startCoordinator("e");
+    CHECK(other.run(70 * s) == RolloutOutcome::notPossible);
 }
