--- a/src/endpoint_distribution/list_state.cpp
+++ b/src/endpoint_distribution/list_state.cpp
@@ -8,19 +8,18 @@
 namespace poppyscale::endpoint_distribution {
 namespace {
 
-// Readers are nearly always one or a few versions behind; more kinds of answers than that are not worth
-// keeping.
-constexpr std::size_t kMaxCachedAnswers = 256;
+// Readers are nearly always one or a few versions behind, so few different responses are needed.
+constexpr std::size_t kMaxCachedResponses = 256;
 constexpr std::size_t kMaxCachedBytes = 16 * 1024 * 1024;
-// Each is one whole list that was had while one was here, which only trouble brings.
+// Only faults cause complete lists while there is a list already.
 constexpr std::size_t kMaxGaps = 64;
 
-std::string head(Version version, bool full) {
-    return "{\"version\":" + std::to_string(version) + ",\"full\":" + (full ? "true" : "false") +
+std::string responseHead(Version version, bool isComplete) {
+    return "{\"version\":" + std::to_string(version) + ",\"full\":" + (isComplete ? "true" : "false") +
            ",\"servers\":[";
 }
 
-void append(std::string& text, const std::string& entry) {
+void appendEntry(std::string& text, const std::string& entry) {
     if (text.back() != '[') text += ',';
     text += entry;
 }
@@ -28,7 +27,7 @@
 }  // namespace
 
 void ListState::apply(ListUpdate update) {
-    if (!known_) return restart(std::move(update));
+    if (!isKnown_) return restart(std::move(update));
     const Version newer = update.version;
     if (update.isComplete)
         applyCompleteList(std::move(update));
@@ -36,23 +35,24 @@
         applyChanges(std::move(update));
     version_ = newer;
     completeList_.reset();
-    sinceCache_.clear();
-    sinceCacheBytes_ = 0;
+    changesCache_.clear();
+    changesCacheBytes_ = 0;
     dropOldTombstones();
 }
 
-void ListState::restart(ListUpdate whole) {
+void ListState::restart(ListUpdate list) {
     live_.clear();
     tombstones_.clear();
     gaps_.clear();
     liveById_.clear();
     tombstoneById_.clear();
-    known_ = true;
-    version_ = oldestBase_ = whole.version;
-    apply(std::move(whole));
+    isKnown_ = true;
+    version_ = list.version;
+    oldestBase_ = list.version;
+    apply(std::move(list));
 }
 
-// A server that is named as it is here may have been another in between, so it has changed all the same.
+// A server whose entry is equal here may have had another one in between, so it counts as changed.
 void ListState::applyChanges(ListUpdate changes) {
     for (ServerEntry& entry : changes.entries) {
         if (entry.isRemoved)
@@ -62,23 +62,23 @@
     }
 }
 
-void ListState::applyCompleteList(ListUpdate whole) {
-    noteGap(whole.version);
-    std::unordered_set<std::string> named;
-    for (ServerEntry& entry : whole.entries) {
+void ListState::applyCompleteList(ListUpdate list) {
+    recordGap(list.version);
+    std::unordered_set<std::string> listedIds;
+    for (ServerEntry& entry : list.entries) {
         if (entry.isRemoved) continue;
-        named.insert(entry.id);
+        listedIds.insert(entry.id);
         const auto found = liveById_.find(entry.id);
-        const bool same = found != liveById_.end() && found->second->entry.text == entry.text;
-        if (!same) put(std::move(entry), whole.version);
+        const bool isEqual = found != liveById_.end() && found->second->entry.text == entry.text;
+        if (!isEqual) put(std::move(entry), list.version);
     }
     std::vector<ServerEntry> missing;
-    for (const RetainedEntry& kept : live_)
-        if (!named.contains(kept.entry.id)) missing.push_back(removedEntry(kept.entry));
-    for (ServerEntry& entry : missing) addTombstone(std::move(entry), whole.version);
+    for (const RetainedEntry& retained : live_)
+        if (!listedIds.contains(retained.entry.id)) missing.push_back(removedEntry(retained.entry));
+    for (ServerEntry& entry : missing) addTombstone(std::move(entry), list.version);
 }
 
-void ListState::noteGap(Version newer) {
+void ListState::recordGap(Version newer) {
     if (newer <= version_ + 1 || !retainedBounds_.gaps) return;
     gaps_.push_back({version_, newer});
     if (gaps_.size() <= kMaxGaps) return;
@@ -92,10 +92,10 @@
 }
 
 void ListState::put(ServerEntry entry, Version changed) {
-    const auto grave = tombstoneById_.find(entry.id);
-    if (grave != tombstoneById_.end()) {
-        tombstones_.erase(grave->second);
-        tombstoneById_.erase(grave);
+    const auto tombstone = tombstoneById_.find(entry.id);
+    if (tombstone != tombstoneById_.end()) {
+        tombstones_.erase(tombstone->second);
+        tombstoneById_.erase(tombstone);
     }
     const auto found = liveById_.find(entry.id);
     if (found == liveById_.end()) {
@@ -113,10 +113,10 @@
         live_.erase(found->second);
         liveById_.erase(found);
     }
-    const auto grave = tombstoneById_.find(entry.id);
-    if (grave != tombstoneById_.end()) {
-        *grave->second = {std::move(entry), changed};
-        tombstones_.splice(tombstones_.end(), tombstones_, grave->second);
+    const auto tombstone = tombstoneById_.find(entry.id);
+    if (tombstone != tombstoneById_.end()) {
+        *tombstone->second = {std::move(entry), changed};
+        tombstones_.splice(tombstones_.end(), tombstones_, tombstone->second);
         return;
     }
     tombstones_.push_back({std::move(entry), changed});
@@ -132,14 +132,16 @@
     }
 }
 
-std::string ListState::serialize(bool full, Version after) const {
-    std::string text = head(version_, full);
-    const auto appendChanged = [&](const RetainedEntries& kept) {
-        for (auto it = kept.rbegin(); it != kept.rend() && it->changed > after; ++it)
-            append(text, it->entry.text);
+std::string ListState::serialize(bool isComplete, Version after) const {
+    std::string text = responseHead(version_, isComplete);
+    const auto appendChanged = [&](const RetainedEntries& entries) {
+        for (auto retained = entries.rbegin(); retained != entries.rend(); ++retained) {
+            if (retained->changed <= after) break;
+            appendEntry(text, retained->entry.text);
+        }
     };
-    if (full) {
-        for (const RetainedEntry& kept : live_) append(text, kept.entry.text);
+    if (isComplete) {
+        for (const RetainedEntry& retained : live_) appendEntry(text, retained.entry.text);
     } else {
         appendChanged(live_);
         appendChanged(tombstones_);
@@ -154,20 +156,21 @@
 
 SharedBytes ListState::changesSince(Version after) {
     if (!hasChangesSince(after)) return completeList();
-    const auto cached = sinceCache_.find(after);
-    if (cached != sinceCache_.end()) return cached->second;
-    const auto made = std::make_shared<const std::string>(serialize(false, after));
-    if (sinceCache_.size() >= kMaxCachedAnswers || sinceCacheBytes_ + made->size() > kMaxCachedBytes) {
-        sinceCache_.clear();
-        sinceCacheBytes_ = 0;
+    const auto cached = changesCache_.find(after);
+    if (cached != changesCache_.end()) return cached->second;
+    const auto response = std::make_shared<const std::string>(serialize(false, after));
+    if (changesCache_.size() >= kMaxCachedResponses ||
+        changesCacheBytes_ + response->size() > kMaxCachedBytes) {
+        changesCache_.clear();
+        changesCacheBytes_ = 0;
     }
-    sinceCacheBytes_ += made->size();
-    sinceCache_[after] = made;
-    return made;
+    changesCacheBytes_ += response->size();
+    changesCache_[after] = response;
+    return response;
 }
 
 SharedBytes ListState::unchanged(Version version) {
-    return std::make_shared<const std::string>(head(version, false) + "]}");
+    return std::make_shared<const std::string>(responseHead(version, false) + "]}");
 }
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distribution/list_update.cpp
+++ b/src/endpoint_distribution/list_update.cpp
@@ -8,7 +8,7 @@
 namespace poppyscale::endpoint_distribution {
 namespace {
 
-// Finds the texts of the objects in the array `servers` of a JSON object that is known to be well formed.
+// Finds the texts of the objects in the array `servers` of a JSON object. The JSON has to be well formed.
 class EntryScanner {
   public:
     explicit EntryScanner(std::string_view json) : json_(json) {}
@@ -16,14 +16,14 @@
     std::vector<std::string_view> scan() {
         std::vector<std::string_view> entries;
         std::string_view lastString;
-        for (position_ = 0; position_ < json_.size();) {
+        while (position_ < json_.size()) {
             const char next = json_[position_];
             if (next == '"') {
                 lastString = takeString();
                 continue;
             }
             if (next == '[' && depth_ == 1 && lastString == "servers") {
-                entries = takeArray();  // of a key that is there twice the last one counts, as for the parser
+                entries = takeArray();  // the last one counts if the key is repeated, as for the parser
                 continue;
             }
             if (next == '{' || next == '[') ++depth_;
@@ -34,14 +34,17 @@
     }
 
   private:
-    // From one quotation mark to behind the other; gives what is between them.
+    // Moves from a quotation mark past the closing one. Gives what is between them.
     std::string_view takeString() {
-        const std::size_t begin = ++position_;
+        ++position_;
+        const std::size_t begin = position_;
         while (json_[position_] != '"') position_ += json_[position_] == '\\' ? 2 : 1;
-        const std::size_t end = position_++;
+        const std::size_t end = position_;
+        ++position_;
         return json_.substr(begin, end - begin);
     }
 
+    // Moves from the opening bracket past the closing one. Gives the texts of the objects in the array.
     std::vector<std::string_view> takeArray() {
         std::vector<std::string_view> entries;
         int depth = 0;
--- a/src/endpoint_distribution/list_update.hpp
+++ b/src/endpoint_distribution/list_update.hpp
@@ -1,5 +1,5 @@
-// An answer of the list protocol, as discovery or a distributor gives it: the version, and for each server
-// named in it the text of its entry, which is passed on as it came.
+// A response of the endpoint list protocol, as discovery or a distributor gives it: its version and, for each
+// server named in it, the text of the server's entry, which is passed on unchanged.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,14 @@
 
 struct ListUpdate {
     Version version = 0;
-    bool isComplete =
-        false;  // all servers, else those that have changed since the version that was asked with
+    bool isComplete = false;  // all servers; otherwise those that changed since the polled version
     std::vector<ServerEntry> entries;
 };
 
-// Throws protocol::Malformed for whatever a router would refuse.
+// Throws protocol::ParseError for whatever a router would reject.
 ListUpdate readListUpdate(std::string_view json);
 
-// The entry of a server that a whole list does not name any more.
+// The entry of a server that a complete list does not name any more.
 ServerEntry removedEntry(const ServerEntry& last);
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -12,12 +12,11 @@
 namespace poppyscale::endpoint_distributor {
 namespace {
 
-// Connections beyond the readers: those that are told that there is no room, and who asks for the status.
-constexpr std::size_t kSpareConnections = 256;
-constexpr std::size_t kOwnDescriptors = 64;  // standard streams, loop, signals, listener, upstream
+constexpr std::size_t kSpareConnections = 256;  // for rejected readers and for status requests
+constexpr std::size_t kOwnDescriptors = 64;     // standard streams, loop, signals, listener, upstream
 constexpr std::size_t kSpareBuffers = 256;
-constexpr std::size_t kBuffersOfReader = 2;  // a piece of an answer that its kernel has not taken
-constexpr Nanos kEndWithin = 1'000 * kMillisecond;
+constexpr std::size_t kBuffersPerReader = 2;  // a chunk of a response that its kernel has not taken
+constexpr Nanos kShutdownTimeout = 1'000 * kMillisecond;
 
 endpoint_distribution::Options optionsOf(const Settings& settings) {
     endpoint_distribution::Options options = settings.options;
@@ -30,22 +29,14 @@
 DistributorProcess::DistributorProcess(const Settings& settings)
     : settings_(settings),
       logger_(settings.name, logging::Format::text),
-      pool_((settings.options.maxReaders + kSpareConnections) * kBuffersOfReader + kSpareBuffers),
-      wake_(loop_, [] {}),  // what is to be done is done at the end of each turn
-      endBy_(loop_, [this] { loop_.stop(); }),
+      pool_((settings.options.maxReaders + kSpareConnections) * kBuffersPerReader + kSpareBuffers),
+      wakeup_(loop_, [] {}),  // the iteration's end acts
+      shutdownTimeout_(loop_, [this] { loop_.stop(); }),
       readers_(loop_, pool_, settings.options.maxReaders + kSpareConnections,
                [this] { return statusJson(); }),
       distributor_(optionsOf(settings), *this, transport::EventLoop::now()),
       upstreams_(loop_, pool_, distributor_, settings.upstreams, settings.maxListBytes) {
-    rlimit files{};
-    const rlim_t needed = settings.options.maxReaders + kSpareConnections + kOwnDescriptors;
-    if (getrlimit(RLIMIT_NOFILE, &files) == 0 && files.rlim_cur < needed) {
-        files.rlim_cur = std::min(needed, files.rlim_max);
-        setrlimit(RLIMIT_NOFILE, &files);
-        if (files.rlim_cur < needed)
-            logger_.info(fmt::format("the system gives {} descriptors, max_readers asks for {}",
-                                     files.rlim_cur, needed));
-    }
+    raiseDescriptorLimit();
     readers_.attach(distributor_);
     const std::string problem = readers_.listen(settings.listenAddress);
     if (!problem.empty()) throw StartupError(fmt::format("can't listen on {}: {}", settings.listen, problem));
@@ -54,30 +45,41 @@
     loop_.onIteration([this] { runIteration(); });
 }
 
+void DistributorProcess::raiseDescriptorLimit() {
+    rlimit limit{};
+    const rlim_t needed = settings_.options.maxReaders + kSpareConnections + kOwnDescriptors;
+    if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= needed) return;
+    limit.rlim_cur = std::min(needed, limit.rlim_max);
+    setrlimit(RLIMIT_NOFILE, &limit);
+    if (limit.rlim_cur < needed)
+        logger_.info(
+            fmt::format("the system allows {} descriptors, max_readers needs {}", limit.rlim_cur, needed));
+}
+
 void DistributorProcess::run() {
     log(fmt::format("listens on {}", settings_.listen));
     loop_.run();
 }
 
 void DistributorProcess::runIteration() {
-    readers_.turn();
+    readers_.visitConnections();
     distributor_.reconcile(transport::EventLoop::now());
-    if (ending_ && readers_.allSent()) loop_.stop();
+    if (isShuttingDown_ && readers_.isAllSent()) loop_.stop();
 }
 
 void DistributorProcess::beginShutdown() {
-    if (ending_) return;
-    ending_ = true;
-    log("ends: who waits is answered");
+    if (isShuttingDown_) return;
+    isShuttingDown_ = true;
+    log("shuts down: waiting readers are answered");
     readers_.stopListening();
     upstreams_.stop();
     distributor_.shutDown(transport::EventLoop::now());
-    endBy_.start(transport::EventLoop::now() + kEndWithin);
+    shutdownTimeout_.start(transport::EventLoop::now() + kShutdownTimeout);
 }
 
 std::size_t DistributorProcess::sendResponse(endpoint_distribution::ReaderId reader,
-                                             const endpoint_distribution::ListResponse& answer) {
-    return readers_.answer(reader, answer);
+                                             const endpoint_distribution::ListResponse& response) {
+    return readers_.respond(reader, response);
 }
 
 void DistributorProcess::pollUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
@@ -88,15 +90,15 @@
 void DistributorProcess::closeReader(endpoint_distribution::ReaderId reader,
                                      endpoint_distribution::CloseReason reason) {
     if (reason == endpoint_distribution::CloseReason::slow)
-        log("a reader that does not take its answer is closed");
+        log("a reader that does not take its response is closed");
     readers_.close(reader);
 }
 
 void DistributorProcess::scheduleWakeup(Nanos at) {
     if (at == kNever)
-        wake_.stop();
+        wakeup_.stop();
     else
-        wake_.start(at);
+        wakeup_.start(at);
 }
 
 void DistributorProcess::log(std::string_view text) { logger_.info(text); }
--- a/src/endpoint_distributor/program.hpp
+++ b/src/endpoint_distributor/program.hpp
@@ -1,8 +1,9 @@
-// The program `poppyscale_endpoint_distributor`: the decisions of src/distribution on one loop, between
-// upstreams and readers.
+// The program `poppyscale_endpoint_distributor`: a distributor on one event loop, between upstreams and
+// readers.
 #pragma once
 
 #include <optional>
+#include <stdexcept>
 #include <string>
 
 #include "endpoint_distribution/distributor.hpp"
@@ -20,13 +21,14 @@
 
 class DistributorProcess : private endpoint_distribution::DistributorHost {
   public:
-    // Listens. Throws CannotStart.
+    // Listens. Throws StartupError.
     explicit DistributorProcess(const Settings& settings);
-    void run();  // until it is told to end
+    // Until SIGTERM or SIGINT; readers that wait are answered before it ends.
+    void run();
 
   private:
     std::size_t sendResponse(endpoint_distribution::ReaderId reader,
-                             const endpoint_distribution::ListResponse& answer) override;
+                             const endpoint_distribution::ListResponse& response) override;
     void pollUpstream(std::size_t index, std::optional<endpoint_distribution::Version> after,
                       Nanos wait) override;
     void closeReader(endpoint_distribution::ReaderId reader,
@@ -34,6 +36,7 @@
     void scheduleWakeup(Nanos at) override;
     void log(std::string_view text) override;
 
+    void raiseDescriptorLimit();
     void runIteration();
     void beginShutdown();
     std::string statusJson() const;
@@ -42,13 +45,14 @@
     logging::Logger logger_;
     transport::BufferPool pool_;
     transport::EventLoop loop_;
-    transport::Timer wake_;
-    transport::Timer endBy_;
+    transport::Timer wakeup_;
+    transport::Timer shutdownTimeout_;
     ReaderServer readers_;
     endpoint_distribution::Distributor distributor_;
     UpstreamClient upstreams_;
-    std::optional<transport::Signal> terminate_, interrupt_;
-    bool ending_ = false;
+    std::optional<transport::Signal> terminate_;
+    std::optional<transport::Signal> interrupt_;
+    bool isShuttingDown_ = false;
 };
 
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/reader_server.hpp
+++ b/src/endpoint_distributor/reader_server.hpp
@@ -1,49 +1,52 @@
-// The readers' connections: requests in, answers out. An answer stays shared by all readers until the kernel
-// takes it: of what a connection has still to send, one piece at most is copied.
+// The readers' connections: accepts them, passes their requests to the distributor and its responses back.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "endpoint_distribution/distributor.hpp"
-#include "protocol/http_request.hpp"
-#include "transport/connection.hpp"
+#include "endpoint_distributor/reader_connection.hpp"
 #include "transport/listener.hpp"
 
 namespace poppyscale::endpoint_distributor {
 
-class ReaderConnection;
-
-class ReaderServer {
+class ReaderServer : private ReaderConnection::Owner {
   public:
-    // `status` makes the JSON that answers GET /status.
+    // `status` makes the JSON that answers GET /status. `loop` and `pool` have to outlive the server.
     ReaderServer(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t maxConnections,
                  std::function<std::string()> status);
-    ~ReaderServer();
 
+    // Before `listen`; `distributor` has to live as long as connections are served.
     void attach(endpoint_distribution::Distributor& distributor) { distributor_ = &distributor; }
-    // Empty when it listens, else what is wrong.
-    std::string listen(const transport::Address& at);
+    // Empty if it listens, otherwise the reason why it does not.
+    std::string listen(const transport::Address& address);
     void stopListening() { listener_.reset(); }
 
-    // What the decisions ask for.
-    std::size_t answer(endpoint_distribution::ReaderId id, const endpoint_distribution::ListResponse& answer);
+    // Gives the number of bytes that the kernel has not taken yet; 0 for an unknown reader.
+    std::size_t respond(endpoint_distribution::ReaderId id,
+                        const endpoint_distribution::ListResponse& response);
     void close(endpoint_distribution::ReaderId id);
-    // Once a turn, before the decisions: connections that broke while they were written to, and requests that
-    // came behind one that has been answered since.
-    void turn();
+    // Once in each iteration of the event loop, before the distributor's `reconcile`: closes connections that
+    // broke during a write, and reads requests that arrived behind an answered one.
+    void visitConnections();
 
     std::uint64_t bytesSent() const { return bytesSent_; }
-    bool allSent() const;
+    bool isAllSent() const;
 
   private:
-    friend class ReaderConnection;
-    void admit(const std::function<bool(transport::Connection&)>& finish);
+    void onRequest(endpoint_distribution::ReaderId id,
+                   const endpoint_distribution::ReaderRequest& request) override;
+    void onBytesSent(endpoint_distribution::ReaderId id, std::size_t unsent) override;
+    void onConnectionClosed(endpoint_distribution::ReaderId id) override;
+    void scheduleVisit(endpoint_distribution::ReaderId id) override;
+    void countSent(std::size_t bytes) override;
+    std::string statusJson() const override;
+
+    void admit(const std::function<bool(transport::Connection&)>& accept);
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
@@ -53,43 +56,8 @@
     std::unique_ptr<transport::Listener> listener_;
     std::map<endpoint_distribution::ReaderId, std::unique_ptr<ReaderConnection>> connections_;
     endpoint_distribution::ReaderId lastId_ = 0;
-    std::vector<endpoint_distribution::ReaderId> toVisit_;  // in the next turn
+    std::vector<endpoint_distribution::ReaderId> visits_;  // due in the next iteration
     std::uint64_t bytesSent_ = 0;
 };
 
-class ReaderConnection : private transport::Connection::Handler {
-  public:
-    ReaderConnection(ReaderServer& server, endpoint_distribution::ReaderId id);
-
-    bool start(const std::function<bool(transport::Connection&)>& finish);
-    std::size_t send(const endpoint_distribution::ListResponse& answer);
-    std::size_t unsent() const;
-    // What is left to do outside of the decisions; false when the connection is of no further use.
-    bool visit();
-
-  private:
-    void onData(std::string_view bytes) override;
-    void onClosed() override;
-    void onDrained() override;
-
-    bool readRequests();
-    void request();
-    void respond(int status, std::string_view extraHeaders, endpoint_distribution::SharedBytes body);
-    void pump();
-    void visitLater();
-
-    ReaderServer& server_;
-    endpoint_distribution::ReaderId id_;
-    transport::Connection connection_;
-    protocol::HttpRequest request_;
-    std::string pending_;    // came behind a request that is not answered yet
-    bool isAsking_ = false;  // the request has gone to the decisions
-    bool closes_ = false;    // once everything is sent
-    bool isFinishing_ = false;
-    bool isBroken_ = false;
-    std::deque<endpoint_distribution::SharedBytes> outgoing_;
-    std::size_t sentOfFirst_ = 0;
-    std::size_t outgoingBytes_ = 0;  // beside what the connection holds
-};
-
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/settings.cpp
+++ b/src/endpoint_distributor/settings.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr int kMaxUpstreams = 16;
-// A silent upstream is found out when its call's wait is over; the rest of 5 s is left for another one's
-// answer.
+// A silent upstream is detected when its poll's wait is over; the rest of 5 s is left for another one to
+// respond.
 constexpr int kDefaultWaitMs = 3'000;
 
-transport::Address readAddress(config::TomlTable& table, std::string_view key, const std::string& written) {
-    if (const auto address = transport::parseAddress(written)) return *address;
-    table.problem(key, "'" + written + "' is not an address and port");
+transport::Address readAddress(config::TomlTable& table, std::string_view key, const std::string& text) {
+    if (const auto address = transport::parseAddress(text)) return *address;
+    table.problem(key, "'" + text + "' is not an address and port");
     return {};
 }
 
 void readUpstreams(config::TomlTable& table, Settings& settings) {
-    const auto written = table.strings("upstreams");
-    if (table.has("upstreams") && (written.empty() || written.size() > kMaxUpstreams))
+    const auto addresses = table.strings("upstreams");
+    if (table.has("upstreams") && (addresses.empty() || addresses.size() > kMaxUpstreams))
         table.problem("upstreams", "does not name 1 to " + std::to_string(kMaxUpstreams) + " addresses");
-    for (const std::string& text : written)
-        settings.upstreams.push_back({readAddress(table, "upstreams", text), text});
+    for (const std::string& address : addresses)
+        settings.upstreams.push_back({readAddress(table, "upstreams", address), address});
     settings.options.upstreams = std::max<std::size_t>(settings.upstreams.size(), 1);
 }
 
@@ -50,11 +50,11 @@
 
 Settings readSettings(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    const std::string written{std::istreambuf_iterator<char>(file), {}};
+    const std::string text{std::istreambuf_iterator<char>(file), {}};
     if (!file) throw SettingsError("can't read " + path);
     config::ConfigProblems problems(path);
     Settings settings;
-    const auto parsed = config::parseToml(written, path, problems);
+    const auto parsed = config::parseToml(text, path, problems);
     if (parsed) {
         config::TomlTable root(*parsed, problems);
         root.one("distributor", true, [&](config::TomlTable& table) { readDistributor(table, settings); });
--- a/src/endpoint_distributor/settings.hpp
+++ b/src/endpoint_distributor/settings.hpp
@@ -11,14 +11,14 @@
 
 namespace poppyscale::endpoint_distributor {
 
-// All that is wrong with a file, a line each: "FILE:LINE: KEY: what is wrong".
+// All problems of a file, a line each: "FILE:LINE: KEY: PROBLEM".
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct Upstream {
     transport::Address address;
-    std::string name;  // as it was written
+    std::string name;  // as in the file
 };
 
 struct Settings {
@@ -26,11 +26,11 @@
     std::string listen;
     transport::Address listenAddress{};
     std::vector<Upstream> upstreams;
-    std::size_t maxListBytes = 0;  // of an upstream's answer
+    std::size_t maxListBytes = 0;  // of an upstream's response
     endpoint_distribution::Options options;
 };
 
-// Throws SettingsError.
+// Throws SettingsError with all problems.
 Settings readSettings(const std::string& path);
 
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/upstream_client.cpp
+++ b/src/endpoint_distributor/upstream_client.cpp
@@ -10,11 +10,11 @@
 namespace poppyscale::endpoint_distributor {
 namespace {
 
-using endpoint_distribution::Distributor;
+using endpoint_distribution::UpstreamFailure;
 
-// All upstreams together must be tried within the time in which a change has to be told.
-constexpr Nanos kConnectWithin = 1'000 * kMillisecond;
-constexpr Nanos kConnectAllWithin = 3'000 * kMillisecond;
+constexpr Nanos kMaxConnectTimeout = 1'000 * kMillisecond;
+// All upstreams in turn have to be tried within the time in which a change has to be sent.
+constexpr Nanos kConnectTimeoutOfAll = 3'000 * kMillisecond;
 
 std::string targetOf(std::optional<endpoint_distribution::Version> after, Nanos wait) {
     if (!after) return "/api/targets";
@@ -24,14 +24,14 @@
 }  // namespace
 
 UpstreamClient::UpstreamClient(transport::EventLoop& loop, transport::BufferPool& pool,
-                               Distributor& distributor, std::vector<Upstream> upstreams,
-                               std::size_t maxListBytes)
+                               endpoint_distribution::Distributor& distributor,
+                               std::vector<Upstream> upstreams, std::size_t maxListBytes)
     : loop_(loop),
       pool_(pool),
       distributor_(distributor),
       upstreams_(std::move(upstreams)),
-      answer_(maxListBytes),
-      connectBy_(loop, [this] { fail(Distributor::Failure::unreachable, "can't connect in time"); }) {}
+      response_(maxListBytes),
+      connectTimeout_(loop, [this] { fail(UpstreamFailure::unreachable, "can't connect in time"); }) {}
 
 void UpstreamClient::poll(std::size_t index, std::optional<endpoint_distribution::Version> after,
                           Nanos wait) {
@@ -39,74 +39,76 @@
     if (!canReuse) connection_.reset();
     index_ = index;
     target_ = targetOf(after, wait);
-    answer_.clear();
+    response_.clear();
     if (canReuse)
-        write();
+        sendRequest();
     else
         connect();
 }
 
 void UpstreamClient::stop() {
     state_ = State::idle;
-    connectBy_.stop();
+    connectTimeout_.stop();
     connection_.reset();
 }
 
 void UpstreamClient::connect() {
     state_ = State::connecting;
-    const auto share = kConnectAllWithin / static_cast<Nanos>(upstreams_.size());
-    connectBy_.start(transport::EventLoop::now() + std::min(kConnectWithin, share));
+    const auto share = kConnectTimeoutOfAll / static_cast<Nanos>(upstreams_.size());
+    connectTimeout_.start(transport::EventLoop::now() + std::min(kMaxConnectTimeout, share));
     transport::Connection::Handler& self = *this;
     connection_ = std::make_unique<transport::Connection>(loop_, pool_, self);
-    // One that fails at once is told as one that fails later: not within the call that asked for it.
-    if (!connection_->connect(upstreams_[index_].address)) connectBy_.start(transport::EventLoop::now());
+    // The timer reports an immediate failure, as nothing is reported within a poll.
+    const bool isConnecting = connection_->connect(upstreams_[index_].address);
+    if (!isConnecting) connectTimeout_.start(transport::EventLoop::now());
 }
 
-void UpstreamClient::onConnected(bool up) {
-    connectBy_.stop();
-    if (!up) return fail(Distributor::Failure::unreachable, "can't connect");
+void UpstreamClient::onConnected(bool isUp) {
+    connectTimeout_.stop();
+    if (!isUp) return fail(UpstreamFailure::unreachable, "can't connect");
     connection_->setReading(true);
-    write();
+    sendRequest();
 }
 
-void UpstreamClient::write() {
+void UpstreamClient::sendRequest() {
     state_ = State::waiting;
     const std::string request =
         fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", target_, upstreams_[index_].name);
-    if (!connection_->write(request)) connectBy_.start(transport::EventLoop::now());
+    const bool isWritten = connection_->write(request);
+    if (!isWritten) connectTimeout_.start(transport::EventLoop::now());
 }
 
 void UpstreamClient::onData(std::string_view bytes) {
     if (state_ != State::waiting) return connection_.reset();
-    const auto state = answer_.feed(bytes);
-    if (state == protocol::HttpResponse::State::complete) return answered();
+    const auto state = response_.feed(bytes);
+    if (state == protocol::HttpResponse::State::complete) return handleResponse();
     if (state == protocol::HttpResponse::State::malformed)
-        fail(Distributor::Failure::malformed, "an answer that is not HTTP, or is too long");
+        fail(UpstreamFailure::malformed, "an answer that is not HTTP, or is too long");
 }
 
 void UpstreamClient::onClosed() {
     if (state_ != State::waiting) return connection_.reset();
-    const bool isWhole =
-        connection_->hasPeerFinished() && answer_.end() == protocol::HttpResponse::State::complete;
-    if (isWhole) return answered();
-    fail(Distributor::Failure::unreachable, "the connection ended");
+    const bool isComplete =
+        connection_->hasPeerFinished() && response_.end() == protocol::HttpResponse::State::complete;
+    if (isComplete) return handleResponse();
+    fail(UpstreamFailure::unreachable, "the connection ended");
 }
 
-void UpstreamClient::answered() {
+void UpstreamClient::handleResponse() {
     state_ = State::idle;
-    if (!answer_.isKeepAlive()) connection_.reset();
-    if (answer_.status() != 200)
-        return fail(Distributor::Failure::unreachable, fmt::format("answered {}", answer_.status()));
+    if (!response_.isKeepAlive()) connection_.reset();
+    if (response_.status() != 200)
+        return fail(UpstreamFailure::unreachable, fmt::format("answered {}", response_.status()));
     const Nanos now = transport::EventLoop::now();
     try {
-        auto update = endpoint_distribution::readListUpdate(answer_.body());
-        distributor_.onUpstreamResponse(now, std::move(update), answer_.listAgeMs() * kMillisecond);
+        auto update = endpoint_distribution::readListUpdate(response_.body());
+        distributor_.onUpstreamResponse(now, std::move(update), response_.listAgeMs() * kMillisecond);
     } catch (const protocol::ParseError& problem) {
-        fail(Distributor::Failure::malformed, problem.what());
+        fail(UpstreamFailure::malformed, problem.what());
     }
 }
 
-void UpstreamClient::fail(Distributor::Failure failure, const std::string& reason) {
+void UpstreamClient::fail(UpstreamFailure failure, const std::string& reason) {
     stop();
     distributor_.onUpstreamFailed(transport::EventLoop::now(), failure, reason);
 }
--- a/src/endpoint_distributor/upstream_client.hpp
+++ b/src/endpoint_distributor/upstream_client.hpp
@@ -1,6 +1,9 @@
-// The calls to the upstreams: one at a time, each told to the decisions.
+// Polls the upstreams over HTTP, one poll at a time, and reports each result to the distributor.
+//
+// The connection is reused while the polls go to the same upstream and it keeps the connection alive.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
@@ -15,35 +18,37 @@
 
 class UpstreamClient : private transport::Connection::Handler {
   public:
+    // `loop`, `pool` and `distributor` have to outlive the client.
     UpstreamClient(transport::EventLoop& loop, transport::BufferPool& pool,
                    endpoint_distribution::Distributor& distributor, std::vector<Upstream> upstreams,
                    std::size_t maxListBytes);
 
-    // A call that is out is given up.
+    // Cancels a poll in flight and begins another. Its result is reported later, never within the call.
     void poll(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait);
+    // Cancels a poll in flight; nothing is reported of it.
     void stop();
 
   private:
     enum class State : std::uint8_t { idle, connecting, waiting };
 
-    void onConnected(bool up) override;
+    void onConnected(bool isUp) override;
     void onData(std::string_view bytes) override;
     void onClosed() override;
 
     void connect();
-    void write();
-    void answered();
-    void fail(endpoint_distribution::Distributor::Failure failure, const std::string& reason);
+    void sendRequest();
+    void handleResponse();
+    void fail(endpoint_distribution::UpstreamFailure failure, const std::string& reason);
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
     endpoint_distribution::Distributor& distributor_;
     std::vector<Upstream> upstreams_;
     State state_ = State::idle;
-    std::size_t index_ = 0;
-    std::string target_;
-    protocol::HttpResponse answer_;
-    transport::Timer connectBy_;
+    std::size_t index_ = 0;  // of the upstream that is polled
+    std::string target_;     // of the request
+    protocol::HttpResponse response_;
+    transport::Timer connectTimeout_;
     std::unique_ptr<transport::Connection> connection_;
 };
 
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the list distributor as a program: a stand-in for discovery, distributors on one and on two
-// levels, real routers and readers of ours, while processes are killed and stopped and upstreams answer
-// nonsense.
+// Tests of the endpoint list distributor as a program: an emulated discovery, distributors on one and on two
+// levels, real routers and scripted readers, while processes are killed and stopped and upstreams send
+// malformed responses.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -24,33 +24,33 @@
 
 using Clock = std::chrono::steady_clock;
 
-// The promise to routers: a change is told within this.
-constexpr auto kToldWithin = std::chrono::milliseconds(5'000);
+// The guarantee to routers: a change is sent within this.
+constexpr auto kMaxPropagation = std::chrono::milliseconds(5'000);
 
 std::string addressOf(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
 // Discovery by its protocol, on a thread of its own.
 class Discovery {
   public:
-    enum class Mode { good, spoilt, older, endless, silent, notHttp };
+    enum class Mode { healthy, malformed, older, endless, silent, notHttp };
 
     Discovery() {
-        door_.emplace();
+        listener_.emplace();
         thread_ = std::thread([this] { run(); });
     }
     ~Discovery() {
-        ends_ = true;
+        isStopping_ = true;
         thread_.join();
     }
-    std::string address() const { return door_->address(); }
+    std::string address() const { return listener_->address(); }
 
     void set(const json& entry) {
         const std::lock_guard lock(mutex_);
         ++version_;
         servers_[entry.at("id")] = {entry, version_};
     }
-    // What it knew is lost, but for one server.
-    void lose(const json& entry) {
+    // Its versions begin again, with one server.
+    void restart(const json& entry) {
         const std::lock_guard lock(mutex_);
         servers_.clear();
         version_ = 1;
@@ -60,7 +60,7 @@
         const std::lock_guard lock(mutex_);
         return version_;
     }
-    void behave(Mode mode) { mode_ = mode; }
+    void setMode(Mode mode) { mode_ = mode; }
     int requests() const { return requests_; }
 
   private:
@@ -70,26 +70,31 @@
     };
     struct Reader {
         int descriptor;
-        std::string in;
-        bool asks = false;
-        bool endless = false;
+        std::string input;
+        bool hasRequest = false;
+        bool isEndless = false;
         std::optional<std::int64_t> after;
-        Clock::time_point until;
+        Clock::time_point deadline;
     };
 
     void run() {
-        while (!ends_) {
-            std::vector<pollfd> polled{{door_->descriptor(), POLLIN, 0}};
-            for (const Reader& reader : readers_) polled.push_back({reader.descriptor, POLLIN, 0});
-            ::poll(polled.data(), polled.size(), 5);
-            if (polled[0].revents)
+        while (!isStopping_) {
+            std::vector<pollfd> descriptors{{listener_->descriptor(), POLLIN, 0}};
+            for (const Reader& reader : readers_) descriptors.push_back({reader.descriptor, POLLIN, 0});
+            ::poll(descriptors.data(), descriptors.size(), 5);
+            if (descriptors[0].revents)
                 readers_.push_back(
-                    {::accept(door_->descriptor(), nullptr, nullptr), {}, false, false, {}, {}});
+                    {::accept(listener_->descriptor(), nullptr, nullptr), {}, false, false, {}, {}});
             std::size_t at = 1;
-            for (auto it = readers_.begin(); it != readers_.end() && at < polled.size(); ++at) {
-                const bool keeps = (!polled[at].revents || read(*it)) && serve(*it);
-                if (!keeps) ::close(it->descriptor);
-                it = keeps ? std::next(it) : readers_.erase(it);
+            for (auto it = readers_.begin(); it != readers_.end() && at < descriptors.size(); ++at) {
+                const bool isReadable = descriptors[at].revents != 0;
+                const bool isOpen = (!isReadable || read(*it)) && serve(*it);
+                if (isOpen) {
+                    ++it;
+                    continue;
+                }
+                ::close(it->descriptor);
+                it = readers_.erase(it);
             }
         }
         for (const Reader& reader : readers_) ::close(reader.descriptor);
@@ -98,59 +103,60 @@
         char buffer[4096];
         const auto got = ::recv(reader.descriptor, buffer, sizeof buffer, MSG_DONTWAIT);
         if (got <= 0) return false;
-        reader.in.append(buffer, static_cast<std::size_t>(got));
-        const auto end = reader.in.find("\r\n\r\n");
+        reader.input.append(buffer, static_cast<std::size_t>(got));
+        const auto end = reader.input.find("\r\n\r\n");
         if (end == std::string::npos) return true;
         ++requests_;
-        reader.asks = true;
+        reader.hasRequest = true;
         const auto number = [&](const std::string& key) -> std::optional<std::int64_t> {
-            const auto found = reader.in.find(key + "=");
+            const auto found = reader.input.find(key + "=");
             if (found == std::string::npos) return std::nullopt;
-            return std::stoll(reader.in.substr(found + key.size() + 1));
+            return std::stoll(reader.input.substr(found + key.size() + 1));
         };
         reader.after = number("after");
-        reader.until = Clock::now() + std::chrono::milliseconds(number("wait_ms").value_or(0));
-        reader.in.erase(0, end + 4);
+        reader.deadline = Clock::now() + std::chrono::milliseconds(number("wait_ms").value_or(0));
+        reader.input.erase(0, end + 4);
         return true;
     }
     bool serve(Reader& reader) {
-        if (reader.endless) return send(reader, std::string(256 * 1024, 'x'));
-        const bool isDue = reader.asks && (!reader.after || version() > *reader.after ||
-                                           Clock::now() >= reader.until || mode_ == Mode::older);
+        if (reader.isEndless) return send(reader, std::string(256 * 1024, 'x'));
+        const bool isDue = reader.hasRequest && (!reader.after || version() > *reader.after ||
+                                                 Clock::now() >= reader.deadline || mode_ == Mode::older);
         const Mode mode = mode_;
         if (!isDue || mode == Mode::silent) return true;
-        reader.asks = false;
+        reader.hasRequest = false;
         switch (mode) {
-            case Mode::spoilt:
+            case Mode::malformed:
                 return send(reader, http(200, "{\"version\":99,\"full\":true,\"servers\":[{]}"));
             case Mode::notHttp:
                 return send(reader, "nonsense\r\n\r\n");
             case Mode::older:
                 return send(reader, http(200, R"({"version":1,"full":true,"servers":[]})"));
             case Mode::endless:
-                reader.endless = true;
+                reader.isEndless = true;
                 return send(reader, "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\n");
             default:
-                return send(reader, http(200, answerTo(reader.after)));
+                return send(reader, http(200, responseTo(reader.after)));
         }
     }
     static bool send(Reader& reader, const std::string& text) {
         const auto sent = ::send(reader.descriptor, text.data(), text.size(),
-                                 MSG_NOSIGNAL | (reader.endless ? MSG_DONTWAIT : 0));
+                                 MSG_NOSIGNAL | (reader.isEndless ? MSG_DONTWAIT : 0));
         return sent > 0 || errno == EAGAIN;
     }
-    std::string answerTo(std::optional<std::int64_t> after) {
+    std::string responseTo(std::optional<std::int64_t> after) {
         const std::lock_guard lock(mutex_);
-        json told{{"version", version_}, {"full", !after || *after > version_}, {"servers", json::array()}};
+        json response{
+            {"version", version_}, {"full", !after || *after > version_}, {"servers", json::array()}};
         for (const auto& [id, entry] : servers_)
-            if (told["full"] || entry.changed > *after) told["servers"].push_back(entry.text);
-        return told.dump();
+            if (response["full"] || entry.changed > *after) response["servers"].push_back(entry.text);
+        return response.dump();
     }
 
-    std::optional<TestServer> door_;
+    std::optional<TestServer> listener_;
     std::thread thread_;
-    std::atomic<bool> ends_ = false;
-    std::atomic<Mode> mode_ = Mode::good;
+    std::atomic<bool> isStopping_ = false;
+    std::atomic<Mode> mode_ = Mode::healthy;
     std::atomic<int> requests_ = 0;
     std::mutex mutex_;
     std::int64_t version_ = 1;
@@ -163,7 +169,7 @@
             {"cell", 0}, {"state", "Ready"},      {"weight", weight}, {"started_ms", 0}};
 }
 
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::vector<std::string> head;
     std::string body;
@@ -179,14 +185,14 @@
     }
 };
 
-HttpAnswer readAnswer(Socket& socket) {
-    HttpAnswer answer;
-    answer.head = socket.head();
-    if (answer.head.empty() || answer.head[0].size() < 12) return answer;
-    answer.status = std::stoi(answer.head[0].substr(9));
-    const std::string length = answer.header("Content-Length");
-    if (!length.empty()) answer.body = socket.bytes(std::stoul(length));
-    return answer;
+HttpResponse readResponse(Socket& socket) {
+    HttpResponse response;
+    response.head = socket.head();
+    if (response.head.empty() || response.head[0].size() < 12) return response;
+    response.status = std::stoi(response.head[0].substr(9));
+    const std::string length = response.header("Content-Length");
+    if (!length.empty()) response.body = socket.bytes(std::stoul(length));
+    return response;
 }
 
 std::string request(const std::string& target) { return "GET " + target + " HTTP/1.1\r\nHost: d\r\n\r\n"; }
@@ -194,22 +200,22 @@
     return "/api/targets?after=" + std::to_string(after) + "&wait_ms=" + std::to_string(waitMs);
 }
 
-// The program, ended with the test.
+// The program, killed at the end of the test.
 class DistributorProcess {
   public:
     DistributorProcess(const std::string& name, const std::vector<std::string>& upstreams,
-                       std::string more = "wait_ms = 2000\n")
-        : port(place_.port) {
+                       std::string settings = "wait_ms = 2000\n")
+        : port(reservedPort_.port) {
         char folder[] = "/tmp/poppyscale-distributor-XXXXXX";
         if (!mkdtemp(folder)) throw std::runtime_error("no folder for settings");
         folder_ = folder;
         std::ofstream file(folder_ + "/settings.toml");
         file << "[distributor]\nname = \"" << name << "\"\nlisten = \"" << address()
              << "\"\nupstreams = " << json(upstreams) << "\n"
-             << more;
+             << settings;
         file.close();
         start();
-        ready();
+        waitForList();
     }
     ~DistributorProcess() {
         if (pid_ > 0) {
@@ -227,8 +233,7 @@
               nullptr);
         _exit(127);
     }
-    // Until it has a list.
-    void ready() const {
+    void waitForList() const {
         for (int tries = 0; tries < 1'500 && status().value("version", 0) == 0; ++tries) usleep(20'000);
     }
     void signal(int number) const { kill(pid_, number); }
@@ -239,16 +244,17 @@
     }
     int exitCode() {
         int status = 0;
-        waitpid(std::exchange(pid_, -1), &status, 0);
+        waitpid(pid_, &status, 0);
+        pid_ = -1;
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
     std::string address() const { return addressOf(port); }
     Socket reader() const { return Socket(port); }
-    HttpAnswer get(const std::string& target) const {
+    HttpResponse get(const std::string& target) const {
         Socket socket(port);
         if (!socket.open()) return {};
         socket.say(request(target));
-        return readAnswer(socket);
+        return readResponse(socket);
     }
     json status() const {
         const json parsed = get("/status").list();
@@ -266,7 +272,7 @@
     }
 
   private:
-    ReservedPort place_;
+    ReservedPort reservedPort_;
     std::string folder_;
     pid_t pid_ = -1;
 
@@ -274,17 +280,17 @@
     std::uint16_t port;
 };
 
-// By when that version is told there, within the promised time; a fall of the versions told on the way fails.
-bool isToldInTime(const DistributorProcess& distributor, std::int64_t version, Clock::time_point from,
+// Whether readers get that version there within the guaranteed time. A fall of the versions meanwhile fails.
+bool isPropagated(const DistributorProcess& distributor, std::int64_t version, Clock::time_point from,
                   std::int64_t known = 0) {
-    while (Clock::now() - from < kToldWithin) {
-        const auto answer = distributor.get(known ? afterTarget(known, 500) : "/api/targets");
-        if (answer.status == 200) {
-            CHECK(answer.version() >= known);
-            known = std::max(known, answer.version());
+    while (Clock::now() - from < kMaxPropagation) {
+        const auto response = distributor.get(known ? afterTarget(known, 500) : "/api/targets");
+        if (response.status == 200) {
+            CHECK(response.version() >= known);
+            known = std::max(known, response.version());
         }
         if (known >= version) return true;
-        if (answer.status != 200) usleep(20'000);
+        if (response.status != 200) usleep(20'000);
     }
     MESSAGE(distributor.log());
     return false;
@@ -292,7 +298,7 @@
 
 }  // namespace
 
-TEST_CASE("changes come to readers through two levels of distributors, as discovery told them") {
+TEST_CASE("changes reach readers through two levels of distributors, as discovery sent them") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess first("d1", {discovery.address()});
@@ -300,26 +306,26 @@
     const DistributorProcess leaf("leaf", {first.address(), second.address()});
     Socket reader = leaf.reader();
     reader.say(request("/api/targets"));
-    auto answer = readAnswer(reader);
-    CHECK(answer.status == 200);
-    CHECK(answer.version() == discovery.version());
-    CHECK(answer.list()["full"] == true);
-    CHECK(answer.list()["servers"] == json::array({serverEntry("s0")}));
-    CHECK(std::stoll(answer.header("X-List-Age-Ms")) < 5'000);
+    auto response = readResponse(reader);
+    CHECK(response.status == 200);
+    CHECK(response.version() == discovery.version());
+    CHECK(response.list()["full"] == true);
+    CHECK(response.list()["servers"] == json::array({serverEntry("s0")}));
+    CHECK(std::stoll(response.header("X-List-Age-Ms")) < 5'000);
     for (int change = 1; change <= 20; ++change) {
-        reader.say(request(afterTarget(answer.version(), 10'000)));
+        reader.say(request(afterTarget(response.version(), 10'000)));
         discovery.set(serverEntry("s" + std::to_string(change)));
         const auto changedAt = Clock::now();
-        answer = readAnswer(reader);
-        CHECK(Clock::now() - changedAt < kToldWithin);
-        CHECK(answer.version() == discovery.version());
-        CHECK(answer.list()["full"] == false);
-        CHECK(answer.list()["servers"] == json::array({serverEntry("s" + std::to_string(change))}));
-    }
-    // At the end of its wait.
-    reader.say(request(afterTarget(answer.version(), 300)));
-    const auto unchanged = readAnswer(reader);
-    CHECK(unchanged.version() == answer.version());
+        response = readResponse(reader);
+        CHECK(Clock::now() - changedAt < kMaxPropagation);
+        CHECK(response.version() == discovery.version());
+        CHECK(response.list()["full"] == false);
+        CHECK(response.list()["servers"] == json::array({serverEntry("s" + std::to_string(change))}));
+    }
+    // At the end of the wait.
+    reader.say(request(afterTarget(response.version(), 300)));
+    const auto unchanged = readResponse(reader);
+    CHECK(unchanged.version() == response.version());
     CHECK(unchanged.list()["servers"].empty());
     const json status = leaf.status();
     CHECK(status["name"] == "leaf");
@@ -328,8 +334,7 @@
     CHECK(status["trouble"] == "");
 }
 
-TEST_CASE(
-    "a router that asks a distributor goes by what discovery changes, also when the distributor is killed") {
+TEST_CASE("a router behind a distributor follows discovery's changes, also when the distributor is killed") {
     Discovery discovery;
     auto start = smallStart();
     std::vector<TestServer> caches(2);
@@ -337,36 +342,36 @@
     discovery.set(entryOf("origin", origin, "origin"));
     discovery.set(entryOf("c0", caches[0]));
     DistributorProcess distributor("d1", {discovery.address()});
-    ReservedPort place;
-    start["listen"] = addressOf(place.port);
+    ReservedPort reservedPort;
+    start["listen"] = addressOf(reservedPort.port);
     start["discovery"] = distributor.address();
     start["known"] = {{"version", 1},
                       {"full", true},
                       {"servers", {entryOf("origin", origin, "origin"), entryOf("c0", caches[0])}}};
     const Program router(start.dump());
-    for (int tries = 0; tries < 200 && Socket(place.port).say("*1\r\n$4\r\nPING\r\n").line() != "+PONG";
-         ++tries)
+    for (int tries = 0;
+         tries < 200 && Socket(reservedPort.port).say("*1\r\n$4\r\nPING\r\n").line() != "+PONG"; ++tries)
         usleep(20'000);
-    const auto moveTo = [&](std::size_t to) {
+    const auto migrateTo = [&](std::size_t to) {
         discovery.set(entryOf("c" + std::to_string(1 - to), caches[1 - to], "m", "Terminating"));
         discovery.set(entryOf("c" + std::to_string(to), caches[to], "m", "Ready", 5));
-        // Both are told by then, else requests would go to the other one.
+        // Requests go to the other cache until the router has both changes.
         const auto from = Clock::now();
-        for (int n = 0; Clock::now() - from < kToldWithin; ++n) {
-            Socket client(place.port);
+        for (int n = 0; Clock::now() - from < kMaxPropagation; ++n) {
+            Socket client(reservedPort.port);
             client.say(get("k" + std::to_string(n)));
-            // One that the router opened for a client that has left by now brings nothing.
+            // A connection that the router opened for a client that has disconnected carries nothing.
             if (!caches[to].quiet(50) && caches[to].accept().command().size() == 4) return true;
             while (!caches[1 - to].quiet(0)) caches[1 - to].accept();
         }
         MESSAGE(router.log());
         return false;
     };
-    CHECK(moveTo(1));
+    CHECK(migrateTo(1));
     distributor.killNow();
     usleep(300'000);
     distributor.start();
-    CHECK(moveTo(0));
+    CHECK(migrateTo(0));
 }
 
 TEST_CASE("a killed distributor is left for another one, and serves again when it is back") {
@@ -379,15 +384,14 @@
         const auto known = leaf.get("/api/targets").version();
         first.killNow();
         discovery.set(serverEntry("s0", round + 2));
-        CHECK(isToldInTime(leaf, discovery.version(), Clock::now(), known));
+        CHECK(isPropagated(leaf, discovery.version(), Clock::now(), known));
         first.start();
-        CHECK(isToldInTime(first, discovery.version(), Clock::now()));
+        CHECK(isPropagated(first, discovery.version(), Clock::now()));
     }
     CHECK(leaf.status()["upstream"] == second.address());
 }
 
-TEST_CASE(
-    "a stopped distributor is left in time, and when it goes on it tells its readers no lower version") {
+TEST_CASE("a stopped distributor is left in time, and once continued it sends no lower version") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess first("d1", {discovery.address()});
@@ -396,21 +400,20 @@
     const auto known = leaf.get("/api/targets").version();
     first.signal(SIGSTOP);
     discovery.set(serverEntry("s0", 2));
-    CHECK(isToldInTime(leaf, discovery.version(), Clock::now(), known));
+    CHECK(isPropagated(leaf, discovery.version(), Clock::now(), known));
     for (int change = 3; change < 6; ++change) discovery.set(serverEntry("s0", change));
     const auto newest = discovery.version();
-    CHECK(isToldInTime(leaf, newest, Clock::now(), known));
+    CHECK(isPropagated(leaf, newest, Clock::now(), known));
     Socket reader = first.reader();
     reader.say(request(afterTarget(newest, 0)));
     first.signal(SIGCONT);
-    CHECK(readAnswer(reader).version() >= newest);
-    CHECK(isToldInTime(first, newest, Clock::now(), newest));
+    CHECK(readResponse(reader).version() >= newest);
+    CHECK(isPropagated(first, newest, Clock::now(), newest));
 }
 
-TEST_CASE(
-    "an upstream that answers nonsense, older lists, without end or not at all costs its connection alone") {
+TEST_CASE("an upstream with malformed, older, endless or no responses costs its connection alone") {
     using Mode = Discovery::Mode;
-    for (const Mode mode : {Mode::spoilt, Mode::notHttp, Mode::older, Mode::endless, Mode::silent}) {
+    for (const Mode mode : {Mode::malformed, Mode::notHttp, Mode::older, Mode::endless, Mode::silent}) {
         CAPTURE(static_cast<int>(mode));
         Discovery faulty, discovery;
         for (Discovery* each : {&faulty, &discovery})
@@ -419,10 +422,10 @@
                                              "wait_ms = 2000\nmax_list_kib = 4096\n");
         const auto known = distributor.get("/api/targets").version();
         const auto before = distributor.residentKiB();
-        faulty.behave(mode);
-        faulty.set(serverEntry("s0", 2));  // what is parked there is answered
+        faulty.setMode(mode);
+        faulty.set(serverEntry("s0", 2));  // a parked poll is answered
         discovery.set(serverEntry("s1", 2));
-        CHECK(isToldInTime(distributor, discovery.version(), Clock::now(), known));
+        CHECK(isPropagated(distributor, discovery.version(), Clock::now(), known));
         CHECK(distributor.status()["version"] == discovery.version());
         CHECK(distributor.residentKiB() < before + 32 * 1024);
         CHECK(distributor.status()["epochs"] == 0);
@@ -430,36 +433,37 @@
 }
 
 TEST_CASE(
-    "with every upstream spoilt readers are answered from what is here, and its age and trouble are told") {
+    "with every upstream failing readers are answered from what is here, and its age and failure are "
+    "reported") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess distributor("d1", {discovery.address()});
     const auto known = discovery.version();
-    discovery.behave(Discovery::Mode::notHttp);
+    discovery.setMode(Discovery::Mode::notHttp);
     discovery.set(serverEntry("s0", 2));
     usleep(1'500'000);
-    const auto answer = distributor.get("/api/targets");
-    CHECK(answer.version() == known);
-    CHECK(std::stoll(answer.header("X-List-Age-Ms")) >= 1'000);
+    const auto response = distributor.get("/api/targets");
+    CHECK(response.version() == known);
+    CHECK(std::stoll(response.header("X-List-Age-Ms")) >= 1'000);
     const json status = distributor.status();
     CHECK(status["trouble"] != "");
     CHECK(status["age_ms"] >= 1'000);
-    discovery.behave(Discovery::Mode::good);
-    CHECK(isToldInTime(distributor, discovery.version(), Clock::now(), known));
+    discovery.setMode(Discovery::Mode::healthy);
+    CHECK(isPropagated(distributor, discovery.version(), Clock::now(), known));
     CHECK(distributor.status()["trouble"] == "");
 }
 
-TEST_CASE("when discovery has lost what it knew, readers come to its new list") {
+TEST_CASE("when discovery has lost its versions, readers reach its new list") {
     Discovery discovery;
     for (int i = 0; i < 20; ++i) discovery.set(serverEntry("s" + std::to_string(i)));
     const DistributorProcess distributor("d1", {discovery.address()}, "wait_ms = 1000\n");
     Socket reader = distributor.reader();
     reader.say(request(afterTarget(discovery.version(), 10'000)));
-    discovery.lose(serverEntry("new"));
-    const auto answer = readAnswer(reader);
-    CHECK(answer.version() == 1);
-    CHECK(answer.list()["full"] == true);
-    CHECK(answer.list()["servers"] == json::array({serverEntry("new")}));
+    discovery.restart(serverEntry("new"));
+    const auto response = readResponse(reader);
+    CHECK(response.version() == 1);
+    CHECK(response.list()["full"] == true);
+    CHECK(response.list()["servers"] == json::array({serverEntry("new")}));
     CHECK(distributor.status()["epochs"] == 1);
 }
 
@@ -486,7 +490,7 @@
     for (int change = 0; change < 20; ++change) {
         discovery.set(serverEntry("s0", change + 2));
         reader.say(request(afterTarget(known, 5'000)));
-        known = readAnswer(reader).version();
+        known = readResponse(reader).version();
         CHECK(known == discovery.version());
         usleep(100'000);
     }
@@ -494,11 +498,11 @@
     for (int tries = 0; tries < 200 && distributor.status()["slow_readers_closed"] < 20; ++tries)
         usleep(50'000);
     CHECK(distributor.status()["slow_readers_closed"] == 20);
-    // Each list is 9 MB; they were not copied for each of them.
+    // Each list is 9 MB; it was not copied for each reader.
     CHECK(distributor.residentKiB() < before + 100 * 1024);
 }
 
-TEST_CASE("many readers are told each change, and over the bound they are sent away") {
+TEST_CASE("many readers get each change, and over the bound they are rejected") {
     constexpr std::size_t kReaders = 500;
     Discovery discovery;
     discovery.set(serverEntry("s0"));
@@ -510,19 +514,19 @@
         readers.back().say(request(afterTarget(known, 20'000)));
     }
     for (int tries = 0; tries < 200 && distributor.status()["readers"] < kReaders; ++tries) usleep(20'000);
-    const auto refused = distributor.get("/api/targets");
-    CHECK(refused.status == 503);
-    CHECK(refused.header("Retry-After") == "1");
+    const auto rejected = distributor.get("/api/targets");
+    CHECK(rejected.status == 503);
+    CHECK(rejected.header("Retry-After") == "1");
     for (int change = 0; change < 5; ++change) {
         discovery.set(serverEntry("s0", change + 2));
         const auto from = Clock::now();
-        std::size_t right = 0;
+        std::size_t current = 0;
         for (Socket& reader : readers) {
-            right += readAnswer(reader).version() == discovery.version();
+            if (readResponse(reader).version() == discovery.version()) ++current;
             reader.say(request(afterTarget(discovery.version(), 20'000)));
         }
-        CHECK(right == kReaders);
-        CHECK(Clock::now() - from < kToldWithin);
+        CHECK(current == kReaders);
+        CHECK(Clock::now() - from < kMaxPropagation);
         known = discovery.version();
     }
     const json status = distributor.status();
@@ -530,7 +534,7 @@
     CHECK(status["whole_answers"] == 0);
 }
 
-TEST_CASE("SIGTERM: who waits is answered, then the program ends") {
+TEST_CASE("SIGTERM: waiting readers are answered, then the program ends") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     DistributorProcess distributor("d1", {discovery.address()});
@@ -542,23 +546,23 @@
     for (int tries = 0; tries < 200 && distributor.status()["readers"] < 20; ++tries) usleep(20'000);
     distributor.signal(SIGTERM);
     for (int i = 0; i < 20; ++i) {
-        const auto answer = readAnswer(readers[static_cast<std::size_t>(i)]);
-        CHECK(answer.status == 200);
-        CHECK(answer.header("Connection") == "close");
-        CHECK(answer.version() == discovery.version() + (i % 2) * 7);
+        const auto response = readResponse(readers[static_cast<std::size_t>(i)]);
+        CHECK(response.status == 200);
+        CHECK(response.header("Connection") == "close");
+        CHECK(response.version() == discovery.version() + (i % 2) * 7);
     }
     CHECK(distributor.exitCode() == 0);
 }
 
-TEST_CASE("what is no request for a list is answered with an error, or costs its connection") {
+TEST_CASE("a request that is not for the list gets an error or costs its connection") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess distributor("d1", {discovery.address()});
     CHECK(distributor.get("/").status == 404);
     CHECK(distributor.get("/api/targets?after=x").status == 400);
-    Socket spoilt = distributor.reader();
-    spoilt.say("nonsense\r\n\r\n");
-    CHECK(spoilt.ended());
+    Socket malformed = distributor.reader();
+    malformed.say("nonsense\r\n\r\n");
+    CHECK(malformed.ended());
     Socket endless = distributor.reader();
     const std::string header = "X-A: " + std::string(1'000, 'x') + "\r\n";
     endless.say("GET /api/targets HTTP/1.1\r\n");
@@ -569,15 +573,19 @@
     pipelined.say(request("/api/targets") + request(afterTarget(discovery.version(), 100)) + "GET /sta");
     usleep(50'000);
     pipelined.say("tus HTTP/1.1\r\nHost: d\r\n\r\n");
-    CHECK(readAnswer(pipelined).list()["full"] == true);
-    CHECK(readAnswer(pipelined).list()["full"] == false);
-    CHECK(readAnswer(pipelined).list()["name"] == "d1");
+    CHECK(readResponse(pipelined).list()["full"] == true);
+    CHECK(readResponse(pipelined).list()["full"] == false);
+    CHECK(readResponse(pipelined).list()["name"] == "d1");
 }
 
 namespace {
 
-// Runs a command and gives its exit code and what it wrote to both of its streams.
-std::pair<int, std::string> run(const std::string& command) {
+struct CommandResult {
+    int exitCode = -1;
+    std::string output;  // of both streams
+};
+
+CommandResult run(const std::string& command) {
     FILE* const pipe = popen((command + " 2>&1").c_str(), "r");
     std::string text;
     std::array<char, 4096> buffer{};
@@ -588,7 +596,7 @@
 
 }  // namespace
 
-TEST_CASE("all that is wrong with a settings file is told at once, with its file, line and key") {
+TEST_CASE("all problems of a settings file are reported at once, with file, line and key") {
     char path[] = "/tmp/poppyscale-settings-XXXXXX";
     close(mkstemp(path));
     const std::string file = path;
@@ -604,9 +612,9 @@
         CHECK(text.find(file + problem) != std::string::npos);
     }
     std::ofstream(file) << "[other]\n";
-    CHECK(run(command).first == 1);
+    CHECK(run(command).exitCode == 1);
     std::filesystem::remove(file);
-    CHECK(run(command).first == 1);
+    CHECK(run(command).exitCode == 1);
 }
 
 TEST_CASE("poppyctl distributor prints the status as a table and as JSON") {
@@ -624,6 +632,6 @@
     const auto [jsonCode, text] = run(command + distributor.address() + " --json");
     CHECK(jsonCode == 0);
     CHECK(json::parse(text).at("version") == discovery.version());
-    CHECK(run(command + "127.0.0.1:1").first == 3);
-    CHECK(run(command + "nowhere").first == 3);
+    CHECK(run(command + "127.0.0.1:1").exitCode == 3);
+    CHECK(run(command + "nowhere").exitCode == 3);
 }
