--- a/src/config/deployment_config.hpp
+++ b/src/config/deployment_config.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config/toml_table.hpp"
-#include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 
 namespace poppyscale::config {
 
--- a/src/ctl/agent_endpoint.cpp
+++ b/src/ctl/agent_endpoint.cpp
@@ -5,6 +5,7 @@
 #include "ctl/async_result.hpp"
 #include "ctl/change_preview.hpp"
 #include "ctl/monotonic_clock.hpp"
+#include "rollout/messages_codec.hpp"
 
 namespace poppyscale::ctl {
 namespace {
--- a/src/ctl/fleet_status.cpp
+++ b/src/ctl/fleet_status.cpp
@@ -5,6 +5,7 @@
 #include "ctl/async_result.hpp"
 #include "ctl/instance_client.hpp"
 #include "ctl/monotonic_clock.hpp"
+#include "rollout/messages_codec.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -14,6 +14,7 @@
 #include "ctl/signal_source.hpp"
 #include "ctl/version_store.hpp"
 #include "logging/logger.hpp"
+#include "rollout/messages_codec.hpp"
 #include "rollout/rollout_controller.hpp"
 
 namespace poppyscale::ctl {
--- a/src/process/resource_limits.hpp
+++ b/src/process/resource_limits.hpp
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-#include "protocol/endpoint_list.hpp"
+#include "protocol/startup_config.hpp"
 
 namespace poppyscale::process {
 
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -16,9 +16,10 @@
 #include "endpoint_distribution/list_state.hpp"
 #include "metrics/router_metrics.hpp"
 #include "process/operator_state.hpp"
+#include "protocol/attempt_message.hpp"
 #include "protocol/request.hpp"
 #include "proxy/invariant_guard.hpp"
-#include "rollout/messages.hpp"
+#include "rollout/messages_codec.hpp"
 #include "simulator_adapter/codec.hpp"
 
 using namespace poppyscale;
@@ -132,7 +133,7 @@
 
 std::string simulatorSamples() {
     std::string reply;
-    simulator_adapter::Writer writer(reply, 3);
+    simulator_adapter::ActionWriter writer(reply, 3);
     writer.startAttempt(0x1234abcd, "cache-a", 5'000'000, kNever);
     writer.reject(1, 0);
     writer.reject(2, 7 * kMillisecond);
@@ -161,12 +162,12 @@
 
 TEST_CASE("Operator state keeps its file form and is read back") {
     process::OperatorState state;
-    CHECK(state.apply("out cache-a"));
-    CHECK(state.apply("out 10.0.0.7:6379"));
-    CHECK(state.apply("standby"));
+    CHECK(state.applyLine("out cache-a"));
+    CHECK(state.applyLine("out 10.0.0.7:6379"));
+    CHECK(state.applyLine("standby"));
     checkGolden("operator-state.txt", state.serialize());
     process::OperatorState readBack;
-    CHECK(readBack.parse(fileText(std::string(GOLDEN) + "/operator-state.txt")) == "");
+    CHECK_FALSE(readBack.parse(fileText(std::string(GOLDEN) + "/operator-state.txt")).has_value());
     CHECK(readBack == state);
 }
 
@@ -174,10 +175,10 @@
     std::string text;
     for (const char* line : {"status", "maint-on cache-a", "maint-off cache-a\r", "standby", "active", "",
                              "maint-on", "status now", "reboot", "\x01"}) {
-        std::string problem;
-        const auto command = control::readConsoleCommand(line, problem);
-        text += command ? fmt::format("{} '{}'\n", static_cast<int>(command->kind), command->server)
-                        : control::ConsoleReply{false, problem}.line();
+        const control::ConsoleLine read = control::readConsoleLine(line);
+        text += read.command
+                    ? fmt::format("{} '{}'\n", static_cast<int>(read.command->kind), read.command->server)
+                    : control::ConsoleReply{false, read.problem}.line();
     }
     text += control::ConsoleReply{true, "serving"}.line();
     checkGolden("console.txt", text);
