--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
 # The usual calls; CMake does the work. PACKAGES are Debian's.
 PACKAGES = g++ cmake make libuv1-dev libhttp-parser-dev libfmt-dev nlohmann-json3-dev pkg-config doctest-dev \
-    libcli11-dev libtomlplusplus-dev libxxhash-dev gnuplot-nox libboost-dev libspdlog-dev clang-format-14 cppcheck
+    libcli11-dev libtomlplusplus-dev libxxhash-dev gnuplot-nox libboost-dev libspdlog-dev clang-format-14 cppcheck python3
 SOURCES = $(shell git ls-files 'src/*.cpp' 'src/*.hpp' 'tests/*.cpp' 'tests/*.hpp')
 
-.PHONY: build test demo lint run install-packages clean
+.PHONY: build test demo lint drawings run install-packages clean
 
 build:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DPOPPYSCALE_TESTBED=ON
@@ -22,6 +22,12 @@
 	clang-format-14 --dry-run --Werror $(SOURCES)
 	cppcheck --enable=warning,performance,portability --error-exitcode=1 --inline-suppr --quiet \
 	    --suppress=missingIncludeSystem --std=c++20 -I src src
+	tools/check_names.py
+	tools/check_layers.py
+
+# Needs Debian's graphviz.
+drawings:
+	dot -Tsvg docs/drawings/architecture.dot -o docs/drawings/architecture.svg
 
 run: build
 	ROUTER_CONFIG=$${ROUTER_CONFIG:-examples/config.json} build/poppyscale
