--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -21,20 +21,20 @@
 
 // What the log notes of the time that an attempt tells its server.
 std::string timeToldText(const ServerCall& call) {
-    if (!call.toldMs) return "";
-    return fmt::format("d={} held={}", *call.toldMs, call.heldUp / kMillisecond);
+    if (!call.forwardedTimeoutMs) return "";
+    return fmt::format("d={} held={}", *call.forwardedTimeoutMs, call.delayedBy / kMillisecond);
 }
 
 }  // namespace
 
 // What a server's process is and what ails it.
-struct EmulatedDeployment::Host {
-    Host(const ServerModel::Shape& shape, std::size_t keys, Nanos span)
+struct EmulatedDeployment::ServerState {
+    ServerState(const ServerModel::Shape& shape, std::size_t keys, Nanos span)
         : machine(shape), kept(keys), drive(span) {}
     ServerModel machine;
     CacheContents kept;
-    Drive drive;
-    Life life = Life::up;
+    WorkWindow drive;
+    ServerCondition life = ServerCondition::up;
     bool leaving = false;
     bool draining = false;
     bool refuses = false, late = false;
@@ -50,15 +50,15 @@
 EmulatedDeployment::EmulatedDeployment(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
                                        Transport& driver)
     : scenario_(scenario),
-      ledger_(ledger),
-      driver_(driver),
+      eventLog_(ledger),
+      transport_(driver),
       arrivals_(seed * 5 + 1),
       keys_(seed * 5 + 2),
       net_(seed * 5 + 3),
       service_(seed * 5 + 4),
       faults_(seed * 5 + 5),
       zipf_(scenario.load.keys, scenario.load.zipf) {
-    ledger_.head(head(seed));
+    eventLog_.head(head(seed));
     const auto& zones = scenario_.network.zones;
     Server origin;
     origin.name = "origin";
@@ -92,7 +92,7 @@
 
 void EmulatedDeployment::log(Nanos now, EventKind what, std::uint64_t command, int router, int server,
                              std::uint64_t run, std::int64_t number, std::string text) {
-    ledger_.add({now, what, command, router, server, run, number, std::move(text)});
+    eventLog_.add({now, what, command, router, server, run, number, std::move(text)});
 }
 
 nlohmann::json EmulatedDeployment::head(std::uint64_t seed) const {
@@ -153,7 +153,8 @@
     server.startedAt = cold ? now : 0;
     server.wallStep = wallStep_;
     const auto index = static_cast<int>(servers_.size());
-    hosts_.push_back(std::make_unique<Host>(shape, keys, std::max<Nanos>(scenario_.cold.fallSpan, 1)));
+    serverStates_.push_back(
+        std::make_unique<ServerState>(shape, keys, std::max<Nanos>(scenario_.cold.fallSpan, 1)));
     log(now, EventKind::server, 0, -1, index, 0, server.startedAt,
         fmt::format("{} {} {} {} {}", server.name, server.zone, server.cell,
                     server.origin ? "origin" : "cache", shape.cores * shape.speed));
@@ -170,12 +171,12 @@
 void EmulatedDeployment::begin(Nanos now) {
     beganAt_ = now;
     loadUntil_ = now + scenario_.length;
-    for (const FaultPlan& f : scenario_.faults) plan(f);
-    if (scenario_.routers.moved > 0) weigh(now);
-    agenda_.put(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { arrive(t); });
+    for (const FaultPlan& f : scenario_.faults) scheduleFaults(f);
+    if (scenario_.routers.moved > 0) updateWeights(now);
+    events_.schedule(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
 }
 
-bool EmulatedDeployment::over(Nanos now) const { return now > loadUntil_ && open_.empty(); }
+bool EmulatedDeployment::isOver(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
 
 // ---- clients
 
@@ -207,7 +208,7 @@
     for (; drifted_ < due; ++drifted_)
         std::swap(order_[nth(keys_.below(l.keys))], order_[nth(keys_.below(l.keys))]);
     const int rank = zipf_.draw(keys_);
-    const double which = keys_.part();
+    const double which = keys_.fraction();
     if (which < now_.hotKey) return "hot";
     if (which < now_.hotKey + now_.scan) return fmt::format("scan{}", ++lastScan_);
     return fmt::format("k{}", order_[nth(rank)]);
@@ -216,14 +217,14 @@
 int EmulatedDeployment::pickRouter() {
     std::vector<int> believed;
     for (std::size_t r = 0; r < routers_.size(); ++r)
-        if (routers_[r].believed) believed.push_back(static_cast<int>(r));
+        if (routers_[r].assumedUp) believed.push_back(static_cast<int>(r));
     if (believed.empty()) return net_.below(static_cast<int>(routers_.size()));
     return believed[nth(net_.below(static_cast<int>(believed.size())))];
 }
 
-void EmulatedDeployment::arrive(Nanos now) {
+void EmulatedDeployment::generateRequest(Nanos now) {
     if (now >= loadUntil_) return;
-    agenda_.put(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { arrive(t); });
+    events_.schedule(now + arrivals_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
     ClientRequest a;
     a.requestClass =
         arrivals_.among(scenario_.requestClasses, [](const RequestClassPlan& v) { return v.share; });
@@ -232,98 +233,99 @@
     const RequestClassPlan& requestClass = scenario_.requestClasses[nth(a.requestClass)];
     a.key = drawKey(now);
     a.work = static_cast<double>(requestClass.work) * arrivals_.factor(requestClass.spread);
-    if (arrivals_.yes(now_.heavy)) a.work *= kHeavyFactor;
+    if (arrivals_.chance(now_.heavy)) a.work *= kHeavyFactor;
     if (requestClass.requestClass.idempotency == Idempotency::idempotentWithKey)
-        a.mark = fmt::format("{:016x}", arrivals_.word());
-    a.id = a.first = arrivals_.word();
+        a.mark = fmt::format("{:016x}", arrivals_.randomWord());
+    a.id = a.first = arrivals_.randomWord();
     a.dueAt = now;
     a.deadline = a.firstLimit = now + requestClass.limit;
-    const bool impatient = arrivals_.yes(scenario_.load.impatient);
+    const bool impatient = arrivals_.chance(scenario_.load.impatient);
     a.router = pickRouter();
     const RequestId id = a.id;
     const Nanos half = now + requestClass.limit / 2;
-    ask(now, std::move(a));
-    if (impatient) agenda_.put(half, [this, id](Nanos t) { clientLeaves(t, id); });
+    sendRequest(now, std::move(a));
+    if (impatient) events_.schedule(half, [this, id](Nanos t) { clientLeaves(t, id); });
 }
 
 void EmulatedDeployment::clientLeaves(Nanos now, RequestId id) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return;
+    const auto it = openRequests_.find(id);
+    if (it == openRequests_.end()) return;
     const int router = it->second.router;
     log(now, EventKind::left, id, router, -1, 0, 0);
-    open_.erase(it);
-    driver_.leave(router, id);
+    openRequests_.erase(it);
+    transport_.disconnectClient(router, id);
 }
 
-void EmulatedDeployment::ask(Nanos now, ClientRequest a) {
+void EmulatedDeployment::sendRequest(Nanos now, ClientRequest a) {
     const RequestId id = a.id;
     const std::string tenant = a.tenant < 0 ? "-" : scenario_.tenants[nth(a.tenant)].name;
     log(now, EventKind::asked, id, a.router, -1, static_cast<std::uint64_t>(a.dueAt), a.deadline,
         fmt::format("{} {} {} {:x} {}", scenario_.requestClasses[nth(a.requestClass)].requestClass.name,
-                    tenant, a.key, a.first, a.tries));
+                    tenant, a.key, a.first, a.retries));
     works_[id] = a.work;
-    remembered_.push_back(id);
-    if (remembered_.size() > kRemembered) {
-        works_.erase(remembered_.front());
-        lacking_.erase(remembered_.front());
-        remembered_.pop_front();
+    idempotencyRecords_.push_back(id);
+    if (idempotencyRecords_.size() > kRemembered) {
+        works_.erase(idempotencyRecords_.front());
+        lacking_.erase(idempotencyRecords_.front());
+        idempotencyRecords_.pop_front();
     }
-    agenda_.put(a.deadline + scenario_.slack, [this, id](Nanos t) {
-        const auto it = open_.find(id);
-        if (it == open_.end()) return;
+    events_.schedule(a.deadline + scenario_.slack, [this, id](Nanos t) {
+        const auto it = openRequests_.find(id);
+        if (it == openRequests_.end()) return;
         const int router = it->second.router;
         log(t, EventKind::silent, id, router, -1, 0, 0);
-        open_.erase(it);
-        driver_.leave(router, id);
+        openRequests_.erase(it);
+        transport_.disconnectClient(router, id);
     });
-    const ClientRequest& kept = open_[id] = std::move(a);
-    driver_.ask(kept);
+    const ClientRequest& kept = openRequests_[id] = std::move(a);
+    transport_.sendRequest(kept);
 }
 
-void EmulatedDeployment::told(Nanos now, RequestId id, Told how, const std::string& token, Nanos retryAfter) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) {
+void EmulatedDeployment::onClientOutcome(Nanos now, RequestId id, ClientOutcome how, const std::string& token,
+                                         Nanos retryAfter) {
+    const auto it = openRequests_.find(id);
+    if (it == openRequests_.end()) {
         // A second final answer, or one to nobody: the audit says which.
         static constexpr EventKind whats[] = {EventKind::answered, EventKind::declined,
                                               EventKind::terminated};
-        if (how != Told::unsent && works_.contains(id))
+        if (how != ClientOutcome::unsent && works_.contains(id))
             log(now, whats[static_cast<int>(how)], id, -1, -1, 0, retryAfter, token);
         return;
     }
     const ClientRequest ask = std::move(it->second);
-    open_.erase(it);
+    openRequests_.erase(it);
     switch (how) {
-        case Told::answered:
+        case ClientOutcome::answered:
             return log(now, EventKind::answered, id, ask.router, -1, 0, 0, token);
-        case Told::declined:
+        case ClientOutcome::declined:
             log(now, EventKind::declined, id, ask.router, -1, 0, retryAfter);
-            return tryAgain(now, ask, std::max(retryAfter, scenario_.load.backoff << (ask.tries - 1)));
-        case Told::terminated:
+            return retryLater(now, ask, std::max(retryAfter, scenario_.load.backoff << (ask.retries - 1)));
+        case ClientOutcome::terminated:
             log(now, EventKind::terminated, id, ask.router, -1, 0, 0);
             // Nobody can say whether it ran: only what may run twice is asked again.
             if (scenario_.requestClasses[nth(ask.requestClass)].requestClass.idempotency == Idempotency::safe)
-                tryAgain(now, ask, scenario_.load.backoff << (ask.tries - 1));
+                retryLater(now, ask, scenario_.load.backoff << (ask.retries - 1));
             return;
-        case Told::unsent:
+        case ClientOutcome::unsent:
             log(now, EventKind::unsent, id, ask.router, -1, 0, 0);
             if (token.empty() ||
                 scenario_.requestClasses[nth(ask.requestClass)].requestClass.idempotency == Idempotency::safe)
-                tryAgain(now, ask, kMillisecond);
+                retryLater(now, ask, kMillisecond);
             return;
     }
 }
 
-void EmulatedDeployment::tryAgain(Nanos now, const ClientRequest& last, Nanos after) {
-    if (last.tries >= scenario_.load.tries) return;
-    const auto wait = static_cast<Nanos>(static_cast<double>(after) * (0.75 + 0.5 * net_.part()));
+void EmulatedDeployment::retryLater(Nanos now, const ClientRequest& last, Nanos after) {
+    if (last.retries >= scenario_.load.tries) return;
+    const auto wait = static_cast<Nanos>(static_cast<double>(after) * (0.75 + 0.5 * net_.fraction()));
     const RequestClassPlan& requestClass = scenario_.requestClasses[nth(last.requestClass)];
     if (now + wait + requestClass.limit / 20 > last.firstLimit) return;
-    agenda_.put(now + wait, [this, last](Nanos t) {
+    events_.schedule(now + wait, [this, last](Nanos t) {
         ClientRequest a = last;
-        a.id = net_.word();
-        ++a.tries;
+        a.id = net_.randomWord();
+        ++a.retries;
         a.router = pickRouter();
-        ask(t, std::move(a));
+        sendRequest(t, std::move(a));
     });
 }
 
@@ -339,29 +341,30 @@
     return (routers_[nth(router)].zone == now_.cutZone) == (servers_[nth(server)].zone == now_.cutZone);
 }
 
-AddressState EmulatedDeployment::doorNow(int router, int door) const {
+AddressState EmulatedDeployment::addressState(int router, int door) const {
     const int server = occupants_[nth(door)];
-    const Host& host = *hosts_[nth(server)];
+    const ServerState& host = *serverStates_[nth(server)];
     if (!passes(router, server) || host.late) return AddressState::silent;
-    return host.life == Life::down || host.life == Life::gone || host.refuses ? AddressState::refused
-                                                                              : AddressState::open;
+    return host.life == ServerCondition::down || host.life == ServerCondition::gone || host.refuses
+               ? AddressState::refused
+               : AddressState::open;
 }
 
-void EmulatedDeployment::lookAtDoors(Nanos) {
+void EmulatedDeployment::updateAddressStates(Nanos) {
     for (int r = 0; r < scenario_.routers.count; ++r)
-        for (int d = 0; d < doors(); ++d) driver_.setAddressState(r, d, doorNow(r, d));
+        for (int d = 0; d < addresses(); ++d) transport_.setAddressState(r, d, addressState(r, d));
 }
 
-ConnId EmulatedDeployment::connect(Nanos now, int router, int door) {
+ConnectionId EmulatedDeployment::connect(Nanos now, int router, int door) {
     const int server = occupants_[nth(door)];
-    Host& host = *hosts_[nth(server)];
-    const ConnId id = ++lastConn_;
+    ServerState& host = *serverStates_[nth(server)];
+    const ConnectionId id = ++lastConn_;
     const Server& s = servers_[nth(server)];
     const int most = s.origin ? scenario_.origin.connections : s.plan->connections;
-    AddressState state = doorNow(router, door);
+    AddressState state = addressState(router, door);
     if (state == AddressState::open && host.connections >= most) state = AddressState::refused;
     if (state == AddressState::open) {
-        conns_[id] = {id, router, server, false, 0, {}};
+        connections_[id] = {id, router, server, false, 0, {}};
         ++host.connections;
         log(now, EventKind::opened, 0, router, server, 0, 0);
         if (!s.origin) host.machine.extra(static_cast<double>(s.plan->handshake));
@@ -369,37 +372,37 @@
     if (state == AddressState::silent) return id;
     const std::string& zone = routers_[nth(router)].zone;
     const Nanos trip = delay(zone, s.zone) + delay(s.zone, zone);
-    agenda_.put(now + trip, [this, id, up = state == AddressState::open](Nanos) {
-        const auto it = conns_.find(id);
-        if (it != conns_.end()) it->second.up = true;
-        if (!up || it != conns_.end()) driver_.opened(id, up);
+    events_.schedule(now + trip, [this, id, up = state == AddressState::open](Nanos) {
+        const auto it = connections_.find(id);
+        if (it != connections_.end()) it->second.up = true;
+        if (!up || it != connections_.end()) transport_.onConnectionOpened(id, up);
     });
     return id;
 }
 
-void EmulatedDeployment::closed(Nanos now, ConnId id) {
-    const auto it = conns_.find(id);
-    if (it == conns_.end()) return;
-    Host& host = *hosts_[nth(it->second.server)];
+void EmulatedDeployment::closed(Nanos now, ConnectionId id) {
+    const auto it = connections_.find(id);
+    if (it == connections_.end()) return;
+    ServerState& host = *serverStates_[nth(it->second.server)];
     --host.connections;
     for (const auto& owed : it->second.owed) {
-        const auto run = runs_.find(owed.run);
-        if (run == runs_.end()) continue;
+        const auto run = executions_.find(owed.run);
+        if (run == executions_.end()) continue;
         log(now, EventKind::closed, run->second.call.command, it->second.router, run->second.server, owed.run,
             0);
         // What only waited there is dropped; what runs goes on, and so does what is still on its way.
-        if (host.machine.withdraw(owed.run)) runs_.erase(run);
+        if (host.machine.withdraw(owed.run)) executions_.erase(run);
     }
-    conns_.erase(it);
+    connections_.erase(it);
 }
 
-void EmulatedDeployment::call(Nanos now, ConnId id, const ServerCall& call) {
-    const auto it = conns_.find(id);
-    if (it == conns_.end()) return;
-    Conn& conn = it->second;
+void EmulatedDeployment::call(Nanos now, ConnectionId id, const ServerCall& call) {
+    const auto it = connections_.find(id);
+    if (it == connections_.end()) return;
+    ServerConnection& conn = it->second;
     const Server& s = servers_[nth(conn.server)];
-    Host& host = *hosts_[nth(conn.server)];
-    RunOut out;
+    ServerState& host = *serverStates_[nth(conn.server)];
+    ExecutionInFlight out;
     out.run = ++lastRun_;
     out.conn = id;
     out.call = call;
@@ -410,29 +413,30 @@
     const std::uint64_t run = out.run;
     log(now, EventKind::sent, call.command, conn.router, conn.server, run,
         static_cast<std::int64_t>(out.work), timeToldText(call));
-    runs_[run] = std::move(out);
+    executions_[run] = std::move(out);
     conn.owed.push_back({run, std::nullopt});
     if (!passes(conn.router, conn.server)) return;
     conn.lastArrival =
         std::max(conn.lastArrival, now + delay(routers_[nth(conn.router)].zone, s.zone) + host.readsLater);
     const std::uint64_t life = host.lives;
-    agenda_.put(conn.lastArrival, [this, run, life](Nanos t) {
-        const auto found = runs_.find(run);
-        if (found != runs_.end() && hosts_[nth(found->second.server)]->lives == life) arrived(t, run);
+    events_.schedule(conn.lastArrival, [this, run, life](Nanos t) {
+        const auto found = executions_.find(run);
+        if (found != executions_.end() && serverStates_[nth(found->second.server)]->lives == life)
+            onRequestArrived(t, run);
     });
-    if (service_.yes(host.resets))
-        agenda_.put(conn.lastArrival + static_cast<Nanos>(runs_[run].work / 2 / s.speed),
-                    [this, id](Nanos t) { breakOne(t, id); });
+    if (service_.chance(host.resets))
+        events_.schedule(conn.lastArrival + static_cast<Nanos>(executions_[run].work / 2 / s.speed),
+                         [this, id](Nanos t) { breakConnection(t, id); });
 }
 
-void EmulatedDeployment::arrived(Nanos now, std::uint64_t run) {
-    RunOut& out = runs_.at(run);
+void EmulatedDeployment::onRequestArrived(Nanos now, std::uint64_t run) {
+    ExecutionInFlight& out = executions_.at(run);
     const Server& s = servers_[nth(out.server)];
-    Host& host = *hosts_[nth(out.server)];
-    if (host.life != Life::up) return;
-    if (host.draining) return say(now, run, {Reply::Kind::busy, {}});
-    if (service_.yes(host.errors)) return say(now, run, {Reply::Kind::error, {}});
-    if (!s.origin && !out.call.write && !(out.hit = host.kept.use(out.call.key))) out.work *= kMissWork;
+    ServerState& host = *serverStates_[nth(out.server)];
+    if (host.life != ServerCondition::up) return;
+    if (host.draining) return queueReply(now, run, {Reply::Kind::busy, {}});
+    if (service_.chance(host.errors)) return queueReply(now, run, {Reply::Kind::error, {}});
+    if (!s.origin && !out.call.write && !(out.hit = host.kept.touch(out.call.key))) out.work *= kMissWork;
 
     const double pace = paceOf(now, s.startedAt, scenario_.cold.share, scenario_.cold.ramp);
     host.drive.add(now, out.work);
@@ -443,25 +447,25 @@
     if (tip > 0 && host.drive.sum(now) > tip * bearable) {
         const int server = out.server;
         log(now, EventKind::fell, 0, -1, server, 0, 0);
-        die(now, server);
-        if (!s.origin) change(now, server, EndpointState::removed, scenario_.discovery.noticeGone);
-        agenda_.put(now + (s.origin ? scenario_.origin.stopped : scenario_.cold.down),
-                    [this, server](Nanos t) { revive(t, server); });
+        stopServer(now, server);
+        if (!s.origin) changeEndpoint(now, server, EndpointState::removed, scenario_.discovery.noticeGone);
+        events_.schedule(now + (s.origin ? scenario_.origin.stopped : scenario_.cold.down),
+                         [this, server](Nanos t) { restartServer(t, server); });
         return;
     }
-    if (host.machine.full()) return say(now, run, {Reply::Kind::busy, {}});
+    if (host.machine.full()) return queueReply(now, run, {Reply::Kind::busy, {}});
     host.machine.take(run, out.work);
     serve(now, out.server);
 }
 
 void EmulatedDeployment::serve(Nanos now, int server) {
-    Host& host = *hosts_[nth(server)];
-    if (host.life != Life::up) return;
+    ServerState& host = *serverStates_[nth(server)];
+    if (host.life != ServerCondition::up) return;
     const Server& s = servers_[nth(server)];
     const double pace =
         paceOf(now, s.startedAt, s.origin ? 1 : scenario_.cold.share, scenario_.cold.ramp) / host.slow;
     for (const ServerModel::Begun& begun : host.machine.begin(now, pace)) {
-        RunOut& out = runs_.at(begun.job);
+        ExecutionInFlight& out = executions_.at(begun.job);
         out.begun = true;
         for (const RequestClassPlan& v : scenario_.requestClasses) {
             if (v.requestClass.name != out.call.requestClass ||
@@ -477,193 +481,197 @@
                 !marks_[group].enter(now, out.call.mark, now + v.requestClass.idempotencyKeyTtl);
             if (!repeat) log(now, EventKind::began, out.call.command, -1, server, begun.job, 0);
         }
-        agenda_.put(begun.until, [this, run = begun.job, life = host.lives, server](Nanos t) {
-            if (hosts_[nth(server)]->lives == life) finish(t, run);
+        events_.schedule(begun.until, [this, run = begun.job, life = host.lives, server](Nanos t) {
+            if (serverStates_[nth(server)]->lives == life) finish(t, run);
         });
     }
 }
 
 void EmulatedDeployment::finish(Nanos now, std::uint64_t run) {
-    const auto it = runs_.find(run);
-    if (it == runs_.end()) return;
-    RunOut& out = it->second;
+    const auto it = executions_.find(run);
+    if (it == executions_.end()) return;
+    ExecutionInFlight& out = it->second;
     const int server = out.server;
-    Host& host = *hosts_[nth(server)];
+    ServerState& host = *serverStates_[nth(server)];
     const Server& s = servers_[nth(server)];
     host.machine.ended();
     Reply reply{Reply::Kind::value, fmt::format("v{:x}", run)};
     if (s.origin) {
         for (std::size_t c = 1; c < servers_.size() && out.call.write; ++c)
-            hosts_[c]->kept.drop(out.call.key);
+            serverStates_[c]->kept.drop(out.call.key);
         if (const auto lacking = lacking_.find(out.call.command);
             lacking != lacking_.end() && !out.call.write) {
             for (const int c : lacking->second)
-                if (hosts_[nth(c)]->life == Life::up) hosts_[nth(c)]->kept.put(out.call.key);
+                if (serverStates_[nth(c)]->life == ServerCondition::up)
+                    serverStates_[nth(c)]->kept.put(out.call.key);
             lacking_.erase(lacking);
         }
-    } else if (service_.yes(s.plan->errors)) {
+    } else if (service_.chance(s.plan->errors)) {
         reply = {Reply::Kind::error, {}};
     } else if (!out.call.write && !out.hit) {
         reply = {Reply::Kind::miss, {}};
         lacking_[out.call.command].push_back(server);
     }
-    if (service_.yes(now_.spoil)) reply = {Reply::Kind::spoilt, {}};
-    say(now, run, std::move(reply));
+    if (service_.chance(now_.spoil)) reply = {Reply::Kind::spoilt, {}};
+    queueReply(now, run, std::move(reply));
     serve(now, server);
 }
 
 // The server's word on a run; what is left of the run goes with it.
-void EmulatedDeployment::say(Nanos now, std::uint64_t run, Reply reply) {
-    const auto it = runs_.find(run);
-    const RunOut out = std::move(it->second);
-    runs_.erase(it);
+void EmulatedDeployment::queueReply(Nanos now, std::uint64_t run, Reply reply) {
+    const auto it = executions_.find(run);
+    const ExecutionInFlight out = std::move(it->second);
+    executions_.erase(it);
     static constexpr std::string_view kinds[] = {"value", "miss", "error", "busy", "spoilt"};
     log(now, EventKind::ended, out.call.command, -1, out.server, run, 0,
         fmt::format("{} {}", kinds[static_cast<int>(reply.kind)], reply.token));
-    const auto conn = conns_.find(out.conn);
-    if (conn == conns_.end()) return;
+    const auto conn = connections_.find(out.conn);
+    if (conn == connections_.end()) return;
     for (auto& owed : conn->second.owed)
         if (owed.run == run) owed.reply = std::move(reply);
-    if (hosts_[nth(out.server)]->deaf) return;
-    deliver(now, out.conn);
+    if (serverStates_[nth(out.server)]->deaf) return;
+    deliverReply(now, out.conn);
 }
 
-void EmulatedDeployment::deliver(Nanos now, ConnId id) {
-    Conn& conn = conns_.at(id);
+void EmulatedDeployment::deliverReply(Nanos now, ConnectionId id) {
+    ServerConnection& conn = connections_.at(id);
     while (!conn.owed.empty() && conn.owed.front().reply) {
         const Reply reply = std::move(*conn.owed.front().reply);
         conn.owed.pop_front();
         if (!passes(conn.router, conn.server)) return;
         const Nanos trip = delay(servers_[nth(conn.server)].zone, routers_[nth(conn.router)].zone);
-        agenda_.put(now + trip, [this, id, reply](Nanos) {
-            if (conns_.contains(id)) driver_.reply(id, reply);
+        events_.schedule(now + trip, [this, id, reply](Nanos) {
+            if (connections_.contains(id)) transport_.sendReply(id, reply);
         });
     }
 }
 
-void EmulatedDeployment::breakOne(Nanos now, ConnId id) {
-    const auto it = conns_.find(id);
-    if (it == conns_.end()) return;
-    --hosts_[nth(it->second.server)]->connections;
+void EmulatedDeployment::breakConnection(Nanos now, ConnectionId id) {
+    const auto it = connections_.find(id);
+    if (it == connections_.end()) return;
+    --serverStates_[nth(it->second.server)]->connections;
     for (const auto& owed : it->second.owed)
-        if (const auto run = runs_.find(owed.run); run != runs_.end())
+        if (const auto run = executions_.find(owed.run); run != executions_.end())
             log(now, EventKind::broke, run->second.call.command, it->second.router, it->second.server,
                 owed.run, 0);
-    conns_.erase(it);
-    driver_.broke(id);
+    connections_.erase(it);
+    transport_.breakConnection(id);
 }
 
-void EmulatedDeployment::breakAll(Nanos now, int server) {
-    std::vector<ConnId> all;
-    for (const auto& [id, conn] : conns_)
+void EmulatedDeployment::breakAllConnections(Nanos now, int server) {
+    std::vector<ConnectionId> all;
+    for (const auto& [id, conn] : connections_)
         if (conn.server == server) all.push_back(id);
     std::sort(all.begin(), all.end());  // the same order each time
-    for (const ConnId id : all) breakOne(now, id);
+    for (const ConnectionId id : all) breakConnection(now, id);
 }
 
-void EmulatedDeployment::die(Nanos now, int server) {
-    Host& host = *hosts_[nth(server)];
-    host.life = Life::down;
+void EmulatedDeployment::stopServer(Nanos now, int server) {
+    ServerState& host = *serverStates_[nth(server)];
+    host.life = ServerCondition::down;
     ++host.lives;
     host.machine.clear();
     host.kept.clear();
     host.drive.clear();
-    breakAll(now, server);
-    std::erase_if(runs_, [&](const auto& item) { return item.second.server == server; });
-    lookAtDoors(now);
+    breakAllConnections(now, server);
+    std::erase_if(executions_, [&](const auto& item) { return item.second.server == server; });
+    updateAddressStates(now);
 }
 
-void EmulatedDeployment::revive(Nanos now, int server) {
-    Host& host = *hosts_[nth(server)];
-    const bool back = host.life == Life::down || host.life == Life::hung;
-    if (host.life == Life::gone || (!back && !host.leaving)) return;
-    host.life = Life::up;
+void EmulatedDeployment::restartServer(Nanos now, int server) {
+    ServerState& host = *serverStates_[nth(server)];
+    const bool back = host.life == ServerCondition::down || host.life == ServerCondition::hung;
+    if (host.life == ServerCondition::gone || (!back && !host.leaving)) return;
+    host.life = ServerCondition::up;
     host.leaving = host.draining = false;
     ++host.lives;
     Server& s = servers_[nth(server)];
     if (!s.origin) s.startedAt = now;
     s.wallStep = wallStep_;
     log(now, EventKind::started, 0, -1, server, 0, s.startedAt);
-    lookAtDoors(now);
-    if (!s.origin) change(now, server, EndpointState::ready, scenario_.discovery.noticeBack);
+    updateAddressStates(now);
+    if (!s.origin) changeEndpoint(now, server, EndpointState::ready, scenario_.discovery.noticeBack);
 }
 
 // ---- discovery
 
-List EmulatedDeployment::wholeList() const {
-    List list{version_, true, {}};
-    for (const ListLine& line : lines_)
-        if (line.presence != EndpointState::removed) list.lines.push_back(line);
+EndpointListMessage EmulatedDeployment::completeList() const {
+    EndpointListMessage list{version_, true, {}};
+    for (const EndpointLine& line : lines_)
+        if (line.state != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-List EmulatedDeployment::lastList(int router) const {
+EndpointListMessage EmulatedDeployment::lastList(int router) const {
     const RouterState& state = routers_[nth(router)];
-    if (state.told.empty()) return wholeList();
-    List list{0, true, {}};  // its version may be old: whatever has changed since is told at the first call
-    for (const auto& [server, line] : state.told)
-        if (line.presence != EndpointState::removed) list.lines.push_back(line);
+    if (state.knownEndpoints.empty()) return completeList();
+    EndpointListMessage list{
+        0, true, {}};  // its version may be old: whatever has changed since is told at the first call
+    for (const auto& [server, line] : state.knownEndpoints)
+        if (line.state != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-void EmulatedDeployment::change(Nanos now, int server, EndpointState presence, Nanos after) {
-    agenda_.put(now + after, [this, server, presence](Nanos t) {
+void EmulatedDeployment::changeEndpoint(Nanos now, int server, EndpointState presence, Nanos after) {
+    events_.schedule(now + after, [this, server, presence](Nanos t) {
         // It has come back before anyone noticed that it was gone.
-        const Host& host = *hosts_[nth(server)];
-        if (presence == EndpointState::removed && host.life == Life::up && !host.leaving) return;
-        ListLine& line = lines_[nth(server)];
-        line.presence = presence;
+        const ServerState& host = *serverStates_[nth(server)];
+        if (presence == EndpointState::removed && host.life == ServerCondition::up && !host.leaving) return;
+        EndpointLine& line = lines_[nth(server)];
+        line.state = presence;
         line.startedAt = servers_[nth(server)].startedAt;
         changes_.push_back({++version_, line});
         if (scenario_.discovery.toldWithin > 0)
-            agenda_.put(t + scenario_.discovery.toldWithin,
-                        [this, change = changes_.back()](Nanos due) { countAsTold(due, change); });
-        answerWatches(t);
+            events_.schedule(t + scenario_.discovery.toldWithin,
+                             [this, change = changes_.back()](Nanos due) { countAsKnown(due, change); });
+        answerLongPolls(t);
     });
 }
 
-void EmulatedDeployment::weigh(Nanos now) {
-    for (ListLine& line : lines_) {
+void EmulatedDeployment::updateWeights(Nanos now) {
+    for (EndpointLine& line : lines_) {
         const Server& s = servers_[nth(line.server)];
         if (s.origin) continue;
-        const ServerModel& machine = hosts_[nth(line.server)]->machine;
+        const ServerModel& machine = serverStates_[nth(line.server)]->machine;
         const double held = (machine.running() + static_cast<double>(machine.waiting())) / s.plan->cores;
-        if (std::exchange(line.held, held) != held) changes_.push_back({++version_, line});
+        if (std::exchange(line.heldCommands, held) != held) changes_.push_back({++version_, line});
     }
-    answerWatches(now);
-    if (now <= loadUntil_) agenda_.put(now + scenario_.discovery.weighEvery, [this](Nanos t) { weigh(t); });
+    answerLongPolls(now);
+    if (now <= loadUntil_)
+        events_.schedule(now + scenario_.discovery.weighEvery, [this](Nanos t) { updateWeights(t); });
 }
 
-ListCallId EmulatedDeployment::watch(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait) {
-    const ListCallId call = ++lastCall_;
-    listCalls_[call] = {router, after, 0};
+PollId EmulatedDeployment::beginPoll(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait) {
+    const PollId call = ++lastCall_;
+    pendingPolls_[call] = {router, after, 0};
     if (discoverySilent_) return call;
-    if (now_.listRefused > 0 && faults_.yes(now_.listRefused)) return refuseSoon(now, router, call), call;
-    if (scenario_.discovery.crowded) endOlderCalls(router, call);
+    if (now_.listRefused > 0 && faults_.chance(now_.listRefused))
+        return refuseAfterDelay(now, router, call), call;
+    if (scenario_.discovery.crowded) endOlderPolls(router, call);
     const Nanos turn = discoveryTurn();
     discoveryFreeAt_ = std::max(now, discoveryFreeAt_) + turn;
     const bool late = discoveryFreeAt_ - now > scenario_.discovery.limit;
     if (late && scenario_.discovery.crowded && !discoveryDown_) {
         discoveryFreeAt_ -= turn - turn / kRefusalPart;
-        return refuseSoon(now, router, call), call;
+        return refuseAfterDelay(now, router, call), call;
     }
     if (discoveryDown_ || late) {
         if (late) discoveryFreeAt_ -= turn;
-        agenda_.put(now + (discoveryDown_ ? scenario_.network.same : scenario_.discovery.limit),
-                    [this, router, call](Nanos) {
-                        if (listCalls_.erase(call) > 0) driver_.listFailed(router, call);
-                    });
+        events_.schedule(now + (discoveryDown_ ? scenario_.network.same : scenario_.discovery.limit),
+                         [this, router, call](Nanos) {
+                             if (pendingPolls_.erase(call) > 0) transport_.failPoll(router, call);
+                         });
         return call;
     }
-    agenda_.put(discoveryFreeAt_, [this, call, wait](Nanos t) {
-        const auto it = listCalls_.find(call);
-        if (it == listCalls_.end()) return;
-        ListCall& waiting = it->second;
-        if (!waiting.after || *waiting.after < version_) return answerCall(t, call);
+    events_.schedule(discoveryFreeAt_, [this, call, wait](Nanos t) {
+        const auto it = pendingPolls_.find(call);
+        if (it == pendingPolls_.end()) return;
+        PendingPoll& waiting = it->second;
+        if (!waiting.after || *waiting.after < version_) return answerPoll(t, call);
         waiting.until = t + wait;
-        agenda_.put(t + wait, [this, call](Nanos end) {
-            const auto due = listCalls_.find(call);
-            if (due != listCalls_.end() && due->second.until > 0) answerCall(end, call);
+        events_.schedule(t + wait, [this, call](Nanos end) {
+            const auto due = pendingPolls_.find(call);
+            if (due != pendingPolls_.end() && due->second.until > 0) answerPoll(end, call);
         });
     });
     return call;
@@ -673,118 +681,119 @@
     return static_cast<Nanos>(1e9 / scenario_.discovery.perSecond);
 }
 
-void EmulatedDeployment::refuseSoon(Nanos now, int router, ListCallId call) {
-    agenda_.put(now + scenario_.network.same, [this, router, call](Nanos) {
-        if (listCalls_.erase(call) > 0) driver_.listRefused(router, call);
+void EmulatedDeployment::refuseAfterDelay(Nanos now, int router, PollId call) {
+    events_.schedule(now + scenario_.network.same, [this, router, call](Nanos) {
+        if (pendingPolls_.erase(call) > 0) transport_.refusePoll(router, call);
     });
 }
 
-void EmulatedDeployment::endOlderCalls(int router, ListCallId call) {
-    std::vector<ListCallId> older;
-    for (const auto& [id, out] : listCalls_)
+void EmulatedDeployment::endOlderPolls(int router, PollId call) {
+    std::vector<PollId> older;
+    for (const auto& [id, out] : pendingPolls_)
         if (out.router == router && id != call) older.push_back(id);
-    for (const ListCallId id : older) {
-        listCalls_.erase(id);
-        driver_.listRefused(router, id);
+    for (const PollId id : older) {
+        pendingPolls_.erase(id);
+        transport_.refusePoll(router, id);
     }
 }
 
-void EmulatedDeployment::unwatch(ListCallId call) { listCalls_.erase(call); }
+void EmulatedDeployment::endPoll(PollId call) { pendingPolls_.erase(call); }
 
-std::vector<ListCallId> EmulatedDeployment::callsInOrder() const {
-    std::vector<ListCallId> calls;
-    for (const auto& [id, call] : listCalls_) calls.push_back(id);
-    std::stable_sort(calls.begin(), calls.end(), [this](ListCallId a, ListCallId b) {
-        return listCalls_.at(a).router < listCalls_.at(b).router;
+std::vector<PollId> EmulatedDeployment::pollsInOrder() const {
+    std::vector<PollId> calls;
+    for (const auto& [id, call] : pendingPolls_) calls.push_back(id);
+    std::stable_sort(calls.begin(), calls.end(), [this](PollId a, PollId b) {
+        return pendingPolls_.at(a).router < pendingPolls_.at(b).router;
     });
     return calls;
 }
 
-void EmulatedDeployment::answerWatches(Nanos now) {
-    for (const ListCallId id : callsInOrder()) {
-        if (listCalls_.at(id).until <= now) continue;
+void EmulatedDeployment::answerLongPolls(Nanos now) {
+    for (const PollId id : pollsInOrder()) {
+        if (pendingPolls_.at(id).until <= now) continue;
         if (!scenario_.discovery.crowded) {
-            answerCall(now, id);
+            answerPoll(now, id);
             continue;
         }
-        listCalls_.at(id).until = 0;
+        pendingPolls_.at(id).until = 0;
         discoveryFreeAt_ = std::max(now, discoveryFreeAt_) + discoveryTurn();
-        agenda_.put(discoveryFreeAt_, [this, id](Nanos t) {
-            if (listCalls_.contains(id)) answerCall(t, id);
+        events_.schedule(discoveryFreeAt_, [this, id](Nanos t) {
+            if (pendingPolls_.contains(id)) answerPoll(t, id);
         });
     }
 }
 
 Nanos EmulatedDeployment::discoveryLateness() {
     if (now_.listLate == 0) return 0;
-    return static_cast<Nanos>(static_cast<double>(now_.listLate) * (1 - faults_.part() / 4));
+    return static_cast<Nanos>(static_cast<double>(now_.listLate) * (1 - faults_.fraction() / 4));
 }
 
-void EmulatedDeployment::answerCall(Nanos now, ListCallId id) {
-    ListCall& asked = listCalls_.at(id);
-    List list{version_, false, {}};
+void EmulatedDeployment::answerPoll(Nanos now, PollId id) {
+    PendingPoll& asked = pendingPolls_.at(id);
+    EndpointListMessage list{version_, false, {}};
     const std::int64_t known = asked.after.value_or(0);
     const std::int64_t oldest = changes_.empty() ? version_ : changes_.front().version - 1;
     if (!asked.after || known < oldest || known > version_) {
-        list = wholeList();
+        list = completeList();
     } else {
         for (const Change& c : changes_)
             if (c.version > known) list.lines.push_back(c.line);
     }
     asked.until = 0;
-    agenda_.put(now + discoveryLateness() + scenario_.network.same, [this, id, list](Nanos t) {
-        const auto it = listCalls_.find(id);
-        if (it == listCalls_.end() || discoverySilent_) return;
+    events_.schedule(now + discoveryLateness() + scenario_.network.same, [this, id, list](Nanos t) {
+        const auto it = pendingPolls_.find(id);
+        if (it == pendingPolls_.end() || discoverySilent_) return;
         const int router = it->second.router;
-        listCalls_.erase(it);
-        heard(t, router, list);
-        driver_.listed(router, id, list);
+        pendingPolls_.erase(it);
+        onEndpointListDelivered(t, router, list);
+        transport_.sendEndpointList(router, id, list);
     });
 }
 
-void EmulatedDeployment::heard(Nanos now, int router, const List& list) {
-    const auto& told = routers_[nth(router)].told;
+void EmulatedDeployment::onEndpointListDelivered(Nanos now, int router, const EndpointListMessage& list) {
+    const auto& told = routers_[nth(router)].knownEndpoints;
     if (list.full)
         for (const auto& [server, line] : std::map(told))
             if (std::none_of(list.lines.begin(), list.lines.end(),
-                             [&, s = server](const ListLine& l) { return l.server == s; }))
-                tell(now, router, {server, EndpointState::removed, line.startedAt}, list.version, false);
-    for (const ListLine& line : list.lines) tell(now, router, line, list.version, false);
+                             [&, s = server](const EndpointLine& l) { return l.server == s; }))
+                sendEndpointList(now, router, {server, EndpointState::removed, line.startedAt}, list.version,
+                                 false);
+    for (const EndpointLine& line : list.lines) sendEndpointList(now, router, line, list.version, false);
 }
 
 // An answer that comes behind a newer one takes nothing back.
-void EmulatedDeployment::tell(Nanos now, int router, const ListLine& line, std::int64_t version,
-                              bool counted) {
+void EmulatedDeployment::sendEndpointList(Nanos now, int router, const EndpointLine& line,
+                                          std::int64_t version, bool counted) {
     static constexpr std::string_view states[] = {"gone", "ready", "draining"};
     RouterState& state = routers_[nth(router)];
-    std::int64_t& toldVersion = state.toldVersion[line.server];
+    std::int64_t& toldVersion = state.knownVersion[line.server];
     if (version < toldVersion) return;
     toldVersion = version;
-    const auto it = state.told.find(line.server);
-    if (it != state.told.end() && it->second.presence == line.presence &&
+    const auto it = state.knownEndpoints.find(line.server);
+    if (it != state.knownEndpoints.end() && it->second.state == line.state &&
         it->second.startedAt == line.startedAt)
         return;
-    state.told[line.server] = line;
-    std::string text(states[static_cast<int>(line.presence)]);
+    state.knownEndpoints[line.server] = line;
+    std::string text(states[static_cast<int>(line.state)]);
     if (counted) text += " counted";
     log(now, EventKind::listed, 0, router, line.server, 0, line.startedAt, text);
 }
 
-void EmulatedDeployment::countAsTold(Nanos now, const Change& change) {
+void EmulatedDeployment::countAsKnown(Nanos now, const Change& change) {
     const Nanos within = scenario_.discovery.toldWithin;
     if (!isDiscoveryReachable())
-        return agenda_.put(now + within, [this, change](Nanos t) { countAsTold(t, change); });
+        return events_.schedule(now + within, [this, change](Nanos t) { countAsKnown(t, change); });
     if (const Nanos due = discoveryReachableSince_ + within; due > now)
-        return agenda_.put(due, [this, change](Nanos t) { countAsTold(t, change); });
+        return events_.schedule(due, [this, change](Nanos t) { countAsKnown(t, change); });
     for (int r = 0; r < scenario_.routers.count; ++r)
-        if (routers_[nth(r)].up) tell(now, r, change.line, change.version, true);
+        if (routers_[nth(r)].up) sendEndpointList(now, r, change.line, change.version, true);
 }
 
-void EmulatedDeployment::failCalls() {
-    for (const ListCallId id : callsInOrder()) {
-        const int router = listCalls_.at(id).router;
-        listCalls_.erase(id);
-        driver_.listFailed(router, id);
+void EmulatedDeployment::failPolls() {
+    for (const PollId id : pollsInOrder()) {
+        const int router = pendingPolls_.at(id).router;
+        pendingPolls_.erase(id);
+        transport_.failPoll(router, id);
     }
 }
 
@@ -792,54 +801,56 @@
 
 void EmulatedDeployment::routerUp(Nanos now, int router) {
     RouterState& state = routers_[nth(router)];
-    state.up = state.believed = true;
+    state.up = state.assumedUp = true;
     log(now, EventKind::up, 0, router, -1, 0, 0, state.zone);
-    heard(now, router, lastList(router));
+    onEndpointListDelivered(now, router, lastList(router));
 }
 
 void EmulatedDeployment::routerLeaves(Nanos now, int router, Nanos since) {
     RouterState& state = routers_[nth(router)];
     state.ending = true;
     log(now, EventKind::stopping, 0, router, -1, 0, since);
-    agenda_.put(now + kFrontSeesTerm, [this, router, life = state.life](Nanos) {
-        if (routers_[nth(router)].life == life) routers_[nth(router)].believed = false;
+    events_.schedule(now + kFrontSeesTerm, [this, router, life = state.life](Nanos) {
+        if (routers_[nth(router)].life == life) routers_[nth(router)].assumedUp = false;
     });
 }
 
 void EmulatedDeployment::routerGone(Nanos now, int router) {
     RouterState& state = routers_[nth(router)];
     state.up = false;
-    std::erase_if(listCalls_, [router](const auto& call) { return call.second.router == router; });
+    std::erase_if(pendingPolls_, [router](const auto& call) { return call.second.router == router; });
     const std::uint64_t life = ++state.life;
     const bool asked = std::exchange(state.ending, false);
     log(now, EventKind::killed, 0, router, -1, 0, 0, asked ? "asked" : "by itself");
-    std::vector<ConnId> all;
-    for (const auto& [id, conn] : conns_)
+    std::vector<ConnectionId> all;
+    for (const auto& [id, conn] : connections_)
         if (conn.router == router) all.push_back(id);
     std::sort(all.begin(), all.end());
-    for (const ConnId id : all) closed(now, id);
-    agenda_.put(now + scenario_.routers.notice, [this, router, life](Nanos) {
+    for (const ConnectionId id : all) closed(now, id);
+    events_.schedule(now + scenario_.routers.notice, [this, router, life](Nanos) {
         RouterState& later = routers_[nth(router)];
-        if (later.life == life && !later.up) later.believed = false;
+        if (later.life == life && !later.up) later.assumedUp = false;
     });
-    agenda_.put(now + scenario_.routers.restart, [this, router](Nanos) { driver_.start(router); });
+    events_.schedule(now + scenario_.routers.restart,
+                     [this, router](Nanos) { transport_.startRouter(router); });
 }
 
 // ---- faults
 
-void EmulatedDeployment::plan(const FaultPlan& fault) {
+void EmulatedDeployment::scheduleFaults(const FaultPlan& fault) {
     for (int i = 0; i < fault.times; ++i) {
         FaultPlan one = fault;
         one.at = beganAt_ + fault.at + fault.length * i / fault.times;
         if (fault.times > 1) one.length = fault.length / fault.times / 2;
-        agenda_.put(one.at, [this, one](Nanos t) { injectFault(t, one); });
+        events_.schedule(one.at, [this, one](Nanos t) { injectFault(t, one); });
     }
 }
 
 std::vector<int> EmulatedDeployment::drawCaches(int count) {
     std::vector<int> up;
     for (std::size_t i = 1; i < servers_.size(); ++i)
-        if (hosts_[i]->life == Life::up && !hosts_[i]->draining) up.push_back(static_cast<int>(i));
+        if (serverStates_[i]->life == ServerCondition::up && !serverStates_[i]->draining)
+            up.push_back(static_cast<int>(i));
     std::shuffle(up.begin(), up.end(), faults_.source());
     if (std::ssize(up) > count) up.resize(nth(count));
     std::sort(up.begin(), up.end());
@@ -851,101 +862,104 @@
     std::vector<int> hit;
     const auto each = [&](auto what) {
         hit = drawCaches(fault.count);
-        for (const int s : hit) what(s, *hosts_[nth(s)]);
+        for (const int s : hit) what(s, *serverStates_[nth(s)]);
     };
     using K = FaultKind;
     switch (fault.kind) {
         case K::crash:
-            each([&](int s, Host&) {
-                die(now, s);
-                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
+            each([&](int s, ServerState&) {
+                stopServer(now, s);
+                changeEndpoint(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
             });
             break;
         case K::hang:
-            each([&](int s, Host& host) {
-                host.life = Life::hung;
-                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
+            each([&](int s, ServerState& host) {
+                host.life = ServerCondition::hung;
+                changeEndpoint(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
             });
             break;
         case K::slow:
-            each([&](int, Host& host) { host.slow = std::max(fault.by, 0.01); });
+            each([&](int, ServerState& host) { host.slow = std::max(fault.by, 0.01); });
             break;
         case K::errors:
-            each([&](int, Host& host) { host.errors = fault.by; });
+            each([&](int, ServerState& host) { host.errors = fault.by; });
             break;
         case K::replace:
-            each([&](int s, Host& host) {
-                die(now, s);
-                host.life = Life::gone;
-                change(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
+            each([&](int s, ServerState& host) {
+                stopServer(now, s);
+                host.life = ServerCondition::gone;
+                changeEndpoint(now, s, EndpointState::removed, scenario_.discovery.noticeGone);
                 Server fresh = servers_[nth(s)];
                 fresh.name = fmt::format("{}-new{}", fresh.plan->name, ++lastReplaced_);
                 const auto index = static_cast<int>(servers_.size());
                 occupants_[nth(fresh.door)] = index;
                 addServer(std::move(fresh), now, true);
                 log(now, EventKind::started, 0, -1, index, 0, now);
-                lookAtDoors(now);
-                change(now, index, EndpointState::ready, scenario_.discovery.noticeBack);
+                updateAddressStates(now);
+                changeEndpoint(now, index, EndpointState::ready, scenario_.discovery.noticeBack);
             });
             break;
         case K::drain:
-            each([&](int s, Host& host) {
-                change(now, s, EndpointState::draining, 0);
+            each([&](int s, ServerState& host) {
+                changeEndpoint(now, s, EndpointState::draining, 0);
                 // What ails it otherwise by then, or a fault that is over, ends the leaving.
                 host.leaving = true;
                 const auto leaves = [&host, lives = host.lives] {
                     return host.leaving && host.lives == lives;
                 };
-                agenda_.put(now + scenario_.drainGrace, [&host, leaves](Nanos) { host.draining = leaves(); });
-                agenda_.put(now + 2 * scenario_.drainGrace + scenario_.longestLimit(),
-                            [this, s, leaves](Nanos t) {
-                                if (!leaves()) return;
-                                die(t, s);
-                                change(t, s, EndpointState::removed, 0);
-                            });
+                events_.schedule(now + scenario_.drainGrace,
+                                 [&host, leaves](Nanos) { host.draining = leaves(); });
+                events_.schedule(now + 2 * scenario_.drainGrace + scenario_.longestLimit(),
+                                 [this, s, leaves](Nanos t) {
+                                     if (!leaves()) return;
+                                     stopServer(t, s);
+                                     changeEndpoint(t, s, EndpointState::removed, 0);
+                                 });
             });
             break;
         case K::cut:
             now_.cutZone = fault.zone;
-            lookAtDoors(now);
+            updateAddressStates(now);
             break;
         case K::refuse:
-            each([&](int, Host& host) { host.refuses = true; });
-            lookAtDoors(now);
+            each([&](int, ServerState& host) { host.refuses = true; });
+            updateAddressStates(now);
             break;
         case K::late:
-            each([&](int, Host& host) { host.late = true; });
-            lookAtDoors(now);
+            each([&](int, ServerState& host) { host.late = true; });
+            updateAddressStates(now);
             break;
         case K::leave: {
             std::vector<RequestId> waiting;
-            for (const auto& [id, ask] : open_) waiting.push_back(id);
+            for (const auto& [id, ask] : openRequests_) waiting.push_back(id);
             std::sort(waiting.begin(), waiting.end());  // by number, so that a run is the same each time
             for (const RequestId id : waiting)
-                if (faults_.yes(fault.by)) clientLeaves(now, id);
+                if (faults_.chance(fault.by)) clientLeaves(now, id);
             break;
         }
         case K::reset:
-            each([&](int, Host& host) { host.resets = fault.by; });
+            each([&](int, ServerState& host) { host.resets = fault.by; });
             break;
         case K::slowReader:
-            each([&](int, Host& host) { host.readsLater = static_cast<Nanos>(fault.by * kMillisecond); });
+            each([&](int, ServerState& host) {
+                host.readsLater = static_cast<Nanos>(fault.by * kMillisecond);
+            });
             break;
         case K::unresponsive:
-            each([&](int, Host& host) { host.deaf = true; });
+            each([&](int, ServerState& host) { host.deaf = true; });
             break;
         case K::malformedResponses:
             now_.spoil = fault.by;
             break;
         case K::originStop:
-            die(now, 0);
+            stopServer(now, 0);
             break;
         case K::originSlow:
-            hosts_[0]->slow = fault.by;
+            serverStates_[0]->slow = fault.by;
             break;
         case K::discoveryDown:
             discoveryDown_ = true;
-            failCalls();
+            failPolls();
             break;
         case K::discoverySilent:
             discoverySilent_ = true;
@@ -957,7 +971,7 @@
             now_.listRefused = fault.by;
             break;
         case K::discoveryMove:
-            driver_.discoveryMoved(++discoveryDoor_);
+            transport_.moveDiscovery(++discoveryAddress_);
             break;
         case K::hotKey:
             now_.hotKey = fault.by;
@@ -979,72 +993,72 @@
             for (std::size_t i = 0; i < std::min(all.size(), nth(fault.count)); ++i) {
                 routers_[nth(all[i])].ending = true;
                 log(now, EventKind::killed, 0, all[i], -1, 0, 0, "asked");
-                driver_.kill(all[i]);
+                transport_.killRouter(all[i]);
             }
             break;
         }
         case K::routerRestart:
             for (int r = 0; r < scenario_.routers.count; ++r)
-                agenda_.put(now + fault.length * r / scenario_.routers.count, [this, r](Nanos t) {
+                events_.schedule(now + fault.length * r / scenario_.routers.count, [this, r](Nanos t) {
                     RouterState& state = routers_[nth(r)];
                     if (!state.up) return;
                     state.ending = true;
                     log(t, EventKind::stopping, 0, r, -1, 0, 0);
-                    driver_.terminate(r);
-                    agenda_.put(t + kFrontSeesTerm, [this, r, life = state.life](Nanos) {
-                        if (routers_[nth(r)].life == life) routers_[nth(r)].believed = false;
+                    transport_.terminateRouter(r);
+                    events_.schedule(t + kFrontSeesTerm, [this, r, life = state.life](Nanos) {
+                        if (routers_[nth(r)].life == life) routers_[nth(r)].assumedUp = false;
                     });
                 });
             break;
         case K::routerUpgrade:
             for (int r = 0; r < scenario_.routers.count; ++r)
-                agenda_.put(now + fault.length * r / scenario_.routers.count, [this, r](Nanos) {
-                    if (routers_[nth(r)].up) driver_.upgrade(r);
+                events_.schedule(now + fault.length * r / scenario_.routers.count, [this, r](Nanos) {
+                    if (routers_[nth(r)].up) transport_.upgradeRouter(r);
                 });
             break;
         case K::reload:
             for (int r = 0; r < scenario_.routers.count; ++r)
-                if (routers_[nth(r)].up) driver_.reload(r);
+                if (routers_[nth(r)].up) transport_.reloadRouter(r);
             break;
         case K::wallStep:
             wallStep_ = static_cast<Nanos>(fault.by * kMillisecond);
-            driver_.processFault(fault, true);
+            transport_.injectProcessFault(fault, true);
             break;
         case K::callsFail:
         case K::holdUp:
-            driver_.processFault(fault, true);
+            transport_.injectProcessFault(fault, true);
             break;
         default: {  // of machines
             const int drawn = faults_.below(std::max(scenario_.machines.count, 1));
             hit = {fault.machine >= 0 ? fault.machine : drawn};
-            driver_.injectMachineFault(fault, hit[0], true);
+            transport_.injectMachineFault(fault, hit[0], true);
             break;
         }
     }
     if (fault.length > 0)
-        agenda_.put(now + fault.length, [this, fault, hit](Nanos t) { clearFault(t, fault, hit); });
+        events_.schedule(now + fault.length, [this, fault, hit](Nanos t) { clearFault(t, fault, hit); });
 }
 
 void EmulatedDeployment::clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& hit) {
     log(now, EventKind::fault, 0, -1, -1, 0, 0, fmt::format("ends {} {}", nameOf(fault.kind), fault.zone));
     if (fault.kind == FaultKind::wallStep) wallStep_ = 0;
     if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::holdUp)
-        return driver_.processFault(fault, false);
-    if (fault.kind >= FaultKind::machineKill) return driver_.injectMachineFault(fault, hit.at(0), false);
+        return transport_.injectProcessFault(fault, false);
+    if (fault.kind >= FaultKind::machineKill) return transport_.injectMachineFault(fault, hit.at(0), false);
     for (const int s : hit) {
-        Host& host = *hosts_[nth(s)];
+        ServerState& host = *serverStates_[nth(s)];
         switch (fault.kind) {
             case FaultKind::crash:
             case FaultKind::drain:
-                if (host.life != Life::down && !host.leaving) break;
-                if (host.life != Life::down) die(now, s);
-                revive(now, s);
+                if (host.life != ServerCondition::down && !host.leaving) break;
+                if (host.life != ServerCondition::down) stopServer(now, s);
+                restartServer(now, s);
                 break;
             case FaultKind::hang:
                 // A process that hung is started anew.
-                if (host.life != Life::hung) break;
-                die(now, s);
-                revive(now, s);
+                if (host.life != ServerCondition::hung) break;
+                stopServer(now, s);
+                restartServer(now, s);
                 break;
             default:
                 host.slow = 1;
@@ -1055,17 +1069,17 @@
     }
     using K = FaultKind;
     if (fault.kind == K::cut) {
-        std::vector<ConnId> across;
-        for (const auto& [id, conn] : conns_)
+        std::vector<ConnectionId> across;
+        for (const auto& [id, conn] : connections_)
             if (!passes(conn.router, conn.server)) across.push_back(id);
         std::sort(across.begin(), across.end());
         now_.cutZone.clear();
-        for (const ConnId id : across) breakOne(now, id);
+        for (const ConnectionId id : across) breakConnection(now, id);
     }
-    if (fault.kind == K::cut || fault.kind == K::refuse || fault.kind == K::late) lookAtDoors(now);
+    if (fault.kind == K::cut || fault.kind == K::refuse || fault.kind == K::late) updateAddressStates(now);
     if (fault.kind == K::malformedResponses) now_.spoil = 0;
-    if (fault.kind == K::originStop) revive(now, 0);
-    if (fault.kind == K::originSlow) hosts_[0]->slow = 1;
+    if (fault.kind == K::originStop) restartServer(now, 0);
+    if (fault.kind == K::originSlow) serverStates_[0]->slow = 1;
     if (fault.kind == K::discoveryDown) discoveryDown_ = false;
     if (fault.kind == K::discoverySilent) discoverySilent_ = false;
     if (fault.kind == K::discoveryDown || fault.kind == K::discoverySilent) discoveryReachableSince_ = now;
--- a/src/testbed/emulator/emulated_deployment.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -19,7 +19,7 @@
 
 namespace poppyscale::testbed {
 
-using ConnId = std::uint64_t;
+using ConnectionId = std::uint64_t;
 
 // A client's command, given to a router.
 struct ClientRequest {
@@ -31,7 +31,7 @@
     std::string mark;  // of a receipted one, the same with each try
     Nanos deadline = 0;
     RequestId first = 0;  // the id of its first try
-    int tries = 1;
+    int retries = 1;
     Nanos dueAt = 0;
     Nanos firstLimit = 0;  // of all tries together
     double work = 0;       // core-ns
@@ -44,8 +44,9 @@
     std::string requestClass;
     std::string mark;
     bool write = false;
-    std::optional<std::int64_t> toldMs = {};  // `d` of its info list: the time that is left to the client
-    Nanos heldUp = 0;                         // how long before it was read it may have arrived
+    std::optional<std::int64_t> forwardedTimeoutMs =
+        {};               // `d` of its info list: the time that is left to the client
+    Nanos delayedBy = 0;  // how long before it was read it may have arrived
 };
 
 struct Reply {
@@ -55,20 +56,20 @@
 };
 
 // One state of one server as discovery tells it.
-struct ListLine {
+struct EndpointLine {
     int server = 0;
-    EndpointState presence = EndpointState::ready;
-    Nanos startedAt = 0;  // the world's time; 0 for long ago
-    double held = 0;      // commands a core, where sizes move with load
+    EndpointState state = EndpointState::ready;
+    Nanos startedAt = 0;      // the world's time; 0 for long ago
+    double heldCommands = 0;  // commands a core, where sizes move with load
 };
-struct List {
+struct EndpointListMessage {
     std::int64_t version = 0;
     bool full = false;
-    std::vector<ListLine> lines;
+    std::vector<EndpointLine> lines;
 };
 
 // A call for the list of servers; a router may have several out.
-using ListCallId = std::uint64_t;
+using PollId = std::uint64_t;
 
 // How a server's address answers those who connect.
 enum class AddressState : std::uint8_t { open, refused, silent };
@@ -76,25 +77,25 @@
 class Transport {
   public:
     virtual ~Transport() = default;
-    virtual void ask(const ClientRequest& ask) = 0;
-    virtual void leave(int router, RequestId id) = 0;
-    virtual void opened(ConnId conn, bool up) = 0;
-    virtual void reply(ConnId conn, const Reply& reply) = 0;
-    virtual void broke(ConnId conn) = 0;  // the connection is gone after this
+    virtual void sendRequest(const ClientRequest& ask) = 0;
+    virtual void disconnectClient(int router, RequestId id) = 0;
+    virtual void onConnectionOpened(ConnectionId conn, bool up) = 0;
+    virtual void sendReply(ConnectionId conn, const Reply& reply) = 0;
+    virtual void breakConnection(ConnectionId conn) = 0;  // the connection is gone after this
     virtual void setAddressState(int router, int door, AddressState state) = 0;
     // What becomes of a call for the list: answered, answered 503, or its connection ended.
-    virtual void listed(int router, ListCallId call, const List& list) = 0;
-    virtual void listRefused(int router, ListCallId call) { listFailed(router, call); }
-    virtual void listFailed(int router, ListCallId call) = 0;
-    virtual void discoveryMoved(int door) = 0;
+    virtual void sendEndpointList(int router, PollId call, const EndpointListMessage& list) = 0;
+    virtual void refusePoll(int router, PollId call) { failPoll(router, call); }
+    virtual void failPoll(int router, PollId call) = 0;
+    virtual void moveDiscovery(int door) = 0;
     // To the router's process.
-    virtual void kill(int router) = 0;
-    virtual void start(int router) = 0;
-    virtual void terminate(int router) = 0;
-    virtual void reload(int router) = 0;
-    virtual void upgrade(int router) = 0;
+    virtual void killRouter(int router) = 0;
+    virtual void startRouter(int router) = 0;
+    virtual void terminateRouter(int router) = 0;
+    virtual void reloadRouter(int router) = 0;
+    virtual void upgradeRouter(int router) = 0;
     // A fault of the routers' processes begins or ends.
-    virtual void processFault(const FaultPlan& /*fault*/, bool /*begins*/) {}
+    virtual void injectProcessFault(const FaultPlan& /*fault*/, bool /*begins*/) {}
     // A fault of machines begins or ends; `machine` is drawn where the plan names none, below 0 for a
     // coordinator's.
     virtual void injectMachineFault(const FaultPlan& /*fault*/, int /*machine*/, bool /*begins*/) {}
@@ -119,24 +120,25 @@
 
     // Plays the first arrivals and the faults from `now` on; routers are up by then.
     void begin(Nanos now);
-    Nanos next() const { return agenda_.next(); }
-    bool step(Nanos now) { return agenda_.step(now); }
+    Nanos next() const { return events_.next(); }
+    bool step(Nanos now) { return events_.step(now); }
     // For a driver's own alarms, on the same time.
-    void at(Nanos when, std::function<void(Nanos)> what) { agenda_.put(when, std::move(what)); }
+    void at(Nanos when, std::function<void(Nanos)> what) { events_.schedule(when, std::move(what)); }
     // Nothing more is asked from then on, or for so long: a day with a roll lasts as long as that does.
     void endLoad(Nanos now) { loadUntil_ = now; }
     // All has been asked, and what was asked has its end.
-    bool over(Nanos now) const;
+    bool isOver(Nanos now) const;
 
     // From routers, through the driver.
-    ConnId connect(Nanos now, int router, int door);
-    void call(Nanos now, ConnId conn, const ServerCall& call);
-    void closed(Nanos now, ConnId conn);
-    ListCallId watch(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait);
-    void unwatch(ListCallId call);
+    ConnectionId connect(Nanos now, int router, int door);
+    void call(Nanos now, ConnectionId conn, const ServerCall& call);
+    void closed(Nanos now, ConnectionId conn);
+    PollId beginPoll(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait);
+    void endPoll(PollId call);
     // `unsent` with a token: the router went while it had the command.
-    enum class Told : std::uint8_t { answered, declined, terminated, unsent };
-    void told(Nanos now, RequestId id, Told how, const std::string& token, Nanos retryAfter);
+    enum class ClientOutcome : std::uint8_t { answered, declined, terminated, unsent };
+    void onClientOutcome(Nanos now, RequestId id, ClientOutcome how, const std::string& token,
+                         Nanos retryAfter);
     // A router's process has come up, or has ended.
     void routerUp(Nanos now, int router);
     void routerGone(Nanos now, int router);
@@ -147,59 +149,59 @@
     }
 
     // What a router starts with: the list as it stands in discovery.
-    List lastList(int router) const;
+    EndpointListMessage lastList(int router) const;
     const std::vector<Server>& servers() const { return servers_; }
-    int doors() const { return static_cast<int>(occupants_.size()); }
+    int addresses() const { return static_cast<int>(occupants_.size()); }
     std::optional<int> serverNamed(const std::string& name) const;
     const std::string& routerZone(int router) const {
         return routers_[static_cast<std::size_t>(router)].zone;
     }
-    AddressState doorNow(int router, int door) const;
+    AddressState addressState(int router, int door) const;
     Nanos delay(const std::string& from, const std::string& to);
     nlohmann::json head(std::uint64_t seed) const;
     const Scenario& scenario() const { return scenario_; }
 
   private:
-    enum class Life : std::uint8_t { up, hung, down, gone };
-    struct Host;  // a server's process and what ails it
-    struct RunOut {
+    enum class ServerCondition : std::uint8_t { up, hung, down, gone };
+    struct ServerState;  // a server's process and what ails it
+    struct ExecutionInFlight {
         std::uint64_t run = 0;
-        ConnId conn = 0;
+        ConnectionId conn = 0;
         ServerCall call;
         int server = 0;
         bool begun = false;
         bool hit = false;
         double work = 0;
     };
-    struct Conn {
-        ConnId id;
+    struct ServerConnection {
+        ConnectionId id;
         int router;
         int server;
         bool up = false;
         Nanos lastArrival = 0;
-        struct Owed {
+        struct PendingReply {
             std::uint64_t run;
             std::optional<Reply> reply;
         };
-        std::deque<Owed> owed;  // answers go out in the order of the commands
+        std::deque<PendingReply> owed;  // answers go out in the order of the commands
     };
     struct RouterState {
         std::string zone;
         bool up = false;
-        bool believed = true;  // by the front
+        bool assumedUp = true;  // by the front
         std::uint64_t life = 0;
         bool ending = false;  // it was told to, or killed
-        std::map<int, ListLine> told;
-        std::map<int, std::int64_t> toldVersion;  // of the list that each line was told with
+        std::map<int, EndpointLine> knownEndpoints;
+        std::map<int, std::int64_t> knownVersion;  // of the list that each line was told with
     };
-    struct ListCall {
+    struct PendingPoll {
         int router = 0;
         std::optional<std::int64_t> after;
         Nanos until = 0;  // while it waits for a change; else 0
     };
     struct Change {
         std::int64_t version;
-        ListLine line;
+        EndpointLine line;
     };
     struct ActiveFaults {  // of faults, as a share or factor at this time
         double hotKey = 0, heavy = 0, scan = 0, load = 1, spoil = 0;
@@ -209,45 +211,46 @@
     };
 
     // clients
-    void arrive(Nanos now);
+    void generateRequest(Nanos now);
     void clientLeaves(Nanos now, RequestId id);
     double rateAt(Nanos now);
-    void ask(Nanos now, ClientRequest ask);
+    void sendRequest(Nanos now, ClientRequest ask);
     std::string drawKey(Nanos now);
     int pickRouter();
-    void tryAgain(Nanos now, const ClientRequest& last, Nanos after);
+    void retryLater(Nanos now, const ClientRequest& last, Nanos after);
     // servers
     void addServer(Server server, Nanos now, bool cold);
-    void arrived(Nanos now, std::uint64_t run);
+    void onRequestArrived(Nanos now, std::uint64_t run);
     void serve(Nanos now, int server);
     void finish(Nanos now, std::uint64_t run);
-    void say(Nanos now, std::uint64_t run, Reply reply);
-    void deliver(Nanos now, ConnId conn);
-    void breakAll(Nanos now, int server);
-    void breakOne(Nanos now, ConnId conn);
-    void die(Nanos now, int server);
-    void revive(Nanos now, int server);
-    void lookAtDoors(Nanos now);
+    void queueReply(Nanos now, std::uint64_t run, Reply reply);
+    void deliverReply(Nanos now, ConnectionId conn);
+    void breakAllConnections(Nanos now, int server);
+    void breakConnection(Nanos now, ConnectionId conn);
+    void stopServer(Nanos now, int server);
+    void restartServer(Nanos now, int server);
+    void updateAddressStates(Nanos now);
     bool passes(int router, int server) const;
     // discovery
-    List wholeList() const;
-    void heard(Nanos now, int router, const List& list);
-    void tell(Nanos now, int router, const ListLine& line, std::int64_t version, bool counted);
-    void change(Nanos now, int server, EndpointState presence, Nanos after);
-    void weigh(Nanos now);  // lists what each cache holds
-    void answerWatches(Nanos now);
-    void answerCall(Nanos now, ListCallId call);
-    void failCalls();
-    std::vector<ListCallId> callsInOrder() const;  // of routers
+    EndpointListMessage completeList() const;
+    void onEndpointListDelivered(Nanos now, int router, const EndpointListMessage& list);
+    void sendEndpointList(Nanos now, int router, const EndpointLine& line, std::int64_t version,
+                          bool counted);
+    void changeEndpoint(Nanos now, int server, EndpointState presence, Nanos after);
+    void updateWeights(Nanos now);  // lists what each cache holds
+    void answerLongPolls(Nanos now);
+    void answerPoll(Nanos now, PollId call);
+    void failPolls();
+    std::vector<PollId> pollsInOrder() const;  // of routers
     Nanos discoveryLateness();
     Nanos discoveryTurn() const;
-    void refuseSoon(Nanos now, int router, ListCallId call);
-    void endOlderCalls(int router, ListCallId call);
+    void refuseAfterDelay(Nanos now, int router, PollId call);
+    void endOlderPolls(int router, PollId call);
     // A change that a router could have had by now counts as told, whether or not it arrived.
-    void countAsTold(Nanos now, const Change& change);
+    void countAsKnown(Nanos now, const Change& change);
     bool isDiscoveryReachable() const { return !discoveryDown_ && !discoverySilent_; }
     // faults
-    void plan(const FaultPlan& fault);
+    void scheduleFaults(const FaultPlan& fault);
     void injectFault(Nanos now, const FaultPlan& fault);
     void clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& hit);
     std::vector<int> drawCaches(int count);
@@ -255,32 +258,32 @@
              std::int64_t number, std::string text = {});
 
     Scenario scenario_;
-    EventLog& ledger_;
-    Transport& driver_;
-    EventQueue agenda_;
+    EventLog& eventLog_;
+    Transport& transport_;
+    EventQueue events_;
     Random arrivals_, keys_, net_, service_, faults_;
     Zipf zipf_;
     std::vector<Server> servers_;
-    std::vector<std::unique_ptr<Host>> hosts_;
+    std::vector<std::unique_ptr<ServerState>> serverStates_;
     std::vector<int> occupants_;  // of each door: a server
     std::vector<RouterState> routers_;
-    std::unordered_map<ConnId, Conn> conns_;
-    std::unordered_map<std::uint64_t, RunOut> runs_;
-    std::unordered_map<RequestId, ClientRequest> open_;
+    std::unordered_map<ConnectionId, ServerConnection> connections_;
+    std::unordered_map<std::uint64_t, ExecutionInFlight> executions_;
+    std::unordered_map<RequestId, ClientRequest> openRequests_;
     std::unordered_map<RequestId, std::vector<int>> lacking_;  // caches that missed for an open command
     std::unordered_map<RequestId, double> works_;
-    std::deque<RequestId> remembered_;
+    std::deque<RequestId> idempotencyRecords_;
     std::vector<Change> changes_;
-    std::vector<ListLine> lines_;  // as discovery has them
+    std::vector<EndpointLine> lines_;  // as discovery has them
     std::int64_t version_ = 1;
     Nanos discoveryFreeAt_ = 0;
     bool discoveryDown_ = false, discoverySilent_ = false;
     Nanos discoveryReachableSince_ = 0;
     Nanos wallStep_ = 0;  // of all machines' one wall clock
-    std::map<ListCallId, ListCall> listCalls_;
+    std::map<PollId, PendingPoll> pendingPolls_;
     ActiveFaults now_;
     std::uint64_t lastRun_ = 0, lastConn_ = 0, lastCall_ = 0, lastScan_ = 0;
-    int lastReplaced_ = 0, discoveryDoor_ = 0, drifted_ = 0;
+    int lastReplaced_ = 0, discoveryAddress_ = 0, drifted_ = 0;
     std::map<std::string, IdempotencyRecords> marks_;  // of each group that drops repeats
     std::vector<int> order_;                           // of the keys: rank to key
     Nanos beganAt_ = 0;
--- a/src/testbed/emulator/event_log.cpp
+++ b/src/testbed/emulator/event_log.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::string_view wordOf(EventKind what) { return kWords.at(static_cast<std::size_t>(what)); }
+std::string_view nameOf(EventKind what) { return kWords.at(static_cast<std::size_t>(what)); }
 
 std::string_view wordAt(std::string_view text, int at) {
     for (; at > 0; --at) {
@@ -57,7 +57,7 @@
 void EventLog::add(const LogEvent& e) {
     if (watch) watch(e);
     if (!file_) return;
-    fmt::format_to(std::back_inserter(buffer_), "{}\t{}\t{:x}\t{}\t{}\t{:x}\t{}\t{}\n", e.at, wordOf(e.what),
+    fmt::format_to(std::back_inserter(buffer_), "{}\t{}\t{:x}\t{}\t{}\t{:x}\t{}\t{}\n", e.at, nameOf(e.kind),
                    e.command, e.router, e.server, e.run, e.number, e.text);
     if (buffer_.size() > kFlushAt) flush();
 }
@@ -90,7 +90,7 @@
         const auto word = std::find(kWords.begin(), kWords.end(), part[1]);
         if (word == kWords.end()) throw EventLogError(fmt::format("line {}: '{}' is unknown", at, part[1]));
         e.at = number<Nanos>(part[0], 10, at);
-        e.what = static_cast<EventKind>(word - kWords.begin());
+        e.kind = static_cast<EventKind>(word - kWords.begin());
         e.command = number<std::uint64_t>(part[2], 16, at);
         e.router = number<int>(part[3], 10, at);
         e.server = number<int>(part[4], 10, at);
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -50,7 +50,7 @@
 
 struct LogEvent {
     Nanos at = 0;
-    EventKind what = EventKind::fault;
+    EventKind kind = EventKind::fault;
     std::uint64_t command = 0;
     int router = -1;
     int server = -1;
@@ -59,7 +59,7 @@
     std::string text;
 };
 
-std::string_view wordOf(EventKind what);
+std::string_view nameOf(EventKind what);
 // The word with number `at` of a text, "" past its end.
 std::string_view wordAt(std::string_view text, int at);
 
--- a/src/testbed/emulator/event_queue.hpp
+++ b/src/testbed/emulator/event_queue.hpp
@@ -13,7 +13,7 @@
 
 class EventQueue {
   public:
-    void put(Nanos at, std::function<void(Nanos now)> what) {
+    void schedule(Nanos at, std::function<void(Nanos now)> what) {
         items_.push({std::max(at, reached_), ++last_, std::move(what)});
     }
     Nanos next() const { return items_.empty() ? kNever : items_.top().at; }
--- a/src/testbed/emulator/random.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -16,10 +16,10 @@
     explicit Random(std::uint64_t seed)
         : source_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
-    double part() { return std::generate_canonical<double, 32>(source_); }
-    bool yes(double share) { return share > 0 && part() < share; }
-    int below(int count) { return std::min(static_cast<int>(part() * count), count - 1); }
-    std::uint64_t word() {
+    double fraction() { return std::generate_canonical<double, 32>(source_); }
+    bool chance(double share) { return share > 0 && fraction() < share; }
+    int below(int count) { return std::min(static_cast<int>(fraction() * count), count - 1); }
+    std::uint64_t randomWord() {
         const std::uint64_t high = source_();
         return high << 32 | source_();
     }
@@ -37,7 +37,7 @@
     int among(const Items& items, Weight weight) {
         double all = 0;
         for (const auto& item : items) all += weight(item);
-        double at = part() * all;
+        double at = fraction() * all;
         for (std::size_t i = 0; i < items.size(); ++i)
             if ((at -= weight(items[i])) < 0) return static_cast<int>(i);
         return static_cast<int>(items.size()) - 1;
@@ -56,7 +56,7 @@
         for (int k = 0; k < keys; ++k) sums_.push_back(sum += std::pow(k + 1, -s));
     }
     int draw(Random& chance) const {
-        const auto at = std::upper_bound(sums_.begin(), sums_.end(), chance.part() * sums_.back());
+        const auto at = std::upper_bound(sums_.begin(), sums_.end(), chance.fraction() * sums_.back());
         return static_cast<int>(std::min<std::ptrdiff_t>(at - sums_.begin(), std::ssize(sums_) - 1));
     }
 
--- a/src/testbed/emulator/scenario.cpp
+++ b/src/testbed/emulator/scenario.cpp
@@ -15,58 +15,58 @@
 
 using config::TomlTable;
 
-const config::Words<FaultKind>& faultNames() {
-    static const config::Words<FaultKind> names{{"crash", FaultKind::crash},
-                                                {"hang", FaultKind::hang},
-                                                {"slow", FaultKind::slow},
-                                                {"errors", FaultKind::errors},
-                                                {"replace", FaultKind::replace},
-                                                {"drain", FaultKind::drain},
-                                                {"cut", FaultKind::cut},
-                                                {"refuse", FaultKind::refuse},
-                                                {"late", FaultKind::late},
-                                                {"leave", FaultKind::leave},
-                                                {"reset", FaultKind::reset},
-                                                {"slow_reader", FaultKind::slowReader},
-                                                {"deaf", FaultKind::unresponsive},
-                                                {"spoil", FaultKind::malformedResponses},
-                                                {"origin_stop", FaultKind::originStop},
-                                                {"origin_slow", FaultKind::originSlow},
-                                                {"discovery_down", FaultKind::discoveryDown},
-                                                {"discovery_silent", FaultKind::discoverySilent},
-                                                {"discovery_slow", FaultKind::discoverySlow},
-                                                {"discovery_refuse", FaultKind::discoveryRefuse},
-                                                {"discovery_move", FaultKind::discoveryMove},
-                                                {"hot_key", FaultKind::hotKey},
-                                                {"heavy", FaultKind::heavy},
-                                                {"scan", FaultKind::scan},
-                                                {"load", FaultKind::load},
-                                                {"router_kill", FaultKind::routerKill},
-                                                {"router_restart", FaultKind::routerRestart},
-                                                {"router_upgrade", FaultKind::routerUpgrade},
-                                                {"reload", FaultKind::reload},
-                                                {"calls_fail", FaultKind::callsFail},
-                                                {"wall_step", FaultKind::wallStep},
-                                                {"hold_up", FaultKind::holdUp},
-                                                {"machine_kill", FaultKind::machineKill},
-                                                {"machine_lost", FaultKind::machineLost},
-                                                {"machine_stop", FaultKind::machineStop},
-                                                {"machine_cut", FaultKind::machineCut},
-                                                {"agent_kill", FaultKind::agentKill},
-                                                {"agent_stop", FaultKind::agentStop},
-                                                {"machine_sleep", FaultKind::machineSleep},
-                                                {"disk_full", FaultKind::diskFull},
-                                                {"disk_read_only", FaultKind::diskReadOnly},
-                                                {"disk_slow", FaultKind::diskSlow},
-                                                {"sync_fails", FaultKind::syncFails},
-                                                {"program_gone", FaultKind::programGone},
-                                                {"clock_rate", FaultKind::clockRate},
-                                                {"clock_jump", FaultKind::clockJump},
-                                                {"way_delay", FaultKind::wayDelay},
-                                                {"way_stall", FaultKind::wayStall},
-                                                {"way_drop", FaultKind::wayDrop},
-                                                {"coordinator_kill", FaultKind::coordinatorKill},
-                                                {"coordinator_twice", FaultKind::coordinatorTwice}};
+const config::NamedValues<FaultKind>& faultNames() {
+    static const config::NamedValues<FaultKind> names{{"crash", FaultKind::crash},
+                                                      {"hang", FaultKind::hang},
+                                                      {"slow", FaultKind::slow},
+                                                      {"errors", FaultKind::errors},
+                                                      {"replace", FaultKind::replace},
+                                                      {"drain", FaultKind::drain},
+                                                      {"cut", FaultKind::cut},
+                                                      {"refuse", FaultKind::refuse},
+                                                      {"late", FaultKind::late},
+                                                      {"leave", FaultKind::leave},
+                                                      {"reset", FaultKind::reset},
+                                                      {"slow_reader", FaultKind::slowReader},
+                                                      {"deaf", FaultKind::unresponsive},
+                                                      {"spoil", FaultKind::malformedResponses},
+                                                      {"origin_stop", FaultKind::originStop},
+                                                      {"origin_slow", FaultKind::originSlow},
+                                                      {"discovery_down", FaultKind::discoveryDown},
+                                                      {"discovery_silent", FaultKind::discoverySilent},
+                                                      {"discovery_slow", FaultKind::discoverySlow},
+                                                      {"discovery_refuse", FaultKind::discoveryRefuse},
+                                                      {"discovery_move", FaultKind::discoveryMove},
+                                                      {"hot_key", FaultKind::hotKey},
+                                                      {"heavy", FaultKind::heavy},
+                                                      {"scan", FaultKind::scan},
+                                                      {"load", FaultKind::load},
+                                                      {"router_kill", FaultKind::routerKill},
+                                                      {"router_restart", FaultKind::routerRestart},
+                                                      {"router_upgrade", FaultKind::routerUpgrade},
+                                                      {"reload", FaultKind::reload},
+                                                      {"calls_fail", FaultKind::callsFail},
+                                                      {"wall_step", FaultKind::wallStep},
+                                                      {"hold_up", FaultKind::holdUp},
+                                                      {"machine_kill", FaultKind::machineKill},
+                                                      {"machine_lost", FaultKind::machineLost},
+                                                      {"machine_stop", FaultKind::machineStop},
+                                                      {"machine_cut", FaultKind::machineCut},
+                                                      {"agent_kill", FaultKind::agentKill},
+                                                      {"agent_stop", FaultKind::agentStop},
+                                                      {"machine_sleep", FaultKind::machineSleep},
+                                                      {"disk_full", FaultKind::diskFull},
+                                                      {"disk_read_only", FaultKind::diskReadOnly},
+                                                      {"disk_slow", FaultKind::diskSlow},
+                                                      {"sync_fails", FaultKind::syncFails},
+                                                      {"program_gone", FaultKind::programGone},
+                                                      {"clock_rate", FaultKind::clockRate},
+                                                      {"clock_jump", FaultKind::clockJump},
+                                                      {"way_delay", FaultKind::wayDelay},
+                                                      {"way_stall", FaultKind::wayStall},
+                                                      {"way_drop", FaultKind::wayDrop},
+                                                      {"coordinator_kill", FaultKind::coordinatorKill},
+                                                      {"coordinator_twice", FaultKind::coordinatorTwice}};
     return names;
 }
 
@@ -163,9 +163,9 @@
             f.by = t.fraction("by", std::nullopt);
             f.call = t.string("call", std::nullopt);
             f.way = t.string("way", std::nullopt);
-            if (!fault_injection::callNamed(f.call))
+            if (!fault_injection::systemCallNamed(f.call))
                 t.problem("call", "is not a system call that can be made to fail");
-            if (!fault_injection::wayNamed(f.way))
+            if (!fault_injection::faultEffectNamed(f.way))
                 t.problem("way", "is not a way in which a system call fails");
             break;
         case FaultKind::holdUp:
@@ -323,7 +323,7 @@
         s.roll.watch = r.millis("watch_ms", 3'000.0);
         s.roll.least = r.millis("least_ms", 4'000.0);
         s.roll.longest = r.millis("longest_ms", 20'000.0);
-        s.roll.settle = r.millis("settle_ms", 1'500.0);
+        s.roll.settleTime = r.millis("settle_ms", 1'500.0);
         s.roll.keep = r.millis("keep_ms", 4'000.0);
         s.roll.back = r.millis("back_ms", 15'000.0);
         s.roll.harm = r.number("harm", 0.02, 0.0005, 0.5);
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -196,7 +196,7 @@
     Nanos at = 0;
     std::string change;  // same, a harm's name, or deaf, halved, misnamed: settings that are valid and bad
     double size = 0;     // of a harm
-    Nanos least = 0, longest = 0, settle = 0, watch = 0, keep = 0, back = 0;
+    Nanos least = 0, longest = 0, settleTime = 0, watch = 0, keep = 0, back = 0;
     double harm = 0.02;
     double silent = 0.02;             // share never answered that is to be ruled out
     std::vector<std::string> stages;  // "1", "5", "0.25"
--- a/src/testbed/emulator/server_model.cpp
+++ b/src/testbed/emulator/server_model.cpp
@@ -28,12 +28,12 @@
     waiting_.clear();
 }
 
-void Drive::add(Nanos now, double work) {
+void WorkWindow::add(Nanos now, double work) {
     pieces_.push_back({now, work});
     sum_ += work;
 }
 
-double Drive::sum(Nanos now) {
+double WorkWindow::sum(Nanos now) {
     while (!pieces_.empty() && pieces_.front().at <= now - span_) {
         sum_ -= pieces_.front().work;
         pieces_.pop_front();
@@ -41,7 +41,7 @@
     return pieces_.empty() ? sum_ = 0 : sum_;
 }
 
-bool CacheContents::use(const std::string& key) {
+bool CacheContents::touch(const std::string& key) {
     const auto it = at_.find(key);
     if (it == at_.end()) return false;
     order_.splice(order_.begin(), order_, it->second);
@@ -49,7 +49,7 @@
 }
 
 void CacheContents::put(const std::string& key) {
-    if (use(key)) return;
+    if (touch(key)) return;
     order_.push_front(key);
     at_[key] = order_.begin();
     if (order_.size() > most_) drop(std::string(order_.back()));
--- a/src/testbed/emulator/server_model.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -56,12 +56,12 @@
 };
 
 // Work that came within a span: over a multiple of what can be done in it, a machine gives in.
-class Drive {
+class WorkWindow {
   public:
-    explicit Drive(Nanos span) : span_(span) {}
+    explicit WorkWindow(Nanos span) : span_(span) {}
     void add(Nanos now, double work);
     double sum(Nanos now);
-    void clear() { *this = Drive(span_); }
+    void clear() { *this = WorkWindow(span_); }
 
   private:
     struct Piece {
@@ -77,7 +77,7 @@
 class CacheContents {
   public:
     explicit CacheContents(std::size_t most) : most_(most) {}
-    bool use(const std::string& key);
+    bool touch(const std::string& key);
     void put(const std::string& key);
     void drop(const std::string& key);
     void clear();
--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -11,10 +11,10 @@
 
 namespace poppyscale::testbed::fault_injection {
 
-constexpr const char* kVariable = "POPPYSCALE_FAULT_INJECTION";  // the file's path, to the process
+constexpr const char* kPlanVariable = "POPPYSCALE_FAULT_INJECTION";  // the file's path, to the process
 constexpr std::uint32_t kFormat = 1;
 
-enum class Call : std::uint32_t {
+enum class SystemCall : std::uint32_t {
     accept,
     socket,
     connect,
@@ -30,10 +30,10 @@
     random,
     count,
 };
-constexpr std::size_t kCalls = static_cast<std::size_t>(Call::count);
+constexpr std::size_t kSystemCalls = static_cast<std::size_t>(SystemCall::count);
 
 // What becomes of a call that is drawn to fail.
-enum class Way : std::uint32_t {
+enum class FaultEffect : std::uint32_t {
     none,
     interrupted,  // EINTR
     aborted,      // ECONNABORTED
@@ -50,42 +50,42 @@
     partial,      // a part of what was asked for: 1 to 7 bytes, of a file half
     count,
 };
-constexpr std::size_t kWays = static_cast<std::size_t>(Way::count);
+constexpr std::size_t kFaultEffects = static_cast<std::size_t>(FaultEffect::count);
 
 // As scenarios and reports name them, in the order of the enumerations.
-constexpr std::string_view kCallNames[kCalls]{"accept", "socket", "connect", "bind", "listen",
-                                              "read",   "write",  "poll",    "open", "file_write",
-                                              "sync",   "rename", "random"};
-constexpr std::string_view kWayNames[kWays]{
+constexpr std::string_view kSystemCallNames[kSystemCalls]{"accept", "socket", "connect", "bind", "listen",
+                                                          "read",   "write",  "poll",    "open", "file_write",
+                                                          "sync",   "rename", "random"};
+constexpr std::string_view kFaultEffectNames[kFaultEffects]{
     "none",        "EINTR",        "ECONNABORTED", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL",
     "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT",    "EAGAIN", "ENOSPC",  "EIO",    "partial"};
 
-constexpr std::optional<Call> callNamed(std::string_view name) {
-    for (std::size_t i = 0; i < kCalls; ++i)
-        if (kCallNames[i] == name) return static_cast<Call>(i);
+constexpr std::optional<SystemCall> systemCallNamed(std::string_view name) {
+    for (std::size_t i = 0; i < kSystemCalls; ++i)
+        if (kSystemCallNames[i] == name) return static_cast<SystemCall>(i);
     return std::nullopt;
 }
-constexpr std::optional<Way> wayNamed(std::string_view name) {
-    for (std::size_t i = 1; i < kWays; ++i)
-        if (kWayNames[i] == name) return static_cast<Way>(i);
+constexpr std::optional<FaultEffect> faultEffectNamed(std::string_view name) {
+    for (std::size_t i = 1; i < kFaultEffects; ++i)
+        if (kFaultEffectNames[i] == name) return static_cast<FaultEffect>(i);
     return std::nullopt;
 }
 
 constexpr std::uint32_t kOne = 1U << 20;  // a share of one
 
-struct Plan {
+struct FaultPlan {
     std::uint32_t format = kFormat;
     std::atomic<std::uint32_t> seed{1};
     // Of the calls of each kind, the share that ends in each way, in parts of kOne.
-    std::atomic<std::uint32_t> share[kCalls][kWays]{};
+    std::atomic<std::uint32_t> share[kSystemCalls][kFaultEffects]{};
     // How often each has happened: a fault that never happened proves nothing.
-    std::atomic<std::uint64_t> happened[kCalls][kWays]{};
+    std::atomic<std::uint64_t> occurrences[kSystemCalls][kFaultEffects]{};
     // The wall clock's step, in ns; monotonic clocks are left alone.
     std::atomic<std::int64_t> wallStep{0};
     // A turn of the loop is held up for up to so many ns before it polls, by a share of turns.
-    std::atomic<std::uint32_t> holdUpShare{0};
-    std::atomic<std::int64_t> holdUp{0};
-    std::atomic<std::uint64_t> heldUp{0};
+    std::atomic<std::uint32_t> delayShare{0};
+    std::atomic<std::int64_t> maxDelay{0};
+    std::atomic<std::uint64_t> delays{0};
 };
 
 }  // namespace poppyscale::testbed::fault_injection
--- a/src/testbed/fault_injection/preload.cpp
+++ b/src/testbed/fault_injection/preload.cpp
@@ -25,20 +25,20 @@
 
 using namespace poppyscale::testbed::fault_injection;
 
-Plan* plan() {
+FaultPlan* plan() {
     // Without a guard: two threads at once map it twice, which does no harm.
-    static std::atomic<Plan*> mapped{nullptr};
+    static std::atomic<FaultPlan*> mapped{nullptr};
     static std::atomic<bool> looked{false};
     if (looked.load(std::memory_order_acquire)) return mapped.load(std::memory_order_acquire);
-    const char* const path = ::getenv(kVariable);
-    Plan* made = nullptr;
+    const char* const path = ::getenv(kPlanVariable);
+    FaultPlan* made = nullptr;
     if (path) {
         const long fd = ::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC);
         if (fd >= 0) {
-            void* const at =
-                ::mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED, static_cast<int>(fd), 0);
+            void* const at = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED,
+                                    static_cast<int>(fd), 0);
             ::syscall(SYS_close, fd);
-            if (at != MAP_FAILED) made = static_cast<Plan*>(at);
+            if (at != MAP_FAILED) made = static_cast<FaultPlan*>(at);
         }
         if (made && made->format != kFormat) made = nullptr;
     }
@@ -68,62 +68,62 @@
     return x ^ x >> 31;
 }
 
-Way wayFor(Call call) {
-    Plan* const p = plan();
-    if (!p) return Way::none;
+FaultEffect wayFor(SystemCall call) {
+    FaultPlan* const p = plan();
+    if (!p) return FaultEffect::none;
     const auto c = static_cast<std::size_t>(call);
     std::uint32_t drawn = 0;
     bool hasDrawn = false;
-    for (std::size_t w = 1; w < kWays; ++w) {
+    for (std::size_t w = 1; w < kFaultEffects; ++w) {
         const std::uint32_t share = p->share[c][w].load(std::memory_order_relaxed);
         if (share == 0) continue;
         if (!hasDrawn) drawn = static_cast<std::uint32_t>(draw() % kOne);
         hasDrawn = true;
         if (drawn < share) {
-            p->happened[c][w].fetch_add(1, std::memory_order_relaxed);
-            return static_cast<Way>(w);
+            p->occurrences[c][w].fetch_add(1, std::memory_order_relaxed);
+            return static_cast<FaultEffect>(w);
         }
         drawn -= share;
     }
-    return Way::none;
+    return FaultEffect::none;
 }
 
-int errorOf(Way way) {
+int errorOf(FaultEffect way) {
     switch (way) {
-        case Way::interrupted:
+        case FaultEffect::interrupted:
             return EINTR;
-        case Way::aborted:
+        case FaultEffect::aborted:
             return ECONNABORTED;
-        case Way::noFiles:
+        case FaultEffect::noFiles:
             return ENFILE;
-        case Way::noBuffers:
+        case FaultEffect::noBuffers:
             return ENOBUFS;
-        case Way::noMemory:
+        case FaultEffect::noMemory:
             return ENOMEM;
-        case Way::noAddress:
+        case FaultEffect::noAddress:
             return EADDRNOTAVAIL;
-        case Way::unreachable:
+        case FaultEffect::unreachable:
             return ENETUNREACH;
-        case Way::noHost:
+        case FaultEffect::noHost:
             return EHOSTUNREACH;
-        case Way::timedOut:
+        case FaultEffect::timedOut:
             return ETIMEDOUT;
-        case Way::tryAgain:
+        case FaultEffect::tryAgain:
             return EAGAIN;
-        case Way::noSpace:
+        case FaultEffect::noSpace:
             return ENOSPC;
-        case Way::inputOutput:
+        case FaultEffect::inputOutput:
             return EIO;
-        case Way::none:
-        case Way::partial:
-        case Way::count:
+        case FaultEffect::none:
+        case FaultEffect::partial:
+        case FaultEffect::count:
             break;
     }
     return 0;
 }
 
 // Whether the call is to fail now, with errno set.
-bool fails(Way way) {
+bool fails(FaultEffect way) {
     const int error = errorOf(way);
     if (error != 0) errno = error;
     return error != 0;
@@ -138,11 +138,12 @@
     if (fd >= 0 && fd < kMostDescriptors) connectedOut[fd].store(out, std::memory_order_relaxed);
 }
 
-bool isFinal(Way way) {
-    return way == Way::timedOut || way == Way::noHost || way == Way::unreachable || way == Way::inputOutput;
+bool isFinal(FaultEffect way) {
+    return way == FaultEffect::timedOut || way == FaultEffect::noHost || way == FaultEffect::unreachable ||
+           way == FaultEffect::inputOutput;
 }
 
-bool mayFail(int fd, Way way) {
+bool mayFail(int fd, FaultEffect way) {
     return !isFinal(way) ||
            (fd >= 0 && fd < kMostDescriptors && connectedOut[fd].load(std::memory_order_relaxed));
 }
@@ -160,31 +161,33 @@
 std::size_t few(std::size_t wanted) { return std::min<std::size_t>(wanted, 1 + draw() % 7); }
 
 void holdUp() {
-    Plan* const p = plan();
+    FaultPlan* const p = plan();
     if (!p) return;
-    const std::uint32_t share = p->holdUpShare.load(std::memory_order_relaxed);
-    const std::int64_t longest = p->holdUp.load(std::memory_order_relaxed);
+    const std::uint32_t share = p->delayShare.load(std::memory_order_relaxed);
+    const std::int64_t longest = p->maxDelay.load(std::memory_order_relaxed);
     if (share == 0 || longest <= 0 || draw() % kOne >= share) return;
     const std::int64_t ns =
         longest / 3 + static_cast<std::int64_t>(draw() % static_cast<std::uint64_t>(longest)) * 2 / 3;
     const timespec wait{ns / 1'000'000'000, ns % 1'000'000'000};
     ::syscall(SYS_nanosleep, &wait, nullptr);
-    p->heldUp.fetch_add(1, std::memory_order_relaxed);
+    p->delays.fetch_add(1, std::memory_order_relaxed);
 }
 
 ssize_t readSome(int fd, const iovec* parts, int count) {
-    const Way way = isSocket(fd) ? wayFor(Call::read) : Way::none;
+    const FaultEffect way = isSocket(fd) ? wayFor(SystemCall::read) : FaultEffect::none;
     if (mayFail(fd, way) && fails(way)) return -1;
-    if (way == Way::partial && count > 0)
+    if (way == FaultEffect::partial && count > 0)
         return ::syscall(SYS_read, fd, parts[0].iov_base, few(parts[0].iov_len));
     return ::syscall(SYS_readv, fd, parts, count);
 }
 
 ssize_t writeSome(int fd, const iovec* parts, int count) {
     const bool file = isFile(fd);
-    const Way way = file ? wayFor(Call::fileWrite) : isSocket(fd) ? wayFor(Call::write) : Way::none;
+    const FaultEffect way = file           ? wayFor(SystemCall::fileWrite)
+                            : isSocket(fd) ? wayFor(SystemCall::write)
+                                           : FaultEffect::none;
     if ((file || mayFail(fd, way)) && fails(way)) return -1;
-    if (way == Way::partial && count > 0) {
+    if (way == FaultEffect::partial && count > 0) {
         const std::size_t size =
             file ? std::max<std::size_t>(parts[0].iov_len / 2, 1) : few(parts[0].iov_len);
         return ::syscall(SYS_write, fd, parts[0].iov_base, std::min(size, parts[0].iov_len));
@@ -194,14 +197,14 @@
 
 int openIt(int folder, const char* path, int flags, mode_t mode) {
     const bool writes = (flags & O_ACCMODE) != O_RDONLY;
-    if (writes && fails(wayFor(Call::open))) return -1;
+    if (writes && fails(wayFor(SystemCall::open))) return -1;
     return static_cast<int>(::syscall(SYS_openat, folder, path, flags, mode));
 }
 
 mode_t modeOf(int flags, va_list rest) { return flags & (O_CREAT | O_TMPFILE) ? va_arg(rest, mode_t) : 0; }
 
 int acceptIt(int fd, sockaddr* at, socklen_t* size, int flags) {
-    if (fails(wayFor(Call::accept))) return -1;
+    if (fails(wayFor(SystemCall::accept))) return -1;
     const auto accepted = static_cast<int>(::syscall(SYS_accept4, fd, at, size, flags));
     noteDescriptor(accepted, false);
     return accepted;
@@ -215,23 +218,23 @@
 int accept(int fd, sockaddr* at, socklen_t* size) { return acceptIt(fd, at, size, 0); }
 
 int socket(int domain, int type, int protocol) noexcept {
-    if (domain == AF_INET && fails(wayFor(Call::socket))) return -1;
+    if (domain == AF_INET && fails(wayFor(SystemCall::socket))) return -1;
     return static_cast<int>(::syscall(SYS_socket, domain, type, protocol));
 }
 
 int connect(int fd, const sockaddr* at, socklen_t size) {
-    if (at->sa_family == AF_INET && fails(wayFor(Call::connect))) return -1;
+    if (at->sa_family == AF_INET && fails(wayFor(SystemCall::connect))) return -1;
     noteDescriptor(fd, at->sa_family == AF_INET);
     return static_cast<int>(::syscall(SYS_connect, fd, at, size));
 }
 
 int bind(int fd, const sockaddr* at, socklen_t size) noexcept {
-    if (fails(wayFor(Call::bind))) return -1;
+    if (fails(wayFor(SystemCall::bind))) return -1;
     return static_cast<int>(::syscall(SYS_bind, fd, at, size));
 }
 
 int listen(int fd, int backlog) noexcept {
-    if (fails(wayFor(Call::listen))) return -1;
+    if (fails(wayFor(SystemCall::listen))) return -1;
     return static_cast<int>(::syscall(SYS_listen, fd, backlog));
 }
 
@@ -249,9 +252,10 @@
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
     // With a descriptor in it, a part of a message is not the same as the whole one.
-    const Way way = message->msg_controllen == 0 && isSocket(fd) ? wayFor(Call::write) : Way::none;
+    const FaultEffect way =
+        message->msg_controllen == 0 && isSocket(fd) ? wayFor(SystemCall::write) : FaultEffect::none;
     if (mayFail(fd, way) && fails(way)) return -1;
-    if (way == Way::partial && message->msg_iovlen > 0)
+    if (way == FaultEffect::partial && message->msg_iovlen > 0)
         return ::syscall(SYS_sendto, fd, message->msg_iov[0].iov_base, few(message->msg_iov[0].iov_len),
                          flags, nullptr, 0);
     return ::syscall(SYS_sendmsg, fd, message, flags);
@@ -259,12 +263,12 @@
 
 int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
     holdUp();
-    if (fails(wayFor(Call::pollWait))) return -1;
+    if (fails(wayFor(SystemCall::pollWait))) return -1;
     return static_cast<int>(::syscall(SYS_epoll_pwait, fd, events, most, timeout, nullptr, 8));
 }
 int epoll_pwait(int fd, epoll_event* events, int most, int timeout, const sigset_t* mask) {
     holdUp();
-    if (fails(wayFor(Call::pollWait))) return -1;
+    if (fails(wayFor(SystemCall::pollWait))) return -1;
     return static_cast<int>(::syscall(SYS_epoll_pwait, fd, events, most, timeout, mask, 8));
 }
 
@@ -284,28 +288,28 @@
 }
 
 int fsync(int fd) {
-    if (fails(wayFor(Call::sync))) return -1;
+    if (fails(wayFor(SystemCall::sync))) return -1;
     return static_cast<int>(::syscall(SYS_fsync, fd));
 }
 int fdatasync(int fd) {
-    if (fails(wayFor(Call::sync))) return -1;
+    if (fails(wayFor(SystemCall::sync))) return -1;
     return static_cast<int>(::syscall(SYS_fdatasync, fd));
 }
 
 int rename(const char* from, const char* to) noexcept {
-    if (fails(wayFor(Call::rename))) return -1;
+    if (fails(wayFor(SystemCall::rename))) return -1;
     return static_cast<int>(::syscall(SYS_rename, from, to));
 }
 
 ssize_t getrandom(void* to, size_t size, unsigned flags) {
-    const Way way = wayFor(Call::random);
+    const FaultEffect way = wayFor(SystemCall::random);
     if (fails(way)) return -1;
-    return ::syscall(SYS_getrandom, to, way == Way::partial ? few(size) : size, flags);
+    return ::syscall(SYS_getrandom, to, way == FaultEffect::partial ? few(size) : size, flags);
 }
 
 int clock_gettime(clockid_t id, timespec* at) noexcept {
     const long result = ::syscall(SYS_clock_gettime, id, at);
-    const Plan* const p = plan();
+    const FaultPlan* const p = plan();
     if (result != 0 || !p || (id != CLOCK_REALTIME && id != CLOCK_REALTIME_COARSE))
         return static_cast<int>(result);
     const std::int64_t shown =
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -46,7 +46,7 @@
 constexpr const char* kRouter = "build/poppyscale";
 constexpr double kLateMost = 0.05;  // of a run's tenths of a second, then it proves nothing
 
-struct Wanted {
+struct Options {
     std::string file;
     std::uint64_t seed = 1;
     double seconds = 0;
@@ -57,7 +57,7 @@
     bool operated = false;
 };
 
-Scenario scenarioFor(const Wanted& wanted) {
+Scenario scenarioFor(const Options& wanted) {
     Scenario s = readScenario(wanted.file);
     if (wanted.seconds > 0) {
         s.length = static_cast<Nanos>(wanted.seconds * 1e9);
@@ -67,7 +67,7 @@
     return s;
 }
 
-std::string logPath(const Wanted& wanted) {
+std::string logPath(const Options& wanted) {
     if (wanted.out.empty()) return "";
     std::filesystem::create_directories(wanted.out);
     return wanted.out + "/log.tsv";
@@ -85,7 +85,7 @@
     };
 }
 
-int runIt(const Wanted& wanted) {
+int runIt(const Options& wanted) {
     const Scenario s = scenarioFor(wanted);
     Verdict judge(kLiveTolerance);
     LiveResult result;
@@ -118,13 +118,13 @@
     return kept ? kKept : kBroken;
 }
 
-int simulateIt(const Wanted& wanted) {
+int simulateIt(const Options& wanted) {
     const Scenario s = scenarioFor(wanted);
     Verdict judge;
     {
         EventLog ledger(logPath(wanted));
         judge.follow(ledger);
-        const SimResult result = simulate(s, wanted.seed, ledger, {progressOf(s), {}, {}, {}});
+        const SimulatedRunResult result = simulate(s, wanted.seed, ledger, {progressOf(s), {}, {}, {}});
         judge.extra("sim_pace",
                     static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
     }
@@ -138,7 +138,8 @@
     fmt::print(
         "stopped={:d} stage={} harmed={:.6f} went={:d} undone={:d} most={} instances={} after_s={:.1f} "
         "length_s={:.1f}\n",
-        p.stopped, p.stage, p.harmed, p.went, p.undone, p.most, p.instances, p.detectedAfter, p.seconds);
+        p.stopped, p.stage, p.harmed, p.completed, p.rolledBack, p.most, p.instances, p.detectedAfter,
+        p.seconds);
     return kKept;
 }
 
@@ -150,9 +151,9 @@
         "most_s={:.3f} frames_per_second={:.2f} bytes_per_frame={:.0f} cpu_us={:.1f} digest={} "
         "seconds={:.0f} "
         "wall_s={:.1f}\n",
-        p.overlaps, p.fell, p.changes, p.acts, p.lateRefused, p.kills, p.without, p.p50, p.p99, p.most,
+        p.overlaps, p.violations, p.changes, p.acts, p.lateRefused, p.kills, p.without, p.p50, p.p99, p.most,
         p.framesPerSecond, p.bytesPerFrame, p.cpuMicros, p.digest, p.seconds, p.wall);
-    const bool kept = p.overlaps == 0 && p.fell == 0;
+    const bool kept = p.overlaps == 0 && p.violations == 0;
     fmt::print("verdict: {}\n", kept ? "kept" : "broken: " + p.first);
     return kept ? kKept : kBroken;
 }
@@ -172,7 +173,7 @@
 int main(int argc, char** argv) {
     CLI::App app{"poppyscale_testbed: a stand-in deployment with load, faults and an audit of every command"};
     app.require_subcommand(1);
-    Wanted wanted;
+    Options wanted;
     const auto plays = [&](CLI::App* command) {
         command->add_option("file", wanted.file, "the scenario")->required();
         command->add_option("--seed", wanted.seed, "everything drawn follows from it");
@@ -190,26 +191,27 @@
     auto* sim =
         plays(app.add_subcommand("sim", "plays a scenario round the decision module, in virtual time"));
     auto* proxy = app.add_subcommand("proxy", "a plain router to compare with, started as the router is");
-    Policy policy = Policy::rendezvous;
+    BaselinePolicy policy = BaselinePolicy::rendezvous;
     proxy->add_option("--policy", policy, "random, rendezvous, bounded-load or pass-through")
         ->required()
-        ->transform(CLI::Transformer(std::map<std::string, Policy>{{"random", Policy::random},
-                                                                   {"rendezvous", Policy::rendezvous},
-                                                                   {"bounded-load", Policy::boundedLoad},
-                                                                   {"pass-through", Policy::passThrough}}));
+        ->transform(CLI::Transformer(
+            std::map<std::string, BaselinePolicy>{{"random", BaselinePolicy::random},
+                                                  {"rendezvous", BaselinePolicy::rendezvous},
+                                                  {"bounded-load", BaselinePolicy::boundedLoad},
+                                                  {"pass-through", BaselinePolicy::passThrough}}));
     auto* faulty = app.add_subcommand("fault-router", "a router that breaks one rule, to prove the audit by");
-    Defect defect = Defect::none;
+    BaselineDefect defect = BaselineDefect::none;
     faulty->add_option("rule", defect, "twice, lost, foreign, drain, cold, crash, tells-whole-time, or none")
         ->required()
-        ->transform(
-            CLI::Transformer(std::map<std::string, Defect>{{"none", Defect::none},
-                                                           {"twice", Defect::twice},
-                                                           {"lost", Defect::lost},
-                                                           {"foreign", Defect::foreign},
-                                                           {"drain", Defect::drain},
-                                                           {"cold", Defect::cold},
-                                                           {"crash", Defect::crash},
-                                                           {"tells-whole-time", Defect::tellsWholeTime}}));
+        ->transform(CLI::Transformer(
+            std::map<std::string, BaselineDefect>{{"none", BaselineDefect::none},
+                                                  {"twice", BaselineDefect::twice},
+                                                  {"lost", BaselineDefect::lost},
+                                                  {"foreign", BaselineDefect::foreign},
+                                                  {"drain", BaselineDefect::drain},
+                                                  {"cold", BaselineDefect::cold},
+                                                  {"crash", BaselineDefect::crash},
+                                                  {"tells-whole-time", BaselineDefect::tellsWholeTime}}));
     auto* comparing = app.add_subcommand("compare", "plays two routers on the same seeds in turn");
     ComparisonOptions pair;
     std::vector<std::string> files;
@@ -241,14 +243,14 @@
     std::string harm = "none";
     rolling->add_option("--seed", roll.seed, "everything drawn follows from it");
     rolling->add_option("--harm", harm, "none, declines, silent, slower, connections or presses");
-    rolling->add_option("--size", roll.harm.size, "of the harm, as a share")->check(CLI::Range(0.0, 10.0));
-    rolling->add_option("--trouble", roll.trouble, "cache, zone, burst, origin or drawn: beside the change");
-    rolling->add_option("--slow-harm", roll.slowHarm, "of the plan, its default without it")
+    rolling->add_option("--size", roll.defect.size, "of the harm, as a share")->check(CLI::Range(0.0, 10.0));
+    rolling->add_option("--trouble", roll.fault, "cache, zone, burst, origin or drawn: beside the change");
+    rolling->add_option("--slow-harm", roll.maxSlowHarm, "of the plan, its default without it")
         ->check(CLI::Range(0.005, 0.5));
     rolling->add_option("--routers", roll.routers, "300 without it")->check(CLI::Range(4, 1000));
     rolling->add_option("--machines", roll.machines, "20 without it")->check(CLI::Range(1, 100));
     rolling->add_flag("--unstaged", roll.unstaged, "all, one after another, and nobody looks");
-    rolling->add_flag("--tell", roll.tell, "what is seen and decided");
+    rolling->add_flag("--tell", roll.isVerbose, "what is seen and decided");
     auto* exploring = app.add_subcommand("explore", "every order of events on real deciders, up to bounds");
     ExplorationCommand look;
     exploring->add_option("what", look.what, "leases")->required();
@@ -261,7 +263,7 @@
     std::string guard;
     leasing->add_option("--seed", leases.seed, "everything drawn follows from it");
     leasing->add_option("--routers", leases.routers, "300 without it")->check(CLI::Range(10, 2000));
-    leasing->add_option("--voters", leases.voters, "5 without it")->check(CLI::IsMember({3, 5, 7}));
+    leasing->add_option("--voters", leases.acceptors, "5 without it")->check(CLI::IsMember({3, 5, 7}));
     leasing->add_option("--leases", leases.leases, "1000 without it")->check(CLI::Range(1, 100'000));
     leasing->add_option("--seconds", leases.seconds, "virtual ones, 600 without it")
         ->check(CLI::Range(30.0, 1e6));
@@ -316,7 +318,7 @@
     capacity->add_option("--target", targetFile, "docs/capacity-target.toml without it");
     capacity->add_option("--slopes", slopesFile, "docs/capacity-slopes.toml without it");
     auto* soaking = app.add_subcommand("soak", "drawn days of overlapping faults round real routers");
-    soak::Wanted soak;
+    soak::SoakOptions soak;
     soaking->add_option("file", soak.file, "the deployment and load, scenarios/soak.toml without it");
     soaking->add_option("--first", soak.first, "the first seed, 1 without it");
     soaking->add_option("--seeds", soak.seeds, "how many, one without it")->check(CLI::Range(1, 10'000));
@@ -356,20 +358,20 @@
             return serveByHand(scenarioFor(wanted), wanted.program), kKept;
         }
         if (*asking) return fmt::print("{}\n", askByHand(address, words, requestClass)), kKept;
-        if (*proxy) return serveProxy(policy, Defect::none);
-        if (*faulty) return serveProxy(Policy::rendezvous, defect);
+        if (*proxy) return serveProxy(policy, BaselineDefect::none);
+        if (*faulty) return serveProxy(BaselinePolicy::rendezvous, defect);
         if (*sim) return simulateIt(wanted);
         if (*rolling) {
-            roll.harm.kind = defectNamed(harm);
+            roll.defect.kind = defectNamed(harm);
             return rollIt(roll);
         }
         if (*leasing) {
-            if (!guard.empty()) leases.without = {lease::guardNamed(guard)};
+            if (!guard.empty()) leases.disabledSafeguard = {lease::guardNamed(guard)};
             return leaseIt(leases);
         }
         if (*sloping) {
             series.options.length = static_cast<Nanos>(slopeSeconds * 1e9);
-            return scale::playSlopes(series, scale::play) ? kKept : kBroken;
+            return scale::runSlopes(series, scale::runScaleTest) ? kKept : kBroken;
         }
         if (*capacity) return printCapacity(targetFile, slopesFile);
         if (*measuring) return scale::measureSeries(module) ? kKept : kBroken;
--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -20,7 +20,7 @@
     Model m = start;
     int number = 0;
     for (const auto& action : e.run) {
-        fmt::print("  {:3}  {}\n", ++number, m.told(action));
+        fmt::print("  {:3}  {}\n", ++number, m.describe(action));
         m.apply(action);
     }
     if (e.healed) fmt::print("       then nothing fails any more, and all that was sent comes\n");
@@ -46,7 +46,7 @@
         wanted.deviations = deviations;
         how.seconds = left;
         const LeaseModel fair(wanted);
-        const auto found = Explorer(fair, how).explore();
+        const auto found = StateExplorer(fair, how).explore();
         left -= found.seconds;
         if (!tell(fair, found,
                   fmt::format("{} deviations from a fair order of {} ticks", deviations, wanted.ticks)))
@@ -60,7 +60,8 @@
     how.seed = call.seed;
     how.seconds = call.seconds * 0.25;
     const LeaseModel worst(wanted);
-    if (!tell(worst, Explorer(worst, how).explore(), "3 voters with fast clocks, 2 holders with slow ones"))
+    if (!tell(worst, StateExplorer(worst, how).explore(),
+              "3 voters with fast clocks, 2 holders with slow ones"))
         return false;
     std::mt19937 chance(static_cast<std::mt19937::result_type>(call.seed));
     constexpr int kMixed = 6;
@@ -75,7 +76,7 @@
         wanted.clocks = chance() % 64;
         how.seed = chance();
         const LeaseModel mixed(wanted);
-        if (!tell(mixed, Explorer(mixed, how).explore(),
+        if (!tell(mixed, StateExplorer(mixed, how).explore(),
                   fmt::format("3 voters, 3 holders, clocks {:06b}", wanted.clocks)))
             return false;
     }
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -30,7 +30,7 @@
 
 class LeaseModel {
   public:
-    enum class What : std::uint8_t {
+    enum class StepKind : std::uint8_t {
         tick,         // time goes on
         lose,         // a message is lost
         hold,         // it is held back, until it is delivered by itself
@@ -47,23 +47,23 @@
         letGo,
         handOn
     };
-    struct Action {
-        What what = What::tick;
+    struct Step {
+        StepKind what = StepKind::tick;
         int who = 0;
         // Of a message: between whom, which kind, which one of those that are alike. Nothing that depends on
         // when.
         int from = 0, kind = 0, nth = 0;
-        bool operator==(const Action&) const = default;
+        bool operator==(const Step&) const = default;
     };
 
     explicit LeaseModel(const LeaseModelOptions& wanted);
 
-    std::vector<Action> actions() const;
-    bool apply(const Action& action);
+    std::vector<Step> actions() const;
+    bool apply(const Step& action);
     const std::string& broken() const { return broken_; }
     std::string image() const;
-    std::string told(const Action& action) const;
-    Action drawn(std::mt19937& chance) const;
+    std::string describe(const Step& action) const;
+    Step drawn(std::mt19937& chance) const;
     void heal();
     // How often somebody else came to act than before.
     int changes() const { return changes_; }
@@ -84,50 +84,52 @@
         lease::GrantRecords pending;
         std::uint64_t ticket = 0;
     };
-    struct Acting {
+    struct ActiveSection {
         int holder;
         lease::Fence fence;
         Nanos until;
     };
-    int voters() const { return settings_.voters; }
-    bool isVoter(int process) const { return process < voters(); }
-    int count() const { return voters() + wanted_.holders; }
+    int acceptors() const { return settings_.voters; }
+    bool isAcceptor(int process) const { return process < acceptors(); }
+    int count() const { return acceptors() + options_.holders; }
     Nanos localOf(int process) const;
-    lease::LeaseHolder& holder(int process) { return holders_[static_cast<std::size_t>(process - voters())]; }
+    lease::LeaseHolder& holder(int process) {
+        return holders_[static_cast<std::size_t>(process - acceptors())];
+    }
     const lease::LeaseHolder& holder(int process) const {
-        return holders_[static_cast<std::size_t>(process - voters())];
+        return holders_[static_cast<std::size_t>(process - acceptors())];
     }
-    lease::Acceptor& voter(int process) { return *voters_[static_cast<std::size_t>(process)]; }
+    lease::Acceptor& acceptor(int process) { return *acceptors_[static_cast<std::size_t>(process)]; }
     Disk& disk(int process) { return disks_[static_cast<std::size_t>(process)]; }
     // What a fair order has next: what is due at a disk, an act, the oldest message, time.
-    Action usual() const;
-    std::vector<Action> possible() const;
-    bool play(const Action& action);
-    Action actionOf(std::size_t message, What what) const;
-    std::optional<std::size_t> find(const Action& action) const;
-    void settle(int process, bool syncs);
+    Step usual() const;
+    std::vector<Step> possible() const;
+    bool play(const Step& action);
+    Step actionOf(std::size_t message, StepKind what) const;
+    std::optional<std::size_t> find(const Step& action) const;
+    void reconcile(int process, bool syncs);
     void sync(int process);
     void send(int from, int to, Body body);
     void hand(const Message& message, bool syncs);
-    void startVoter(int process);
+    void startAcceptor(int process);
     void startHolder(int process);
     bool beginAct(int process, lease::Fence fence, bool late);
     bool mayAct(int process) const;
     bool acts(int process) const;  // one of its acts is not over
     bool somebodyHolds() const;
 
-    LeaseModelOptions wanted_;
+    LeaseModelOptions options_;
     lease::LeaseSettings settings_;
     Nanos now_ = 0;
     int tick_ = 0;
-    std::vector<std::optional<lease::Acceptor>> voters_;
+    std::vector<std::optional<lease::Acceptor>> acceptors_;
     std::vector<Disk> disks_;
     std::vector<lease::LeaseHolder> holders_;
-    std::vector<Message> flight_;
-    std::vector<Acting> acting_;
+    std::vector<Message> messagesInFlight_;
+    std::vector<ActiveSection> activeSections_;
     std::vector<std::optional<lease::CriticalSection>> stopped_;  // holders that were told so and stand still
     lease::Fence seen_ = 0;                                       // by who receives the acts
-    std::uint32_t lives_ = 1;
+    std::uint32_t incarnations_ = 1;
     int lastActor_ = -1, changes_ = 0;
     std::string broken_;
 };
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -5,13 +5,13 @@
 // Two images with one 128-bit hash would hide a state; with 10^8 states the chance of any is under 10^-22.
 //
 // `Model` is copied by value and has
-//   struct Action: comparable, and the same thing wherever it is applied
-//   std::vector<Action> actions() const          what may happen now
-//   bool apply(const Action&)                    false: it can't here, and nothing changed
+//   struct Step: comparable, and the same thing wherever it is applied
+//   std::vector<Step> actions() const          what may happen now
+//   bool apply(const Step&)                    false: it can't here, and nothing changed
 //   const std::string& broken() const            what must not be and is; empty: nothing
 //   std::string image() const                    all that matters of it
-//   std::string told(const Action&) const        the action in words
-//   Action drawn(std::mt19937&) const            one of actions(), what is rare in the world not too often
+//   std::string describe(const Step&) const    the step in words
+//   Step drawn(std::mt19937&) const            one of actions(), what is rare in the world not too often
 //   void heal()                                  nothing fails from now on: `broken` then names what does not
 //   recover
 #pragma once
@@ -45,16 +45,17 @@
     bool all = false;  // there was nothing further
     double seconds = 0;
     std::string broken;
-    std::vector<typename Model::Action> run;
+    std::vector<typename Model::Step> run;
     bool shortest = false;  // none is shorter
     bool healed = false;    // it shows once nothing fails any more and all that was sent has come
 };
 
 template <class Model>
-class Explorer {
+class StateExplorer {
   public:
-    using Action = typename Model::Action;
-    Explorer(Model start, const ExplorationOptions& wanted) : start_(std::move(start)), wanted_(wanted) {}
+    using Step = typename Model::Step;
+    StateExplorer(Model start, const ExplorationOptions& wanted)
+        : start_(std::move(start)), wanted_(wanted) {}
 
     ExplorationResult<Model> explore() {
         const auto began = Clock::now();
@@ -84,14 +85,14 @@
     void breadth(Clock::time_point began, double seconds) {
         struct Node {
             Model model;
-            std::vector<Action> run;
+            std::vector<Step> run;
         };
         std::vector<Node> level{{start_, {}}};
         isNew(start_);
         for (int depth = 1; !level.empty(); ++depth) {
             std::vector<Node> next;
             for (Node& node : level) {
-                for (const Action& action : node.model.actions()) {
+                for (const Step& action : node.model.actions()) {
                     Model m = node.model;
                     if (!m.apply(action)) continue;
                     ++out_.steps;
@@ -122,9 +123,9 @@
         while (since(began) < seconds) {
             ++out_.walks;
             Model m = start_;
-            std::vector<Action> run;
+            std::vector<Step> run;
             for (int i = 0; i < wanted_.walkLength && m.broken().empty(); ++i) {
-                const Action action = m.drawn(chance);
+                const Step action = m.drawn(chance);
                 if (!m.apply(action)) continue;
                 ++out_.steps;
                 run.push_back(action);
@@ -139,11 +140,11 @@
     }
 
     // The same break, or another one: any run that breaks something will do.
-    std::string playedTo(const std::vector<Action>& run, std::vector<Action>& needed, bool& healed) const {
+    std::string playedTo(const std::vector<Step>& run, std::vector<Step>& needed, bool& healed) const {
         Model m = start_;
         needed.clear();
         healed = false;
-        for (const Action& action : run) {
+        for (const Step& action : run) {
             if (!m.apply(action)) continue;
             needed.push_back(action);
             if (!m.broken().empty()) return m.broken();
@@ -161,7 +162,7 @@
                 auto without = out_.run;
                 const auto from = without.begin() + static_cast<std::ptrdiff_t>(at);
                 without.erase(from, from + static_cast<std::ptrdiff_t>(std::min(piece, without.size() - at)));
-                std::vector<Action> needed;
+                std::vector<Step> needed;
                 bool healed = false;
                 const std::string broken = playedTo(without, needed, healed);
                 if (broken.empty()) {
--- a/src/testbed/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -34,14 +34,14 @@
     return seconds_[index];
 }
 
-void Figures::see(const LogEvent& e) {
-    coldLoad_.see(e);
-    if (e.what != EventKind::server) lastAt_ = std::max(lastAt_, e.at);
-    const auto wishOf = [&]() -> Wish* {
+void Figures::onEvent(const LogEvent& e) {
+    coldLoad_.onEvent(e);
+    if (e.kind != EventKind::server) lastAt_ = std::max(lastAt_, e.at);
+    const auto wishOf = [&]() -> OpenDemand* {
         const auto first = firsts_.find(e.command);
         return first == firsts_.end() ? nullptr : &wishes_.at(first->second);
     };
-    switch (e.what) {
+    switch (e.kind) {
         case EventKind::server:
             names_.emplace_back(wordAt(e.text, 0));
             zones_.emplace_back(wordAt(e.text, 1));
@@ -67,7 +67,7 @@
             break;
         }
         case EventKind::answered:
-            if (Wish* const wish = wishOf(); wish && std::exchange(wish->open, false)) {
+            if (OpenDemand* const wish = wishOf(); wish && std::exchange(wish->open, false)) {
                 const auto& requestClass = head_["verbs"][static_cast<std::size_t>(wish->requestClass)];
                 const Nanos took = e.at - wish->dueAt;
                 const bool withinObjective = took <= requestClass["goal"].get<Nanos>();
--- a/src/testbed/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -29,7 +29,7 @@
 class Figures {
   public:
     explicit Figures(const nlohmann::json& head);
-    void see(const LogEvent& entry);
+    void onEvent(const LogEvent& entry);
     // After the last entry: all figures by name, in the order in which they are printed.
     const std::vector<std::pair<std::string, double>>& finish();
     double of(const std::string& name) const;
@@ -43,17 +43,17 @@
         std::map<int, int> relaysOf;  // by server
     };
     std::vector<Second>& seconds() { return seconds_; }
-    struct Mark {
+    struct Annotation {
         double at;  // seconds
         std::string text;
     };
-    const std::vector<Mark>& marks() const { return marks_; }
+    const std::vector<Annotation>& marks() const { return marks_; }
     const std::vector<std::string>& serverNames() const { return names_; }
     nlohmann::json json() const;
 
   private:
     // All tries of one command together.
-    struct Wish {
+    struct OpenDemand {
         int requestClass = 0;
         Nanos dueAt = 0;
         bool open = true;
@@ -65,9 +65,9 @@
     nlohmann::json head_;
     std::vector<std::string> requestClassNames_;
     std::unordered_map<std::uint64_t, std::uint64_t> firsts_;  // of a try's id
-    std::unordered_map<std::uint64_t, Wish> wishes_;
+    std::unordered_map<std::uint64_t, OpenDemand> wishes_;
     std::vector<Second> seconds_;
-    std::vector<Mark> marks_;
+    std::vector<Annotation> marks_;
     std::vector<std::string> names_, zones_;  // of servers
     std::map<int, std::string> routerZones_;
     std::vector<double> capacities_;
--- a/src/testbed/report/page.cpp
+++ b/src/testbed/report/page.cpp
@@ -13,7 +13,7 @@
 namespace poppyscale::testbed {
 namespace {
 
-constexpr std::size_t kMostBreaches = 50;
+constexpr std::size_t kMaxViolations = 50;
 
 std::string escaped(std::string_view text) {
     std::string out;
@@ -133,12 +133,12 @@
         page += "<h2>Breaches</h2><ul>";
         std::size_t shown = 0;
         for (const auto& b : report.at("breaches"))
-            if (++shown <= kMostBreaches)
+            if (++shown <= kMaxViolations)
                 page += fmt::format("<li>{} at {:.3f} s: {}</li>", escaped(b.at("rule").get<std::string>()),
                                     static_cast<double>(b.at("at_ns").get<Nanos>()) / 1e9,
                                     escaped(b.at("what").get<std::string>()));
-        page +=
-            shown > kMostBreaches ? fmt::format("<li>and {} more</li></ul>", shown - kMostBreaches) : "</ul>";
+        page += shown > kMaxViolations ? fmt::format("<li>and {} more</li></ul>", shown - kMaxViolations)
+                                       : "</ul>";
     }
     page += "<h2>Over time</h2><p>Red lines: a fault begins; dashed green: it ends.</p>";
     for (const char* name : {"answers", "times", "relays", "origin"}) {
--- a/src/testbed/report/verdict.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -21,21 +21,21 @@
 
 void Verdict::follow(EventLog& ledger) {
     ledger.watchHead = [this](const nlohmann::json& head) { begin(head); };
-    ledger.watch = [this](const LogEvent& entry) { see(entry); };
+    ledger.watch = [this](const LogEvent& entry) { onEvent(entry); };
 }
 
-void Verdict::see(const LogEvent& entry) {
-    audit_->see(entry);
-    figures_->see(entry);
+void Verdict::onEvent(const LogEvent& entry) {
+    audit_->onEvent(entry);
+    figures_->onEvent(entry);
 }
 
 std::vector<std::string> Verdict::verdict() {
     if (!std::exchange(finished_, true)) {
-        breaches_ = audit_->finish();
+        violations_ = audit_->finish();
         figures_->finish();
     }
     std::vector<std::string> broken;
-    for (const Violation& b : breaches_)
+    for (const Violation& b : violations_)
         if (std::find(broken.begin(), broken.end(), b.rule) == broken.end()) broken.push_back(b.rule);
     for (auto& bound : figures_->missed()) broken.push_back(std::move(bound));
     return broken;
@@ -43,16 +43,16 @@
 
 bool Verdict::close(const std::string& out) {
     const auto broken = verdict();
-    for (std::size_t i = 0; i < std::min(breaches_.size(), kShown); ++i)
-        fmt::print(stderr, "{} at {:.3f} s: {}\n", breaches_[i].rule,
-                   static_cast<double>(breaches_[i].at) / 1e9, breaches_[i].what);
-    if (breaches_.size() > kShown) fmt::print(stderr, "and {} more\n", breaches_.size() - kShown);
+    for (std::size_t i = 0; i < std::min(violations_.size(), kShown); ++i)
+        fmt::print(stderr, "{} at {:.3f} s: {}\n", violations_[i].rule,
+                   static_cast<double>(violations_[i].at) / 1e9, violations_[i].what);
+    if (violations_.size() > kShown) fmt::print(stderr, "and {} more\n", violations_.size() - kShown);
     if (!out.empty()) {
         auto report = figures_->json();
         for (const auto& [name, value] : extras_) report["figures"][name] = value;
         report["verdict"] = broken.empty() ? "kept" : "broken";
         report["broken"] = broken;
-        for (const Violation& b : breaches_)
+        for (const Violation& b : violations_)
             report["breaches"].push_back({{"rule", b.rule}, {"at_ns", b.at}, {"what", b.what}});
         std::ofstream(out + "/report.json") << report.dump(2) << '\n';
         writePage(out, *figures_, report);
@@ -73,7 +73,7 @@
     Verdict judge;
     readEventLog(
         dir + "/log.tsv", [&](const nlohmann::json& head) { judge.begin(head); },
-        [&](const LogEvent& e) { judge.see(e); });
+        [&](const LogEvent& e) { judge.onEvent(e); });
     return judge.close("");
 }
 
--- a/src/testbed/report/verdict.hpp
+++ b/src/testbed/report/verdict.hpp
@@ -19,7 +19,7 @@
     // Before the ledger's head is written.
     void follow(EventLog& ledger);
     void begin(const nlohmann::json& head);
-    void see(const LogEvent& entry);
+    void onEvent(const LogEvent& entry);
     void extra(const std::string& name, double value) { extras_.emplace_back(name, value); }
 
     // All breaches and bounds that were not kept, each once; empty if all held.
@@ -27,14 +27,14 @@
     // Prints the line of figures and the verdict, writes the reports into `out` unless that is empty.
     bool close(const std::string& out);
     Figures& figures() { return *figures_; }
-    const std::vector<Violation>& breaches() const { return breaches_; }
+    const std::vector<Violation>& violations() const { return violations_; }
 
   private:
     Nanos tolerance_;
     std::unique_ptr<Audit> audit_;
     std::unique_ptr<Figures> figures_;
     std::vector<std::pair<std::string, double>> extras_;
-    std::vector<Violation> breaches_;
+    std::vector<Violation> violations_;
     bool finished_ = false;
 };
 
--- a/src/testbed/scale/command.cpp
+++ b/src/testbed/scale/command.cpp
@@ -17,7 +17,7 @@
 constexpr int kKept = 0;
 constexpr int kBroken = 1;
 constexpr int kUsage = 2;
-constexpr double kMostApart = 0.1;  // of a hollow router's figure from a real one's
+constexpr double kMostApart = 0.1;  // of a stubs router's figure from a real one's
 constexpr Nanos kIdleSpan = 5'000 * kMillisecond;
 
 void showProgress(std::string_view phase, Nanos at) {
@@ -30,10 +30,10 @@
 }
 
 // Prints both figures and their ratio; whether they are as near as they have to be.
-bool compareFigure(const char* name, double real, double hollow) {
-    const double ratio = real > 0 ? hollow / real : 0;
+bool compareFigure(const char* name, double real, double stubs) {
+    const double ratio = real > 0 ? stubs / real : 0;
     const bool near = std::abs(ratio - 1) <= kMostApart;
-    fmt::print("{}: real {:.6g}, hollow {:.6g}, ratio {:.3f}{}\n", name, real, hollow, ratio,
+    fmt::print("{}: real {:.6g}, hollow {:.6g}, ratio {:.3f}{}\n", name, real, stubs, ratio,
                near ? "" : ", over 10% apart");
     return near;
 }
@@ -94,7 +94,7 @@
     options_.length = static_cast<Nanos>(seconds_ * 1e9);
     options_.progress = showProgress;
     if (compared_ > 0) return compare(options_);
-    const Result result = play(options_);
+    const Result result = runScaleTest(options_);
     printBroken(result);
     fmt::print("{}\n", json_ ? jsonOf(result) : lineOf(result));
     return result.broken.empty() ? kKept : kBroken;
@@ -117,22 +117,22 @@
         idle.length = std::max(options.length / 2, kIdleSpan);
         idle.events.clear();
         Side played;
-        played.listProcessorShare -= play(idle).routerProcessorShare;
-        played.day = play(side);
+        played.listProcessorShare -= runScaleTest(idle).routerProcessorShare;
+        played.day = runScaleTest(side);
         played.listProcessorShare += played.day.routerProcessorShare;
         return played;
     };
     const Side real = playSide(true);
-    const Side hollow = playSide(false);
+    const Side stubs = playSide(false);
     bool near = compareFigure("control bytes a second of a router", real.day.routerBytesPerSecond,
-                              hollow.day.routerBytesPerSecond);
+                              stubs.day.routerBytesPerSecond);
     near &= compareFigure("control messages a second of a router", real.day.routerMessagesPerSecond,
-                          hollow.day.routerMessagesPerSecond);
+                          stubs.day.routerMessagesPerSecond);
     near &= compareFigure("processor share of the list's handling", real.listProcessorShare,
-                          hollow.listProcessorShare);
-    for (const Side* side : {&real, &hollow}) printBroken(side->day);
-    fmt::print("real: {}\nhollow: {}\n", lineOf(real.day), lineOf(hollow.day));
-    return near && real.day.broken.empty() && hollow.day.broken.empty() ? kKept : kBroken;
+                          stubs.listProcessorShare);
+    for (const Side* side : {&real, &stubs}) printBroken(side->day);
+    fmt::print("real: {}\nhollow: {}\n", lineOf(real.day), lineOf(stubs.day));
+    return near && real.day.broken.empty() && stubs.day.broken.empty() ? kKept : kBroken;
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/discovery.cpp
+++ b/src/testbed/scale/discovery.cpp
@@ -85,14 +85,14 @@
 class Discovery;
 
 // A caller: one call after the other on a connection.
-class Caller : private transport::Connection::Handler {
+class PollConnection : private transport::Connection::Handler {
   public:
     static constexpr int kNoRouter = -1;
-    Caller(Discovery& discovery, int realRouter);
+    PollConnection(Discovery& discovery, int realRouter);
 
     bool accept(const std::function<bool(transport::Connection&)>& finish);
     void listChanged();
-    std::list<std::unique_ptr<Caller>>::iterator self;
+    std::list<std::unique_ptr<PollConnection>>::iterator self;
 
   private:
     enum class State : std::uint8_t { reading, waiting, heldBack, dropped };
@@ -111,7 +111,7 @@
     int realRouter_;
     transport::Connection connection_;
     transport::Timer alarm_;
-    HttpCall call_;
+    HttpRequestParser call_;
     std::string unread_;
     std::string body_;
     std::int64_t after_ = 0;
@@ -131,7 +131,7 @@
     void heard(int realRouter, std::size_t bytes);
     void called(int realRouter, std::int64_t after);
     void answered(int realRouter, std::size_t bytes);
-    void drop(Caller& caller);
+    void drop(PollConnection& caller);
 
   private:
     void listen(int realRouter);
@@ -154,8 +154,8 @@
     std::ofstream changes_;
     std::ofstream records_;
     std::vector<std::unique_ptr<transport::Listener>> listeners_;
-    std::list<std::unique_ptr<Caller>> callers_;
-    std::list<std::unique_ptr<Caller>> dropped_;
+    std::list<std::unique_ptr<PollConnection>> callers_;
+    std::list<std::unique_ptr<PollConnection>> dropped_;
     std::map<std::int64_t, std::string> answers_;  // of the present version, by what they follow
     std::string older_;                            // the whole list as it was, for the known mistake
     std::uint64_t told_ = 0;
@@ -175,19 +175,19 @@
     transport::Signal finishSignal_;
 };
 
-Caller::Caller(Discovery& discovery, int realRouter)
+PollConnection::PollConnection(Discovery& discovery, int realRouter)
     : discovery_(discovery),
       realRouter_(realRouter),
       connection_(discovery.loop(), discovery.pool(), *this),
       alarm_(discovery.loop(), [this] { timeIsUp(); }) {}
 
-bool Caller::accept(const std::function<bool(transport::Connection&)>& finish) {
+bool PollConnection::accept(const std::function<bool(transport::Connection&)>& finish) {
     if (!finish(connection_)) return false;
     connection_.setReading(true);
     return true;
 }
 
-void Caller::onData(std::string_view bytes) {
+void PollConnection::onData(std::string_view bytes) {
     if (state_ == State::dropped) return;
     discovery_.heard(realRouter_, bytes.size());
     unread_.append(bytes);
@@ -195,21 +195,21 @@
     readCalls();
 }
 
-void Caller::onDrained() { readCalls(); }
+void PollConnection::onDrained() { readCalls(); }
 
 // A caller that does not read its answers gets no further one: what it asks stays unread.
-void Caller::readCalls() {
+void PollConnection::readCalls() {
     while (state_ == State::reading && !unread_.empty() && connection_.unsentBytes() == 0) {
         std::string_view rest = unread_;
-        const HttpCall::State state = call_.feed(rest);
+        const HttpRequestParser::State state = call_.feed(rest);
         unread_.erase(0, unread_.size() - rest.size());
-        if (state == HttpCall::State::broken) return drop();
-        if (state == HttpCall::State::whole) called();
+        if (state == HttpRequestParser::State::malformed) return drop();
+        if (state == HttpRequestParser::State::complete) called();
     }
     if (state_ != State::dropped && unread_.empty()) connection_.setReading(true);
 }
 
-void Caller::called() {
+void PollConnection::called() {
     after_ = numberOr<std::int64_t>(call_.query("after"), 0);
     const Nanos wait = numberOr<std::int64_t>(call_.query("wait_ms"), 0) * kMillisecond;
     call_.clear();
@@ -219,13 +219,13 @@
     alarm_.start(EventLoop::now() + wait);
 }
 
-void Caller::listChanged() {
+void PollConnection::listChanged() {
     if (state_ != State::waiting) return;
     answer();
     readCalls();
 }
 
-void Caller::timeIsUp() {
+void PollConnection::timeIsUp() {
     if (state_ == State::heldBack)
         send();
     else
@@ -233,7 +233,7 @@
     readCalls();
 }
 
-void Caller::answer() {
+void PollConnection::answer() {
     body_ = discovery_.answerFor(after_);
     const Nanos delay = discovery_.delay();
     if (delay == 0) return send();
@@ -241,7 +241,7 @@
     alarm_.start(EventLoop::now() + delay);
 }
 
-void Caller::send() {
+void PollConnection::send() {
     alarm_.stop();
     state_ = State::reading;
     const std::string text = httpAnswer(200, "Content-Type: application/json\r\n", body_);
@@ -250,9 +250,9 @@
     if (!connection_.write(text)) drop();
 }
 
-void Caller::onClosed() { drop(); }
+void PollConnection::onClosed() { drop(); }
 
-void Caller::drop() {
+void PollConnection::drop() {
     if (state_ == State::dropped) return;
     state_ = State::dropped;
     alarm_.stop();
@@ -275,7 +275,7 @@
       finishSignal_(loop_, SIGTERM, [this] { finish(); }) {
     for (const std::string& text : options.slow) slow_.push_back(slowPeriodOf(text));
     noteVersion("start");
-    for (int router = Caller::kNoRouter; router < options.realRouters; ++router) listen(router);
+    for (int router = PollConnection::kNoRouter; router < options.realRouters; ++router) listen(router);
     std::string ports;
     for (const auto& listener : listeners_) {
         sockaddr_in at{};
@@ -290,8 +290,8 @@
 
 void Discovery::listen(int realRouter) {
     auto admit = [this, realRouter](const auto& finish) {
-        callers_.push_back(std::make_unique<Caller>(*this, realRouter));
-        Caller& caller = *callers_.back();
+        callers_.push_back(std::make_unique<PollConnection>(*this, realRouter));
+        PollConnection& caller = *callers_.back();
         caller.self = std::prev(callers_.end());
         if (!caller.accept(finish)) callers_.pop_back();
     };
@@ -329,7 +329,7 @@
 
 void Discovery::nextChange() {
     if (options_.changesPerSecond <= 0) return;
-    const double jitter = 0.5 + random_.part();
+    const double jitter = 0.5 + random_.fraction();
     changeAlarm_.start(EventLoop::now() + static_cast<Nanos>(jitter * 1e9 / options_.changesPerSecond));
 }
 
@@ -339,7 +339,7 @@
     noteVersion(kind);
     answers_.clear();
     for (auto it = callers_.begin(); it != callers_.end();) {
-        Caller& caller = **it;
+        PollConnection& caller = **it;
         ++it;  // it may be dropped
         caller.listChanged();
     }
@@ -374,12 +374,12 @@
 void Discovery::heard(int realRouter, std::size_t bytes) {
     if (!measuring_) return;
     all_.add(bytes, 0);
-    if (realRouter != Caller::kNoRouter) real_[static_cast<std::size_t>(realRouter)].add(bytes, 0);
+    if (realRouter != PollConnection::kNoRouter) real_[static_cast<std::size_t>(realRouter)].add(bytes, 0);
 }
 
 void Discovery::called(int realRouter, std::int64_t after) {
     if (measuring_) ++all_.calls;
-    if (realRouter == Caller::kNoRouter) return;
+    if (realRouter == PollConnection::kNoRouter) return;
     const auto index = static_cast<std::size_t>(realRouter);
     if (measuring_) ++real_[index].calls;
     std::int64_t& said = saidByReal_[index];
@@ -387,7 +387,7 @@
     if (said == 0 && ++realReady_ == options_.realRouters)
         std::ofstream(options_.folder + "/real.ready") << realReady_ << '\n';
     said = after;
-    const ForceRecord record{static_cast<std::uint32_t>(realRouter), 0, after, 0, monotonicNow()};
+    const PropagationRecord record{static_cast<std::uint32_t>(realRouter), 0, after, 0, monotonicNow()};
     records_.write(reinterpret_cast<const char*>(&record), sizeof record);
 }
 
@@ -395,14 +395,14 @@
     if (!measuring_) return;
     ++all_.messages;
     all_.add(0, bytes);
-    if (realRouter == Caller::kNoRouter) return;
+    if (realRouter == PollConnection::kNoRouter) return;
     Traffic& traffic = real_[static_cast<std::size_t>(realRouter)];
     ++traffic.messages;
     traffic.add(0, bytes);
 }
 
 // Whoever calls this may be within a call of it: it goes in the loop's next turn.
-void Discovery::drop(Caller& caller) { dropped_.splice(dropped_.end(), callers_, caller.self); }
+void Discovery::drop(PollConnection& caller) { dropped_.splice(dropped_.end(), callers_, caller.self); }
 
 void Discovery::eachSecond() {
     secondAlarm_.start(EventLoop::now() + kSecond);
--- a/src/testbed/scale/in_force.cpp
+++ b/src/testbed/scale/in_force.cpp
@@ -18,10 +18,11 @@
     return versions;
 }
 
-std::vector<std::vector<ForceRecord>> readRecords(const std::string& path, std::uint32_t first, int routers) {
+std::vector<std::vector<PropagationRecord>> readRecords(const std::string& path, std::uint32_t first,
+                                                        int routers) {
     std::ifstream file(path, std::ios::binary);
-    std::vector<std::vector<ForceRecord>> all(static_cast<std::size_t>(routers));
-    ForceRecord record;
+    std::vector<std::vector<PropagationRecord>> all(static_cast<std::size_t>(routers));
+    PropagationRecord record;
     while (file.read(reinterpret_cast<char*>(&record), sizeof record)) {
         const std::uint32_t index = record.router - first;
         if (index >= all.size()) throw std::runtime_error("a record of an unknown router in " + path);
@@ -30,21 +31,21 @@
     return all;
 }
 
-InForce::InForce(std::vector<Change> versions) : versions_(std::move(versions)) {
+PropagationStatistics::PropagationStatistics(std::vector<Change> versions) : versions_(std::move(versions)) {
     for (std::size_t i = 1; i < versions_.size(); ++i) changes_.push_back({versions_[i].at, {}, 0});
 }
 
-bool InForce::isKnown(const ForceRecord& record) const {
+bool PropagationStatistics::isKnown(const PropagationRecord& record) const {
     if (record.version < 1 || record.version > static_cast<std::int64_t>(versions_.size())) return false;
     const Change& version = versions_[static_cast<std::size_t>(record.version - 1)];
     return record.digest == 0 || record.digest == version.digest;
 }
 
-void InForce::add(const std::vector<ForceRecord>& router) {
+void PropagationStatistics::add(const std::vector<PropagationRecord>& router) {
     std::vector<std::int64_t> since(changes_.size(), 0);  // when each change came into force
     std::size_t inForce = 0;                              // changes, the first ones
     std::int64_t highest = 0;
-    for (const ForceRecord& record : router) {
+    for (const PropagationRecord& record : router) {
         if (record.version < highest) ++stale_;
         highest = std::max(highest, record.version);
         if (!isKnown(record)) continue;
@@ -66,7 +67,7 @@
     }
 }
 
-double InForce::quantileMs(double part) const {
+double PropagationStatistics::quantileMs(double part) const {
     std::vector<float> all;
     all.reserve(delivered_);
     for (const PerChange& change : changes_)
--- a/src/testbed/scale/in_force.hpp
+++ b/src/testbed/scale/in_force.hpp
@@ -21,13 +21,14 @@
 // The versions that discovery had, the first one included.
 std::vector<Change> readChanges(const std::string& path);
 // By router, each in the order of time; numbers start at `first`.
-std::vector<std::vector<ForceRecord>> readRecords(const std::string& path, std::uint32_t first, int routers);
+std::vector<std::vector<PropagationRecord>> readRecords(const std::string& path, std::uint32_t first,
+                                                        int routers);
 
-class InForce {
+class PropagationStatistics {
   public:
-    explicit InForce(std::vector<Change> versions);
+    explicit PropagationStatistics(std::vector<Change> versions);
 
-    void add(const std::vector<ForceRecord>& router);
+    void add(const std::vector<PropagationRecord>& router);
 
     struct PerChange {
         std::int64_t at = 0;
@@ -42,7 +43,7 @@
     double quantileMs(double part) const;
 
   private:
-    bool isKnown(const ForceRecord& record) const;
+    bool isKnown(const PropagationRecord& record) const;
 
     std::vector<Change> versions_;    // versions_[i].version == i + 1
     std::vector<PerChange> changes_;  // of versions_[i + 1]
--- a/src/testbed/scale/limits.cpp
+++ b/src/testbed/scale/limits.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 // Somewhat more than what was measured of each role, in KiB.
-constexpr double kHollowRouter = 100;
-constexpr double kHollowRouterPerCache = 1.8;
+constexpr double kStubRouterDemand = 100;
+constexpr double kStubRouterPerCache = 1.8;
 constexpr double kRealRouter = 8'000;
 constexpr double kRealRouterPerCache = 3;
 constexpr double kControl = 50'000;  // discovery, or a distributor
@@ -48,7 +48,7 @@
     const int routers = options.stubRouters + options.realRouters;
     const double changes = options.changesPerSecond * static_cast<double>(options.length) / 1e9;
     Demand demand;
-    demand.memoryKib += options.stubRouters * (kHollowRouter + kHollowRouterPerCache * caches);
+    demand.memoryKib += options.stubRouters * (kStubRouterDemand + kStubRouterPerCache * caches);
     demand.memoryKib += options.realRouters * (kRealRouter + kRealRouterPerCache * caches);
     demand.memoryKib += (1 + options.distributors) * (kControl + kControlPerCache * caches);
     demand.memoryKib += routers * (kControlPerRouter + kRecordPerChange * changes);
@@ -57,7 +57,7 @@
     return demand;
 }
 
-void refuseWhatCantBe(const Options& options) {
+void rejectImpossible(const Options& options) {
     if (options.stubRouters + options.realRouters < 1) throw std::runtime_error("a run needs a router");
     if (options.caches < 1) throw std::runtime_error("a run needs a cache server");
     if (options.zones < 1) throw std::runtime_error("a run needs a zone");
--- a/src/testbed/scale/limits.hpp
+++ b/src/testbed/scale/limits.hpp
@@ -14,6 +14,6 @@
 
 // Throws std::runtime_error for options that make no sense, for what is not built, and where the run would
 // take over half of the machine's memory or more descriptors than a process may have.
-void refuseWhatCantBe(const Options& options);
+void rejectImpossible(const Options& options);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -38,7 +38,7 @@
 double heapKib() { return static_cast<double>(mallinfo2().uordblks) / 1024; }
 
 // Keeps the last attempt, which the caller ends.
-class AnsweringHost : public PolicyHost {
+class RespondingHost : public PolicyHost {
   public:
     void startAttempt(RequestId, std::string_view, Nanos, Nanos) override { attempted = true; }
     void reject(RequestId, Nanos) override { ++refused; }
@@ -69,7 +69,7 @@
     return list;
 }
 
-PolicySettings termsOf(const ModuleOptions& o) {
+PolicySettings settingsOf(const ModuleOptions& o) {
     PolicySettings terms;
     terms.seed = o.seed;
     terms.routerCount = o.routers;
@@ -110,10 +110,10 @@
 }
 
 // A router's module that is asked one request after another.
-class Asked {
+class PolicyUnderLoad {
   public:
-    explicit Asked(const ModuleOptions& o)
-        : gap_(static_cast<Nanos>(1e9 / o.requestsPerSecond)), router_(termsOf(o), host_, now_) {}
+    explicit PolicyUnderLoad(const ModuleOptions& o)
+        : gap_(static_cast<Nanos>(1e9 / o.requestsPerSecond)), router_(settingsOf(o), host_, now_) {}
 
     void request(std::string_view key) {
         now_ += gap_;
@@ -143,7 +143,7 @@
     Nanos gap_;
     Nanos now_ = kClockStart;
     RequestId id_ = 0;
-    AnsweringHost host_;
+    RespondingHost host_;
     RoutingPolicy router_;
 };
 
@@ -153,7 +153,7 @@
         e.name, e.zone, e.shape, e.cell, e.weight, e.cell, e.cell * 7 % 250, e.cell * 13 % 250);
 }
 
-std::string rosterJson(const std::vector<Endpoint>& entries, bool full) {
+std::string endpointListJson(const std::vector<Endpoint>& entries, bool full) {
     std::string json = fmt::format(R"({{"version":1234567,"full":{},"servers":[)", full);
     for (const Endpoint& e : entries) {
         if (json.back() != '[') json += ',';
@@ -163,7 +163,7 @@
 }
 
 void measureList(const ModuleOptions& o, const std::vector<Endpoint>& list, ModuleCost& cost) {
-    const std::string json = rosterJson(list, true);
+    const std::string json = endpointListJson(list, true);
     cost.listBytes = static_cast<double>(json.size());
     std::vector<double> parsing;
     std::vector<double> taking;
@@ -172,7 +172,7 @@
         const protocol::EndpointList roster = protocol::readEndpointList(json);
         parsing.push_back(threadMicros() - start);
         if (roster.entries.size() != list.size()) throw std::logic_error("the list was not read whole");
-        Asked asked(o);
+        PolicyUnderLoad asked(o);
         const double taken = threadMicros();
         asked.news(EndpointUpdateKind::complete, list);
         asked.request("object/first");
@@ -184,7 +184,7 @@
 
 // The same server leaves and comes back in turn, so that the fleet keeps its size.
 double measureChanges(const ModuleOptions& o, const std::vector<std::string>& keys, double requestMicros,
-                      Asked& asked) {
+                      PolicyUnderLoad& asked) {
     std::vector<double> times;
     for (int i = 0; i < o.changes; ++i) {
         Endpoint changed = endpoint(i / 2 % o.caches, o.zones);
@@ -207,7 +207,7 @@
     measureList(o, list, cost);
     const std::vector<std::string> keys = drawKeys(o);
     const double before = heapKib();
-    Asked asked(o);
+    PolicyUnderLoad asked(o);
     asked.news(EndpointUpdateKind::complete, list);
     asked.request(keys.front());
     cost.listMemoryKib = heapKib() - before;
--- a/src/testbed/scale/processes.cpp
+++ b/src/testbed/scale/processes.cpp
@@ -84,7 +84,7 @@
     return configuration.dump(1);
 }
 
-std::unique_ptr<Process> startDiscovery(const Options& options) {
+std::unique_ptr<ChildProcess> startDiscovery(const Options& options) {
     std::string command = fmt::format(
         "'{}' scale-discovery --folder '{}' --caches {} --zones {} --changes-per-second {} "
         "--real {} --seed {}",
@@ -95,12 +95,12 @@
             command +=
                 fmt::format(" --slow {}:{}:{}", millis(event.at), millis(event.length), millis(event.delay));
     if (options.without == "order") command += " --tell-older";
-    return std::make_unique<Process>(command, std::vector<std::pair<std::string, std::string>>{},
-                                     options.folder + "/discovery.log");
+    return std::make_unique<ChildProcess>(command, std::vector<std::pair<std::string, std::string>>{},
+                                          options.folder + "/discovery.log");
 }
 
-std::vector<HollowProcess> startHollow(const Options& options, const std::vector<int>& ports) {
-    std::vector<HollowProcess> all;
+std::vector<StubProcess> startStubRouters(const Options& options, const std::vector<int>& ports) {
+    std::vector<StubProcess> all;
     if (options.stubRouters == 0) return all;
     const std::string configuration = options.folder + "/hollow-router.json";
     std::ofstream(configuration) << routerConfiguration(options, 0, "127.0.0.1:0", "") << '\n';
@@ -115,19 +115,20 @@
         const std::string command =
             fmt::format("'{}'{} --index {} --first {} --routers {}", programPath("poppyscale_stub_routers"),
                         shared, index, first, routers);
-        all.push_back({std::make_unique<Process>(command, std::vector<std::pair<std::string, std::string>>{},
-                                                 fmt::format("{}/hollow-{}.log", options.folder, index)),
-                       first, routers});
+        all.push_back(
+            {std::make_unique<ChildProcess>(command, std::vector<std::pair<std::string, std::string>>{},
+                                            fmt::format("{}/hollow-{}.log", options.folder, index)),
+             first, routers});
     }
     return all;
 }
 
-std::unique_ptr<Process> startReal(const Options& options, int router, int port) {
+std::unique_ptr<ChildProcess> startReal(const Options& options, int router, int port) {
     const std::string path = fmt::format("{}/real-{}.json", options.folder, router);
     const std::string listen = fmt::format("127.0.0.1:{}", freePort());
     std::ofstream(path) << routerConfiguration(options, router, listen, fmt::format("127.0.0.1:{}", port))
                         << '\n';
-    return std::make_unique<Process>(
+    return std::make_unique<ChildProcess>(
         fmt::format("'{}'", programPath("poppyscale")),
         std::vector<std::pair<std::string, std::string>>{{"ROUTER_CONFIG", path},
                                                          {"ROUTER_NAME", fmt::format("router-{}", router)},
@@ -135,14 +136,15 @@
         fmt::format("{}/real-{}.log", options.folder, router));
 }
 
-std::unique_ptr<Process> startDistributor(const Options& options, int index, int port, int discoveryPort) {
+std::unique_ptr<ChildProcess> startDistributor(const Options& options, int index, int port,
+                                               int discoveryPort) {
     const std::string path = fmt::format("{}/distributor-{}.toml", options.folder, index);
     std::ofstream(path) << fmt::format(
         "[distributor]\nname = \"distributor-{}\"\nlisten = \"127.0.0.1:{}\"\nupstreams = "
         "[\"127.0.0.1:{}\"]\nwait_ms = {}\nbatch_ms = {}\nmax_readers = {}\n",
         index, port, discoveryPort, kDistributorWaitMs, kDistributorBatchMs,
         options.stubRouters + options.realRouters + 16);
-    return std::make_unique<Process>(
+    return std::make_unique<ChildProcess>(
         fmt::format("'{}' --config '{}'", programPath("poppyscale_endpoint_distributor"), path),
         std::vector<std::pair<std::string, std::string>>{},
         fmt::format("{}/distributor-{}.log", options.folder, index));
--- a/src/testbed/scale/processes.hpp
+++ b/src/testbed/scale/processes.hpp
@@ -13,14 +13,14 @@
 // One process holds that many hollow routers at most: each turn of its loop looks at all of them.
 constexpr int kRoutersPerProcess = 250;
 
-struct HollowProcess {
-    std::unique_ptr<Process> process;
+struct StubProcess {
+    std::unique_ptr<ChildProcess> process;
     int first = 0;
     int routers = 0;
 };
 
 struct Distributor {
-    std::unique_ptr<Process> process;
+    std::unique_ptr<ChildProcess> process;
     int port = 0;
     double processorBefore =
         0;  // of the time that is measured: what was used before it, below 0 after a kill
@@ -33,10 +33,11 @@
 std::string routerConfiguration(const Options& options, int router, const std::string& listen,
                                 const std::string& discovery);
 
-std::unique_ptr<Process> startDiscovery(const Options& options);
-std::vector<HollowProcess> startHollow(const Options& options, const std::vector<int>& ports);
-std::unique_ptr<Process> startReal(const Options& options, int router, int port);
-std::unique_ptr<Process> startDistributor(const Options& options, int index, int port, int discoveryPort);
+std::unique_ptr<ChildProcess> startDiscovery(const Options& options);
+std::vector<StubProcess> startStubRouters(const Options& options, const std::vector<int>& ports);
+std::unique_ptr<ChildProcess> startReal(const Options& options, int router, int port);
+std::unique_ptr<ChildProcess> startDistributor(const Options& options, int index, int port,
+                                               int discoveryPort);
 
 // A port of the loopback interface that nobody listens on.
 int freePort();
--- a/src/testbed/scale/record.hpp
+++ b/src/testbed/scale/record.hpp
@@ -11,14 +11,14 @@
 
 // A list that a router decides by from `at` on. Written by the hollow routers, and by discovery for real
 // ones, as it stands in memory: writer and reader are of one build on one machine.
-struct ForceRecord {
+struct PropagationRecord {
     std::uint32_t router = 0;
     std::uint32_t reserved = 0;
     std::int64_t version = 0;
     std::uint64_t digest = 0;  // of the whole list that the router holds by now; 0 where it can't be seen
     std::int64_t at = 0;       // CLOCK_MONOTONIC, ns
 };
-static_assert(sizeof(ForceRecord) == 32);
+static_assert(sizeof(PropagationRecord) == 32);
 
 // The digest of a list is the sum of its entries', so that it follows each change at the cost of that entry.
 inline std::uint64_t entryDigest(std::string_view id, EndpointState presence, std::int64_t startedMs) {
--- a/src/testbed/scale/report.cpp
+++ b/src/testbed/scale/report.cpp
@@ -22,9 +22,9 @@
 }
 
 // One row a change: when, and p50, p99 and the slowest router's time in force.
-void writeData(const std::string& path, const InForce& judged, std::int64_t beganAt) {
+void writeData(const std::string& path, const PropagationStatistics& judged, std::int64_t beganAt) {
     std::ofstream out(path);
-    for (const InForce::PerChange& change : judged.changes()) {
+    for (const PropagationStatistics::PerChange& change : judged.changes()) {
         std::vector<float> sorted = change.milliseconds;
         if (sorted.empty()) continue;
         std::sort(sorted.begin(), sorted.end());
@@ -58,7 +58,7 @@
     return script;
 }
 
-bool draw(const Options& options, const InForce& judged, std::int64_t beganAt) {
+bool draw(const Options& options, const PropagationStatistics& judged, std::int64_t beganAt) {
     writeData(options.folder + "/in-force.dat", judged, beganAt);
     std::ofstream(options.folder + "/in-force.gp") << scriptOf(options);
     const int code = std::system(
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-void writeScaleReport(const Options& options, const Result& result, const InForce& judged,
+void writeScaleReport(const Options& options, const Result& result, const PropagationStatistics& judged,
                       std::int64_t beganAt) {
     const bool drawn = draw(options, judged, beganAt);
     std::string page =
--- a/src/testbed/scale/report.hpp
+++ b/src/testbed/scale/report.hpp
@@ -8,7 +8,7 @@
 
 // Writes report.html into the run's folder: when the changes came into force over the measured time, with the
 // events marked, and the figures. `beganAt` is on the clock of the changes.
-void writeScaleReport(const Options& options, const Result& result, const InForce& judged,
+void writeScaleReport(const Options& options, const Result& result, const PropagationStatistics& judged,
                       std::int64_t beganAt);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -68,9 +68,9 @@
     int descriptor_;
 };
 
-class Run {
+class ScaleRun {
   public:
-    explicit Run(const Options& options) : options_(options) {}
+    explicit ScaleRun(const Options& options) : options_(options) {}
     Result play();
 
   private:
@@ -87,14 +87,14 @@
     void planDistributorLoss(const Event& event, Distributor& distributor);
     void killDistributor(Distributor& distributor);
     void measure();
-    void settle();
+    void awaitSettled();
     void stopAll();
     Result evaluate();
     void addDiscovery(Result& result) const;
-    void addHollow(Result& result) const;
+    void addStubRouters(Result& result) const;
     void addReal(Result& result) const;
     void addControl(Result& result) const;
-    void judgeBounds(Result& result, const InForce& judged) const;
+    void judgeBounds(Result& result, const PropagationStatistics& judged) const;
 
     void signalMeasured(int number);
     void checkAlive();
@@ -106,12 +106,12 @@
     bool isThroughLoss(std::int64_t at) const;
 
     Options options_;
-    std::unique_ptr<Process> discovery_;
+    std::unique_ptr<ChildProcess> discovery_;
     int discoveryPort_ = 0;
     std::vector<int> realPorts_;
     std::vector<Distributor> distributors_;
-    std::vector<HollowProcess> hollow_;
-    std::vector<std::unique_ptr<Process>> real_;
+    std::vector<StubProcess> stubRouters_;
+    std::vector<std::unique_ptr<ChildProcess>> real_;
     std::vector<double> realProcessor_;  // at the begin, then what was used
     double realMemoryKib_ = 0;
     double distributorProcessor_ = 0;
@@ -122,19 +122,19 @@
     double seconds_ = 0;
 };
 
-Result Run::play() {
-    refuseWhatCantBe(options_);
+Result ScaleRun::play() {
+    rejectImpossible(options_);
     prepare();
     startAll();
     awaitReady();
     planEvents();
     measure();
-    settle();
+    awaitSettled();
     stopAll();
     return evaluate();
 }
 
-void Run::prepare() {
+void ScaleRun::prepare() {
     if (options_.folder.empty()) throw std::runtime_error("a run needs a folder for its files");
     std::filesystem::create_directories(options_.folder);
     options_.folder = std::filesystem::absolute(options_.folder).string();
@@ -154,7 +154,7 @@
     setrlimit(RLIMIT_NOFILE, &files);
 }
 
-void Run::startAll() {
+void ScaleRun::startAll() {
     discovery_ = startDiscovery(options_);
     await("discovery", kReadyWithin, [this] { return std::filesystem::exists(path("discovery.ports")); });
     std::ifstream file(path("discovery.ports"));
@@ -171,14 +171,14 @@
     for (const Distributor& distributor : distributors_)
         await("a distributor", kReadyWithin, [&] { return isListening(distributor.port); });
     if (upstreams.empty()) upstreams.push_back(discoveryPort_);
-    hollow_ = startHollow(options_, upstreams);
+    stubRouters_ = startStubRouters(options_, upstreams);
     for (int i = 0; i < options_.realRouters; ++i)
         real_.push_back(startReal(options_, i, realPorts_[static_cast<std::size_t>(i)]));
 }
 
-void Run::awaitReady() {
+void ScaleRun::awaitReady() {
     tell("routers start", 0);
-    for (std::size_t i = 0; i < hollow_.size(); ++i)
+    for (std::size_t i = 0; i < stubRouters_.size(); ++i)
         await("the hollow routers' first list", kReadyWithin,
               [&] { return std::filesystem::exists(path(fmt::format("hollow-{}.ready", i))); });
     if (real_.empty()) return;
@@ -186,7 +186,7 @@
           [this] { return std::filesystem::exists(path("real.ready")); });
 }
 
-void Run::planEvents() {
+void ScaleRun::planEvents() {
     std::size_t next = 0;  // distributors are lost in turn
     for (const Event& event : options_.events) {
         switch (event.kind) {
@@ -201,7 +201,7 @@
                 steps_.push_back({event.at + event.length, [this] { slowReader_.reset(); }});
                 break;
             }
-            case EventKind::restartRouters:  // the hollow processes and discovery were told at their start
+            case EventKind::restartRouters:  // the stubs processes and discovery were told at their start
             case EventKind::slowDiscovery:
             case EventKind::cutZone:  // refused before
             case EventKind::loseRack:
@@ -211,7 +211,7 @@
     std::stable_sort(steps_.begin(), steps_.end(), [](const Step& a, const Step& b) { return a.at < b.at; });
 }
 
-void Run::planDistributorLoss(const Event& event, Distributor& distributor) {
+void ScaleRun::planDistributorLoss(const Event& event, Distributor& distributor) {
     if (event.kind == EventKind::stopDistributor) {
         steps_.push_back({event.at, [&distributor] { distributor.process->signal(SIGSTOP); }});
         steps_.push_back({event.at + event.length, [&distributor] { distributor.process->signal(SIGCONT); }});
@@ -226,17 +226,17 @@
                       }});
 }
 
-void Run::killDistributor(Distributor& distributor) {
+void ScaleRun::killDistributor(Distributor& distributor) {
     distributorProcessor_ += processorSecondsOf(distributor.process->pid()) - distributor.processorBefore;
     distributor.process.reset();  // by SIGKILL
 }
 
-void Run::signalMeasured(int number) {
-    for (const HollowProcess& hollow : hollow_) hollow.process->signal(number);
+void ScaleRun::signalMeasured(int number) {
+    for (const StubProcess& stubs : stubRouters_) stubs.process->signal(number);
     discovery_->signal(number);
 }
 
-void Run::measure() {
+void ScaleRun::measure() {
     beganAt_ = monotonicNow();
     signalMeasured(SIGUSR1);
     for (const auto& real : real_) realProcessor_.push_back(processorSecondsOf(real->pid()));
@@ -263,7 +263,7 @@
     }
 }
 
-void Run::settle() {
+void ScaleRun::awaitSettled() {
     tell("settles", 0);
     const std::int64_t until = monotonicNow() + kSettleTime;
     while (monotonicNow() < until) {
@@ -272,33 +272,34 @@
     }
 }
 
-void Run::stopAll() {
+void ScaleRun::stopAll() {
     slowReader_.reset();
-    const auto ends = [this](Process& process) {
+    const auto ends = [this](ChildProcess& process) {
         process.signal(SIGTERM);
-        await("the end of a process", kStopWithin, [&process] { return process.ended(); });
+        await("the end of a process", kStopWithin, [&process] { return process.hasExited(); });
     };
-    for (const HollowProcess& hollow : hollow_) hollow.process->signal(SIGTERM);
-    for (const HollowProcess& hollow : hollow_) ends(*hollow.process);
+    for (const StubProcess& stubs : stubRouters_) stubs.process->signal(SIGTERM);
+    for (const StubProcess& stubs : stubRouters_) ends(*stubs.process);
     real_.clear();
     distributors_.clear();
     ends(*discovery_);
 }
 
-void Run::checkAlive() {
-    const auto check = [this](Process& process, const std::string& name) {
-        if (process.ended())
+void ScaleRun::checkAlive() {
+    const auto check = [this](ChildProcess& process, const std::string& name) {
+        if (process.hasExited())
             throw std::runtime_error(
                 fmt::format("{} ended by itself with {}: {}", name, process.exitCode(), path(name + ".log")));
     };
     check(*discovery_, "discovery");
-    for (std::size_t i = 0; i < hollow_.size(); ++i) check(*hollow_[i].process, fmt::format("hollow-{}", i));
+    for (std::size_t i = 0; i < stubRouters_.size(); ++i)
+        check(*stubRouters_[i].process, fmt::format("hollow-{}", i));
     for (std::size_t i = 0; i < real_.size(); ++i) check(*real_[i], fmt::format("real-{}", i));
     for (std::size_t i = 0; i < distributors_.size(); ++i)
         if (distributors_[i].process) check(*distributors_[i].process, fmt::format("distributor-{}", i));
 }
 
-void Run::await(const char* what, Nanos within, const std::function<bool()>& done) {
+void ScaleRun::await(const char* what, Nanos within, const std::function<bool()>& done) {
     const std::int64_t until = monotonicNow() + within;
     while (!done()) {
         if (monotonicNow() > until)
@@ -311,7 +312,7 @@
 
 // ---- what was measured
 
-bool Run::isThroughLoss(std::int64_t at) const {
+bool ScaleRun::isThroughLoss(std::int64_t at) const {
     const Nanos since = at - beganAt_;
     for (const Event& event : options_.events) {
         const bool loses =
@@ -323,11 +324,12 @@
     return false;
 }
 
-Result Run::evaluate() {
-    InForce judged(readChanges(path("changes.tsv")));
-    for (std::size_t i = 0; i < hollow_.size(); ++i) {
-        const auto routers = readRecords(path(fmt::format("hollow-{}.records", i)),
-                                         static_cast<std::uint32_t>(hollow_[i].first), hollow_[i].routers);
+Result ScaleRun::evaluate() {
+    PropagationStatistics judged(readChanges(path("changes.tsv")));
+    for (std::size_t i = 0; i < stubRouters_.size(); ++i) {
+        const auto routers =
+            readRecords(path(fmt::format("hollow-{}.records", i)),
+                        static_cast<std::uint32_t>(stubRouters_[i].first), stubRouters_[i].routers);
         for (const auto& records : routers) judged.add(records);
     }
     for (const auto& records : readRecords(path("real.records"), 0, options_.realRouters))
@@ -343,7 +345,7 @@
     result.stale = judged.stale();
     addDiscovery(result);
     addReal(result);
-    addHollow(result);
+    addStubRouters(result);
     addControl(result);
     judgeBounds(result, judged);
     writeScaleReport(options_, result, judged, beganAt_);
@@ -351,7 +353,7 @@
     return result;
 }
 
-void Run::addDiscovery(Result& result) const {
+void ScaleRun::addDiscovery(Result& result) const {
     const auto totals = readJson(path("discovery.json"));
     const double seconds = std::max(totals.at("seconds").get<double>(), 1e-3);
     result.controlProcessorShare = totals.at("processor_seconds").get<double>() / seconds;
@@ -368,7 +370,7 @@
     }
 }
 
-void Run::addReal(Result& result) const {
+void ScaleRun::addReal(Result& result) const {
     if (options_.realRouters == 0) return;
     for (const double used : realProcessor_)
         result.realProcessorShare += used / seconds_ / static_cast<double>(options_.realRouters);
@@ -380,9 +382,9 @@
     result.routerMessagesPerSecond = result.realMessagesPerSecond;
 }
 
-void Run::addHollow(Result& result) const {
+void ScaleRun::addStubRouters(Result& result) const {
     const auto routers = static_cast<double>(options_.stubRouters);
-    for (std::size_t i = 0; i < hollow_.size(); ++i) {
+    for (std::size_t i = 0; i < stubRouters_.size(); ++i) {
         const auto totals = readJson(path(fmt::format("hollow-{}.json", i)));
         const double seconds = std::max(totals.at("seconds").get<double>(), 1e-3);
         const double bytes = totals.at("bytes_in").get<double>() + totals.at("bytes_out").get<double>();
@@ -398,7 +400,7 @@
     }
 }
 
-void Run::addControl(Result& result) const {
+void ScaleRun::addControl(Result& result) const {
     if (options_.distributors == 0) return;
     result.controlProcessorShare += distributorProcessor_ / seconds_;
     result.controlMemoryKib += distributorMemoryKib_;
@@ -407,9 +409,9 @@
         result.routerMessagesPerSecond * static_cast<double>(options_.stubRouters);
 }
 
-void Run::judgeBounds(Result& result, const InForce& judged) const {
+void ScaleRun::judgeBounds(Result& result, const PropagationStatistics& judged) const {
     double normal = 0;
-    for (const InForce::PerChange& change : judged.changes()) {
+    for (const PropagationStatistics::PerChange& change : judged.changes()) {
         if (change.milliseconds.empty()) continue;
         const auto slowest =
             static_cast<double>(*std::max_element(change.milliseconds.begin(), change.milliseconds.end()));
@@ -443,7 +445,7 @@
 
 }  // namespace
 
-Result play(const Options& options) { return Run(options).play(); }
+Result runScaleTest(const Options& options) { return ScaleRun(options).play(); }
 
 std::string lineOf(const Result& result) {
     return fmt::format(
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -87,7 +87,7 @@
 // Throws std::runtime_error, before anything is started, for what the machine can't hold and for what is not
 // built. Starts poppyscale_testbed, poppyscale_stub_routers, poppyscale and poppyscale_endpoint_distributor
 // of the caller's own folder.
-Result play(const Options& options);
+Result runScaleTest(const Options& options);
 
 // `name=value ...`, the last line of a run.
 std::string lineOf(const Result& result);
--- a/src/testbed/scale/scenario.cpp
+++ b/src/testbed/scale/scenario.cpp
@@ -11,14 +11,14 @@
 
 using config::TomlTable;
 
-const config::Words<EventKind>& eventNames() {
-    static const config::Words<EventKind> names{{"kill_distributor", EventKind::killDistributor},
-                                                {"stop_distributor", EventKind::stopDistributor},
-                                                {"restart_routers", EventKind::restartRouters},
-                                                {"cut_zone", EventKind::cutZone},
-                                                {"slow_discovery", EventKind::slowDiscovery},
-                                                {"lose_rack", EventKind::loseRack},
-                                                {"slow_reader", EventKind::slowReader}};
+const config::NamedValues<EventKind>& eventNames() {
+    static const config::NamedValues<EventKind> names{{"kill_distributor", EventKind::killDistributor},
+                                                      {"stop_distributor", EventKind::stopDistributor},
+                                                      {"restart_routers", EventKind::restartRouters},
+                                                      {"cut_zone", EventKind::cutZone},
+                                                      {"slow_discovery", EventKind::slowDiscovery},
+                                                      {"lose_rack", EventKind::loseRack},
+                                                      {"slow_reader", EventKind::slowReader}};
     return names;
 }
 
--- a/src/testbed/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -40,7 +40,7 @@
     const std::size_t number = servers_.size();
     const auto zone = number % static_cast<std::size_t>(zones_);
     Server server;
-    server.id = fmt::format("cache-{:08x}-{}", random_.word() >> 32, number);
+    server.id = fmt::format("cache-{:08x}-{}", random_.randomWord() >> 32, number);
     server.fixed = fmt::format(
         R"({{"id":"{}","addr":"10.{}.{}.{}:6379","zone":"zone-{}","kind":"cache","cell":{},"weight":1.0)",
         server.id, zone % 250, number / 250 % 250, number % 250 + 1, zone, number);
@@ -71,7 +71,7 @@
 std::string_view ServerList::change(std::int64_t nowMs) {
     std::size_t index = 0;
     std::string_view kind;
-    const double drawn = random_.part();
+    const double drawn = random_.fraction();
     const bool few = present_ < static_cast<std::size_t>(caches_);
     if (drawn < kRestarts) {
         kind = "restart";
--- a/src/testbed/scale/slopes.cpp
+++ b/src/testbed/scale/slopes.cpp
@@ -65,7 +65,7 @@
     return options;
 }
 
-bool playSlopes(const SlopeSeries& series, const Play& play) {
+bool runSlopes(const SlopeSeries& series, const RunFunction& play) {
     const std::vector<Quantity<Figures>> quantities = {
         {"control_processor", "% of a core", &Figures::controlProcessor},
         {"control_memory", "KiB", &Figures::controlMemory},
--- a/src/testbed/scale/slopes.hpp
+++ b/src/testbed/scale/slopes.hpp
@@ -20,7 +20,7 @@
     Options options;
 };
 
-using Play = std::function<Result(const Options&)>;
+using RunFunction = std::function<Result(const Options&)>;
 
 std::vector<double> usualSizes(Varied varied);
 const char* nameOf(Varied varied);
@@ -28,6 +28,6 @@
 Options optionsAt(const SlopeSeries& series, double size, std::uint64_t seed);
 
 // Prints samples, fits and predictions; true where every prediction held.
-bool playSlopes(const SlopeSeries& series, const Play& play);
+bool runSlopes(const SlopeSeries& series, const RunFunction& play);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -22,7 +22,7 @@
 // What a router's log says of an invariant of its own that did not hold.
 constexpr std::string_view kViolation = "invariant violated: ";
 
-Scenario baseOf(const Wanted& wanted) {
+Scenario baseOf(const SoakOptions& wanted) {
     Scenario base = readScenario(wanted.file);
     if (wanted.seconds > 0) base.length = static_cast<Nanos>(wanted.seconds * 1e9);
     if (wanted.routers > 0) base.routers.count = wanted.routers;
@@ -49,12 +49,13 @@
     return text;
 }
 
-struct Played {
+struct SoakResult {
     bool kept = false;
     bool late = false;
 };
 
-Played play(const Wanted& wanted, const Scenario& day, std::uint64_t seed, const std::string& folder) {
+SoakResult play(const SoakOptions& wanted, const Scenario& day, std::uint64_t seed,
+                const std::string& folder) {
     Verdict judge(kLiveTolerance);
     LiveResult result;
     {
@@ -69,7 +70,7 @@
     fmt::print("seed {}: faults{}\nseed {}: happened", seed, listOf(day), seed);
     for (const auto& [name, count] : result.processFaults) fmt::print(" {}={}", name, count);
     fmt::print("\n");
-    Played played;
+    SoakResult played;
     played.kept = judge.close(folder);
     for (const std::string& line : violationsIn(folder)) {
         played.kept = false;
@@ -81,7 +82,7 @@
 
 }  // namespace
 
-int run(const Wanted& wanted) {
+int run(const SoakOptions& wanted) {
     const Scenario base = baseOf(wanted);
     int broken = 0, late = 0;
     for (int i = 0; i < wanted.seeds; ++i) {
@@ -92,7 +93,7 @@
                                            fmt::format("poppyscale_testbed-soak-{}", ::getpid()))
                                               .string();
         std::filesystem::create_directories(folder);
-        const Played played = play(wanted, drawDay(base, seed), seed, folder);
+        const SoakResult played = play(wanted, drawScenario(base, seed), seed, folder);
         if (!kept) std::filesystem::remove_all(folder);
         late += played.late;
         broken += !played.late && !played.kept;
--- a/src/testbed/soak/command.hpp
+++ b/src/testbed/soak/command.hpp
@@ -6,7 +6,7 @@
 
 namespace poppyscale::testbed::soak {
 
-struct Wanted {
+struct SoakOptions {
     std::string file = "scenarios/soak.toml";
     std::string program;
     std::string out;  // a folder for each seed's log and reports; none if empty
@@ -19,6 +19,6 @@
 // Prints a line for each seed: its verdict, what was broken and how often each fault happened. A day on which
 // the lab itself ran late proves nothing and is told as void. 0 when every day was kept, 1 when one was
 // broken, 3 when one was void and none broken.
-int run(const Wanted& wanted);
+int run(const SoakOptions& wanted);
 
 }  // namespace poppyscale::testbed::soak
--- a/src/testbed/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -77,14 +77,14 @@
     FaultKind::discoveryRefuse,
 };
 
-class Draw {
+class ScenarioGenerator {
   public:
-    Draw(const Scenario& base, std::uint64_t seed) : day_(base), random_(seed) {
+    ScenarioGenerator(const Scenario& base, std::uint64_t seed) : day_(base), random_(seed) {
         day_.name = fmt::format("{}-{}", base.name, seed);
     }
 
     Scenario day() {
-        if (random_.yes(kCrowdedDays)) crowd();
+        if (random_.chance(kCrowdedDays)) crowd();
         const Nanos end = day_.length - kQuietEnd;
         for (Nanos at = kQuietStart; at < end; at += random_.gap(kFaultsPerSecond)) add(at, end);
         return day_;
@@ -96,7 +96,7 @@
         day_.discovery.crowded = true;
         day_.discovery.perSecond = day_.routers.count / between(kShortestTurns, kLongestTurns);
     }
-    double between(double least, double most) { return least + random_.part() * (most - least); }
+    double between(double least, double most) { return least + random_.fraction() * (most - least); }
     int someCaches() { return 1 + random_.below(std::max(day_.cacheCount() / 5, 1)); }
 
     void add(Nanos at, Nanos end) {
@@ -188,6 +188,8 @@
 
 }  // namespace
 
-Scenario drawDay(const Scenario& base, std::uint64_t seed) { return Draw(base, seed).day(); }
+Scenario drawScenario(const Scenario& base, std::uint64_t seed) {
+    return ScenarioGenerator(base, seed).day();
+}
 
 }  // namespace poppyscale::testbed::soak
--- a/src/testbed/soak/draw.hpp
+++ b/src/testbed/soak/draw.hpp
@@ -9,6 +9,6 @@
 
 // The base's deployment and load with faults of its own choice: of servers, the network, discovery, clients,
 // the routers' life and their system calls, some at a time. The same seed draws the same day.
-Scenario drawDay(const Scenario& base, std::uint64_t seed);
+Scenario drawScenario(const Scenario& base, std::uint64_t seed);
 
 }  // namespace poppyscale::testbed::soak
--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -70,13 +70,14 @@
     start();
 }
 
-std::optional<scale::ForceRecord> StubRouter::turn() {
+std::optional<scale::PropagationRecord> StubRouter::turn() {
     core_->runIteration();
     if (core_->version() == inForce_) return std::nullopt;
     inForce_ = core_->version();
     if (inForce_ < highest_) ++fallen_;
     highest_ = std::max(highest_, inForce_);
-    return scale::ForceRecord{number_, 0, inForce_, core_->digest(), static_cast<std::int64_t>(uv_hrtime())};
+    return scale::PropagationRecord{number_, 0, inForce_, core_->digest(),
+                                    static_cast<std::int64_t>(uv_hrtime())};
 }
 
 }  // namespace poppyscale::testbed::stub_routers
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -50,7 +50,7 @@
     // Forgets its list and connects anew, as a new process does.
     void restart();
     // What a turn of a real router's loop does. A record where another list is in force after it.
-    std::optional<scale::ForceRecord> turn();
+    std::optional<scale::PropagationRecord> turn();
 
     bool hasList() const { return inForce_ > 0; }
     bool moduleAgrees() { return core_->moduleAgrees(); }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -314,9 +314,9 @@
             return result;
         };
     };
-    CHECK(scale::playSlopes(series, grows(1)));
+    CHECK(scale::runSlopes(series, grows(1)));
     CHECK(played.size() == 18);
     CHECK(std::count(played.begin(), played.end(), 250) == 3);
     CHECK(std::count(played.end() - 3, played.end(), 1000) == 3);
-    CHECK_FALSE(scale::playSlopes(series, grows(2)));
+    CHECK_FALSE(scale::runSlopes(series, grows(2)));
 }
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -185,7 +185,7 @@
         testbed::ExplorationOptions exploration;
         exploration.seconds = seconds;
         exploration.mostStates = 2'000;  // long runs find them soonest
-        return testbed::Explorer(testbed::LeaseModel(options), exploration).explore();
+        return testbed::StateExplorer(testbed::LeaseModel(options), exploration).explore();
     };
     const auto complete = explore({}, 3);
     CHECK_MESSAGE(complete.broken.empty(), complete.broken);
@@ -215,15 +215,15 @@
     options.leases = 300;
     const auto first = testbed::runSimulatedLeases(options);
     const auto second = testbed::runSimulatedLeases(options);
-    CHECK_MESSAGE(first.overlaps + first.fell == 0, first.first);
+    CHECK_MESSAGE(first.overlaps + first.violations == 0, first.first);
     CHECK(first.changes > 300);
     CHECK(first.digest == second.digest);
     options.faults = "none";
     const auto faultless = testbed::runSimulatedLeases(options);
     CHECK(faultless.changes == 300);  // each is acquired once and stays
-    options.without = {Safeguard::fence};
-    CHECK(testbed::runSimulatedLeases(options).fell ==
+    options.disabledSafeguard = {Safeguard::fence};
+    CHECK(testbed::runSimulatedLeases(options).violations ==
           0);  // no lease changes its holder, so no fence is lower
     options.faults = "all";
-    CHECK(testbed::runSimulatedLeases(options).fell > 0);
+    CHECK(testbed::runSimulatedLeases(options).violations > 0);
 }
