--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -26,38 +26,38 @@
         char path[] = "/tmp/poppyscale-faults-XXXXXX";
         const int fd = mkstemp(path);
         file_ = path;
-        if (fd < 0 || ftruncate(fd, sizeof(fault_injection::Plan)) != 0)
+        if (fd < 0 || ftruncate(fd, sizeof(fault_injection::FaultPlan)) != 0)
             throw std::runtime_error("no file for a plan");
         void* const at =
-            mmap(nullptr, sizeof(fault_injection::Plan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+            mmap(nullptr, sizeof(fault_injection::FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         close(fd);
         if (at == MAP_FAILED) throw std::runtime_error("no memory for a plan");
-        plan_ = new (at) fault_injection::Plan;
-        setenv(fault_injection::kVariable, path, 1);
+        plan_ = new (at) fault_injection::FaultPlan;
+        setenv(fault_injection::kPlanVariable, path, 1);
         setenv("LD_PRELOAD", POPPYSCALE_FAULT_INJECTION, 1);
         setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     }
     ~FaultPlan() {
-        unsetenv(fault_injection::kVariable);
+        unsetenv(fault_injection::kPlanVariable);
         unsetenv("LD_PRELOAD");
         unsetenv("ASAN_OPTIONS");
-        munmap(plan_, sizeof(fault_injection::Plan));
+        munmap(plan_, sizeof(fault_injection::FaultPlan));
         unlink(file_.c_str());
     }
     FaultPlan(const FaultPlan&) = delete;
     FaultPlan& operator=(const FaultPlan&) = delete;
 
-    void fail(fault_injection::Call call, fault_injection::Way way, double share) {
+    void fail(fault_injection::SystemCall call, fault_injection::FaultEffect way, double share) {
         plan_->share[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)] =
             static_cast<std::uint32_t>(share * fault_injection::kOne);
     }
-    std::uint64_t happened(fault_injection::Call call, fault_injection::Way way) const {
-        return plan_->happened[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)];
+    std::uint64_t happened(fault_injection::SystemCall call, fault_injection::FaultEffect way) const {
+        return plan_->occurrences[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)];
     }
 
   private:
     std::string file_;
-    fault_injection::Plan* plan_ = nullptr;
+    fault_injection::FaultPlan* plan_ = nullptr;
 };
 
 // A cache server that has every key.
@@ -113,8 +113,8 @@
 }
 
 struct Case {
-    fault_injection::Call call;
-    fault_injection::Way way;
+    fault_injection::SystemCall call;
+    fault_injection::FaultEffect way;
     double share;
 };
 
@@ -137,8 +137,8 @@
     CHECK(counted.answered + counted.rejected == requests);
     CHECK(counted.answered > requests / 2);
     for (const Case& one : cases) {
-        CAPTURE(fault_injection::kCallNames[static_cast<std::size_t>(one.call)]);
-        CAPTURE(fault_injection::kWayNames[static_cast<std::size_t>(one.way)]);
+        CAPTURE(fault_injection::kSystemCallNames[static_cast<std::size_t>(one.call)]);
+        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(one.way)]);
         CHECK(plan.happened(one.call, one.way) > 0);
     }
     CHECK(program.running());
@@ -148,49 +148,50 @@
 }  // namespace
 
 TEST_CASE("a client that connects while accepting fails for a moment has its answer") {
-    using fault_injection::Call;
-    using fault_injection::Way;
-    for (const Way way : {Way::noFiles, Way::noBuffers, Way::noMemory, Way::aborted, Way::interrupted}) {
-        CAPTURE(fault_injection::kWayNames[static_cast<std::size_t>(way)]);
-        checkCases({{Call::accept, way, 0.1}}, 200);
+    using fault_injection::FaultEffect;
+    using fault_injection::SystemCall;
+    for (const FaultEffect way : {FaultEffect::noFiles, FaultEffect::noBuffers, FaultEffect::noMemory,
+                                  FaultEffect::aborted, FaultEffect::interrupted}) {
+        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(way)]);
+        checkCases({{SystemCall::accept, way, 0.1}}, 200);
     }
 }
 
 TEST_CASE("connections to servers that can't be made for a moment cost no request its answer") {
-    using fault_injection::Call;
-    using fault_injection::Way;
-    checkCases({{Call::socket, Way::noFiles, 0.1},
-                {Call::connect, Way::noAddress, 0.1},
-                {Call::connect, Way::unreachable, 0.1},
-                {Call::connect, Way::timedOut, 0.1},
-                {Call::read, Way::noHost, 0.1}},
+    using fault_injection::FaultEffect;
+    using fault_injection::SystemCall;
+    checkCases({{SystemCall::socket, FaultEffect::noFiles, 0.1},
+                {SystemCall::connect, FaultEffect::noAddress, 0.1},
+                {SystemCall::connect, FaultEffect::unreachable, 0.1},
+                {SystemCall::connect, FaultEffect::timedOut, 0.1},
+                {SystemCall::read, FaultEffect::noHost, 0.1}},
                300);
 }
 
 TEST_CASE("short and interrupted reads, writes and polls change nothing") {
-    using fault_injection::Call;
-    using fault_injection::Way;
-    checkCases({{Call::read, Way::partial, 0.6},
-                {Call::read, Way::interrupted, 0.1},
-                {Call::read, Way::tryAgain, 0.1},
-                {Call::write, Way::partial, 0.6},
-                {Call::write, Way::interrupted, 0.1},
-                {Call::write, Way::tryAgain, 0.1},
-                {Call::pollWait, Way::interrupted, 0.2}},
+    using fault_injection::FaultEffect;
+    using fault_injection::SystemCall;
+    checkCases({{SystemCall::read, FaultEffect::partial, 0.6},
+                {SystemCall::read, FaultEffect::interrupted, 0.1},
+                {SystemCall::read, FaultEffect::tryAgain, 0.1},
+                {SystemCall::write, FaultEffect::partial, 0.6},
+                {SystemCall::write, FaultEffect::interrupted, 0.1},
+                {SystemCall::write, FaultEffect::tryAgain, 0.1},
+                {SystemCall::pollWait, FaultEffect::interrupted, 0.2}},
                300);
 }
 
 TEST_CASE("all of these together") {
-    using fault_injection::Call;
-    using fault_injection::Way;
-    checkCases({{Call::accept, Way::noFiles, 0.05},
-                {Call::accept, Way::aborted, 0.05},
-                {Call::socket, Way::noBuffers, 0.5},
-                {Call::connect, Way::noHost, 0.5},
-                {Call::read, Way::partial, 0.4},
-                {Call::read, Way::timedOut, 0.02},
-                {Call::write, Way::partial, 0.4},
-                {Call::write, Way::noBuffers, 0.05},
-                {Call::pollWait, Way::interrupted, 0.1}},
+    using fault_injection::FaultEffect;
+    using fault_injection::SystemCall;
+    checkCases({{SystemCall::accept, FaultEffect::noFiles, 0.05},
+                {SystemCall::accept, FaultEffect::aborted, 0.05},
+                {SystemCall::socket, FaultEffect::noBuffers, 0.5},
+                {SystemCall::connect, FaultEffect::noHost, 0.5},
+                {SystemCall::read, FaultEffect::partial, 0.4},
+                {SystemCall::read, FaultEffect::timedOut, 0.02},
+                {SystemCall::write, FaultEffect::partial, 0.4},
+                {SystemCall::write, FaultEffect::noBuffers, 0.05},
+                {SystemCall::pollWait, FaultEffect::interrupted, 0.1}},
                300);
 }
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -53,8 +53,8 @@
 }
 
 // A log by hand for the audit: one router, an origin, two caches, verbs of all three effects.
-struct Told {
-    Told() {
+struct RunFixture {
+    RunFixture() {
         nlohmann::json requestClasses = nlohmann::json::array();
         const char* const names[] = {"read", "upload", "payout"};
         for (int i = 0; i < 3; ++i)
@@ -71,7 +71,7 @@
     }
     void say(Nanos at, EventKind what, std::uint64_t command, int server, std::uint64_t run,
              std::int64_t number, const std::string& text) {
-        audit->see({at, what, command, 0, server, run, number, text});
+        audit->onEvent({at, what, command, 0, server, run, number, text});
     }
     void asked(Nanos at, std::uint64_t command, const char* requestClass) {
         say(at, EventKind::asked, command, -1, 0, at + 1'000 * ms,
@@ -127,7 +127,7 @@
     CHECK(paceOf(100 * ms, 100 * ms, 0.2, 1'000 * ms) == doctest::Approx(0.2));
     CHECK(paceOf(600 * ms, 100 * ms, 0.2, 1'000 * ms) == doctest::Approx(0.6));
     CHECK(paceOf(9'000 * ms, 100 * ms, 0.2, 1'000 * ms) == 1);
-    Drive d(1'000 * ms);
+    WorkWindow d(1'000 * ms);
     d.add(0, 5);
     d.add(900 * ms, 7);
     CHECK(d.sum(950 * ms) == 12);
@@ -139,12 +139,12 @@
     CacheContents kept(2);
     kept.put("a");
     kept.put("b");
-    CHECK(kept.use("a"));
+    CHECK(kept.touch("a"));
     kept.put("c");
-    CHECK_FALSE(kept.use("b"));
-    CHECK(kept.use("a"));
+    CHECK_FALSE(kept.touch("b"));
+    CHECK(kept.touch("a"));
     kept.drop("a");
-    CHECK_FALSE(kept.use("a"));
+    CHECK_FALSE(kept.touch("a"));
     CHECK(kept.size() == 1);
     IdempotencyRecords marks;
     CHECK(marks.enter(0, "m", 100));
@@ -243,7 +243,7 @@
 }
 
 TEST_CASE("the audit: a command without an answer in time, or with two, is lost") {
-    Told t;
+    RunFixture t;
     t.asked(0, 1, "read");
     t.say(1'060 * ms, EventKind::silent, 1, -1, 0, 0, "");
     t.asked(0, 2, "read");
@@ -252,12 +252,12 @@
     t.asked(0, 3, "read");
     t.say(5 * ms, EventKind::unsent, 3, -1, 0, 0, "");
     CHECK(t.broken() == "lost lost lost");
-    Told gone;  // what a killed router had is nobody's fault
+    RunFixture gone;  // what a killed router had is nobody's fault
     gone.asked(0, 1, "read");
     gone.say(5 * ms, EventKind::killed, 0, -1, 0, 0, "asked");
     gone.say(6 * ms, EventKind::unsent, 1, -1, 0, 0, "");
     CHECK(gone.broken() == "");
-    Told crashed;
+    RunFixture crashed;
     crashed.say(5 * ms, EventKind::killed, 0, -1, 0, 0, "by itself");
     CHECK(crashed.broken() == "crash");
 }
@@ -265,7 +265,7 @@
 TEST_CASE(
     "the audit: what came to a closed door is not lost, though its word comes after the router is back") {
     for (const Nanos asked : {1'499 * ms, 1'501 * ms}) {
-        Told t;
+        RunFixture t;
         t.say(1'000 * ms, EventKind::killed, 0, -1, 0, 0, "");
         if (asked < 1'500 * ms) t.asked(asked, 1, "payout");
         t.say(1'500 * ms, EventKind::up, 0, -1, 0, 0, "north");
@@ -282,7 +282,7 @@
                         {"bounds", {{"sent_on", 0.3}}}};
     Figures figures(head);
     const auto see = [&](Nanos at, EventKind what, std::uint64_t command, const std::string& text = "") {
-        figures.see({at, what, command, 0, 0, 0, 0, text});
+        figures.onEvent({at, what, command, 0, 0, 0, 0, text});
     };
     see(0, EventKind::server, 0, "origin north 0 origin 8");
     for (std::uint64_t c = 1; c <= 4; ++c) see(0, EventKind::asked, c, "read alder k1 1 1");
@@ -298,14 +298,14 @@
 }
 
 TEST_CASE("the audit: an effect that may come twice") {
-    Told payout;  // sent again after an error
+    RunFixture payout;  // sent again after an error
     payout.asked(0, 1, "payout");
     payout.sent(1 * ms, 1, 1, 11);
     payout.ended(5 * ms, 1, 1, 11, "error ");
     payout.sent(6 * ms, 1, 2, 12);
     payout.ended(9 * ms, 1, 2, 12, "value v12");
     CHECK(payout.broken() == "twice");
-    Told busy;  // and after what proves that it never ran
+    RunFixture busy;  // and after what proves that it never ran
     busy.asked(0, 1, "payout");
     busy.sent(1 * ms, 1, 1, 11);
     busy.ended(5 * ms, 1, 1, 11, "busy ");
@@ -313,13 +313,13 @@
     busy.ended(9 * ms, 1, 2, 12, "value v12");
     busy.say(9 * ms, EventKind::answered, 1, -1, 0, 0, "v12");
     CHECK(busy.broken() == "");
-    Told declined;
+    RunFixture declined;
     declined.asked(0, 1, "payout");
     declined.sent(1 * ms, 1, 1, 11);
     declined.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
     declined.say(4 * ms, EventKind::declined, 1, -1, 0, 0, "");
     CHECK(declined.broken() == "twice");
-    Told upload;  // its group is the zone: the other one doesn't know its mark
+    RunFixture upload;  // its group is the zone: the other one doesn't know its mark
     upload.asked(0, 1, "upload");
     upload.sent(1 * ms, 1, 1, 11);
     upload.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
@@ -328,14 +328,14 @@
     upload.sent(7 * ms, 1, 2, 13);
     upload.ended(9 * ms, 1, 2, 13, "value v13");
     CHECK(upload.broken() == "twice");
-    Told late;  // and past its time nobody does
+    RunFixture late;  // and past its time nobody does
     late.asked(0, 1, "upload");
     late.sent(1 * ms, 1, 1, 11);
     late.say(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
     late.sent(1'002 * ms, 1, 0, 12);
     late.ended(1'003 * ms, 1, 0, 12, "value v12");
     CHECK(late.broken() == "twice");
-    Told both;
+    RunFixture both;
     both.asked(0, 1, "read");
     both.sent(1 * ms, 1, 1, 11);
     both.sent(2 * ms, 1, 2, 12);
@@ -345,7 +345,7 @@
 }
 
 TEST_CASE("the audit: an answer that no server gave, or gave for another command") {
-    Told t;
+    RunFixture t;
     t.asked(0, 1, "read");
     t.asked(0, 2, "read");
     t.sent(1 * ms, 1, 1, 11);
@@ -356,7 +356,7 @@
 }
 
 TEST_CASE("the audit: a relay to a cache that drains, after the grace") {
-    Told t;
+    RunFixture t;
     t.say(0, EventKind::listed, 0, 1, 0, 0, "draining");
     t.asked(490 * ms, 1, "read");
     t.sent(499 * ms, 1, 1, 11);
@@ -370,7 +370,7 @@
 TEST_CASE("the audit: an attempt tells at most 0.15 s more than is left to the client") {
     // What 500 ms before its client's limit tells that so much is left, read so long after it came.
     const auto judged = [](int server, const std::string& told) {
-        Told t;
+        RunFixture t;
         t.asked(0, 1, "read");
         t.sent(500 * ms, 1, server, 11, ms, told);
         t.ended(510 * ms, 1, server, 11, "value v11");
@@ -398,7 +398,7 @@
         Audit audit(head);
         const auto say = [&](Nanos at, EventKind what, std::uint64_t command, std::int64_t number,
                              const std::string& text) {
-            audit.see({at, what, command, 0, 0, command, number, text});
+            audit.onEvent({at, what, command, 0, 0, command, number, text});
         };
         say(0, EventKind::server, 0, 0, "origin north 0 origin 8");
         say(100 * ms, EventKind::fault, 0, 0, "begins " + fault + " ");
@@ -422,7 +422,7 @@
     SlowStartLoad load(head);
     const auto see = [&](Nanos at, EventKind what, int router, int server, std::int64_t number,
                          const std::string& text) {
-        load.see({at, what, 0, router, server, 0, number, text});
+        load.onEvent({at, what, 0, router, server, 0, number, text});
     };
     const auto sent = [&](Nanos at, int router, int server) {
         see(at, EventKind::sent, router, server, 40 * ms, "");
@@ -474,7 +474,7 @@
 
 TEST_CASE("the audit: a cold cache that goes down counts when two thirds came from who knew") {
     for (const bool knew : {true, false}) {
-        Told t;
+        RunFixture t;
         t.say(0, EventKind::started, 0, 1, 0, 7, "");
         if (knew) t.say(0, EventKind::listed, 0, 1, 0, 7, "ready");
         t.asked(0, 1, "read");
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -271,8 +271,8 @@
 }
 
 TEST_CASE("calls to the origin and to discovery are taken in pieces, one after the other") {
-    poppyscale::testbed::HttpCall call;
-    using State = poppyscale::testbed::HttpCall::State;
+    poppyscale::testbed::HttpRequestParser call;
+    using State = poppyscale::testbed::HttpRequestParser::State;
     const std::string text =
         "PUT /k1 HTTP/1.1\r\nHost: o\r\nx-call-id: 9b\r\nX-Call-Info: c=put,k=7\r\nContent-Length: "
         "3\r\n\r\nabc"
@@ -281,18 +281,18 @@
     std::string_view piece = rest.substr(0, 20);
     CHECK(call.feed(piece) == State::more);
     rest.remove_prefix(20);
-    CHECK(call.feed(rest) == State::whole);
+    CHECK(call.feed(rest) == State::complete);
     CHECK(call.write());
     CHECK(call.path() == "/k1");
     CHECK(call.id() == "9b");
     CHECK(call.info() == "c=put,k=7");
     call.clear();
-    CHECK(call.feed(rest) == State::whole);
+    CHECK(call.feed(rest) == State::complete);
     CHECK_FALSE(call.write());
     CHECK(call.query("after") == "4");
     CHECK(call.query("wait_ms") == "20");
     CHECK(call.query("wait") == "");
     call.clear();
     std::string_view noise = "\x01\x02 nonsense\r\n";
-    CHECK(call.feed(noise) == State::broken);
+    CHECK(call.feed(noise) == State::malformed);
 }
--- a/tests/testbed_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -96,14 +96,14 @@
     return all;
 }
 
-ForceRecord holds(std::int64_t version, std::int64_t atMs) {
+PropagationRecord holds(std::int64_t version, std::int64_t atMs) {
     return {0, 0, version, static_cast<std::uint64_t>(100 + version), atMs * kMillisecond};
 }
 
 }  // namespace
 
 TEST_CASE("scale judge: a change is in force from the first list with it") {
-    InForce judged(versions(3));
+    PropagationStatistics judged(versions(3));
     judged.add({holds(1, 1'010), holds(2, 2'030), holds(3, 3'005)});
     CHECK(judged.delivered() == 2);
     CHECK(judged.lost() == 0);
@@ -113,17 +113,17 @@
 }
 
 TEST_CASE("scale judge: a list of two changes at once brings both into force") {
-    InForce judged(versions(3));
+    PropagationStatistics judged(versions(3));
     judged.add({holds(1, 1'010), holds(3, 3'005)});
     CHECK(judged.delivered() == 2);
     CHECK(judged.quantileMs(1) == doctest::Approx(1'005));
 }
 
 TEST_CASE("scale judge: a lost list is found although later versions are told") {
-    InForce judged(versions(4));
-    ForceRecord third = holds(3, 3'010);
+    PropagationStatistics judged(versions(4));
+    PropagationRecord third = holds(3, 3'010);
     third.digest = 7;  // without what version 2 brought
-    ForceRecord fourth = holds(4, 4'010);
+    PropagationRecord fourth = holds(4, 4'010);
     fourth.digest = 8;
     judged.add({holds(1, 1'010), third, fourth});
     CHECK(judged.delivered() == 0);
@@ -131,8 +131,8 @@
 }
 
 TEST_CASE("scale judge: a list that is mended later counts from then on") {
-    InForce judged(versions(4));
-    ForceRecord third = holds(3, 3'010);
+    PropagationStatistics judged(versions(4));
+    PropagationRecord third = holds(3, 3'010);
     third.digest = 7;
     judged.add({holds(1, 1'010), third, holds(4, 4'020)});
     CHECK(judged.lost() == 0);
@@ -140,27 +140,27 @@
 }
 
 TEST_CASE("scale judge: an older list again is stale, and the change is in force only after it") {
-    InForce judged(versions(3));
+    PropagationStatistics judged(versions(3));
     judged.add({holds(1, 1'010), holds(3, 3'005), holds(2, 4'000), holds(3, 5'000)});
     CHECK(judged.stale() == 1);
     CHECK(judged.lost() == 0);
     CHECK(judged.quantileMs(1) == doctest::Approx(2'000));
 
-    InForce never(versions(3));
+    PropagationStatistics never(versions(3));
     never.add({holds(1, 1'010), holds(3, 3'005), holds(2, 4'000)});
     CHECK(never.stale() == 1);
     CHECK(never.lost() == 1);
 }
 
 TEST_CASE("scale judge: a new process with the newest list takes nothing out of force") {
-    InForce judged(versions(3));
+    PropagationStatistics judged(versions(3));
     judged.add({holds(1, 1'010), holds(3, 3'005), holds(3, 9'000)});
     CHECK(judged.stale() == 0);
     CHECK(judged.quantileMs(1) == doctest::Approx(1'005));
 }
 
 TEST_CASE("scale judge: a router without any list has lost all changes") {
-    InForce judged(versions(3));
+    PropagationStatistics judged(versions(3));
     judged.add({});
     CHECK(judged.lost() == 2);
     CHECK(judged.delivered() == 0);
