--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -13,7 +13,7 @@
 
 // The request is from who was granted the lease last, by the same fencing token.
 bool isLatestHolder(const LeaseRequest& request, const GrantRecord& record) {
-    return request.fence == record.highest && request.incarnation == record.life;
+    return request.fence == record.highest && request.incarnation == record.incarnation;
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
     }
     // When these were granted is not known: as if it had been just now.
     for (const auto& [lease, record] : *records)
-        grants_[lease] = {record, record.over ? 0 : now + settings_.duration, 0, 0, {}};
+        grants_[lease] = {record, record.isReleased ? 0 : now + settings_.duration, 0, 0, {}};
 }
 
 // ---- requests of holders
@@ -74,8 +74,8 @@
                         LeaseAnswer& answer) {
     const GrantRecord& record = grant.record;
     if (memberOf(request.fence) != from) return false;
-    const bool isHeld = !record.over && now < grant.validUntil;
-    const bool isRenewal = isLatestHolder(request, record) && !record.over;
+    const bool isHeld = !record.isReleased && now < grant.validUntil;
+    const bool isRenewal = isLatestHolder(request, record) && !record.isReleased;
     if (isHeld && !isRenewal) {
         if (grant.waiting.size() < kMaxWaiting) grant.waiting.insert(from);
         answer.freeIn = grant.validUntil - now;
@@ -97,7 +97,7 @@
     // A member that asked in vain releases by a fencing token greater than the holder's, which must not end
     // the holder's grant.
     const bool isHeldByOther =
-        !recordBefore.over && now < grant.validUntil && !isLatestHolder(request, recordBefore);
+        !recordBefore.isReleased && now < grant.validUntil && !isLatestHolder(request, recordBefore);
     if (memberOf(request.fence) != from || request.fence < recordBefore.highest || isHeldByOther) return;
     grant.record = {request.fence, request.incarnation, true};
     grant.validUntil = 0;
@@ -121,7 +121,7 @@
 // ---- durable records
 
 void Acceptor::persist(LeaseId lease, const GrantRecord& record) {
-    actions_.keep[lease] = record;
+    actions_.recordsToPersist[lease] = record;
     ++lastTicket_;
     actions_.ticket = lastTicket_;
 }
@@ -141,7 +141,7 @@
     RecallAnswer answer;
     answer.hasState = state_ == State::voting;
     for (const auto& [lease, grant] : grants_) answer.records[lease] = grant.record;
-    actions_.recalled.emplace_back(acceptor, std::move(answer));
+    actions_.recallAnswers.emplace_back(acceptor, std::move(answer));
 }
 
 void Acceptor::onRequest(Nanos now, int acceptor, const RecallAnswer& answer) {
@@ -151,7 +151,7 @@
         Grant& grant = grants_[lease];
         // Only the greatest fencing token counts. Whether this acceptor granted anything by it is not known,
         // and covered by the quarantine.
-        if (record.highest > grant.record.highest) grant.record = {record.highest, record.life, true};
+        if (record.highest > grant.record.highest) grant.record = {record.highest, record.incarnation, true};
     }
     finishRecovery(now);
 }
@@ -163,12 +163,12 @@
     if (state_ != State::recovering || now < quarantinedUntil_) return;
     const auto withState =
         std::count_if(hasStateBy_.begin(), hasStateBy_.end(), [](const auto& entry) { return entry.second; });
-    const bool enoughHaveState = withState >= settings_.voters / 2 + 1;
-    const bool allAnswered = std::ssize(hasStateBy_) == settings_.voters - 1;
+    const bool enoughHaveState = withState >= settings_.acceptorCount / 2 + 1;
+    const bool allAnswered = std::ssize(hasStateBy_) == settings_.acceptorCount - 1;
     if (!enoughHaveState && !allAnswered) return;
     state_ = State::voting;
     mayHaveLostState_ = !enoughHaveState && withState > 0;
-    for (const auto& [lease, grant] : grants_) actions_.keep[lease] = grant.record;
+    for (const auto& [lease, grant] : grants_) actions_.recordsToPersist[lease] = grant.record;
     ++lastTicket_;
     actions_.ticket = lastTicket_;
 }
@@ -178,7 +178,7 @@
 Acceptor::Actions Acceptor::reconcile(Nanos now) {
     finishRecovery(now);
     if (state_ == State::recovering && now >= nextRecallAt_) {
-        for (int acceptor = 0; acceptor < settings_.voters; ++acceptor)
+        for (int acceptor = 0; acceptor < settings_.acceptorCount; ++acceptor)
             if (acceptor != self_ && !hasStateBy_.contains(acceptor))
                 actions_.recalls.emplace_back(acceptor, RecallRequest{});
         nextRecallAt_ = now + settings_.answerTimeout;
@@ -198,10 +198,10 @@
     return std::max(nextRecallAt_, Nanos{0});
 }
 
-std::map<LeaseId, Acceptor::GrantStatus> Acceptor::grantStatus(Nanos now) const {
-    std::map<LeaseId, GrantStatus> held;
+std::map<LeaseId, Acceptor::ActiveGrant> Acceptor::activeGrants(Nanos now) const {
+    std::map<LeaseId, ActiveGrant> held;
     for (const auto& [lease, grant] : grants_)
-        if (!grant.record.over && now < grant.validUntil)
+        if (!grant.record.isReleased && now < grant.validUntil)
             held[lease] = {grant.record.highest, grant.validUntil - now};
     return held;
 }
@@ -211,8 +211,8 @@
                                    std::max<Nanos>(quarantinedUntil_ - now, 0));
     for (const auto& [acceptor, hasState] : hasStateBy_) text += fmt::format("r{}{};", acceptor, hasState);
     for (const auto& [lease, grant] : grants_)
-        text += fmt::format("{}:{}.{}{}u{}v{}w{}z{};", lease, grant.record.highest, grant.record.life,
-                            grant.record.over ? "o" : "h", std::max<Nanos>(grant.validUntil - now, 0),
+        text += fmt::format("{}:{}.{}{}u{}v{}w{}z{};", lease, grant.record.highest, grant.record.incarnation,
+                            grant.record.isReleased ? "o" : "h", std::max<Nanos>(grant.validUntil - now, 0),
                             grant.reservedUntil > now ? grant.reservedFor : 0,
                             std::max<Nanos>(grant.reservedUntil - now, 0), grant.waiting);
     for (const PendingAnswer& pending : pendingAnswers_)
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -26,11 +26,11 @@
   public:
     // What the caller has to carry out after an event.
     struct Actions {
-        std::vector<std::pair<MemberId, LeaseAnswer>> answers;  // to holders
-        std::vector<std::pair<int, RecallRequest>> recalls;     // to acceptors
-        std::vector<std::pair<int, RecallAnswer>> recalled;     // to acceptors
-        GrantRecords keep;         // to be written to disk and synced; then onPersisted with `ticket`
-        std::uint64_t ticket = 0;  // of the records; 0: there are none
+        std::vector<std::pair<MemberId, LeaseAnswer>> answers;    // to holders
+        std::vector<std::pair<int, RecallRequest>> recalls;       // to acceptors
+        std::vector<std::pair<int, RecallAnswer>> recallAnswers;  // to acceptors
+        GrantRecords recordsToPersist;  // to be written to disk and synced; then onPersisted with `ticket`
+        std::uint64_t ticket = 0;       // of the records; 0: there are none
     };
 
     enum class State : std::uint8_t {
@@ -56,11 +56,11 @@
     // may be less than an earlier one.
     bool mayHaveLostState() const { return mayHaveLostState_; }
     // A grant that has not expired, for people.
-    struct GrantStatus {
+    struct ActiveGrant {
         Fence fence;
         Nanos left;  // until it expires
     };
-    std::map<LeaseId, GrantStatus> grantStatus(Nanos now) const;
+    std::map<LeaseId, ActiveGrant> activeGrants(Nanos now) const;
     // All state that matters, with times relative to `now`, for the model checker to compare states by.
     std::string image(Nanos now) const;
 
--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -77,7 +77,7 @@
 
 void LeaseHolder::onAnswer(Nanos now, int acceptor, const LeaseAnswer& answer) {
     const auto it = leases_.find(answer.lease);
-    if (it == leases_.end() || acceptor < 0 || acceptor >= settings_.voters) return;
+    if (it == leases_.end() || acceptor < 0 || acceptor >= settings_.acceptorCount) return;
     LeaseState& state = it->second;
     state.highest = std::max(state.highest, answer.highest);
     if (answer.fence == 0) {
@@ -104,7 +104,7 @@
     if (state.state != State::requesting) return;
     state.rejectionFreeIn.push_back(answer.freeIn);
     const bool isMajorityOutOfReach =
-        std::ssize(state.rejectionFreeIn) > settings_.voters - settings_.majority();
+        std::ssize(state.rejectionFreeIn) > settings_.acceptorCount - settings_.majority();
     if (isMajorityOutOfReach) state.nextStepAt = now;
 }
 
@@ -122,7 +122,7 @@
 // ---- requests
 
 void LeaseHolder::sendToAll(const LeaseRequest& request) {
-    for (int acceptor = 0; acceptor < settings_.voters; ++acceptor)
+    for (int acceptor = 0; acceptor < settings_.acceptorCount; ++acceptor)
         actions_.requests.emplace_back(acceptor, request);
 }
 
@@ -134,7 +134,7 @@
     state.state = State::requesting;
     const Fence highest = settings_.has(Safeguard::fence) ? std::max(state.highest, state.fence) : Fence{0};
     state.fence = fenceAfter(highest, self_);
-    state.sentTimes.assign(static_cast<std::size_t>(settings_.voters), kNotGranted);
+    state.sentTimes.assign(static_cast<std::size_t>(settings_.acceptorCount), kNotGranted);
     state.rejectionFreeIn.clear();
     state.nextStepAt = now + settings_.answerTimeout;
     sendAcquire(now, lease, state);
@@ -216,7 +216,7 @@
     std::vector<Nanos> latestFirst = state.sentTimes;
     const auto nth = latestFirst.begin() + static_cast<std::ptrdiff_t>(majorityIndex());
     std::nth_element(latestFirst.begin(), nth, latestFirst.end(), std::greater<>());
-    return *nth == kNotGranted ? kNotGranted : *nth + settings_.held();
+    return *nth == kNotGranted ? kNotGranted : *nth + settings_.holdDuration();
 }
 
 // The index of the last one that a majority needs, of acceptors in some order.
--- a/src/lease/messages.hpp
+++ b/src/lease/messages.hpp
@@ -38,9 +38,9 @@
 
 // What an acceptor remembers of a lease. Durable before it is answered.
 struct GrantRecord {
-    Fence highest = 0;       // the greatest fencing token that was granted or released
-    std::uint32_t life = 0;  // the incarnation that requested it
-    bool over = false;       // it was released: nobody holds by it any more
+    Fence highest = 0;              // the greatest fencing token that was granted or released
+    std::uint32_t incarnation = 0;  // the incarnation that requested it
+    bool isReleased = false;        // it was released: nobody holds by it any more
     bool operator==(const GrantRecord&) const = default;
 };
 using GrantRecords = std::map<LeaseId, GrantRecord>;
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-const std::vector<std::pair<std::string_view, Safeguard>>& guards() {
+const std::vector<std::pair<std::string_view, Safeguard>>& safeguards() {
     static const std::vector<std::pair<std::string_view, Safeguard>> all{
         {"quarantine", Safeguard::quarantine},
         {"rate", Safeguard::rate},
@@ -24,18 +24,18 @@
     return all;
 }
 
-Safeguard guardNamed(std::string_view name) {
+Safeguard parseSafeguard(std::string_view name) {
     std::string knownNames;
-    for (const auto& [knownName, safeguard] : guards()) {
+    for (const auto& [knownName, safeguard] : safeguards()) {
         if (knownName == name) return safeguard;
         knownNames.append(knownNames.empty() ? "" : ", ").append(knownName);
     }
     throw std::runtime_error(fmt::format("'{}' is none of {}", name, knownNames));
 }
 
-std::vector<SettingsProblem> problemsOf(const LeaseSettings& settings, Nanos maxCriticalSection) {
+std::vector<SettingsProblem> findProblems(const LeaseSettings& settings, Nanos maxCriticalSection) {
     std::vector<SettingsProblem> problems;
-    if (settings.voters < kMinAcceptors || settings.voters % 2 == 0)
+    if (settings.acceptorCount < kMinAcceptors || settings.acceptorCount % 2 == 0)
         problems.push_back({"voters", "are not an odd number of 3 or more"});
     if (settings.rate < 0 || settings.rate > kMaxRate) problems.push_back({"rate", "is not from 0 to 0.1"});
     if (settings.duration <= 0 || settings.margin < 0) problems.push_back({"length_ms", "is not over 0"});
@@ -43,11 +43,11 @@
     const auto criticalSection =
         static_cast<Nanos>(static_cast<double>(maxCriticalSection) * (1 + settings.rate));
     const Nanos needed = settings.margin + criticalSection + settings.renewInterval;
-    if (settings.held() <= needed)
+    if (settings.holdDuration() <= needed)
         problems.push_back(
             {"length_ms",
              fmt::format("is shorter than margin, act and renewal need: {} ms are held, {} needed",
-                         settings.held() / kMillisecond, needed / kMillisecond)});
+                         settings.holdDuration() / kMillisecond, needed / kMillisecond)});
     if (settings.answerTimeout <= 0 || settings.renewInterval <= 0)
         problems.push_back({"answer_ms", "is not over 0"});
     return problems;
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -24,13 +24,13 @@
     sync         // an acceptor answers what is on its disk, not what will be
 };
 // All safeguards with the names by which the testbed's command line disables them.
-const std::vector<std::pair<std::string_view, Safeguard>>& guards();
+const std::vector<std::pair<std::string_view, Safeguard>>& safeguards();
 // Throws std::runtime_error that lists the names.
-Safeguard guardNamed(std::string_view name);
+Safeguard parseSafeguard(std::string_view name);
 
 // The same for all acceptors and holders of a set of leases. Times are in nanoseconds.
 struct LeaseSettings {
-    int voters = 3;                              // acceptors; odd, 3 or more
+    int acceptorCount = 3;                       // acceptors; odd, 3 or more
     Nanos duration = 4'000 * kMillisecond;       // of a grant, on the acceptor's clock
     double rate = 0.01;                          // by which a clock may run fast or slow, 0 to 0.1
     Nanos margin = 100 * kMillisecond;           // by which a lease has to outlast a critical section
@@ -42,9 +42,9 @@
 
     bool has(Safeguard safeguard) const { return !disabledSafeguards.contains(safeguard); }
     // Acceptors that have to grant a lease to its holder.
-    int majority() const { return has(Safeguard::majority) ? voters / 2 + 1 : voters / 2; }
+    int majority() const { return has(Safeguard::majority) ? acceptorCount / 2 + 1 : acceptorCount / 2; }
     // For how long a holder may rely on a grant, on its own clock, from when it sent the request.
-    Nanos held() const {
+    Nanos holdDuration() const {
         return has(Safeguard::rate)
                    ? static_cast<Nanos>(static_cast<double>(duration) * (1 - rate) / (1 + rate))
                    : duration;
@@ -57,6 +57,6 @@
     std::string problem;
 };
 // The problems of settings for critical sections of at most that duration; empty where they can be used.
-std::vector<SettingsProblem> problemsOf(const LeaseSettings& settings, Nanos maxCriticalSection);
+std::vector<SettingsProblem> findProblems(const LeaseSettings& settings, Nanos maxCriticalSection);
 
 }  // namespace poppyscale::lease
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -39,7 +39,7 @@
   public:
     explicit SimulatedRun(const LeaseRunOptions& p)
         : p_(p), random_(p.seed * 7 + 1), faults_(p.seed * 13 + 5), net_(p.seed * 17 + 9) {
-        settings_.voters = p.voters;
+        settings_.acceptorCount = p.voters;
         settings_.disabledSafeguards = p.without;
         routers_.resize(static_cast<std::size_t>(p.routers));
         for (int r = 0; r < p.routers; ++r) {
@@ -260,14 +260,14 @@
         for (const auto& [to, recall] : wanted.recalls)
             send(now, r, to, 1,
                  [this, r, to = to](Nanos t) { at(to).voter->onRequest(local(to, t), r, RecallRequest{}); });
-        for (auto& [to, recalled] : wanted.recalled) {
+        for (auto& [to, recalled] : wanted.recallAnswers) {
             const std::size_t count = recalled.records.size() + 1;
             send(now, r, to, count, [this, r, to = to, said = std::move(recalled)](Nanos t) {
                 at(to).voter->onRequest(local(to, t), r, said);
             });
         }
         if (wanted.ticket == 0) return;
-        agenda_.put(now + kSync, [this, r, life = at(r).life, keep = std::move(wanted.keep),
+        agenda_.put(now + kSync, [this, r, life = at(r).life, keep = std::move(wanted.recordsToPersist),
                                   ticket = wanted.ticket](Nanos t) {
             Router& one = at(r);
             if (!one.up || one.life != life) return;
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -364,7 +364,7 @@
             return rollIt(roll);
         }
         if (*leasing) {
-            if (!guard.empty()) leases.without = {lease::guardNamed(guard)};
+            if (!guard.empty()) leases.without = {lease::parseSafeguard(guard)};
             return leaseIt(leases);
         }
         if (*sloping) {
--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -32,7 +32,7 @@
 // believes longest. Then all sorts.
 bool exploreLeases(const ExplorationCommand& call) {
     LeaseModelOptions wanted;
-    if (!call.without.empty()) wanted.without = {lease::guardNamed(call.without)};
+    if (!call.without.empty()) wanted.without = {lease::parseSafeguard(call.without)};
     ExplorationOptions how;
     how.seed = call.seed;
     wanted.clocks = 0b00111;
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -25,7 +25,7 @@
 
 lease::LeaseSettings termsOf(const LeaseModelOptions& w) {
     lease::LeaseSettings t;
-    t.voters = 3;
+    t.acceptorCount = 3;
     t.duration = 2'000;
     t.rate = 0.25;
     t.margin = 50;
@@ -42,7 +42,7 @@
 }  // namespace
 
 LeaseModel::LeaseModel(const LeaseModelOptions& wanted) : wanted_(wanted), settings_(termsOf(wanted)) {
-    voters_.resize(static_cast<std::size_t>(settings_.voters));
+    voters_.resize(static_cast<std::size_t>(settings_.acceptorCount));
     disks_.resize(voters_.size());
     for (Disk& d : disks_) d.voted = true;  // a group that has been founded
     for (int v = 0; v < voters(); ++v) startVoter(v);
@@ -92,11 +92,11 @@
         auto wanted = voter(process).reconcile(local);
         for (auto& [to, answer] : wanted.answers) send(process, voters() + to - 1, answer);
         for (auto& [to, recall] : wanted.recalls) send(process, to, recall);
-        for (auto& [to, recalled] : wanted.recalled) send(process, to, std::move(recalled));
+        for (auto& [to, recalled] : wanted.recallAnswers) send(process, to, std::move(recalled));
         more = false;
         if (wanted.ticket == 0) continue;
         Disk& d = disk(process);
-        for (auto& [lease, record] : wanted.keep) d.pending[lease] = record;
+        for (auto& [lease, record] : wanted.recordsToPersist) d.pending[lease] = record;
         d.ticket = wanted.ticket;
         if (!syncs) continue;
         d.voted = true;
@@ -405,8 +405,8 @@
             const Disk& d = disks_[static_cast<std::size_t>(p)];
             text += voters_[static_cast<std::size_t>(p)]->image(local);
             text += fmt::format("d{}", d.voted);
-            for (const auto& [lease, r] : d.records) text += fmt::format("{}{};", r.highest, r.over);
-            for (const auto& [lease, r] : d.pending) text += fmt::format("p{}{};", r.highest, r.over);
+            for (const auto& [lease, r] : d.records) text += fmt::format("{}{};", r.highest, r.isReleased);
+            for (const auto& [lease, r] : d.pending) text += fmt::format("p{}{};", r.highest, r.isReleased);
         } else {
             text += holder(p).image(local);
             const auto& still = stopped_[static_cast<std::size_t>(p - voters())];
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -89,7 +89,7 @@
         lease::Fence fence;
         Nanos until;
     };
-    int voters() const { return settings_.voters; }
+    int voters() const { return settings_.acceptorCount; }
     bool isVoter(int process) const { return process < voters(); }
     int count() const { return voters() + wanted_.holders; }
     Nanos localOf(int process) const;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -19,14 +19,15 @@
 // Acceptors and some holders whose messages arrive at once, but for those of acceptors that are cut off.
 struct LeaseGroup {
     explicit LeaseGroup(int holderCount, const LeaseSettings& leaseSettings = {}) : settings(leaseSettings) {
-        for (int a = 0; a < settings.voters; ++a) acceptors.emplace_back(settings, a, now, GrantRecords{});
+        for (int a = 0; a < settings.acceptorCount; ++a)
+            acceptors.emplace_back(settings, a, now, GrantRecords{});
         for (int h = 0; h < holderCount; ++h)
             holders.emplace_back(settings, static_cast<MemberId>(h + 1), static_cast<std::uint32_t>(h + 1));
     }
     void exchangeMessages() {
         for (int round = 0; round < 6; ++round) {
             for (std::size_t h = 0; h < holders.size(); ++h) reconcileHolder(h);
-            for (int a = 0; a < settings.voters; ++a)
+            for (int a = 0; a < settings.acceptorCount; ++a)
                 for (int repeat = 0; repeat < 2; ++repeat) reconcileAcceptor(a);
         }
     }
@@ -42,7 +43,7 @@
             if (!cutOff.contains(a)) holder(to).onAnswer(now, a, answer);
         for (const auto& [to, recall] : actions.recalls)
             if (!cutOff.contains(to)) acceptor(to).onRequest(now, a, recall);
-        for (const auto& [to, recalled] : actions.recalled) acceptor(to).onRequest(now, a, recalled);
+        for (const auto& [to, recalled] : actions.recallAnswers) acceptor(to).onRequest(now, a, recalled);
         if (actions.ticket) acceptor(a).onPersisted(now, actions.ticket);
     }
     void advance(Nanos time) {
@@ -73,7 +74,7 @@
     const auto first = group.holders[0].enterCriticalSection(group.now, 1, 200 * ms);
     REQUIRE(first);
     CHECK_FALSE(group.holders[0].enterCriticalSection(
-        group.now, 1, group.settings.held()));  // the lease would not outlast that
+        group.now, 1, group.settings.holdDuration()));  // the lease would not outlast that
     group.holders[1].acquire(group.now, 1);
     group.advance(20'000 * ms);
     CHECK(group.holders[0].isHolding(group.now, 1));  // it renews
@@ -126,7 +127,7 @@
     acceptor.onRequest(now, 5, request);
     auto actions = acceptor.reconcile(now);
     CHECK(actions.answers.empty());
-    CHECK(actions.keep.at(1).highest == request.fence);
+    CHECK(actions.recordsToPersist.at(1).highest == request.fence);
     acceptor.onPersisted(now, actions.ticket);
     actions = acceptor.reconcile(now);
     REQUIRE(actions.answers.size() == 1);
@@ -161,19 +162,19 @@
 TEST_CASE("settings that break the guarantee are reported, each by its key") {
     const auto keys = [](const LeaseSettings& settings, Nanos criticalSection) {
         std::string all;
-        for (const auto& [key, problem] : problemsOf(settings, criticalSection)) all += key + ";";
+        for (const auto& [key, problem] : findProblems(settings, criticalSection)) all += key + ";";
         return all;
     };
     LeaseSettings settings;
     CHECK(keys(settings, 200 * ms).empty());
-    settings.voters = 4;
+    settings.acceptorCount = 4;
     CHECK(keys(settings, 200 * ms) == "voters;");
-    settings.voters = 3;
+    settings.acceptorCount = 3;
     settings.rate = 0.2;
     CHECK(keys(settings, 200 * ms) == "rate;");
     settings.rate = 0.01;
     CHECK(keys(settings, 3'000 * ms) == "length_ms;");
-    CHECK_THROWS_WITH(guardNamed("luck"), doctest::Contains("'luck' is none of quarantine, rate"));
+    CHECK_THROWS_WITH(parseSafeguard("luck"), doctest::Contains("'luck' is none of quarantine, rate"));
 }
 
 TEST_CASE(
@@ -190,7 +191,7 @@
     const auto complete = explore({}, 3);
     CHECK_MESSAGE(complete.broken.empty(), complete.broken);
     CHECK(complete.steps > 10'000);
-    for (const auto& [name, safeguard] : guards()) {
+    for (const auto& [name, safeguard] : safeguards()) {
         CAPTURE(name);
         const auto result = explore({safeguard}, 20);
         CHECK(!result.broken.empty());
