--- a/src/ctl/change_preview.cpp
+++ b/src/ctl/change_preview.cpp
@@ -12,7 +12,7 @@
 protocol::StartupConfig readInstanceConfig(const FleetDescription& description,
                                            const std::string& templateText, int instance) {
     config::ConfigProblems problems("the form");
-    const auto plan = config::readOperatorConfig(operatorFileOf(description, templateText, instance),
+    const auto plan = config::readOperatorConfig(makeConfigText(description, templateText, instance),
                                                  "the form", false, problems);
     if (!problems.none() || !plan.startup) throw std::runtime_error(problems.text());
     return *plan.startup;
--- a/src/ctl/fleet_command.cpp
+++ b/src/ctl/fleet_command.cpp
@@ -26,7 +26,7 @@
     ::signal(SIGXFSZ, SIG_IGN);
     const FolderLock lock(description.folder);
     if (!lock.isHeld()) {
-        fmt::print(stderr, "poppyctl fleet: another keeper keeps {}\n", description.folder);
+        fmt::print(stderr, "poppyctl fleet: another process supervises {}\n", description.folder);
         return kExitAlreadySupervised;
     }
     removeTemporaryFiles(description.folder);
--- a/src/ctl/fleet_description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -125,7 +125,7 @@
 
 std::string agentSocketOf(const FleetDescription& description) { return description.folder + "/fleet.sock"; }
 
-std::string operatorFileOf(const FleetDescription& description, const std::string& templateText,
+std::string makeConfigText(const FleetDescription& description, const std::string& templateText,
                            int instance) {
     const std::string address =
         description.ownAddresses ? addressAt(description.address, instance) : description.address;
--- a/src/ctl/fleet_description.hpp
+++ b/src/ctl/fleet_description.hpp
@@ -38,11 +38,7 @@
 std::string agentSocketOf(const FleetDescription& description);
 
 // The text of an instance's configuration file, made from that template.
-std::string operatorFileOf(const FleetDescription& description, const std::string& templateText,
+std::string makeConfigText(const FleetDescription& description, const std::string& templateText,
                            int instance);
-// The same from the description's own template.
-inline std::string operatorFileOf(const FleetDescription& description, int instance) {
-    return operatorFileOf(description, description.templateText, instance);
-}
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/fleet_host.cpp
+++ b/src/ctl/fleet_host.cpp
@@ -92,25 +92,26 @@
     try {
         reloadDescription();
     } catch (const std::exception& problem) {
-        log(fmt::format("no {} now: {}", name, problem.what()));
+        log(fmt::format("rejects a rolling {}: {}", name, problem.what()));
         return;
     }
     const bool isStarted = supervisor_.startRolling(monotonicNow(), operation);
     if (isStarted)
-        log(fmt::format("rolls a {} through all instances", name));
+        log(fmt::format("starts a rolling {}", name));
     else
-        log(fmt::format("no {} now: not all are ready, or a roll is under way", name));
+        log(fmt::format("rejects a rolling {}: not all instances are ready, or one is in progress", name));
 }
 
 void FleetHost::reloadDescription() {
     const FleetDescription reloaded = readFleetDescription(description_.file);
     if (!describesSameInstances(reloaded, description_))
-        throw std::runtime_error("other instances than those that run: stop this keeper first");
+        throw std::runtime_error(
+            "the description is of other instances than those that run: stop this supervisor first");
     description_.program = reloaded.program;
     description_.templateText = reloaded.templateText;
     description_.zone = reloaded.zone;
     if (!agent_.setOriginalVersion(storeDescribedVersion()))
-        throw std::runtime_error("a staged change is under way");
+        throw std::runtime_error("a rollout is in progress");
     agentStore_.setDescribedVersion(agent_.state().before);
 }
 
@@ -120,7 +121,7 @@
         return {versions_.storeProgram(description_.program),
                 versions_.storeTemplate(description_.templateText)};
     } catch (const std::exception& problem) {
-        log_.info(fmt::format("no way back can be kept: {}", problem.what()));
+        log_.info(fmt::format("can't store the present version for a rollback: {}", problem.what()));
         return {};
     }
 }
@@ -134,16 +135,16 @@
         const bool isSameDescription = stored->described == agentStore_.describedVersion();
         if (!isSameDescription && state.changed.empty()) {
             // The operator has changed the description since the last rollout, and it takes precedence.
-            log_.info("the description has changed since the last roll: it holds");
+            log_.info("the description has changed since the last rollout and takes precedence");
             state.before = agentStore_.describedVersion();
             state.digest.clear();
             state.isFinished = false;
         }
         agent_.restore(monotonicNow(), state);
         log_.info(
-            fmt::format("goes on from roll {}, {} instances changed", state.number, state.changed.size()));
+            fmt::format("resumes rollout {}, {} instances changed", state.number, state.changed.size()));
     } catch (const std::exception& problem) {
-        log_.info(fmt::format("what was held of a roll can't be used: {}", problem.what()));
+        log_.info(fmt::format("can't restore the state of the last rollout: {}", problem.what()));
     }
 }
 
@@ -248,15 +249,15 @@
             program = versions_.programPath(version.program);
         }
     } catch (const std::exception& problem) {
-        log(fmt::format("{} is started by what the description says: {}", nameOf(description_, instance),
-                        problem.what()));
+        log(fmt::format("{} is started with the version of the description: {}",
+                        nameOf(description_, instance), problem.what()));
     }
     try {
         writeAtomically(configFileOf(description_, instance),
-                        operatorFileOf(description_, templateText, instance));
+                        makeConfigText(description_, templateText, instance));
     } catch (const std::exception& problem) {
         // With a full disk the file of the last start is complete, and will do.
-        log(fmt::format("{}; goes by what is there", problem.what()));
+        log(fmt::format("{}; the instance starts with its present configuration file", problem.what()));
     }
     return program;
 }
--- a/src/ctl/version_installer.cpp
+++ b/src/ctl/version_installer.cpp
@@ -59,7 +59,7 @@
     try {
         versions.checkProgram(version.program);
         const std::string config =
-            operatorFileOf(description, versions.templateText(version.templateDigest), instance);
+            makeConfigText(description, versions.templateText(version.templateDigest), instance);
         writeAtomically(configFileOf(description, instance), config);
     } catch (const std::exception& problem) {
         return {problem.what(), false, 0};
--- a/src/supervisor/instance_supervisor.cpp
+++ b/src/supervisor/instance_supervisor.cpp
@@ -4,6 +4,14 @@
 #include <utility>
 
 namespace poppyscale::supervisor {
+namespace {
+
+// For the log.
+std::string nameOf(InstanceSupervisor::RollingOperation operation) {
+    return operation == InstanceSupervisor::RollingOperation::restart ? "restart" : "upgrade";
+}
+
+}  // namespace
 
 InstanceSupervisor::InstanceSupervisor(const SupervisorSettings& settings, std::uint64_t seed,
                                        SupervisorHost& host)
@@ -37,7 +45,7 @@
     scheduleRestart(now, instance);
     // An instance that was already restarted or upgraded is taken to have failed because of that.
     if (isRolling() && instance < processedCount_)
-        stopRolling("instance " + std::to_string(instance) + " ended after its turn");
+        stopRolling("instance " + std::to_string(instance) + " exited after its " + nameOf(operation_));
 }
 
 void InstanceSupervisor::onUpgraded(Nanos now, int instance, std::string_view problem) {
@@ -138,7 +146,7 @@
     ++exited.unexpectedExits;
     enterState(exited, InstanceState::backingOff,
                now + static_cast<Nanos>(static_cast<double>(exited.backoff) * jitter));
-    host_.log("instance " + std::to_string(instance) + " ended by itself, the next start in " +
+    host_.log("instance " + std::to_string(instance) + " exited unexpectedly, restarts in " +
               std::to_string((exited.deadline - now) / kMillisecond) + " ms");
 }
 
@@ -156,7 +164,7 @@
     if (processedCount_ > batchStart_ && !isBatchObserved(now)) return;
     if (processedCount_ == settings_.instanceCount) {
         mode_ = Mode::supervising;
-        host_.log("the roll went through all instances");
+        host_.log("rolling " + nameOf(operation_) + " completed");
         return;
     }
     while (processedCount_ < settings_.instanceCount && processedCount_ - batchStart_ < settings_.batchSize) {
@@ -190,7 +198,7 @@
 void InstanceSupervisor::stopRolling(std::string problem) {
     mode_ = Mode::supervising;
     rollingProblem_ = std::move(problem);
-    host_.log("the roll stops: " + rollingProblem_);
+    host_.log("rolling " + nameOf(operation_) + " stopped: " + rollingProblem_);
 }
 
 // ---- state
