--- a/src/ctl/agent_codec.hpp
+++ b/src/ctl/agent_codec.hpp
@@ -1,5 +1,5 @@
 // The JSON of a machine's agent, for both sides: the requests to its socket, its answers, and its state on
-// disk. No other file of this folder knows these words; the codec of orders and reports is rollout's.
+// disk. No other file of this folder knows these keys; the codec of orders and reports is rollout's.
 #pragma once
 
 #include <cstdint>
--- a/src/ctl/instance_client.hpp
+++ b/src/ctl/instance_client.hpp
@@ -1,4 +1,4 @@
-// Typed requests to an instance through its operators' socket; their JSON words are known here alone.
+// Typed requests of a fleet to an instance through its operators' socket, with their JSON keys.
 #pragma once
 
 #include <sys/types.h>
--- a/src/ctl/instance_processes.cpp
+++ b/src/ctl/instance_processes.cpp
@@ -73,9 +73,9 @@
 
 int InstanceProcesses::spawn(int instance, const std::string& program, const std::string& configFile,
                              const std::string& logFile) {
-    std::vector<std::string> words{program, "serve", "--operator", configFile};
+    std::vector<std::string> commandLine{program, "serve", "--operator", configFile};
     std::vector<char*> arguments;
-    for (std::string& word : words) arguments.push_back(word.data());
+    for (std::string& argument : commandLine) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
     SpawnFileActions files;
     files.appendStandardErrorTo(logFile);
--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -69,7 +69,8 @@
     return answer;
 }
 
-// Where it may not, says in the answer when the lease is free, and notes who waits for that.
+// Where it may not: sets when the lease is free in the answer, and adds the member to those that wait for
+// that.
 bool Acceptor::mayGrant(Nanos now, MemberId from, const LeaseRequest& request, Grant& grant,
                         LeaseAnswer& answer) {
     const GrantRecord& record = grant.record;
