--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -366,7 +366,7 @@
             return rollIt(roll);
         }
         if (*leasing) {
-            if (!guard.empty()) leases.disabledSafeguard = {lease::guardNamed(guard)};
+            if (!guard.empty()) leases.disabledSafeguard = {lease::parseSafeguard(guard)};
             return leaseIt(leases);
         }
         if (*sloping) {
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -89,7 +89,7 @@
         lease::Fence fence;
         Nanos until;
     };
-    int acceptors() const { return settings_.voters; }
+    int acceptors() const { return settings_.acceptorCount; }
     bool isAcceptor(int process) const { return process < acceptors(); }
     int count() const { return acceptors() + options_.holders; }
     Nanos localOf(int process) const;
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -724,7 +724,7 @@
     const pid_t first = fleet.pidOf(0);
     kill(first, SIGKILL);
     CHECK(soon([&] { return fleet.serving(0) && fleet.pidOf(0) != first; }));
-    CHECK(soon([&] { return fleet.logged("instance 0 ended by itself"); }));
+    CHECK(soon([&] { return fleet.logged("instance 0 exited unexpectedly"); }));
     // The supervisor is killed: its instances run on and are found again, none of them started twice.
     const pid_t before[] = {fleet.pidOf(0), fleet.pidOf(1), fleet.pidOf(2)};
     fleet.stopSupervisor(SIGKILL);
@@ -734,8 +734,8 @@
     // Repeated until all are ready to begin; a rollout in progress is not begun a second time.
     CHECK(soon(
         [&] {
-            if (!fleet.logged("rolls a upgrade")) kill(fleet.pid, SIGUSR2);
-            return fleet.logged("the roll went through");
+            if (!fleet.logged("starts a rolling upgrade")) kill(fleet.pid, SIGUSR2);
+            return fleet.logged("rolling upgrade completed");
         },
         kRolloutTimeoutMs, 500));
     for (int i = 0; i < 3; ++i) CHECK(fleet.pidOf(i) != before[i]);
@@ -777,7 +777,7 @@
     CHECK(origin.head().size() >= 4);
     REQUIRE(soon(
         [&] {
-            if (!fleet.logged("rolls a upgrade")) kill(fleet.pid, SIGUSR2);
+            if (!fleet.logged("starts a rolling upgrade")) kill(fleet.pid, SIGUSR2);
             const pid_t now = fleet.pidOf(0);
             return now > 0 && now != old;
         },
@@ -789,7 +789,7 @@
     const std::string response = client.answer();
     CHECK((response == "receipt" || response == "-ERR failed"));
     CHECK(soon([&] { return fleet.serving(0) && fleet.pidOf(0) != newProcess && fleet.pidOf(0) != old; }));
-    CHECK(soon([&] { return fleet.logged("instance 0 ended after its turn"); }));
+    CHECK(soon([&] { return fleet.logged("instance 0 exited after its upgrade"); }));
     for (int i = 1; i < 3; ++i) CHECK(fleet.serving(i));  // no other instance was replaced
 }
 
