--- a/src/process/operator_commands.hpp
+++ b/src/process/operator_commands.hpp
@@ -1,6 +1,7 @@
 // The requests of the operator's socket.
 #pragma once
 
+#include <functional>
 #include <nlohmann/json.hpp>
 #include <string_view>
 
--- a/src/process/status_report.hpp
+++ b/src/process/status_report.hpp
@@ -1,6 +1,7 @@
 // What an instance reports of itself on the operator's socket.
 #pragma once
 
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <string>
 
