--- a/src/protocol/attempt_message.cpp
+++ b/src/protocol/attempt_message.cpp
@@ -12,8 +12,8 @@
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::string_view kErrorWord = "ERR";
-constexpr std::string_view kBusyWord = "BUSY";
+constexpr std::string_view kErrorPrefix = "ERR";
+constexpr std::string_view kBusyPrefix = "BUSY";
 constexpr std::size_t kCacheResponseItems = 3;
 
 // The info list of an attempt: as the client sent it, except for the time that is left.
@@ -50,22 +50,22 @@
 
 // Only exactly this proves that the request was not executed: a corrupted line may come after it was.
 bool isBusy(std::string_view error) {
-    if (!error.starts_with(kBusyWord)) return false;
-    error.remove_prefix(kBusyWord.size());
+    if (!error.starts_with(kBusyPrefix)) return false;
+    error.remove_prefix(kBusyPrefix.size());
     if (error.empty()) return true;
     return error[0] == ' ' && parse<std::uint32_t>(error.substr(1));
 }
 
 AttemptResponse readCacheError(std::string_view error) {
-    if (error.starts_with(kErrorWord)) return {AttemptOutcome::failed, {}, true};
+    if (error.starts_with(kErrorPrefix)) return {AttemptOutcome::failed, {}, true};
     if (isBusy(error)) return {AttemptOutcome::overloaded, {}, true};
     return {};
 }
 
-// Other words are skipped, and the response counts all the same.
-ReadThroughResult readThroughOf(std::string_view word) {
-    if (word == "hit") return ReadThroughResult::cached;
-    if (word == "miss" || word == "pending") return ReadThroughResult::fetched;
+// Other keywords are ignored, and the response counts all the same.
+ReadThroughResult readThroughOf(std::string_view keyword) {
+    if (keyword == "hit") return ReadThroughResult::cached;
+    if (keyword == "miss" || keyword == "pending") return ReadThroughResult::fetched;
     return ReadThroughResult::unknown;
 }
 
@@ -92,18 +92,18 @@
     return bytes.append("\r\n\r\n").append(request.value);
 }
 
-// Three items: the value or receipt, the word on how a read went, and a load report, which may be of any kind
+// Three items: the value or receipt, the result of the read, and a load report, which may be of any kind
 // since nothing here reads it.
 AttemptResponse readCacheResponse(RespValue response) {
     using Kind = RespValue::Kind;
     if (response.kind == Kind::error) return readCacheError(response.text);
     if (response.kind != Kind::array || response.items.size() != kCacheResponseItems) return {};
-    const RespValue& word = response.items[1];
-    if (word.kind != Kind::bulk && word.kind != Kind::null) return {};
+    const RespValue& readThrough = response.items[1];
+    if (readThrough.kind != Kind::bulk && readThrough.kind != Kind::null) return {};
     RespValue& value = response.items[0];
     if (value.kind == Kind::null) return {AttemptOutcome::cacheMiss, {}, true};
     if (value.kind != Kind::bulk) return {};
-    return {AttemptOutcome::succeeded, std::move(value.text), true, readThroughOf(word.text)};
+    return {AttemptOutcome::succeeded, std::move(value.text), true, readThroughOf(readThrough.text)};
 }
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/client_response.cpp
+++ b/src/protocol/client_response.cpp
@@ -15,6 +15,16 @@
 
 std::string failedResponse() { return errorResponse("failed"); }
 
+std::string problemResponse(RequestProblem problem) {
+    switch (problem) {
+        case RequestProblem::unknownRequestClass:
+            return errorResponse("unknown verb");
+        case RequestProblem::idInUse:
+            break;
+    }
+    return errorResponse("id of an open command");
+}
+
 std::string errorResponse(std::string_view problem) {
     return std::string("-ERR ").append(problem).append("\r\n");
 }
@@ -23,6 +33,8 @@
     return std::string("-ERR Protocol error: ").append(problem).append("\r\n");
 }
 
+std::string requestTimeoutResponse() { return protocolErrorResponse("command not whole in time"); }
+
 std::string standbyResponse() { return errorResponse("standing by"); }
 
 bool isErrorResponse(std::string_view response) { return response.starts_with('-'); }
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -18,10 +18,10 @@
 
 enum class Source : std::uint8_t { discovery, configuration };
 
-EndpointState stateOf(std::string_view word) {
-    if (word == "Ready") return EndpointState::ready;
-    if (word == "Terminating") return EndpointState::draining;
-    if (word == "Gone") return EndpointState::removed;
+EndpointState stateOf(std::string_view keyword) {
+    if (keyword == "Ready") return EndpointState::ready;
+    if (keyword == "Terminating") return EndpointState::draining;
+    if (keyword == "Gone") return EndpointState::removed;
     throw ParseError("an entry with an unknown state");
 }
 
--- a/src/protocol/policy_settings.cpp
+++ b/src/protocol/policy_settings.cpp
@@ -11,23 +11,25 @@
 constexpr std::int64_t kMaxListedItems = 10'000;  // request classes, or tenants
 
 template <class T>
-struct Word {
+struct Keyword {
     std::string_view text;
     T value;
 };
-constexpr std::array<Word<Idempotency>, 3> kIdempotencyWords{{{"free", Idempotency::safe},
-                                                              {"guarded", Idempotency::idempotentWithKey},
-                                                              {"single_shot", Idempotency::nonIdempotent}}};
-constexpr std::array<Word<DeduplicationScope>, 3> kDeduplicationScopeWords{
+constexpr std::array<Keyword<Idempotency>, 3> kIdempotencyKeywords{
+    {{"free", Idempotency::safe},
+     {"guarded", Idempotency::idempotentWithKey},
+     {"single_shot", Idempotency::nonIdempotent}}};
+constexpr std::array<Keyword<DeduplicationScope>, 3> kDeduplicationScopeKeywords{
     {{"all", DeduplicationScope::all},
      {"zone", DeduplicationScope::zone},
      {"cell", DeduplicationScope::cell}}};
 
 template <class T, std::size_t Size>
-T readWord(const SettingsMap& settings, const std::string& path, const std::array<Word<T>, Size>& words) {
+T readKeyword(const SettingsMap& settings, const std::string& path,
+              const std::array<Keyword<T>, Size>& keywords) {
     const auto text = settings.text(path);
-    for (const Word<T>& word : words)
-        if (word.text == text) return word.value;
+    for (const Keyword<T>& keyword : keywords)
+        if (keyword.text == text) return keyword.value;
     throw SettingError(path, "has an unknown value");
 }
 
@@ -84,9 +86,10 @@
 RequestClass readRequestClass(const SettingsMap& settings, const std::string& prefix) {
     RequestClass requestClass;
     requestClass.name = settings.text(prefix + "name");
-    requestClass.idempotency = readWord(settings, prefix + "effect", kIdempotencyWords);
+    requestClass.idempotency = readKeyword(settings, prefix + "effect", kIdempotencyKeywords);
     if (requestClass.idempotency == Idempotency::idempotentWithKey) {
-        requestClass.deduplicationScope = readWord(settings, prefix + "group", kDeduplicationScopeWords);
+        requestClass.deduplicationScope =
+            readKeyword(settings, prefix + "group", kDeduplicationScopeKeywords);
         requestClass.idempotencyKeyTtl = settings.duration(prefix + "keyTtlUs");
     }
     requestClass.latencyObjective = settings.duration(prefix + "responseGoalUs");
--- a/src/protocol/policy_settings.hpp
+++ b/src/protocol/policy_settings.hpp
@@ -1,4 +1,4 @@
-// The platform's settings as the policy's types. No other code knows the settings' names and words.
+// The platform's settings as the policy's types. No other code knows the settings' names and keywords.
 #pragma once
 
 #include <cstdint>
--- a/src/protocol/request.hpp
+++ b/src/protocol/request.hpp
@@ -36,7 +36,7 @@
 using ClientMessage = std::variant<Request, ControlCommand>;
 
 ClientMessage readRequest(RespValue message);
-// Of a write whose value follows in chunks: `arguments` are all that stands before it.
+// Of a write whose value follows in chunks: `arguments` are all that precede it.
 ClientMessage readRequestHead(std::vector<RespValue> arguments, std::size_t streamedLength);
 
 }  // namespace poppyscale::protocol
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -96,7 +96,7 @@
 
 void appendBulk(std::string& out, std::string_view text);
 std::string bulk(std::string_view text);
-// What stands before the bytes of a bulk string.
+// What precedes the bytes of a bulk string.
 std::string bulkHead(std::size_t length);
 // An array of bulk strings, to which the caller appends `appendedArguments` more.
 std::string command(const std::vector<std::string_view>& arguments, std::size_t appendedArguments = 0);
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -24,15 +24,6 @@
 // For which a client may leave a streamed response unread, which occupies a connection to a server.
 constexpr Nanos kMaxStreamUnreadDuration = 10'000 * kMillisecond;
 
-// No attempt may start more than 0.1 s after its client has closed the connection. An attempt starts without
-// a system call if the connection was known to be open within this time; otherwise the kernel is asked first.
-// The time of arrival that counts as known to be open may itself be late by 40 ms: a poll of 20 ms, and 10 ms
-// of delay each in the poll and in the iteration before it, which `EventLoop::earliestArrival` does not take
-// for a hold-up. An attempt thus starts 60 ms after the close at the latest, if the kernel has the end by
-// then. It has not where a client has closed behind more bytes than fit in this machine's receive window (64
-// KiB at first): the end stays on the client's machine until the router reads on.
-constexpr Nanos kKnownOpenDuration = 20 * kMillisecond;
-
 // Longer bulk strings than the first are streamed: the last argument of a write, up to 4 MiB.
 constexpr protocol::RespDecoder::Limits kRequestLimits{.maxBulkLength = 64 * 1024,
                                                        .maxItems = 16,
@@ -69,10 +60,7 @@
 ClientConnection::~ClientConnection() {
     owner_.onDestroyed(*this);
     write_.abandon();
-    for (PipelinedRequest& request : pipeline_.requests()) {
-        request.cancelSource();
-        if (request.pending()) dispatcher_.onClientDisconnected(*request.pending());
-    }
+    pipeline_.cancelAll([this](PendingRequest& request) { dispatcher_.onClientDisconnected(request); });
 }
 
 void ClientConnection::start() {
@@ -107,17 +95,10 @@
     readInIteration_ += bytes.size();
     markActive();
     const Nanos arrivedAt = loop_.earliestArrival();
-    noteArrival(bytes.size(), arrivedAt);
+    liveness_.onRead(bytes.size(), arrivedAt);
     parse(bytes, arrivedAt);
 }
 
-// Bytes prove that the connection was open when they arrived. When that was is only known if everything
-// before them had been read: otherwise they, and the end behind them, may have been in the kernel for long.
-void ClientConnection::noteArrival(std::size_t size, Nanos arrivedAt) {
-    if (hasReadAll_) knownOpenAt_ = std::max(knownOpenAt_, arrivedAt);
-    hasReadAll_ = size < transport::kBufferSize;
-}
-
 void ClientConnection::parse(std::string_view bytes, Nanos arrivedAt) {
     if (!decoder_.isInValue() && requestBegunAt_ == 0) requestBegunAt_ = transport::EventLoop::now();
     using DecoderState = protocol::RespDecoder::State;
@@ -178,14 +159,14 @@
     const auto accepted = dispatcher_.accept(slot, std::move(request), arrivedAt, body);
     slot.setPending(accepted.request);
     if (body && accepted.request) write_.accept();
-    if (accepted.problem.empty()) markUseful();
+    if (!accepted.problem) markUseful();
     if (accepted.request) return;
     // Over its limits the router has not executed the request, so that a retry is harmless; an invalid one
     // would be as invalid the next time.
-    if (accepted.problem.empty())
-        respond(slot, protocol::rejectedResponse());
+    if (accepted.problem)
+        respond(slot, protocol::problemResponse(*accepted.problem));
     else
-        respond(slot, protocol::errorResponse(accepted.problem));
+        respond(slot, protocol::rejectedResponse());
 }
 
 void ClientConnection::markUseful() {
@@ -237,12 +218,12 @@
 // Asks the kernel, unless the connection was known to be open a moment ago.
 bool ClientConnection::isClientConnected() {
     const Nanos now = transport::EventLoop::now();
-    if (now - knownOpenAt_ < kKnownOpenDuration) return true;
+    if (liveness_.isKnownOpen(now)) return true;
     if (connection_.hasPeerClosed()) {
         owner_.onDisconnected(*this);
         return false;
     }
-    knownOpenAt_ = now;
+    liveness_.onFoundOpen(now);
     return true;
 }
 
@@ -350,7 +331,7 @@
     const bool isDeferred = shouldRead && isShareUsed;
     if (isDeferred) owner_.deferReading(*this);
     const bool reads = shouldRead && !isDeferred;
-    if (!reads) hasReadAll_ = false;
+    if (!reads) liveness_.onReadingStopped();
     connection_.setReading(reads);
 }
 
@@ -386,7 +367,7 @@
         return owner_.remove(*this);
     }
     if (!decoder_.isInValue()) return owner_.remove(*this);
-    replyAndClose(protocol::protocolErrorResponse("command not whole in time"));
+    replyAndClose(protocol::requestTimeoutResponse());
     abandonStreamedWrite();
     flush();
 }
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -11,6 +11,7 @@
 #include "policy/routing_policy.hpp"
 #include "protocol/request.hpp"
 #include "protocol/resp.hpp"
+#include "proxy/peer_liveness.hpp"
 #include "proxy/pipelined_request.hpp"
 #include "proxy/request_dispatcher.hpp"
 #include "proxy/request_pipeline.hpp"
@@ -80,7 +81,7 @@
 
     // Begins to read, once accepted. May remove the connection.
     void start();
-    // Goes on with what was deferred. May remove the connection.
+    // Continues with what was deferred. May remove the connection.
     void continueReading();
 
     // Nothing is outstanding, neither in part nor unread: closing it loses nothing.
@@ -138,7 +139,6 @@
     void abandonStreamedWrite();
     void markUseful();
     void markActive();
-    void noteArrival(std::size_t size, Nanos arrivedAt);
     void reportPartialRequest();
 
     // Responses.
@@ -179,11 +179,10 @@
     std::uint64_t readIteration_ = 0;
     std::size_t readInIteration_ = 0;  // bytes
     std::size_t ignoredBytes_ = 0;     // after the connection began to end
-    bool hasReadAll_ = false;          // it is being read, and the last read took all the kernel had
-    Nanos knownOpenAt_ = 0;            // the latest time at which it was known to be open
-    bool isUseful_ = false;            // has sent a valid request
-    Nanos lastActivity_ = 0;           // when it last sent something or got a response
-    Nanos lastReadAt_ = 0;             // when it last sent something, or was read again
+    PeerLiveness liveness_;
+    bool isUseful_ = false;   // has sent a valid request
+    Nanos lastActivity_ = 0;  // when it last sent something or got a response
+    Nanos lastReadAt_ = 0;    // when it last sent something, or was read again
     Nanos lastResponseAt_ = 0;
     Nanos requestBegunAt_ = 0;  // of the incomplete request, or the first one; 0 without one
     Nanos unreadSince_ = 0;     // since when the client has read nothing of its responses
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -33,7 +33,7 @@
 
 void ConnectionPool::serveWaiting() {
     hasFreedCapacity_ = false;
-    // Attempts that end within this only leave an event, so that no server goes meanwhile.
+    // Attempts that end within this only leave an event, so that no server is removed meanwhile.
     for (UpstreamServer* server : servers_)
         if (server->hasWaitingAttempts()) server->serveWaiting();
 }
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -29,7 +29,7 @@
     Nanos firstPossiblyExecutedAt = kNever;  // when the first attempt that may have executed was sent
 };
 
-// A request as it stands, for operators.
+// The present status of a request, for operators.
 struct RequestStatus {
     std::string id;
     std::string requestClass;
--- a/src/proxy/pipelined_request.hpp
+++ b/src/proxy/pipelined_request.hpp
@@ -35,7 +35,7 @@
 
     explicit PipelinedRequest(Owner& owner) : owner_(owner) {}
 
-    // The request as the dispatcher holds it; null without one, or once that has let go of this sink.
+    // The request as the dispatcher holds it; null without one, or once that has released this sink.
     PendingRequest* pending() const { return pending_; }
     void setPending(PendingRequest* pending) { pending_ = pending; }
 
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -54,9 +54,10 @@
                                                           Nanos arrivedAt, RequestBody* body) {
     // Of an unknown class nobody can say whether it may be repeated, nor by when a response is due.
     const auto requestClass = requestClasses_.find(message.requestClass);
-    if (requestClass == requestClasses_.end()) return {nullptr, "unknown verb"};
+    if (requestClass == requestClasses_.end())
+        return {nullptr, protocol::RequestProblem::unknownRequestClass};
     // Servers tell requests apart by their ids: under one id, a client could get another's response.
-    if (requests_.hasClientId(message.id)) return {nullptr, "id of an open command"};
+    if (requests_.hasClientId(message.id)) return {nullptr, protocol::RequestProblem::idInUse};
     if (requests_.size() >= maxOpenRequests_ || requests_.bufferedBytes() >= maxBufferedBytes_) {
         if (metrics_) metrics_->recordRejected(message.requestClass, metrics::Rejection::requestLimit);
         return {};
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -13,6 +13,7 @@
 
 #include "metrics/router_metrics.hpp"
 #include "policy/routing_policy.hpp"
+#include "protocol/client_response.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "protocol/request.hpp"
 #include "protocol/startup_config.hpp"
@@ -47,11 +48,11 @@
 
     // ---- Requests
 
-    // Without a request, `problem` says what is wrong with the message; if that is empty as well, the router
+    // Without a request, `problem` says what is wrong with the message; without that as well, the router
     // holds as many requests as it may.
     struct AcceptResult {
         PendingRequest* request = nullptr;
-        std::string_view problem;
+        std::optional<protocol::RequestProblem> problem;
     };
     // `arrivedAt` is when the client's timeout began; `body` is the value of a write that is streamed.
     virtual AcceptResult accept(ResponseSink& sink, protocol::Request message, Nanos arrivedAt,
--- a/src/proxy/request_pipeline.hpp
+++ b/src/proxy/request_pipeline.hpp
@@ -38,7 +38,15 @@
     std::size_t unsentBytes() const { return unsentBytes_; }
     bool isStreaming() const;
     bool hasPendingRequest() const;
-    std::list<PipelinedRequest>& requests() { return requests_; }
+    // The client goes away: cancels what is being streamed, and calls `disconnect` with each request that is
+    // open at the dispatcher, in order.
+    template <class Disconnect>
+    void cancelAll(Disconnect disconnect) {
+        for (PipelinedRequest& request : requests_) {
+            request.cancelSource();
+            if (request.pending()) disconnect(*request.pending());
+        }
+    }
 
   private:
     std::list<PipelinedRequest> requests_;
--- a/src/proxy/response_sink.hpp
+++ b/src/proxy/response_sink.hpp
@@ -24,7 +24,7 @@
     virtual ~ResponseSink() = default;
     virtual void complete(FinalResponse response) = 0;
     // Whether the client was seen connected recently enough for an attempt to start. Once this returns false,
-    // the sink has let go of the request and is not called again.
+    // the sink has released the request and is not called again.
     virtual bool isClientConnected() = 0;
     // In place of `complete`, for a value of `length` bytes that is too long to be buffered. Returns where
     // its chunks go; the first one follows at once.
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -5,17 +5,8 @@
 namespace poppyscale::proxy {
 namespace {
 
-constexpr std::size_t kMaxBufferedValue = 64 * 1024;  // bytes; longer values are streamed
-constexpr std::size_t kMaxValue = 4 * 1024 * 1024;    // bytes
 // A streamed value fails its attempt when nothing of it moved for this long.
 constexpr Nanos kBodyIdleTimeout = 5'000 * kMillisecond;
-constexpr protocol::RespDecoder::Limits kResponseLimits{.maxBulkLength = kMaxBufferedValue,
-                                                        .maxItems = 16,
-                                                        .maxDepth = 3,
-                                                        .maxValueSize = 2 * kMaxBufferedValue,
-                                                        .commandsOnly = false,
-                                                        .maxStreamedLength = kMaxValue,
-                                                        .streamedItem = 0};
 
 }  // namespace
 
@@ -26,9 +17,7 @@
       address_(address),
       connection_(pool.loop(), pool.buffers(), *this),
       timer_(pool.loop(), [this] { onTimer(); }),
-      decoder_(kResponseLimits) {
-    if (isOrigin) http_.emplace(kMaxBufferedValue, kMaxValue);
-}
+      codec_(isOrigin ? makeOriginCodec() : makeCacheCodec()) {}
 
 UpstreamConnection::~UpstreamConnection() {
     pool_.updateBufferedBytes(bufferedBytes_, 0);
@@ -57,8 +46,7 @@
     // Every request passes here: whatever was decided before, nothing may be wrong with it now.
     if (isStale() || timeLeft <= 0)
         pool_.guard().reportViolation(Invariant::sending, "request " + message.id + " to " + owner_.host());
-    const std::string head = http_ ? protocol::originRequest(message, owner_.host(), timeLeft)
-                                   : protocol::cacheRequest(message, timeLeft);
+    const std::string head = codec_->encode(message, owner_.host(), timeLeft);
     // The request's last byte was not taken.
     if (!connection_.write(head)) return breakOff(AttemptOutcome::connectFailed);
     requestBody_ = attempt.takeBody();
@@ -99,35 +87,18 @@
     owner_.onActivity();
     // Nothing was requested.
     if (!attempt_) return owner_.remove(*this);
-    if (http_)
-        onHttpData(bytes);
-    else
-        onRespData(bytes);
-}
-
-void UpstreamConnection::onHttpData(std::string_view bytes) {
-    using State = protocol::HttpResponse::State;
-    const State state = http_->feed(bytes);
-    if (!http_->chunk().empty() && !forwardChunk(http_->streamedLength(), http_->chunk())) return;
-    if (state == State::complete) {
-        auto response = takeHttpResponse();
-        return endAttempt(std::move(response), http_->isKeepAlive());
+    using CodecState = UpstreamCodec::State;
+    CodecState state = codec_->feed(bytes);
+    while (state == CodecState::chunk) {
+        if (!forwardChunk(codec_->streamedLength(), codec_->chunk())) return;
+        state = codec_->feed(bytes);
     }
-    if (state == State::malformed) return endAttempt({}, false);
-    bufferBytes(http_->bufferedBytes());
-}
-
-void UpstreamConnection::onRespData(std::string_view bytes) {
-    using State = protocol::RespDecoder::State;
-    State state = State::streamBegins;
-    while (state == State::streamBegins || state == State::streamChunk) {
-        state = decoder_.feed(bytes);
-        if (state == State::streamChunk && !forwardChunk(decoder_.streamedLength(), decoder_.chunk())) return;
+    if (state == CodecState::complete) {
+        auto response = codec_->takeResponse();
+        return endAttempt(std::move(response), codec_->isReusable());
     }
-    if (state == State::complete)
-        return endAttempt(protocol::readCacheResponse(decoder_.takeValue()), bytes.empty());
-    if (state == State::malformed) return endAttempt({}, false);
-    bufferBytes(decoder_.bufferedBytes());
+    if (state == CodecState::malformed) return endAttempt({}, false);
+    bufferBytes(codec_->bufferedBytes());
 }
 
 // Each response has its limit, but all of them together would fill a small machine.
@@ -141,9 +112,9 @@
     if (state_ == State::connecting) return onConnectFailed();
     // A response without a length lasts to the end of the connection; one that was cut off by a reset would
     // pass for a shorter one.
-    if (attempt_ && http_ && isWritten() && connection_.hasPeerFinished() &&
-        http_->end() == protocol::HttpResponse::State::complete)
-        return endAttempt(takeHttpResponse(), false);
+    if (attempt_ && isWritten() && connection_.hasPeerFinished() &&
+        codec_->onConnectionEnd() == UpstreamCodec::State::complete)
+        return endAttempt(codec_->takeResponse(), false);
     breakOff(isWritten() ? AttemptOutcome::connectionLost : AttemptOutcome::connectFailed);
 }
 
@@ -183,7 +154,8 @@
     requestBodyLeft_ -= bytes.size();
     const bool isLast = requestBodyLeft_ == 0;
     bool isWriteAccepted = connection_.write(bytes);
-    if (isWriteAccepted && isLast && !http_) isWriteAccepted = connection_.write(protocol::kBulkTerminator);
+    const std::string_view terminator = codec_->bodyTerminator();
+    if (isWriteAccepted && isLast && !terminator.empty()) isWriteAccepted = connection_.write(terminator);
     if (!isWriteAccepted) {
         requestBody_ = nullptr;
         breakOff(AttemptOutcome::connectFailed);
@@ -222,7 +194,7 @@
     // After a response that came before the request was complete, it is not known what was read of that.
     const bool isKept = isReusable && response.isWellFormed && isWritten() && !isStale();
     Attempt* const attempt = releaseAttempt();
-    if (http_) http_->clear();
+    codec_->clear();
     pool_.updateBufferedBytes(bufferedBytes_, 0);
     bufferedBytes_ = 0;
     responseBodyLeft_ = 0;
@@ -242,11 +214,4 @@
     if (attempt) handler.onAttemptEnded(*attempt, {outcome, {}});
 }
 
-protocol::AttemptResponse UpstreamConnection::takeHttpResponse() {
-    const int status = http_->status();
-    if (status == 200) return {AttemptOutcome::succeeded, std::move(http_->body()), true};
-    const bool wasNotExecuted = (status == 503 || status == 504) && http_->wasNotExecuted();
-    return {wasNotExecuted ? AttemptOutcome::overloaded : AttemptOutcome::failed, {}, status >= 500};
-}
-
 }  // namespace poppyscale::proxy
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -2,21 +2,21 @@
 #pragma once
 
 #include <cstdint>
+#include <memory>
 #include <optional>
 #include <string>
 
 #include "protocol/attempt_message.hpp"
-#include "protocol/http_response.hpp"
-#include "protocol/resp.hpp"
 #include "proxy/attempt.hpp"
 #include "proxy/body_stream.hpp"
 #include "proxy/connection_pool.hpp"
+#include "proxy/upstream_codec.hpp"
 #include "transport/connection.hpp"
 
 namespace poppyscale::proxy {
 
 // Carries one attempt at a time: responses come in order, so a second request would only wait behind a slow
-// one. Speaks RESP2 to a cache server and HTTP/1.1 to the origin.
+// one.
 //
 //     connecting --> idle <--> busy
 //
@@ -86,11 +86,8 @@
     FlowControl onChunk(std::string_view bytes) override;
     void onAborted() override;
 
-    void onHttpData(std::string_view bytes);
-    void onRespData(std::string_view bytes);
     // False when the connection was removed.
     bool forwardChunk(std::size_t length, std::string_view bytes);
-    protocol::AttemptResponse takeHttpResponse();
     void bufferBytes(std::size_t bytes);
     void extendTimeout();
 
@@ -108,8 +105,7 @@
     const transport::Address address_;
     transport::Connection connection_;
     transport::Timer timer_;  // connecting: the connect timeout; idle: the idle timeout
-    protocol::RespDecoder decoder_;
-    std::optional<protocol::HttpResponse> http_;  // of the origin
+    std::unique_ptr<UpstreamCodec> codec_;
     State state_ = State::connecting;
     Attempt* attempt_ = nullptr;
     BodySink* responseSink_ = nullptr;  // of a streamed response, until it has all of it
