--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -244,8 +244,10 @@
     const bool isLast = request.countStreamed(bytes.size());
     markActive();
     // First what is ahead of it, its own head included.
-    if (pipeline_.isFront(request) && !request.unsent().empty() && tryFlush() == Existence::destroyed)
-        return FlowControl::closed;
+    if (pipeline_.isFront(request) && !request.unsent().empty()) {
+        const Existence existence = tryFlush();
+        if (existence == Existence::destroyed) return FlowControl::closed;
+    }
     if (pipeline_.isFront(request) && request.unsent().empty()) {
         if (!connection_.write(bytes)) {
             owner_.remove(*this);
@@ -255,7 +257,8 @@
         append(request, bytes);
     }
     if (isLast) append(request, protocol::kBulkTerminator);
-    if (tryFlush() == Existence::destroyed) return FlowControl::closed;
+    const Existence existence = tryFlush();
+    if (existence == Existence::destroyed) return FlowControl::closed;
     if (isLast) return FlowControl::ready;
     const bool isFull = connection_.unsentBytes() > 0 || !pipeline_.isFront(request);
     request.restoreSource(source, isFull);
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -66,7 +66,8 @@
     const bool hasCapacity = ensureCapacity();
     auto& owner = static_cast<ClientConnection::Owner&>(*this);
     auto accepted = std::make_unique<ClientConnection>(owner, dispatcher_, loop_, buffers_);
-    if (!finish(accepted->connection()) || !hasCapacity) return;
+    const bool isAccepted = finish(accepted->connection());
+    if (!isAccepted || !hasCapacity) return;
     ClientConnection& client = *clients_.emplace_back(std::move(accepted));
     client.setPosition(std::prev(clients_.end()));
     client.start();
@@ -123,7 +124,8 @@
         victim = std::find_if(clients_.begin(), clients_.end(),
                               [](const auto& client) { return client->mayMakeRoom(); });
     if (victim == clients_.end()) victim = longestIdle();
-    return victim != clients_.end() && closeIdle(victim);
+    if (victim == clients_.end()) return false;
+    return closeIdle(victim);
 }
 
 Nanos ClientListener::idleTimeout() const {
@@ -156,7 +158,9 @@
 void ClientListener::closeAboveIdleShare() {
     while (clients_.size() > maxClients_ / 2) {
         const auto client = longestIdle();
-        if (client == clients_.end() || !closeIdle(client)) break;
+        if (client == clients_.end()) break;
+        const bool isClosed = closeIdle(client);
+        if (!isClosed) break;
     }
 }
 
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -7,12 +7,15 @@
 void ConnectionPool::setCapacity(std::size_t maxConnections, std::size_t maxBufferedBytes) {
     limits_.maxBufferedBytes = maxBufferedBytes;
     limits_.maxConnections = maxConnections;
-    while (connectionCount_ > limits_.maxConnections && closeLongestIdle()) {
+    while (connectionCount_ > limits_.maxConnections) {
+        const bool isOneClosed = closeLongestIdle();
+        if (!isOneClosed) break;
     }
 }
 
 bool ConnectionPool::ensureCapacity() {
-    return connectionCount_ < limits_.maxConnections || closeLongestIdle();
+    if (connectionCount_ < limits_.maxConnections) return true;
+    return closeLongestIdle();
 }
 
 void ConnectionPool::onConnectionOpened() {
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -75,7 +75,8 @@
 }
 
 void UpstreamConnection::onConnectFailed() {
-    removeAndEnd(owner_.takeNextWaiting(), AttemptOutcome::connectFailed);
+    Attempt* const waiting = owner_.takeNextWaiting();
+    removeAndEnd(waiting, AttemptOutcome::connectFailed);
 }
 
 void UpstreamConnection::onTimer() {
@@ -205,7 +206,10 @@
     handler.onAttemptEnded(*attempt, std::move(response));
 }
 
-void UpstreamConnection::breakOff(AttemptOutcome outcome) { removeAndEnd(releaseAttempt(), outcome); }
+void UpstreamConnection::breakOff(AttemptOutcome outcome) {
+    Attempt* const attempt = releaseAttempt();
+    removeAndEnd(attempt, outcome);
+}
 
 // The attempt is taken before the connection is removed: for a waiting one another would be opened.
 void UpstreamConnection::removeAndEnd(Attempt* attempt, AttemptOutcome outcome) {
--- a/src/proxy/upstream_server.cpp
+++ b/src/proxy/upstream_server.cpp
@@ -34,7 +34,10 @@
     for (UpstreamConnection* connection : stale) remove(*connection);
     if (isUsable()) return;
     // What still waits for a connection would be sent to a server that must get nothing new.
-    while (Attempt* const attempt = takeNextWaiting()) endAttempt(*attempt, AttemptOutcome::notSent);
+    while (!waiting_.empty()) {
+        Attempt& attempt = *takeNextWaiting();
+        endAttempt(attempt, AttemptOutcome::notSent);
+    }
 }
 
 // Closes connections that are being established and that no attempt waits for, the newest first.
@@ -73,7 +76,8 @@
             remove(*connection);
             continue;
         }
-        startOn(*connection, *takeNextWaiting());
+        Attempt& attempt = *takeNextWaiting();
+        startOn(*connection, attempt);
     }
     openConnections();
 }
@@ -87,13 +91,14 @@
 
 // As many connections are being established as attempts wait; whichever is idle first takes the next attempt.
 void UpstreamServer::openConnections() {
-    for (auto count = connectingCount(); count < waiting_.size() && address_ && pool_.ensureCapacity();
-         ++count) {
+    for (auto count = connectingCount(); count < waiting_.size() && address_; ++count) {
+        if (!pool_.ensureCapacity()) return;
         auto& owner = static_cast<UpstreamConnection::Owner&>(*this);
         connections_.push_back(std::make_unique<UpstreamConnection>(owner, pool_, *address_, isOrigin_));
         pool_.onConnectionOpened();
         UpstreamConnection& connection = *connections_.back();
-        if (!connection.open()) return connection.onConnectFailed();
+        const bool isConnecting = connection.open();
+        if (!isConnecting) return connection.onConnectFailed();
     }
 }
 
