--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -7,12 +7,15 @@
 void ConnectionPool::setCapacity(std::size_t maxConnections, std::size_t maxBufferedBytes) {
     limits_.maxBufferedBytes = maxBufferedBytes;
     limits_.maxConnections = maxConnections;
-    while (connectionCount_ > limits_.maxConnections && closeLongestIdle()) {
+    while (connectionCount_ > limits_.maxConnections) {
+        const bool isOneClosed = closeLongestIdle();
+        if (!isOneClosed) break;
     }
 }
 
 bool ConnectionPool::ensureCapacity() {
-    return connectionCount_ < limits_.maxConnections || closeLongestIdle();
+    if (connectionCount_ < limits_.maxConnections) return true;
+    return closeLongestIdle();
 }
 
 void ConnectionPool::onConnectionOpened() {
@@ -33,7 +36,7 @@
 
 void ConnectionPool::serveWaiting() {
     hasFreedCapacity_ = false;
-    // Attempts that end within this only leave an event, so that no server goes meanwhile.
+    // Attempts that end within this only leave an event, so that no server is removed meanwhile.
     for (UpstreamServer* server : servers_)
         if (server->hasWaitingAttempts()) server->serveWaiting();
 }
