--- a/tests/overload_control_test.cpp
+++ b/tests/overload_control_test.cpp
@@ -19,7 +19,7 @@
         fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete,
                                         {{"cold", "z", "m", EndpointState::ready, fixture.now}});
         fixture.now += 500 * ms;
-        sent += fixture.sendRequest(7) == "cold";
+        if (fixture.sendRequest(7) == "cold") ++sent;
     }
     // Two warmed-up servers answered 200 a second each; the other bears a fifth of that, and collapses at
     // three times as much.
@@ -67,7 +67,7 @@
     for (int i = 0; i < 600; ++i) respond((i % 2 ? 195 : 215) * ms);
     int started = 0;
     for (const char* key : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"})
-        started += !fixture.sendRequest(++id, key).empty();
+        if (!fixture.sendRequest(++id, key).empty()) ++started;
     CHECK(started == 12);
 }
 
@@ -104,7 +104,7 @@
         for (int r = 0; r < 3; ++r) fixture.endAttempt(id, r, AttemptOutcome::failed);
     }
     for (const RecordedAction& action : fixture.host.actions)
-        attempts += action.kind == ActionKind::startAttempt;
+        if (action.kind == ActionKind::startAttempt) ++attempts;
     CHECK(attempts <= 60 + 3 * 2);
 }
 
@@ -155,7 +155,8 @@
         fixture.endAttempt(id, 0, AttemptOutcome::succeeded, true, i % 5 > 2 ? 490 * ms : 20 * ms);
     }
     int sent = 0;
-    for (int i = 0; i < 12; ++i) sent += fixture.sendRequest(++id, "h" + std::to_string(i)).size() == 1;
+    for (int i = 0; i < 12; ++i)
+        if (fixture.sendRequest(++id, "h" + std::to_string(i)).size() == 1) ++sent;
     CHECK(sent >= 8);
 }
 
@@ -207,7 +208,8 @@
             fixture.endAttempt(request, 0, AttemptOutcome::succeeded, true, 480 * ms);
     }
     int sent = 0;
-    for (int i = 0; i < 4; ++i) sent += fixture.sendRequest(++id) == "a";
+    for (int i = 0; i < 4; ++i)
+        if (fixture.sendRequest(++id) == "a") ++sent;
     CHECK(sent == 4);
 }
 
@@ -224,7 +226,8 @@
         for (int quick = 0; quick < 2; ++quick, fixture.now += 50 * ms) fixture.serveRequest(++id, "k");
     }
     int sent = 0;
-    for (int i = 0; i < 4; ++i) sent += fixture.sendRequest(++id) == "a";
+    for (int i = 0; i < 4; ++i)
+        if (fixture.sendRequest(++id) == "a") ++sent;
     CHECK(sent == 4);
 }
 
@@ -237,7 +240,8 @@
     const auto run = [&](Nanos slowest) {
         int sent = 0;
         for (int i = 0; i < 40; ++i, fixture.now += 250 * ms) {
-            sent += fixture.sendRequest(++id, "g" + std::to_string(i), "read", false, "greedy").size() == 1;
+            if (fixture.sendRequest(++id, "g" + std::to_string(i), "read", false, "greedy").size() == 1)
+                ++sent;
             fixture.endAttempt(id, 0, AttemptOutcome::succeeded, true, i % 4 ? 20 * ms : slowest);
         }
         return sent;
@@ -259,7 +263,8 @@
         fixture.endAttempt(id, 0, AttemptOutcome::timedOut, true, 300 * ms);
     }
     int sent = 0;
-    for (int i = 0; i < 2; ++i) sent += fixture.sendRequest(++id) == "a";
+    for (int i = 0; i < 2; ++i)
+        if (fixture.sendRequest(++id) == "a") ++sent;
     CHECK(sent == 2);
 }
 
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -134,7 +134,7 @@
         for (; fixture.now <= 300 * ms && fixture.host.polls == 0; fixture.now += ms)
             fixture.policy.reconcile(fixture.now);
         CHECK(fixture.host.polls == 1);
-        early += fixture.now < 150 * ms;
+        if (fixture.now < 150 * ms) ++early;
     }
     CHECK(early > 30);
     CHECK(early < 70);
@@ -242,7 +242,7 @@
     };
     CHECK(isAvoided());
     auto other = fixture.endpoints;
-    std::erase_if(other, [&](const Endpoint& e) { return e.name == ejected; });
+    std::erase_if(other, [&](const Endpoint& endpoint) { return endpoint.name == ejected; });
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, other);  // left out
     CHECK(isAvoided());
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete,
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -134,10 +134,10 @@
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, fixture.endpoints);
     for (RequestId id = 1; id <= 300; ++id, fixture.now += 100 * ms) {
         std::pair<double, std::string> best;
-        for (const Endpoint& e : fixture.endpoints) {
-            const std::uint64_t mixedKey = mixed(hashed(std::to_string(id)) ^ hashed(e.name));
+        for (const Endpoint& endpoint : fixture.endpoints) {
+            const std::uint64_t mixedKey = mixed(hashed(std::to_string(id)) ^ hashed(endpoint.name));
             const double u = (static_cast<double>(mixedKey >> 11) + 0.5) * 0x1p-53;
-            best = std::max(best, {e.weight / -std::log(u), e.name});
+            best = std::max(best, {endpoint.weight / -std::log(u), endpoint.name});
         }
         CHECK(fixture.serveRequest(id, std::to_string(id)) == best.second);
     }
@@ -146,33 +146,39 @@
 TEST_CASE(
     "a weight that follows load does not move the ranking, an absurd one is ignored, a loaded server "
     "yields") {
-    // Of sixty keys, how many go elsewhere than with equal weights, and how many go to the first server.
+    // Of sixty keys.
+    struct Counts {
+        int moved = 0;    // go elsewhere than with equal weights
+        int onFirst = 0;  // go to the first server
+        bool operator==(const Counts&) const = default;
+    };
     PolicySettings settings = smallPolicySettings(false);
     settings.weightsFollowLoad = true;
     const auto listed = [&](double weight) {
-        PolicyFixture equal(settings, 6), unequal(settings, 6);
-        std::pair<int, int> moved;
+        PolicyFixture equal(settings, 6);
+        PolicyFixture unequal(settings, 6);
+        Counts counts;
         for (PolicyFixture* fixture : {&equal, &unequal}) {
-            for (Endpoint& e : fixture->endpoints)
-                e.weight = fixture == &unequal && e.name == "a" ? weight : 4;
+            for (Endpoint& endpoint : fixture->endpoints)
+                endpoint.weight = fixture == &unequal && endpoint.name == "a" ? weight : 4;
             for (int i = 0; i < 8; ++i)
                 fixture->policy.onEndpointUpdate(fixture->now, EndpointUpdateKind::delta, fixture->endpoints);
         }
         for (RequestId id = 1; id <= 60; ++id) {
-            const auto before = equal.sendRequest(id, std::to_string(id)),
-                       after = unequal.sendRequest(id, std::to_string(id));
+            const std::string before = equal.sendRequest(id, std::to_string(id));
+            const std::string after = unequal.sendRequest(id, std::to_string(id));
             for (PolicyFixture* fixture : {&equal, &unequal})
                 fixture->endAttempt(id, 0, AttemptOutcome::succeeded, true, 100 * ms);
-            moved.first += before != after;
-            moved.second += after == "a";
+            if (before != after) ++counts.moved;
+            if (after == "a") ++counts.onFirst;
         }
-        return moved;
+        return counts;
     };
     const auto calm = listed(4);
     const auto busy = listed(4.0 / 90);
-    CHECK(calm.first == 0);
-    CHECK(busy.second < calm.second / 2);
-    CHECK(busy.first <= calm.second);
+    CHECK(calm.moved == 0);
+    CHECK(busy.onFirst < calm.onFirst / 2);
+    CHECK(busy.moved <= calm.onFirst);
     // Two requests for each core, latencies of 100 ms and an objective of 500 ms; then absurd and missing
     // weights.
     for (const double weight : {4.0 / 3, 1e12, 0.0, 1e-12}) CHECK(listed(weight) == calm);
@@ -195,7 +201,7 @@
 
 TEST_CASE(
     "quiet routers: a popular key goes past the third candidate, and a slow start's budget is saved up") {
-    int cold = 0;
+    int onWarmingServer = 0;
     std::set<std::string> popular;
     for (std::uint64_t r = 0; r < 200; ++r) {
         PolicySettings settings = smallPolicySettings(false);
@@ -205,10 +211,10 @@
         settings.rampDuration = 60'000 * ms;
         PolicyFixture fixture(settings, 20);
         for (RequestId id = 1; id <= 70; ++id, fixture.now += 1'000 * ms) {
-            const bool hot = id < 30 && id % 2;
-            const std::string at = fixture.serveRequest(id, hot ? "hot" : std::to_string(id + 100 * r));
-            cold += at == "cold";
-            if (id == 29) popular.insert(at);
+            const bool isHot = id < 30 && id % 2;
+            const std::string server = fixture.serveRequest(id, isHot ? "hot" : std::to_string(id + 100 * r));
+            if (server == "cold") ++onWarmingServer;
+            if (id == 29) popular.insert(server);
             if (id == 30)
                 fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
                                                 {{"cold", "z", "m", EndpointState::ready, fixture.now}});
@@ -217,8 +223,8 @@
     CHECK(popular.size() > 3);
     // By rank alone one of forty requests of a router, half of what a warmed-up server gets; from the budget
     // of one window, a tenth.
-    CHECK(cold > 20);
-    CHECK(cold < 200);
+    CHECK(onWarmingServer > 20);
+    CHECK(onWarmingServer < 200);
 }
 
 // Servers n0, n1 ... in the router's own zone and f0, f1 ... in others, where crossing costs `price`.
@@ -245,13 +251,13 @@
         int crossed = 0;
         for (int i = 0; i < count; ++i, fixture.now += 50 * ms) {
             ++id;
-            std::string at = fixture.sendRequest(id, std::to_string(id % 97));
-            crossed += at[0] == 'f';
-            for (int attempt = 0; at[0] == 'n' || at[0] == 'f'; ++attempt) {
-                const bool isLocal = at[0] == 'n';
+            std::string server = fixture.sendRequest(id, std::to_string(id % 97));
+            if (server[0] == 'f') ++crossed;
+            for (int attempt = 0; server[0] == 'n' || server[0] == 'f'; ++attempt) {
+                const bool isLocal = server[0] == 'n';
                 fixture.now += isLocal ? localLatency : 30 * ms;
-                at = fixture.endAttempt(id, attempt, isLocal ? localOutcome : AttemptOutcome::succeeded,
-                                        false, isLocal ? localLatency : 30 * ms);
+                server = fixture.endAttempt(id, attempt, isLocal ? localOutcome : AttemptOutcome::succeeded,
+                                            false, isLocal ? localLatency : 30 * ms);
             }
         }
         return static_cast<double>(crossed) / count;
@@ -269,10 +275,10 @@
     CHECK(ZonesFixture(4, 8, 0.03, "here", 2).crossingFraction(400, AttemptOutcome::succeeded) > 0.35);
     CHECK(ZonesFixture(2, 10).crossingFraction(400, AttemptOutcome::succeeded) > 0.3);
     // Free, not known, or without servers of its own: as if there were no zones.
-    const auto firsts = [](ZonesFixture&& z) {
+    const auto firsts = [](ZonesFixture&& zones) {
         std::vector<std::string> all;
         for (RequestId id = 1'000; id < 1'050; ++id)
-            all.push_back(z.fixture.serveRequest(id, std::to_string(id)));
+            all.push_back(zones.fixture.serveRequest(id, std::to_string(id)));
         return all;
     };
     CHECK(firsts(ZonesFixture(4, 8, 0)) != firsts(ZonesFixture(4, 8)));
@@ -282,32 +288,32 @@
 }
 
 TEST_CASE("a lost zone's requests cross zones at once, and its servers return in slow start") {
-    ZonesFixture z(4, 8);
-    z.crossingFraction(200, AttemptOutcome::succeeded);
+    ZonesFixture zones(4, 8);
+    zones.crossingFraction(200, AttemptOutcome::succeeded);
     // Before the endpoint list shows it: after failed connects the next attempt but one crosses zones.
-    CHECK(z.crossingFraction(60, AttemptOutcome::connectFailed, 200 * ms) > 0.3);
-    const auto all = z.endpoints;
-    z.endpoints.erase(z.endpoints.begin(), z.endpoints.begin() + 4);
-    z.update();
-    CHECK(z.crossingFraction(50, AttemptOutcome::succeeded) == 1);
-    z.endpoints = all;
-    for (int i = 0; i < 4; ++i) z.endpoints[i].startedAt = z.fixture.now;
-    z.update();
-    CHECK(z.crossingFraction(20, AttemptOutcome::succeeded) >
+    CHECK(zones.crossingFraction(60, AttemptOutcome::connectFailed, 200 * ms) > 0.3);
+    const auto all = zones.endpoints;
+    zones.endpoints.erase(zones.endpoints.begin(), zones.endpoints.begin() + 4);
+    zones.update();
+    CHECK(zones.crossingFraction(50, AttemptOutcome::succeeded) == 1);
+    zones.endpoints = all;
+    for (int i = 0; i < 4; ++i) zones.endpoints[i].startedAt = zones.fixture.now;
+    zones.update();
+    CHECK(zones.crossingFraction(20, AttemptOutcome::succeeded) >
           0.6);  // servers in slow start are not preferred yet
-    z.fixture.now += 10'000 * ms;
-    z.crossingFraction(100, AttemptOutcome::succeeded);
-    CHECK(z.crossingFraction(200, AttemptOutcome::succeeded) < 0.2);
+    zones.fixture.now += 10'000 * ms;
+    zones.crossingFraction(100, AttemptOutcome::succeeded);
+    CHECK(zones.crossingFraction(200, AttemptOutcome::succeeded) < 0.2);
 }
 
 TEST_CASE("the requests of a zone of one server, or of a slow zone, cross zones until that has ended") {
     for (const int localCount : {1, 4}) {
-        ZonesFixture z(localCount, 8);
-        z.crossingFraction(100, AttemptOutcome::succeeded);
-        z.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // past the objective
-        CHECK(z.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms) > 0.5);
-        z.fixture.now += 60'000 * ms;  // a server with many late responses is passed over for as long
-        z.crossingFraction(200, AttemptOutcome::succeeded);
-        CHECK(z.crossingFraction(200, AttemptOutcome::succeeded) < (localCount == 1 ? 0.8 : 0.3));
+        ZonesFixture zones(localCount, 8);
+        zones.crossingFraction(100, AttemptOutcome::succeeded);
+        zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // past the objective
+        CHECK(zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms) > 0.5);
+        zones.fixture.now += 60'000 * ms;  // a server with many late responses is passed over for as long
+        zones.crossingFraction(200, AttemptOutcome::succeeded);
+        CHECK(zones.crossingFraction(200, AttemptOutcome::succeeded) < (localCount == 1 ? 0.8 : 0.3));
     }
 }
