--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -9,7 +9,6 @@
 
 constexpr Nanos kGenerationDuration = 10'000 * kMillisecond;
 constexpr double kWarmingLimit = 2;  // concurrency limit of a server that was just started
-constexpr double kMinWeight = 1e-9;
 
 }  // namespace
 
@@ -61,7 +60,7 @@
 double EndpointRegistry::weightOf(const Endpoint& listed, const Server& server) const {
     const double known = server.endpoint().weight;
     if (settings_.weightsFollowLoad) return known;
-    return listed.weight > 0 || known == 0 ? std::max(listed.weight, kMinWeight) : known;
+    return listed.weight > 0 || known == 0 ? std::max(listed.weight, kMinServerWeight) : known;
 }
 
 bool EndpointRegistry::setOperatorEjection(Nanos now, const std::string& name, bool isEjected) {
--- a/src/policy/server.cpp
+++ b/src/policy/server.cpp
@@ -9,7 +9,6 @@
 
 constexpr double kInitialLimit = 4;
 constexpr double kRestartedLimit = 2;
-constexpr double kMinWeight = 1e-9;
 // The origin's response comes on top of a cache miss.
 constexpr double kOriginLatencyRatio = 0.25;
 constexpr ConcurrencyLimiter::Target kCacheServerTarget{kTargetLatencyRatio};
@@ -31,7 +30,7 @@
 }
 
 void Server::raiseWeightTo(double weight) {
-    endpoint_.weight = std::max({endpoint_.weight, weight, kMinWeight});
+    endpoint_.weight = std::max({endpoint_.weight, weight, kMinServerWeight});
 }
 
 Nanos Server::startedAtOrAfterReadmission(Nanos listed) const { return std::max(listed, readmittedAt_); }
@@ -43,7 +42,7 @@
 
 void Server::readmit(Nanos now) {
     hints.clear();
-    limiter.restart(kCacheServerTarget, kRestartedLimit);
+    limiter.restart(kCacheServerTarget, kRestartedLimit);  // an origin's target is not restored
     outcomes.restart();
     warmupBudget.restart(now);
     endpoint_.startedAt = now;
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -15,6 +15,8 @@
 
 namespace poppyscale::policy {
 
+constexpr double kMinServerWeight = 1e-9;  // of one that is listed without a weight
+
 // A cache server or the origin: its entry in the endpoint list, and for each concern of the policy an object
 // with what that concern has learnt about it. The EndpointRegistry makes it and writes the entry; requests
 // share it while they have an attempt there, so that it may outlive its removal from the registry.
