--- a/src/endpoint_distribution/ahead_versions.hpp
+++ b/src/endpoint_distribution/ahead_versions.hpp
@@ -39,7 +39,7 @@
 
     enum class CheckProgress : std::uint8_t {
         pollNext,   // the next upstream is to be polled
-        abandoned,  // an upstream is asked for the second time, though another one was not reached
+        abandoned,  // an upstream was polled twice, while another one was not reached
         concluded   // all upstreams are behind
     };
     // That upstream's newest version is the one here. Requires isChecking().
--- a/src/endpoint_distribution/distributor.cpp
+++ b/src/endpoint_distribution/distributor.cpp
@@ -85,7 +85,7 @@
     ++counters_.epochs;
     ListUpdate first = epochs_.beginEpoch(now, list_.version());
     list_.restart(std::move(first));
-    poller_.recordCompleteList(now);
+    poller_.recordCurrentList(now);
     onListChanged(now);
 }
 
--- a/src/endpoint_distribution/response_schedule.hpp
+++ b/src/endpoint_distribution/response_schedule.hpp
@@ -1,8 +1,8 @@
 // When a waiting reader is answered, and whether it gets the complete list.
 //
 // A reader whose version is newer than the one here is parked until the list is past it. It gets a lower
-// version only if its own is lost: known to no upstream, or of an old epoch after kEpochGrace, which a reader
-// that another, quicker distributor has served is given to be caught up with.
+// version only if its own is lost: known to no upstream, or of an old epoch. In a new epoch that happens
+// after kEpochGrace, in which the list here may catch up with a reader that a quicker distributor has served.
 #pragma once
 
 #include "endpoint_distribution/ahead_versions.hpp"
--- a/src/endpoint_distribution/upstream_poller.cpp
+++ b/src/endpoint_distribution/upstream_poller.cpp
@@ -29,11 +29,11 @@
 }
 
 void UpstreamPoller::recordResponse(Nanos now, Nanos listAge) {
-    recordCompleteList(now);
+    recordCurrentList(now);
     upstreamListAge_ = listAge;
 }
 
-void UpstreamPoller::recordCompleteList(Nanos now) {
+void UpstreamPoller::recordCurrentList(Nanos now) {
     needsCompleteList_ = false;
     lastResponseAt_ = now;
 }
--- a/src/endpoint_distribution/upstream_poller.hpp
+++ b/src/endpoint_distribution/upstream_poller.hpp
@@ -29,13 +29,13 @@
 
     // The upstream's response was taken. `listAge`: of its list, by its own account.
     void recordResponse(Nanos now, Nanos listAge);
-    // The upstream's list is the one here now, and the next poll may ask for changes.
-    void recordCompleteList(Nanos now);
+    // The list here is the upstream's newest now, so the next poll may request changes.
+    void recordCurrentList(Nanos now);
     // After recordResponse: whether the upstream's own list is too old.
     bool isStale() const;
     // After recordResponse: the upstream is healthy and may be polled again at once.
     void succeed(Nanos now);
-    // The next poll asks the same upstream for its complete list, after a pause.
+    // The same upstream is polled for its complete list after a pause.
     void requestCompleteList(Nanos now, std::string_view reason);
     // The poll failed; the next upstream is polled after a pause.
     void fail(Nanos now, UpstreamFailure failure, std::string_view reason);
--- a/src/rollout/draining_caches.hpp
+++ b/src/rollout/draining_caches.hpp
@@ -1,4 +1,4 @@
-// Which caches are draining, by what unchanged instances report. The changed side is not asked: a version
+// Which caches are draining, by what unchanged instances report. The changed side does not count: a version
 // that ignores drains does not know of them.
 #pragma once
 
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -1,4 +1,4 @@
-// What a coordinator and an agent tell each other, as plain values. Their JSON form is messages_codec.hpp's.
+// The messages between a coordinator and an agent, as plain values. messages_codec.hpp has their JSON form.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
     changing,     // in transition to the change
     changed,      // runs it
     rollingBack,  // in transition to what ran before
-    failed        // could not be brought to the version that it is to run
+    failed        // the version that it is to run could not be installed
 };
 
 struct InstanceReport {
--- a/src/rollout/messages_codec.hpp
+++ b/src/rollout/messages_codec.hpp
@@ -25,7 +25,7 @@
 // another format, or malformed.
 std::optional<InstanceMetrics> readInstanceMetrics(const nlohmann::json& json);
 
-// The state's word in reports and in what poppyctl prints.
+// The state's name in reports and in what poppyctl prints.
 std::string_view nameOf(InstanceState state);
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollback.hpp
+++ b/src/rollout/rollback.hpp
@@ -1,4 +1,4 @@
-// Brings all instances back to what they ran before the rollout: the last that changed first, and no more
+// Rolls all instances back to what they ran before the rollout: the last that changed first, and no more
 // than a batch of the plan's size in transition at once.
 #pragma once
 
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -131,7 +131,7 @@
     setWanted(state);
 }
 
-// ---- results of what the host was asked for
+// ---- results of the host's actions
 
 void RolloutAgent::onPersisted(Nanos now, std::string_view problem) {
     const bool isOutdated = persistence_ == Persistence::writingOutdated;
@@ -210,7 +210,7 @@
     installNext(now);
 }
 
-// No order has arrived in time: what is not held goes back.
+// No order has arrived in time: what is not held is rolled back.
 void RolloutAgent::rollBackExpired(Nanos now) {
     if (now < orderValidUntil_ || wanted_.isFinished) return;
     AgentState state = wanted_;
--- a/src/rollout/rollout_events.hpp
+++ b/src/rollout/rollout_events.hpp
@@ -35,7 +35,7 @@
     RolloutHost& host_;
 };
 
-// The outcome in words, as poppyctl prints it and events carry it.
+// The outcome's name in events and in what poppyctl prints.
 std::string_view nameOf(RolloutOutcome outcome);
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollout_status.hpp
+++ b/src/rollout/rollout_status.hpp
@@ -38,7 +38,7 @@
 nlohmann::json toJson(Nanos now, const RolloutStatus& status, const FleetView& fleet,
                       const RolloutSchedule& schedule, const SideComparison& comparison);
 
-// The phase in a word, as the status carries it.
+// The phase's name in the status.
 std::string_view nameOf(RolloutPhase phase);
 
 }  // namespace poppyscale::rollout
--- a/tests/endpoint_distribution_test.cpp
+++ b/tests/endpoint_distribution_test.cpp
@@ -449,7 +449,8 @@
         Fixture fixture(options);
         fixture.upstreamResponds(update(1, true, {entryText("a")}));
         Version version = 1;
-        Nanos respondedAt = 0, longest = 0;
+        Nanos respondedAt = 0;
+        Nanos longest = 0;
         std::size_t answered = 0;
         for (int step = 0; step < 1'200; ++step) {
             fixture.advance(50 * ms);
@@ -458,7 +459,8 @@
             const bool isDue = fixture.now - lastPoll.at >= lastPoll.wait + 2'500 * ms;
             if (!isDue || answered == fixture.host.polls.size()) continue;
             answered = fixture.host.polls.size();
-            fixture.upstreamResponds(update(++version, false, {entryText("a", static_cast<int>(version))}));
+            ++version;
+            fixture.upstreamResponds(update(version, false, {entryText("a", static_cast<int>(version))}));
             longest = std::max(longest, fixture.now - respondedAt);
             respondedAt = fixture.now;
         }
@@ -565,13 +567,16 @@
         Fixture fixture(options);
         fixture.upstreamResponds(update(1, true, {entryText("a")}));
         fixture.advance(1 * kSecond);
-        Version version = 1, known = 1;
+        Version version = 1;
+        Version known = 1;
         int answers = 0;
-        Nanos worst = 0, changedAt = 0;
+        Nanos worst = 0;
+        Nanos changedAt = 0;
         fixture.poll(1, known);
         for (int step = 0; step < 1'000; ++step) {  // a change each 10 ms
             if (!changedAt) changedAt = fixture.now;
-            fixture.upstreamResponds(update(++version, false, {entryText("a", static_cast<int>(version))}));
+            ++version;
+            fixture.upstreamResponds(update(version, false, {entryText("a", static_cast<int>(version))}));
             for (int i = 0; i < 10; ++i) {
                 if (const auto response = fixture.take(1)) {
                     ++answers;
@@ -602,7 +607,7 @@
             fixture.poll(1, 1);
         else
             fixture.poll(1, std::nullopt);
-        answers += fixture.take(1).has_value();
+        if (fixture.take(1)) ++answers;
         fixture.advance(1 * ms);
     }
     CHECK(answers <= 21);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -52,7 +52,8 @@
     return order;
 }
 
-const Version kOld{"old", ""}, kNew{"new", ""};
+const Version kOld{"old", ""};
+const Version kNew{"new", ""};
 
 // Instances whose metrics the test sets, on agents that carry out orders at once.
 struct FakeFleet : RolloutHost {
