--- /dev/null
+++ b/tests/rollout_evidence_test.cpp
@@ -0,0 +1,127 @@
+// Tests of what a staged rollout is judged by: the evidence, and instances' metrics.
+#include <doctest/doctest.h>
+
+#include <cmath>
+#include <random>
+
+#include "rollout/decaying_statistics.hpp"
+#include "rollout/evidence.hpp"
+#include "rollout/messages_codec.hpp"
+
+using namespace poppyscale;
+using namespace poppyscale::rollout;
+
+namespace {
+
+constexpr Nanos s = 1'000 * kMillisecond;
+
+}  // namespace
+
+TEST_CASE("evidence read after every window is seldom false, and soon true where harm is done") {
+    int falseAlarms = 0;
+    int detections = 0;
+    double windowsUntilDetected = 0;
+    const double bound = std::log(100);
+    for (unsigned seed = 0; seed < 400; ++seed) {
+        std::mt19937 random(seed);
+        Evidence same(1.2, 0.002);
+        Evidence worse(1.2, 0.002);
+        std::binomial_distribution<int> changedBad(20, 0.004);
+        std::binomial_distribution<int> unchangedBad(400, 0.004);
+        std::binomial_distribution<int> harmedBad(20, 0.044);
+        bool isFalseAlarm = false;
+        bool isDetected = false;
+        for (int window = 0; window < 300; ++window) {
+            const double unchanged = unchangedBad(random);
+            same.add({static_cast<double>(changedBad(random)), 20, unchanged, 400}, 0.004, 1);
+            if (!isDetected)
+                worse.add({static_cast<double>(harmedBad(random)), 20, unchanged, 400}, 0.004, 1);
+            if (same.logValue() > bound) isFalseAlarm = true;
+            if (!isDetected && worse.logValue() > bound) {
+                isDetected = true;
+                windowsUntilDetected += window;
+            }
+        }
+        if (isFalseAlarm) ++falseAlarms;
+        if (isDetected) ++detections;
+    }
+    CHECK(falseAlarms <= 4);  // one in a hundred is what the bound allows
+    CHECK(detections == 400);
+    CHECK(windowsUntilDetected / 400 < 30);
+}
+
+TEST_CASE("a fault that hits both sides is no evidence, and instances that differ weaken it") {
+    std::mt19937 random(3);
+    Evidence evidence(1.2, 0.002);
+    for (int window = 0; window < 100; ++window) {
+        const double badShare = window > 50 ? 0.4 : 0.002;
+        std::binomial_distribution<int> changedBad(30, badShare);
+        std::binomial_distribution<int> unchangedBad(300, badShare);
+        const double changed = changedBad(random);
+        const double unchanged = unchangedBad(random);
+        evidence.add({changed, 30, unchanged, 300}, 0.002, 1);
+    }
+    CHECK(evidence.logValue() < std::log(100));
+    Evidence uniform(1.2, 0);
+    Evidence overdispersed(1.2, 0);
+    for (int window = 0; window < 20; ++window) {
+        uniform.add({3, 100, 3, 300}, 0.01, 1);
+        overdispersed.add({3, 100, 3, 300}, 0.01, 5);
+    }
+    CHECK(overdispersed.logValue() < uniform.logValue() / 3);
+    Overdispersion overdispersion(30 * s);
+    for (int i = 0; i < 6; ++i) overdispersion.add(s, i, i == 0 ? 60 : 10, 18);
+    CHECK(overdispersion.value() > 5);
+    // Without any events the bound has a closed form.
+    CHECK(upperConfidenceBound(0, 200, 0.02) == doctest::Approx(1 - std::pow(0.02, 1.0 / 200)));
+}
+
+TEST_CASE("metrics that fall, come from the future, or are of another format are unknown") {
+    nlohmann::json json{{"format", 1},
+                        {"pid", 7},
+                        {"up_ms", 1000},
+                        {"relays", 5},
+                        {"origin_relays", 1},
+                        {"relays_errored", 0},
+                        {"relays_timed_out", 0},
+                        {"relays_cut", 0},
+                        {"relays_turned_away", 0},
+                        {"relays_found_dead", 0},
+                        {"links_opened", 2},
+                        {"memory_kb", 10},
+                        {"descriptors", 3},
+                        {"links", 1},
+                        {"open", 0},
+                        {"caches_ready", 1},
+                        {"caches_listed", 1},
+                        {"longest_turn_us", 4},
+                        {"new_in_a_later_version", true},
+                        {"verbs",
+                         {{"read",
+                           {{"taken", 4},
+                            {"in_goal", 3},
+                            {"late", 1},
+                            {"declined", {{"full", 0}, {"another", 2}}},
+                            {"terminated", 0},
+                            {"left", 0},
+                            {"times_from", -1},
+                            {"times", {1, 0, 3}}}}}}};
+    const auto first = readInstanceMetrics(json);
+    REQUIRE(first);
+    CHECK(first->requestClasses.at("read").rejected == 2);
+    auto next = json;
+    next["up_ms"] = 2000;
+    next["relays"] = 9;
+    CHECK(windowOf(*first, *readInstanceMetrics(next), s)->attempts == 4);
+    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), -s));  // no time has passed here
+    next["relays"] = 4;
+    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), s));
+    next["relays"] = 9;
+    next["pid"] = 8;
+    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), s));
+    next["format"] = 2;
+    CHECK_FALSE(readInstanceMetrics(next));
+    CHECK_FALSE(readInstanceMetrics({{"error", "'figures' is not known here"}}));
+    json["memory_kb"] = -1;
+    CHECK_FALSE(readInstanceMetrics(json));
+}
