--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -74,7 +74,7 @@
         metrics.attempts += static_cast<std::uint64_t>(isChanged ? 60 * pressure : 60);
         metrics.attemptMs += 60 * 10;
     }
-    void carryOut(Agent& agent, const Order& order) {
+    void execute(Agent& agent, const Order& order) {
         agent.number = order.number;
         agent.isFinished = order.isFinished;
         if (order.isFinished) return;
@@ -121,7 +121,7 @@
                 serve(instance, instance.state == InstanceState::changed, zone);
             if (agent.isUnreachable) continue;
             const auto order = controller->orderFor(static_cast<int>(a));
-            if (order) carryOut(agent, *order);
+            if (order) execute(agent, *order);
             controller->onReport(now, static_cast<int>(a), reportOf(agent, zone));
         }
         controller->reconcile(now);
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -147,17 +147,17 @@
     "a weight that follows load does not move the ranking, an absurd one is ignored, a loaded server "
     "yields") {
     // Of sixty keys.
-    struct Counts {
+    struct AttemptCounts {
         int moved = 0;    // go elsewhere than with equal weights
         int onFirst = 0;  // go to the first server
-        bool operator==(const Counts&) const = default;
+        bool operator==(const AttemptCounts&) const = default;
     };
     PolicySettings settings = smallPolicySettings(false);
     settings.weightsFollowLoad = true;
     const auto listed = [&](double weight) {
         PolicyFixture equal(settings, 6);
         PolicyFixture unequal(settings, 6);
-        Counts counts;
+        AttemptCounts counts;
         for (PolicyFixture* fixture : {&equal, &unequal}) {
             for (Endpoint& endpoint : fixture->endpoints)
                 endpoint.weight = fixture == &unequal && endpoint.name == "a" ? weight : 4;
