--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -47,7 +47,7 @@
     // that it renews.
     const bool isDurable = lastTicket_ == persistedTicket_ && ticketBefore == lastTicket_;
     if (isDurable)
-        actions_.answers.emplace_back(from, answer);
+        actions_.answers.push_back({from, answer});
     else
         pendingAnswers_.push_back({lastTicket_, from, answer});
 }
@@ -115,7 +115,7 @@
 void Acceptor::notifyWaiting(LeaseId lease, Grant& grant, MemberId releasedBy) {
     const LeaseAnswer isFree{lease, 0, 0, 0, false, grant.record.highest, 0};
     for (const MemberId member : grant.waiting)
-        if (member != releasedBy) actions_.answers.emplace_back(member, isFree);
+        if (member != releasedBy) actions_.answers.push_back({member, isFree});
     grant.waiting.clear();
 }
 
@@ -131,7 +131,7 @@
     persistedTicket_ = std::max(persistedTicket_, ticket);
     std::erase_if(pendingAnswers_, [this](const PendingAnswer& pending) {
         if (pending.ticket > persistedTicket_) return false;
-        actions_.answers.emplace_back(pending.to, pending.answer);
+        actions_.answers.push_back({pending.to, pending.answer});
         return true;
     });
 }
@@ -142,7 +142,7 @@
     RecallAnswer answer;
     answer.hasState = state_ == State::voting;
     for (const auto& [lease, grant] : grants_) answer.records[lease] = grant.record;
-    actions_.recallAnswers.emplace_back(acceptor, std::move(answer));
+    actions_.recallAnswers.push_back({acceptor, std::move(answer)});
 }
 
 void Acceptor::onRequest(Nanos now, int acceptor, const RecallAnswer& answer) {
@@ -181,12 +181,12 @@
     if (state_ == State::recovering && now >= nextRecallAt_) {
         for (int acceptor = 0; acceptor < settings_.acceptorCount; ++acceptor)
             if (acceptor != self_ && !hasStateBy_.contains(acceptor))
-                actions_.recalls.emplace_back(acceptor, RecallRequest{});
+                actions_.recalls.push_back({acceptor, RecallRequest{}});
         nextRecallAt_ = now + settings_.answerTimeout;
     }
     if (!settings_.has(Safeguard::sync)) {
         for (const PendingAnswer& pending : pendingAnswers_)
-            actions_.answers.emplace_back(pending.to, pending.answer);
+            actions_.answers.push_back({pending.to, pending.answer});
         pendingAnswers_.clear();
     }
     Actions due = std::move(actions_);
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -5,7 +5,6 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "lease/messages.hpp"
@@ -26,9 +25,21 @@
   public:
     // What the caller has to carry out after an event.
     struct Actions {
-        std::vector<std::pair<MemberId, LeaseAnswer>> answers;    // to holders
-        std::vector<std::pair<int, RecallRequest>> recalls;       // to acceptors
-        std::vector<std::pair<int, RecallAnswer>> recallAnswers;  // to acceptors
+        struct Answer {
+            MemberId to;
+            LeaseAnswer answer;
+        };
+        struct Recall {
+            int acceptor;  // its number
+            RecallRequest request;
+        };
+        struct Recalled {
+            int acceptor;  // its number
+            RecallAnswer answer;
+        };
+        std::vector<Answer> answers;
+        std::vector<Recall> recalls;
+        std::vector<Recalled> recallAnswers;
         GrantRecords recordsToPersist;  // to be written to disk and synced; then onPersisted with `ticket`
         std::uint64_t ticket = 0;       // of the records; 0: there are none
     };
--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -46,7 +46,7 @@
     if (it == leases_.end() || it->second.state != State::holding) return;
     LeaseState& state = it->second;
     sendToAll({LeaseRequest::Kind::transfer, lease, state.fence, incarnation_, 0, to});
-    actions_.offers.emplace_back(to, lease);
+    actions_.offers.push_back({to, lease});
     state.validUntil = 0;
     state.state = state.isWanted ? State::backingOff : State::idle;
     state.nextStepAt = now + settings_.maxBackoff;
@@ -123,7 +123,7 @@
 
 void LeaseHolder::sendToAll(const LeaseRequest& request) {
     for (int acceptor = 0; acceptor < settings_.acceptorCount; ++acceptor)
-        actions_.requests.emplace_back(acceptor, request);
+        actions_.requests.push_back({acceptor, request});
 }
 
 void LeaseHolder::sendAcquire(Nanos now, LeaseId lease, const LeaseState& state) {
--- a/src/lease/lease_holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -22,7 +22,6 @@
 #include <map>
 #include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "lease/messages.hpp"
@@ -47,8 +46,16 @@
   public:
     // What the caller has to send after an event.
     struct Actions {
-        std::vector<std::pair<int, LeaseRequest>> requests;  // to acceptors, by number
-        std::vector<std::pair<MemberId, LeaseId>> offers;    // to members: onTransferOffered
+        struct Request {
+            int acceptor;  // its number
+            LeaseRequest request;
+        };
+        struct Offer {
+            MemberId to;  // whose onTransferOffered is to be called
+            LeaseId lease;
+        };
+        std::vector<Request> requests;
+        std::vector<Offer> offers;
     };
     enum class State : std::uint8_t {
         idle,        // the lease is not wanted
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -12,15 +12,14 @@
 
 }  // namespace
 
-const std::vector<std::pair<std::string_view, Safeguard>>& safeguards() {
-    static const std::vector<std::pair<std::string_view, Safeguard>> all{
-        {"quarantine", Safeguard::quarantine},
-        {"rate", Safeguard::rate},
-        {"asked", Safeguard::sentTime},
-        {"majority", Safeguard::majority},
-        {"fence", Safeguard::fence},
-        {"margin", Safeguard::margin},
-        {"sync", Safeguard::sync}};
+const std::vector<NamedSafeguard>& safeguards() {
+    static const std::vector<NamedSafeguard> all{{"quarantine", Safeguard::quarantine},
+                                                 {"rate", Safeguard::rate},
+                                                 {"asked", Safeguard::sentTime},
+                                                 {"majority", Safeguard::majority},
+                                                 {"fence", Safeguard::fence},
+                                                 {"margin", Safeguard::margin},
+                                                 {"sync", Safeguard::sync}};
     return all;
 }
 
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -5,7 +5,6 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "policy/routing_policy.hpp"
@@ -23,8 +22,11 @@
     margin,      // a critical section begins only if the lease outlasts it
     sync         // an acceptor answers what is on its disk, not what will be
 };
-// All safeguards with the names by which the testbed's command line disables them.
-const std::vector<std::pair<std::string_view, Safeguard>>& safeguards();
+struct NamedSafeguard {
+    std::string_view name;  // by which the testbed's command line disables it
+    Safeguard safeguard;
+};
+const std::vector<NamedSafeguard>& safeguards();
 // Throws std::runtime_error that lists the names.
 Safeguard parseSafeguard(std::string_view name);
 
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace poppyscale::testbed {
 namespace {
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -131,13 +131,13 @@
     acceptor.onPersisted(now, actions.ticket);
     actions = acceptor.reconcile(now);
     REQUIRE(actions.answers.size() == 1);
-    CHECK(actions.answers[0].second.granted);
+    CHECK(actions.answers[0].answer.granted);
     // With its records it knows of the grant, but not since when: nobody else is granted it for a whole
     // duration.
     Acceptor restarted(settings, 0, now, GrantRecords{{1, {request.fence, 1, false}}});
     const LeaseRequest otherRequest{LeaseRequest::Kind::acquire, 1, fenceAfter(request.fence, 6), 1, 7, 0};
     restarted.onRequest(now + settings.duration - 1, 6, otherRequest);
-    CHECK_FALSE(restarted.reconcile(now).answers.at(0).second.granted);
+    CHECK_FALSE(restarted.reconcile(now).answers.at(0).answer.granted);
     // Without its records it stays silent and asks the others: two that have state are enough, after the
     // quarantine.
     Acceptor recovering(settings, 0, now, std::nullopt);
