--- a/src/control/file_descriptor.hpp
+++ b/src/base/file_descriptor.hpp
@@ -3,7 +3,7 @@
 
 #include <unistd.h>
 
-namespace poppyscale::control {
+namespace poppyscale {
 
 // Owns an open descriptor, or none, and closes it when it is destroyed. Movable, not copyable.
 class FileDescriptor {
@@ -29,6 +29,12 @@
         descriptor_ = -1;
         return released;
     }
+    // Closes what is owned, if anything. False where the system reports an error (errno): of a file that was
+    // written, data may be lost.
+    bool close() {
+        if (!isOpen()) return true;
+        return ::close(release()) == 0;
+    }
     // Closes what is owned and takes ownership of `descriptor`.
     void reset(int descriptor = -1) {
         if (descriptor_ >= 0) ::close(descriptor_);
@@ -39,4 +45,4 @@
     int descriptor_ = -1;
 };
 
-}  // namespace poppyscale::control
+}  // namespace poppyscale
--- a/src/control/console_listener.hpp
+++ b/src/control/console_listener.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
+#include "base/file_descriptor.hpp"
 #include "control/console_command.hpp"
 #include "control/console_connection.hpp"
-#include "control/file_descriptor.hpp"
 #include "control/session_list.hpp"
 #include "transport/listener.hpp"
 
--- a/src/control/operator_socket.hpp
+++ b/src/control/operator_socket.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 #include "control/operator_session.hpp"
 #include "control/session_list.hpp"
 #include "transport/listener.hpp"
--- a/src/ctl/control_client.cpp
+++ b/src/ctl/control_client.cpp
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <optional>
 
-#include "ctl/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::ctl {
 namespace {
--- a/src/ctl/control_listener.hpp
+++ b/src/ctl/control_listener.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "ctl/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/ctl/distributor_status.cpp
+++ b/src/ctl/distributor_status.cpp
@@ -11,8 +11,8 @@
 #include <cstring>
 #include <optional>
 
+#include "base/file_descriptor.hpp"
 #include "ctl/control_client.hpp"
-#include "ctl/file_descriptor.hpp"
 #include "protocol/http_response.hpp"
 #include "protocol/number.hpp"
 
--- a/src/ctl/folder_lock.hpp
+++ b/src/ctl/folder_lock.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "ctl/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/ctl/signal_source.hpp
+++ b/src/ctl/signal_source.hpp
@@ -4,7 +4,7 @@
 #include <initializer_list>
 #include <optional>
 
-#include "ctl/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/ctl/version_store.cpp
+++ b/src/ctl/version_store.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "ctl/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::ctl {
 namespace {
@@ -56,7 +56,7 @@
     int error = writeFully(file, content);
     // After a sync that failed, a second one may succeed without the data: the file is written anew instead.
     if (error == 0 && ::fsync(file.get()) != 0) error = errno;
-    if (!file.reset() && error == 0) error = errno;
+    if (!file.close() && error == 0) error = errno;
     return error;
 }
 
--- a/src/process/hot_restart/new_process.hpp
+++ b/src/process/hot_restart/new_process.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 #include "process/hot_restart/peer_client.hpp"
 #include "transport/connection.hpp"
 
@@ -21,9 +21,9 @@
     explicit InheritedSockets(const std::string& path);
 
     // The clients' listening socket; the caller owns it from then on.
-    control::FileDescriptor takeListener() { return std::move(listener_); }
+    FileDescriptor takeListener() { return std::move(listener_); }
     // The console's; not open when the old process has none.
-    control::FileDescriptor takeConsole() { return std::move(console_); }
+    FileDescriptor takeConsole() { return std::move(console_); }
     // Whether clients connect to `address`.
     bool isListeningOn(const transport::Address& address) const;
     // The configuration files as the old process read them.
@@ -36,8 +36,8 @@
 
   private:
     PeerClient client_;
-    control::FileDescriptor listener_;
-    control::FileDescriptor console_;
+    FileDescriptor listener_;
+    FileDescriptor console_;
     std::string describedConfig_;
 };
 
--- a/src/process/hot_restart/passed_socket.cpp
+++ b/src/process/hot_restart/passed_socket.cpp
@@ -10,7 +10,7 @@
 
 namespace poppyscale::process {
 
-control::FileDescriptor takePassedSocket(const std::string& text) {
+FileDescriptor takePassedSocket(const std::string& text) {
     const auto error = [&](const char* reason) {
         return std::runtime_error(fmt::format("ROUTER_PASSED_SOCKET is '{}': {}", text, reason));
     };
@@ -25,7 +25,7 @@
     if (option(SO_TYPE) != SOCK_STREAM) throw error("not a stream socket");
     if (option(SO_ACCEPTCONN) != 1) throw error("a socket that does not listen");
     ::fcntl(*descriptor, F_SETFD, FD_CLOEXEC);
-    return control::FileDescriptor(*descriptor);
+    return FileDescriptor(*descriptor);
 }
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/passed_socket.hpp
+++ b/src/process/hot_restart/passed_socket.hpp
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::process {
 
 // Takes the inherited descriptor that $ROUTER_PASSED_SOCKET, `text`, names by its number. No child process
 // inherits it. Throws std::runtime_error that names the variable when it is not a listening stream socket.
-control::FileDescriptor takePassedSocket(const std::string& text);
+FileDescriptor takePassedSocket(const std::string& text);
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/peer_client.cpp
+++ b/src/process/hot_restart/peer_client.cpp
@@ -69,7 +69,7 @@
     return part;
 }
 
-control::FileDescriptor PeerClient::receiveDescriptor() {
+FileDescriptor PeerClient::receiveDescriptor() {
     char byte = 0;
     iovec data{&byte, 1};
     alignas(cmsghdr) char ancillary[CMSG_SPACE(sizeof(int))] = {};
@@ -85,7 +85,7 @@
         throw std::runtime_error("no socket came");
     int received = -1;
     std::memcpy(&received, CMSG_DATA(header), sizeof received);
-    return control::FileDescriptor(received);
+    return FileDescriptor(received);
 }
 
 }  // namespace poppyscale::process
--- a/src/process/hot_restart/peer_client.hpp
+++ b/src/process/hot_restart/peer_client.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 #include "policy/routing_policy.hpp"
 
 namespace poppyscale::process {
@@ -27,16 +27,16 @@
     // The next message; an error that the other process replies with is thrown.
     nlohmann::json read();
     // The next message's descriptor, as sent by `OperatorSession::passDescriptor`.
-    control::FileDescriptor receiveDescriptor();
+    FileDescriptor receiveDescriptor();
     // Ends this side's direction, which the other process sees.
     void shutdownWrite();
     // The connection, for use on an event loop; this object is of no further use.
-    control::FileDescriptor release() { return std::move(socket_); }
+    FileDescriptor release() { return std::move(socket_); }
 
   private:
     std::string readPartOfLine();
 
-    control::FileDescriptor socket_;
+    FileDescriptor socket_;
 };
 
 }  // namespace poppyscale::process
--- a/src/process/operator_state.cpp
+++ b/src/process/operator_state.cpp
@@ -10,12 +10,11 @@
 #include <cstring>
 #include <utility>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::process {
 namespace {
 
-using control::FileDescriptor;
 
 constexpr std::string_view kHeader = "poppyscale words 1";
 constexpr std::string_view kEjectPrefix = "out ";
--- a/src/process/router_process.cpp
+++ b/src/process/router_process.cpp
@@ -114,7 +114,7 @@
 void RouterProcess::takeInheritedSockets() {
     // The old process stops accepting with its answer; meanwhile connections stay in the socket's backlog.
     inheritedSockets_->reportReady(::getpid());
-    control::FileDescriptor listener = inheritedSockets_->takeListener();
+    FileDescriptor listener = inheritedSockets_->takeListener();
     const std::string problem = dataPath_.clientListener().listenOn(listener.release());
     if (!problem.empty()) throw ParseError("can't go on with what was taken over: " + problem);
     const auto error = operatorSocket_->listen(config_.operatorConfig().operatorSocket);
@@ -130,7 +130,7 @@
     console_.emplace(
         loop_, pool_, maxConsoleConnections(config_.startup()),
         [this](const control::ConsoleCommand& command) { return consoleCommands_.handle(command); });
-    control::FileDescriptor inherited;
+    FileDescriptor inherited;
     if (inheritedSockets_) inherited = inheritedSockets_->takeConsole();
     const auto error = inherited.isOpen() ? console_->listenOn(std::move(inherited))
                                           : console_->listen(parseAddressSetting(address, "console"));
--- a/src/process/router_process.hpp
+++ b/src/process/router_process.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "base/file_descriptor.hpp"
 #include "control/console_listener.hpp"
-#include "control/file_descriptor.hpp"
 #include "control/operator_socket.hpp"
 #include "process/active_config.hpp"
 #include "process/config_reloader.hpp"
@@ -35,7 +35,7 @@
     // The command line of a new process that is to take over from this one.
     std::vector<std::string> newProcessCommand;
     // The clients' listening socket where the platform holds it, else not open.
-    control::FileDescriptor passedListener;
+    FileDescriptor passedListener;
     // The program's version, as `--version` prints it.
     std::string version;
     // Where the operators' state is written for a later process; empty for nowhere.
--- a/src/process/service_manager.cpp
+++ b/src/process/service_manager.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <cstring>
 
-#include "control/file_descriptor.hpp"
+#include "base/file_descriptor.hpp"
 
 namespace poppyscale::process {
 
@@ -20,7 +20,7 @@
     if (pathBytes >= sizeof address.sun_path) return;
     std::memcpy(address.sun_path, path, pathBytes);
     if (path[0] == '@') address.sun_path[0] = '\0';  // an abstract address
-    const control::FileDescriptor socket(::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+    const FileDescriptor socket(::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     const auto addressBytes = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + pathBytes);
     ::sendto(socket.get(), assignments.data(), assignments.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
              reinterpret_cast<const sockaddr*>(&address), addressBytes);
