--- a/src/process/operator_state.cpp
+++ b/src/process/operator_state.cpp
@@ -15,7 +15,6 @@
 namespace poppyscale::process {
 namespace {
 
-
 constexpr std::string_view kHeader = "poppyscale words 1";
 constexpr std::string_view kEjectPrefix = "out ";
 constexpr std::string_view kRestorePrefix = "in ";
