--- a/src/ctl/monotonic_clock.hpp
+++ b/src/ctl/monotonic_clock.hpp
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::ctl {
 
--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -25,7 +25,7 @@
 #include <cstdint>
 #include <random>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::discovery {
 
--- a/src/discovery/server_start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::discovery {
 
--- a/src/discovery/source_selector.hpp
+++ b/src/discovery/source_selector.hpp
@@ -27,7 +27,7 @@
 #include <set>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::discovery {
 
--- a/src/endpoint_distribution/ahead_versions.hpp
+++ b/src/endpoint_distribution/ahead_versions.hpp
@@ -10,8 +10,8 @@
 #include <map>
 #include <vector>
 
+#include "base/time.hpp"
 #include "endpoint_distribution/list_update.hpp"
-#include "policy/routing_policy.hpp"
 
 namespace poppyscale::endpoint_distribution {
 
--- a/src/endpoint_distribution/distributor_host.hpp
+++ b/src/endpoint_distribution/distributor_host.hpp
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string_view>
 
+#include "base/time.hpp"
 #include "endpoint_distribution/list_state.hpp"
-#include "policy/routing_policy.hpp"
 
 namespace poppyscale::endpoint_distribution {
 
--- a/src/endpoint_distribution/epoch_tracker.hpp
+++ b/src/endpoint_distribution/epoch_tracker.hpp
@@ -9,8 +9,8 @@
 #include <optional>
 #include <vector>
 
+#include "base/time.hpp"
 #include "endpoint_distribution/list_update.hpp"
-#include "policy/routing_policy.hpp"
 
 namespace poppyscale::endpoint_distribution {
 
--- a/src/endpoint_distribution/options.hpp
+++ b/src/endpoint_distribution/options.hpp
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <set>
 
+#include "base/time.hpp"
 #include "endpoint_distribution/list_state.hpp"
 #include "endpoint_distribution/safeguards.hpp"
-#include "policy/routing_policy.hpp"
 
 namespace poppyscale::endpoint_distribution {
 
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::lease {
 
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -9,7 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/settings.hpp"
+#include "policy/types.hpp"
 
 namespace poppyscale::metrics {
 
--- a/src/process/hot_restart/peer_client.hpp
+++ b/src/process/hot_restart/peer_client.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "base/file_descriptor.hpp"
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::process {
 
--- a/src/protocol/attempt_message.hpp
+++ b/src/protocol/attempt_message.hpp
@@ -4,7 +4,8 @@
 #include <string>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/types.hpp"
 #include "protocol/request.hpp"
 #include "protocol/resp.hpp"
 
--- a/src/protocol/client_response.hpp
+++ b/src/protocol/client_response.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::protocol {
 
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "policy/types.hpp"
 #include "protocol/parse_error.hpp"
 
 namespace poppyscale::protocol {
--- a/src/protocol/policy_settings.hpp
+++ b/src/protocol/policy_settings.hpp
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "policy/routing_policy.hpp"
+#include "policy/settings.hpp"
 #include "protocol/parse_error.hpp"
 #include "protocol/settings_map.hpp"
 
--- a/src/protocol/request.hpp
+++ b/src/protocol/request.hpp
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "protocol/resp.hpp"
 
 namespace poppyscale::protocol {
--- a/src/protocol/startup_config.hpp
+++ b/src/protocol/startup_config.hpp
@@ -5,7 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/settings.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "protocol/policy_settings.hpp"
 
--- a/src/proxy/attempt.hpp
+++ b/src/proxy/attempt.hpp
@@ -1,7 +1,8 @@
 // One attempt of a request at one upstream server.
 #pragma once
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/types.hpp"
 #include "protocol/request.hpp"
 #include "proxy/body_stream.hpp"
 #include "transport/event_loop.hpp"
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "protocol/request.hpp"
 #include "protocol/resp.hpp"
 #include "proxy/peer_liveness.hpp"
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "proxy/attempt_handler.hpp"
 #include "proxy/invariant_guard.hpp"
 #include "transport/buffer_pool.hpp"
--- a/src/proxy/dispatcher_events.hpp
+++ b/src/proxy/dispatcher_events.hpp
@@ -5,7 +5,9 @@
 #include <variant>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/settings.hpp"
+#include "policy/types.hpp"
 #include "proxy/pending_request.hpp"
 #include "proxy/response_sink.hpp"
 #include "proxy/upstream_server.hpp"
--- a/src/proxy/drain_schedule.hpp
+++ b/src/proxy/drain_schedule.hpp
@@ -3,7 +3,7 @@
 
 #include <limits>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::proxy {
 
--- a/src/proxy/peer_liveness.hpp
+++ b/src/proxy/peer_liveness.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "transport/buffer_pool.hpp"
 
 namespace poppyscale::proxy {
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -4,7 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/types.hpp"
 #include "protocol/request.hpp"
 #include "proxy/attempt.hpp"
 #include "proxy/body_stream.hpp"
--- a/src/proxy/response_sink.hpp
+++ b/src/proxy/response_sink.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "proxy/body_stream.hpp"
 
 namespace poppyscale::proxy {
--- a/src/proxy/upstream_codec.hpp
+++ b/src/proxy/upstream_codec.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "protocol/attempt_message.hpp"
 #include "protocol/request.hpp"
 
--- a/src/proxy/upstream_registry.hpp
+++ b/src/proxy/upstream_registry.hpp
@@ -11,9 +11,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/time.hpp"
 #include "discovery/removed_endpoints.hpp"
 #include "discovery/server_start_times.hpp"
-#include "policy/routing_policy.hpp"
+#include "policy/settings.hpp"
+#include "policy/types.hpp"
 #include "protocol/endpoint_list.hpp"
 #include "proxy/connection_pool.hpp"
 #include "proxy/upstream_server.hpp"
--- a/src/proxy/upstream_server.hpp
+++ b/src/proxy/upstream_server.hpp
@@ -8,7 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/types.hpp"
 #include "proxy/attempt.hpp"
 #include "proxy/connection_pool.hpp"
 #include "proxy/invariant_guard.hpp"
--- a/src/rollout/decaying_statistics.hpp
+++ b/src/rollout/decaying_statistics.hpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -5,8 +5,8 @@
 #include <string_view>
 #include <vector>
 
+#include "base/time.hpp"
 #include "config/toml_table.hpp"
-#include "policy/routing_policy.hpp"
 
 namespace poppyscale::rollout {
 
--- a/src/simulator_adapter/codec.hpp
+++ b/src/simulator_adapter/codec.hpp
@@ -9,7 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/policy_host.hpp"
+#include "policy/settings.hpp"
+#include "policy/types.hpp"
 #include "protocol/policy_settings.hpp"
 
 namespace poppyscale::simulator_adapter {
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -10,6 +10,7 @@
 #include <utility>
 #include <vector>
 
+#include "policy/routing_policy.hpp"
 #include "simulator_adapter/codec.hpp"
 
 namespace {
--- a/src/testbed/drivers/live/host_environment.hpp
+++ b/src/testbed/drivers/live/host_environment.hpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "testbed/host_emulation/host_state.hpp"
 
 namespace poppyscale::testbed {
--- a/src/testbed/drivers/live/network_path.hpp
+++ b/src/testbed/drivers/live/network_path.hpp
@@ -5,7 +5,7 @@
 #include <list>
 #include <string>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 #include "testbed/emulator/random.hpp"
 
 namespace poppyscale::testbed {
--- a/src/testbed/emulator/random.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::testbed {
 
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -8,7 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
+#include "policy/settings.hpp"
 
 namespace poppyscale::testbed {
 
--- a/src/testbed/emulator/server_model.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::testbed {
 
--- a/src/testbed/scale/discovery.hpp
+++ b/src/testbed/scale/discovery.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::testbed::scale {
 
--- a/src/testbed/scale/record.hpp
+++ b/src/testbed/scale/record.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "policy/routing_policy.hpp"
+#include "policy/types.hpp"
 
 namespace poppyscale::testbed::scale {
 
--- a/src/testbed/scale/server_list.hpp
+++ b/src/testbed/scale/server_list.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "policy/routing_policy.hpp"
+#include "policy/types.hpp"
 #include "testbed/emulator/random.hpp"
 
 namespace poppyscale::testbed::scale {
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-#include "policy/routing_policy.hpp"
+#include "base/time.hpp"
 
 namespace poppyscale::transport {
 
