--- a/src/proxy/request_table.cpp
+++ b/src/proxy/request_table.cpp
@@ -17,13 +17,12 @@
 }  // namespace
 
 PendingRequest& RequestTable::add(std::unique_ptr<PendingRequest> request) {
-    PendingRequest& added = *request;
     ++lastId_;
-    added.id = lastId_;
-    bufferedBytes_ += memoryOf(added.message);
-    clientIds_.insert(added.message.id);
-    requests_.emplace(added.id, std::move(request));
-    return added;
+    request->id = lastId_;
+    bufferedBytes_ += memoryOf(request->message);
+    clientIds_.insert(request->message.id);
+    const auto added = requests_.emplace(lastId_, std::move(request)).first;
+    return *added->second;
 }
 
 PendingRequest* RequestTable::find(RequestId id) const {
