--- a/src/proxy/request_table.cpp
+++ b/src/proxy/request_table.cpp
@@ -19,10 +19,11 @@
 PendingRequest& RequestTable::add(std::unique_ptr<PendingRequest> request) {
     ++lastId_;
     request->id = lastId_;
-    bufferedBytes_ += memoryOf(request->message);
-    clientIds_.insert(request->message.id);
-    const auto added = requests_.emplace(lastId_, std::move(request)).first;
-    return *added->second;
+    const auto element = requests_.emplace(lastId_, std::move(request)).first;
+    PendingRequest& added = *element->second;
+    bufferedBytes_ += memoryOf(added.message);
+    clientIds_.insert(added.message.id);
+    return added;
 }
 
 PendingRequest* RequestTable::find(RequestId id) const {
