--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -1,4 +1,4 @@
-// The one helper of the tests: a host that writes down what it is asked, a router with a small world, and the
+// Fixtures of the tests: sockets, servers and the programs, each with one bound on every wait.
 // program itself between sockets of ours.
 #pragma once
 
