--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -1,5 +1,4 @@
 // Fixtures of the tests: sockets, servers and the programs, each with one bound on every wait.
-// program itself between sockets of ours.
 #pragma once
 
 #include <arpa/inet.h>
