--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -409,7 +409,7 @@
     Pair pair;
     pair.other->publish(5);
     pair.used->publish(4);
-    CHECK(soon([&] { return pair.router.logs("every source tells an older one"); }, 2 * kChangeWithin));
+    CHECK(soon([&] { return pair.router.logs("every source offers an older one"); }, 2 * kChangeWithin));
     CHECK(soon([&] {
         return hasRequest(*pair.used, after(5)) || hasRequest(*pair.other, after(5)) ||
                hasRequest(*pair.used, after(4)) || hasRequest(*pair.other, after(4));
@@ -421,7 +421,7 @@
     pair.used->kill();
     pair.other->publish(5);
     std::this_thread::sleep_for(milliseconds(6'000));
-    CHECK_FALSE(pair.router.logs("every source tells an older one"));
+    CHECK_FALSE(pair.router.logs("every source offers an older one"));
     CHECK_FALSE(hasRequest(*pair.other, after(5)));
     CHECK_FALSE(hasRequest(*pair.other, kWhole));
     const auto list = pair.router.list();
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -705,10 +705,11 @@
         const auto reply = status(i);
         return reply.is_object() && reply.value("state", "") == "serving";
     }
-    bool logged(const std::string& words) const {
+    std::string log() const {
         std::ifstream file(folder + "/keeper.log");
-        return std::string{std::istreambuf_iterator<char>(file), {}}.find(words) != std::string::npos;
+        return {std::istreambuf_iterator<char>(file), {}};
     }
+    bool logged(const std::string& words) const { return log().find(words) != std::string::npos; }
     TestServer origin, cache;
     std::string folder;
     int firstPort = 0;
@@ -720,6 +721,7 @@
 TEST_CASE(
     "supervisor: restarts what exits, finds running instances, rolls hot restarts through, and stops all") {
     SupervisedFleet fleet;
+    CAPTURE(fleet.log());
     REQUIRE(soon([&] { return fleet.serving(0) && fleet.serving(1) && fleet.serving(2); }));
     const pid_t first = fleet.pidOf(0);
     kill(first, SIGKILL);
@@ -768,6 +770,7 @@
     "supervisor: a new process killed while the old one drains is replaced, and open requests are "
     "completed") {
     SupervisedFleet fleet;
+    CAPTURE(fleet.log());
     REQUIRE(soon([&] { return fleet.serving(0) && fleet.serving(1) && fleet.serving(2); }));
     REQUIRE(soon([&] { return fleet.logged("all instances are ready"); }));
     const pid_t old = fleet.pidOf(0);
@@ -795,6 +798,7 @@
 
 TEST_CASE("supervisor: an instance that serves without its knowledge is adopted and not started again") {
     SupervisedFleet fleet;
+    CAPTURE(fleet.log());
     REQUIRE(soon([&] { return fleet.logged("all instances are ready"); }));
     const pid_t old = fleet.pidOf(0);
     // As where an old process exits between the new one's being ready and its own report of it.
