--- a/src/ctl/version_store.cpp
+++ b/src/ctl/version_store.cpp
@@ -84,6 +84,8 @@
     const std::string temporary = fmt::format("{}{}{}", path, kTemporarySuffix, ::gettid());
     FileDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
     if (!file.isOpen()) fail("write", path, errno);
+    // Whatever the mask of this moment is: a program that can't be executed is of no use.
+    ::fchmod(file.get(), static_cast<mode_t>(mode));
     int error = writeAndSync(std::move(file), content);
     if (error == 0 && ::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
     if (error != 0) {
