--- a/src/proxy/body_stream.hpp
+++ b/src/proxy/body_stream.hpp
@@ -1,4 +1,5 @@
-// Flow of a value that is too long to be buffered, in chunks from a source to a sink, with backpressure.
+// Interfaces for passing a value that is too long to be buffered from a source to a sink, in chunks and
+// with backpressure.
 //
 // Neither side owns the other. Each side notifies the other when it goes away (`BodySink::onAborted`,
 // `BodySource::cancel`) and is not called again after that.
@@ -9,20 +10,20 @@
 
 namespace poppyscale::proxy {
 
-// What a sink answers to a chunk.
+// A sink's reply to a chunk.
 enum class FlowControl : std::uint8_t {
     ready,  // the next chunk may follow
     full,   // no chunk may follow before `BodySource::resume`
-    closed  // the sink is gone: no further call of either side
+    closed  // the sink is gone: neither side calls the other again
 };
 
 // The receiving side of a stream.
 class BodySink {
   public:
     virtual ~BodySink() = default;
-    // Takes all of `bytes`, which are valid during the call only, whatever it returns.
+    // Consumes all of `bytes`, whatever it returns. They are valid only during the call.
     virtual FlowControl onChunk(std::string_view bytes) = 0;
-    // The rest of the value will not come.
+    // The rest of the value will not be sent.
     virtual void onAborted() = 0;
 };
 
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -11,20 +11,21 @@
 
 constexpr Nanos kLingerDuration = 1'000 * kMillisecond;
 constexpr std::size_t kMaxPipelinedRequests = 128;
-constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // no more requests are read beyond this
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // from here on, no more requests are read
 constexpr std::size_t kMaxReadPerIteration = 32 * 1024;
-constexpr std::size_t kMaxIgnoredBytes = 64 * 1024;  // read after a connection began to end
+constexpr std::size_t kMaxIgnoredBytes = 64 * 1024;  // read from a connection that is closing
 
-// Within which a client completes a request that it has begun, and sends its first one.
+// A client must complete a request that it has begun, and send its first one, within this time.
 constexpr Nanos kRequestReadTimeout = 2'500 * kMillisecond;
-// A streamed value extends that while bytes arrive at least this often, and at this rate overall: otherwise a
-// few bytes a second would hold a connection for good.
+// While a streamed value arrives, that timeout is extended as long as its bytes are no further apart
+// than `kBodyIdleTimeout`, by at most the time that the whole value takes at 32 KiB/s. Without the
+// second limit, a few bytes a second could occupy a connection indefinitely.
 constexpr Nanos kBodyIdleTimeout = 2'000 * kMillisecond;
 constexpr Nanos kMaxNanosPerBodyByte = 1'000'000'000 / (32 * 1024);
-// For which a client may leave a streamed response unread, which occupies a connection to a server.
+// How long a client may leave a streamed response unread, since that occupies an upstream connection.
 constexpr Nanos kMaxStreamUnreadDuration = 10'000 * kMillisecond;
 
-// Longer bulk strings than the first are streamed: the last argument of a write, up to 4 MiB.
+// The value of a write, its last argument, is streamed if it is longer than `maxBulkLength`.
 constexpr protocol::RespDecoder::Limits kRequestLimits{.maxBulkLength = 64 * 1024,
                                                        .maxItems = 16,
                                                        .maxDepth = 1,
@@ -77,14 +78,15 @@
 }
 
 bool ClientConnection::hasDisconnectedUnread() const {
-    return !isReading_ && pipeline_.hasPendingRequest() && connection_.hasPeerClosed();
+    return !isReadingAllowed_ && pipeline_.hasPendingRequest() && connection_.hasPeerClosed();
 }
 
 // ---- Requests
 
 void ClientConnection::onData(std::string_view bytes) {
     if (state_ != State::open) {
-        // Read on only to see the connection end; a client that goes on sending waits until that is due.
+        // Input is read only to notice that the client closes the connection. A client that sends
+        // more than `kMaxIgnoredBytes` is not read any further.
         ignoredBytes_ += bytes.size();
         if (ignoredBytes_ > kMaxIgnoredBytes) connection_.setReading(false);
         return;
@@ -135,7 +137,7 @@
     auto parsed = protocol::readRequest(std::move(message));
     if (const auto* control = std::get_if<protocol::ControlCommand>(&parsed)) {
         if (control->isPing && owner_.isStandby()) return reply(protocol::standbyResponse());
-        if (!protocol::isErrorResponse(control->response)) markUseful();
+        if (!protocol::isErrorResponse(control->response)) markValidRequestSent();
         if (control->closesConnection) return replyAndClose(control->response);
         return reply(control->response);
     }
@@ -152,27 +154,28 @@
     dispatch(slot, std::move(std::get<protocol::Request>(parsed)), arrivedAt, &write_);
 }
 
-// Of a write that is not accepted the value is read to its end all the same: the response comes behind it.
+// The value of a write that is not accepted is still read to its end, since the response to the write
+// is sent only after that.
 void ClientConnection::dispatch(PipelinedRequest& slot, protocol::Request request, Nanos arrivedAt,
                                 RequestBody* body) {
     if (!owner_.acceptsRequests(request.timeout)) return respond(slot, protocol::rejectedResponse());
     const auto accepted = dispatcher_.accept(slot, std::move(request), arrivedAt, body);
     slot.setPending(accepted.request);
     if (body && accepted.request) write_.accept();
-    if (!accepted.problem) markUseful();
+    if (!accepted.problem) markValidRequestSent();
     if (accepted.request) return;
-    // Over its limits the router has not executed the request, so that a retry is harmless; an invalid one
-    // would be as invalid the next time.
+    // A request that exceeds the router's limits was not executed, so that a retry is harmless. A retry
+    // of an invalid request would be just as invalid.
     if (accepted.problem)
         respond(slot, protocol::problemResponse(*accepted.problem));
     else
         respond(slot, protocol::rejectedResponse());
 }
 
-void ClientConnection::markUseful() {
-    if (isUseful_) return;
-    isUseful_ = true;
-    owner_.onUseful();
+void ClientConnection::markValidRequestSent() {
+    if (hasSentValidRequest_) return;
+    hasSentValidRequest_ = true;
+    owner_.onFirstValidRequest();
 }
 
 void ClientConnection::markActive() {
@@ -203,7 +206,8 @@
     if (!unparsed_.empty()) owner_.deferReading(*this);
 }
 
-// Nothing more is read of it, and the error that ends the connection is its response.
+// Ends the write without reading the rest of its value. The error that closes the connection takes the
+// place of its response.
 void ClientConnection::abandonStreamedWrite() {
     PipelinedRequest* const request = write_.request();
     write_.abandon();
@@ -215,7 +219,7 @@
 
 // ---- Responses
 
-// Asks the kernel, unless the connection was known to be open a moment ago.
+// Asks the kernel, unless the connection is known to have been open within the last 20 ms.
 bool ClientConnection::isClientConnected() {
     const Nanos now = transport::EventLoop::now();
     if (liveness_.isKnownOpen(now)) return true;
@@ -239,11 +243,12 @@
 }
 
 FlowControl ClientConnection::onStreamChunk(PipelinedRequest& request, std::string_view bytes) {
-    // Taken away meanwhile: if this removes the connection, the source learns it from what is returned.
+    // The source is detached during this call: if the connection is removed, the source must not be
+    // cancelled, since it learns of the removal from the returned `FlowControl::closed`.
     BodySource* const source = request.takeSource();
     const bool isLast = request.countStreamed(bytes.size());
     markActive();
-    // First what is ahead of it, its own head included.
+    // Bytes that precede this chunk are written first, including the head of this response.
     if (pipeline_.isFront(request) && !request.unsent().empty()) {
         const Existence existence = tryFlush();
         if (existence == Existence::destroyed) return FlowControl::closed;
@@ -308,7 +313,8 @@
     return Existence::exists;
 }
 
-// Closed at once, unread bytes would reset the connection under the last response.
+// If the connection were closed at once, unread bytes in the kernel would cause a reset, and the client
+// could lose the last response.
 void ClientConnection::linger() {
     connection_.shutdownWrite();
     state_ = State::lingering;
@@ -319,33 +325,35 @@
 // ---- Reading and time
 
 void ClientConnection::updateReading() {
-    // Nothing is read behind a response that is being streamed: its abort would lose those requests too.
-    const bool shouldRead = state_ == State::open && pipeline_.size() < kMaxPipelinedRequests &&
-                            connection_.unsentBytes() < kMaxUnsentBytes && !write_.isBlocked() &&
-                            !pipeline_.isStreaming() && unparsed_.empty();
-    // That it was not read is not the client's delay.
-    if (shouldRead && !isReading_ && requestBegunAt_) {
+    // Nothing is read while a response is being streamed: if it is aborted, the connection is closed,
+    // and requests that were read meanwhile would be lost.
+    const bool isAllowed = state_ == State::open && pipeline_.size() < kMaxPipelinedRequests &&
+                           connection_.unsentBytes() < kMaxUnsentBytes && !write_.isBlocked() &&
+                           !pipeline_.isStreaming() && unparsed_.empty();
+    // The time during which the connection was not read does not count against the client.
+    if (isAllowed && !isReadingAllowed_ && requestBegunAt_) {
         lastReadAt_ = transport::EventLoop::now();
         requestBegunAt_ = lastReadAt_;
     }
-    isReading_ = shouldRead;
-    // Each has a share of an iteration: a client that sends at full speed would keep the others waiting.
+    isReadingAllowed_ = isAllowed;
+    // Each connection has a share of an iteration, so that a client that sends at full speed does not
+    // delay the others.
     const bool isShareUsed = readIteration_ == owner_.iteration() && readInIteration_ >= kMaxReadPerIteration;
-    const bool isDeferred = shouldRead && isShareUsed;
+    const bool isDeferred = isAllowed && isShareUsed;
     if (isDeferred) owner_.deferReading(*this);
-    const bool reads = shouldRead && !isDeferred;
+    const bool reads = isAllowed && !isDeferred;
     if (!reads) liveness_.onReadingStopped();
     connection_.setReading(reads);
 }
 
-// Set to when the client must have done its part: completed a request that it has begun, sent its first one,
-// or read some of its responses.
+// Sets the timer to the time by which the client must complete a request that it has begun, send its
+// first request, or read some of its responses.
 void ClientConnection::updateTimer() {
     const bool hasUnsent = connection_.unsentBytes() > 0;
     if (!hasUnsent || connection_.sentBytes() != sentBytesAtLastCheck_)
         unreadSince_ = transport::EventLoop::now();
     sentBytesAtLastCheck_ = connection_.sentBytes();
-    if (requestBegunAt_ && isReading_) return timer_.start(requestReadDeadline());
+    if (requestBegunAt_ && isReadingAllowed_) return timer_.start(requestReadDeadline());
     if (!hasUnsent) return timer_.stop();
     Nanos maxUnreadDuration = owner_.maxRequestTimeout();
     if (pipeline_.isStreaming()) maxUnreadDuration = std::min(maxUnreadDuration, kMaxStreamUnreadDuration);
@@ -362,11 +370,11 @@
 
 void ClientConnection::onTimer() {
     if (state_ == State::lingering) return owner_.remove(*this);
-    if (!requestBegunAt_ || !isReading_) {
-        // A client that reads slowly is not removed while something moves.
-        const bool isMoving =
+    if (!requestBegunAt_ || !isReadingAllowed_) {
+        // A client that reads slowly is not removed as long as it has read something since the last check.
+        const bool hasProgressed =
             connection_.unsentBytes() > 0 && connection_.sentBytes() != sentBytesAtLastCheck_;
-        if (isMoving) return updateTimer();
+        if (hasProgressed) return updateTimer();
         return owner_.remove(*this);
     }
     if (!decoder_.isInValue()) return owner_.remove(*this);
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -1,4 +1,4 @@
-// One client's connection: its requests in, their responses out in the same order.
+// One client's connection: reads its requests and writes their responses in the same order.
 #pragma once
 
 #include <cstddef>
@@ -22,15 +22,17 @@
 
 namespace poppyscale::proxy {
 
-// Reads requests, passes them to the dispatcher, and writes the responses. Stops reading while too much is
-// outstanding, and removes itself when the client breaks a limit of time.
+// Reads requests, passes them to the dispatcher, and writes the responses. Stops reading while too
+// many requests or response bytes are outstanding, and removes itself when the client exceeds a
+// time limit.
 //
 //     open --> closing --> lingering
 //
-// closing: the last response is known, and nothing more is parsed; lingering: all was written, and the client
-// has a moment to read it. From each state the connection may be removed: its owner destroys it within the
-// call of `Owner::remove`, and nothing of the object is used after that. Functions that may come to this and
-// go on afterwards return `Existence`.
+// In `closing`, the last response is known and no further input is parsed. In `lingering`, all
+// responses have been written and the client has 1 s to read them. The connection can be removed in
+// every state: its owner destroys it within the call of `Owner::remove`, and the object must not be
+// used afterwards. Functions after which a caller continues return `Existence` if they may remove
+// the connection.
 class ClientConnection : private transport::Connection::Handler,
                          private PipelinedRequest::Owner,
                          private StreamedWrite::Owner {
@@ -41,70 +43,75 @@
     class Owner {
       public:
         virtual ~Owner() = default;
-        // Whether a request is accepted whose client waits up to `timeout`.
+        // Whether a request whose client waits up to `timeout` is accepted.
         virtual bool acceptsRequests(Nanos timeout) const = 0;
-        // Whether health checks are to fail.
+        // Whether health checks (PING) fail.
         virtual bool isStandby() const = 0;
-        // For which a client may leave responses unread.
+        // How long a client may leave responses unread.
         virtual Nanos maxRequestTimeout() const = 0;
-        // Counts the iterations of the event loop.
+        // The number of the current event-loop iteration.
         virtual std::uint64_t iteration() const = 0;
 
         // The client sent something or got a response.
         virtual void onActive(ClientConnection& connection) = 0;
         // The client has sent its first valid request.
-        virtual void onUseful() = 0;
-        // What this connection holds of responses, and of incomplete requests, changed; in bytes.
+        virtual void onFirstValidRequest() = 0;
+        // The number of bytes that the connection buffers of responses, or of incomplete requests,
+        // has changed.
         virtual void updateUnsentBytes(std::size_t before, std::size_t after) = 0;
         virtual void updatePartialRequestBytes(std::size_t before, std::size_t after) = 0;
-        // `continueReading` is due in the next iteration.
+        // Calls `continueReading` in the next iteration.
         virtual void deferReading(ClientConnection& connection) = 0;
-        // The client has disconnected; to be removed in the next iteration.
+        // The client has disconnected: removes the connection in the next iteration.
         virtual void onDisconnected(ClientConnection& connection) = 0;
-        // Removes connections while they hold too much memory. False when `writing` was removed as well.
+        // Removes connections while all connections together hold too much memory. Returns false if
+        // `writing` was removed.
         virtual bool relieveMemory(const ClientConnection& writing) = 0;
         // Destroys the connection.
         virtual void remove(ClientConnection& connection) = 0;
-        // Called by its destructor.
+        // Called by the connection's destructor.
         virtual void onDestroyed(ClientConnection& connection) = 0;
     };
 
     ClientConnection(Owner& owner, RequestDispatcher& dispatcher, transport::EventLoop& loop,
                      transport::BufferPool& buffers);
-    // Aborts and cancels what is being streamed, and reports all its requests as disconnected.
+    // Aborts a streamed write, cancels streamed responses, and reports the client of all pending
+    // requests as disconnected.
     ~ClientConnection() override;
 
     transport::Connection& connection() { return connection_; }
-    // Where its owner keeps it.
+    // The connection's position in its owner's list.
     List::iterator position() const { return position_; }
     void setPosition(List::iterator position) { position_ = position; }
 
-    // Begins to read, once accepted. May remove the connection.
+    // Begins to read after the connection was accepted. May remove the connection.
     void start();
-    // Continues with what was deferred. May remove the connection.
+    // Continues the reading or parsing that `Owner::deferReading` put off. May remove the connection.
     void continueReading();
 
-    // Nothing is outstanding, neither in part nor unread: closing it loses nothing.
+    // No request is outstanding, incomplete or unread, so that closing the connection loses nothing.
     bool mayClose() const { return isIdle() && !connection_.hasUnreadBytes(); }
-    // A response is outstanding or not written yet.
+    // A response is outstanding, or the kernel has not taken all of it yet.
     bool hasOutstandingResponses() const { return !pipeline_.isEmpty() || connection_.unsentBytes() > 0; }
-    // It has not sent a valid request and waits for no response: silent, half sent, or all of it invalid.
-    bool mayMakeRoom() const {
-        return !isUseful_ && !hasOutstandingResponses() && state_ == State::open &&
+    // Whether the connection may be closed in favour of a new client: its client waits for no
+    // response, and has sent nothing, an incomplete request, or only invalid ones.
+    bool isEvictable() const {
+        return !hasSentValidRequest_ && !hasOutstandingResponses() && state_ == State::open &&
                !connection_.hasUnreadBytes();
     }
     bool isEnding() const { return state_ != State::open; }
-    // The client may only read what was written.
+    // The connection is kept open only to let the client read the last response.
     bool isLingering() const { return state_ == State::lingering && connection_.unsentBytes() == 0; }
-    // It has sent a valid request.
-    bool isUseful() const { return isUseful_; }
-    // It is not read at present, has a request outstanding, and its peer has closed it.
+    bool hasSentValidRequest() const { return hasSentValidRequest_; }
+    // The client has closed the connection while a request is pending and reading is paused, so that
+    // the transport does not report the close.
     bool hasDisconnectedUnread() const;
     Nanos lastActivity() const { return lastActivity_; }
     Nanos lastResponseAt() const { return lastResponseAt_; }
-    // Bytes of responses, with those that the transport has.
+    // Unsent bytes of responses, including those in the transport's buffers.
     std::size_t unsentBytes() const { return reportedUnsentBytes_ + connection_.unsentBytes(); }
-    // Bytes of responses that wait for one ahead of them, and of an incomplete request: as last reported.
+    // As last reported to the owner: bytes of responses that wait for an earlier response, and of
+    // incomplete requests.
     std::size_t queuedResponseBytes() const { return reportedUnsentBytes_; }
     std::size_t partialRequestBytes() const { return reportedPartialBytes_; }
 
@@ -113,20 +120,20 @@
     // Whether the connection still exists when a function returns.
     enum class Existence : std::uint8_t { exists, destroyed };
 
-    // From the transport.
+    // transport::Connection::Handler
     void onData(std::string_view bytes) override;
     void onClosed() override { owner_.remove(*this); }
     void onDrained() override { flush(); }
     void onTimer();
 
-    // From the requests.
+    // PipelinedRequest::Owner
     bool isClientConnected() override;
     void onCompleted(PipelinedRequest& request, FinalResponse response) override;
     void onStreamBegins(PipelinedRequest& request, std::size_t length) override;
     FlowControl onStreamChunk(PipelinedRequest& request, std::string_view bytes) override;
     void onStreamAborted() override { owner_.remove(*this); }
 
-    // From the write that is being streamed.
+    // StreamedWrite::Owner
     void onStreamedWriteProgress() override;
     void onStreamedWriteFinished() override;
 
@@ -137,7 +144,7 @@
     void onStreamedWriteHead(Nanos arrivedAt);
     void dispatch(PipelinedRequest& slot, protocol::Request request, Nanos arrivedAt, RequestBody* body);
     void abandonStreamedWrite();
-    void markUseful();
+    void markValidRequestSent();
     void markActive();
     void reportPartialRequest();
 
@@ -145,13 +152,13 @@
     void respond(PipelinedRequest& request, std::string_view text);
     void append(PipelinedRequest& request, std::string_view text);
     void reportUnsent();
-    // Responds to what is no request for the dispatcher.
+    // Responds to a message that is not passed to the dispatcher.
     void reply(std::string_view text);
-    // As `reply`, and closes the connection behind it.
+    // As `reply`, and closes the connection after that response.
     void replyAndClose(std::string_view text);
-    // Writes the responses that are due, and adjusts reading and timer.
+    // Writes the responses whose turn it is, and adjusts reading and the timer.
     [[nodiscard]] Existence tryFlush();
-    // As the last step of a caller.
+    // As `tryFlush`, for callers that do not use the connection afterwards.
     void flush() { static_cast<void>(tryFlush()); }
     void linger();
 
@@ -172,20 +179,20 @@
     protocol::RespDecoder decoder_;
     RequestPipeline pipeline_;
     StreamedWrite write_;
-    std::string unparsed_;  // what followed a streamed write, until that is finished
+    std::string unparsed_;  // input after a streamed write, until that write is finished
     State state_ = State::open;
 
-    bool isReading_ = false;  // it would be read but for its share of this iteration
+    bool isReadingAllowed_ = false;  // whether it may be read, apart from its share of this iteration
     std::uint64_t readIteration_ = 0;
     std::size_t readInIteration_ = 0;  // bytes
-    std::size_t ignoredBytes_ = 0;     // after the connection began to end
+    std::size_t ignoredBytes_ = 0;     // read after the connection left the state `open`
     PeerLiveness liveness_;
-    bool isUseful_ = false;   // has sent a valid request
-    Nanos lastActivity_ = 0;  // when it last sent something or got a response
-    Nanos lastReadAt_ = 0;    // when it last sent something, or was read again
+    bool hasSentValidRequest_ = false;
+    Nanos lastActivity_ = 0;  // when the client last sent something or got a response
+    Nanos lastReadAt_ = 0;    // when bytes were last read, or reading last resumed
     Nanos lastResponseAt_ = 0;
-    Nanos requestBegunAt_ = 0;  // of the incomplete request, or the first one; 0 without one
-    Nanos unreadSince_ = 0;     // since when the client has read nothing of its responses
+    Nanos requestBegunAt_ = 0;  // start of the incomplete, or awaited first, request; 0 without one
+    Nanos unreadSince_ = 0;     // since when the client has read none of its responses
     std::uint64_t sentBytesAtLastCheck_ = 0;
     std::size_t reportedUnsentBytes_ = 0;
     std::size_t reportedPartialBytes_ = 0;
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -6,18 +6,21 @@
 namespace poppyscale::proxy {
 namespace {
 
-// Between two requests a client may count on its connection for as long as the first says. Where useful
-// clients take over half of the places, it is the second and, as they take more, less of it: connections that
-// are used once and kept would leave none behind a load balancer that opens only so many.
+// A connection may idle for `kIdleTimeout` between two requests. Once clients that have sent a valid
+// request take more than `kCrowdedFrom` of `maxClients`, the timeout is `kCrowdedIdleTimeout`, and it
+// shrinks to `kShortestTimeoutFraction` of that as they approach `kShortestTimeoutFrom`. Otherwise,
+// behind a load balancer that opens a limited number of connections, those that are used once and
+// kept open would leave none for other clients.
 constexpr Nanos kIdleTimeout = 2'000 * kMillisecond;
 constexpr Nanos kCrowdedIdleTimeout = 250 * kMillisecond;
-constexpr double kCrowdedFrom = 0.5;           // of the places
-constexpr double kShortestTimeoutFrom = 0.65;  // of the places
+constexpr double kCrowdedFrom = 0.5;           // fraction of `maxClients`
+constexpr double kShortestTimeoutFrom = 0.65;  // fraction of `maxClients`
 constexpr double kShortestTimeoutFraction = 0.1;
 
 constexpr Nanos kExhaustionReportInterval = 1'000 * kMillisecond;
-// Connections that are not read end unnoticed: those with a request outstanding are checked this often. This
-// frees what they hold; that no attempt starts for them is ensured before each attempt.
+// The transport does not report the close of a connection that is not being read, so connections with
+// a pending request are checked at this interval, to free their resources. This check is not what keeps
+// attempts from starting after a close: `ClientConnection::isClientConnected` is asked before each one.
 constexpr Nanos kDisconnectCheckInterval = 50 * kMillisecond;
 
 }  // namespace
@@ -36,7 +39,7 @@
     listener_->onExhausted([this](std::string_view reason) { reportExhaustion(reason); });
 }
 
-// Connections call back when they are destroyed: all members must still be there.
+// Connections call `onDestroyed` from their destructors, when all members must still exist.
 ClientListener::~ClientListener() { clients_.clear(); }
 
 void ClientListener::close() {
@@ -73,8 +76,8 @@
     client.start();
 }
 
-// The system has no descriptor or memory for another connection. Clients wait in the backlog; none of the
-// connections is closed for them, since what was sent on these may not have arrived yet.
+// The system has no descriptor or memory for another connection. New clients wait in the backlog. No
+// open connection is closed for them, since a request on it may be on its way.
 void ClientListener::reportExhaustion(std::string_view reason) {
     const Nanos now = transport::EventLoop::now();
     if (now < exhaustionReportedAt_ + kExhaustionReportInterval) return;
@@ -82,7 +85,7 @@
     if (onExhausted) onExhausted(reason);
 }
 
-// ---- For the connections
+// ---- ClientConnection::Owner
 
 bool ClientListener::acceptsRequests(Nanos timeout) const {
     const Nanos now = transport::EventLoop::now();
@@ -106,30 +109,30 @@
 void ClientListener::onDestroyed(ClientConnection& client) {
     updateUnsentBytes(client.queuedResponseBytes(), 0);
     updatePartialRequestBytes(client.partialRequestBytes(), 0);
-    if (client.isUseful()) --usefulClients_;
+    if (client.hasSentValidRequest()) --clientsWithValidRequest_;
     std::erase(deferred_, &client);
     std::erase(disconnected_, &client);
 }
 
-// ---- Which connections stay
+// ---- Closing of connections
 
-// First a connection whose client only reads its last response, then one that has not sent a valid request,
-// the oldest first, so that clients which send nothing, or nothing valid, displace each other; then one that
-// idles.
+// Closes the first that is found of: a connection whose client is only reading its last response; the
+// least recently active one without a valid request, so that clients which send nothing, or nothing
+// valid, displace each other; the one that has idled longest.
 bool ClientListener::ensureCapacity() {
     if (clients_.size() < maxClients_) return true;
     auto victim = std::find_if(clients_.begin(), clients_.end(),
                                [](const auto& client) { return client->isLingering(); });
     if (victim == clients_.end())
         victim = std::find_if(clients_.begin(), clients_.end(),
-                              [](const auto& client) { return client->mayMakeRoom(); });
+                              [](const auto& client) { return client->isEvictable(); });
     if (victim == clients_.end()) victim = longestIdle();
     if (victim == clients_.end()) return false;
     return closeIdle(victim);
 }
 
 Nanos ClientListener::idleTimeout() const {
-    const double taken = static_cast<double>(usefulClients_) / static_cast<double>(maxClients_);
+    const double taken = static_cast<double>(clientsWithValidRequest_) / static_cast<double>(maxClients_);
     if (taken <= kCrowdedFrom) return kIdleTimeout;
     const double fraction = std::clamp((kShortestTimeoutFrom - taken) / (kShortestTimeoutFrom - kCrowdedFrom),
                                        kShortestTimeoutFraction, 1.0);
@@ -139,14 +142,14 @@
 ClientListener::Position ClientListener::longestIdle() {
     const Nanos since = transport::EventLoop::now() - idleTimeout();
     for (auto it = clients_.begin(); it != clients_.end() && (*it)->lastActivity() <= since; ++it)
-        if ((*it)->isUseful() && (*it)->mayClose()) return it;
+        if ((*it)->hasSentValidRequest() && (*it)->mayClose()) return it;
     return clients_.end();
 }
 
 bool ClientListener::closeIdle(Position client) {
     if ((*client)->hasOutstandingResponses()) {
         dispatcher_.guard().reportViolation(Invariant::closing,
-                                            "a client's connection with a request that has no response");
+                                            "idle client connection kept open: a request has no response");
         dispatcher_.guard().recordBlocked(BlockedAction::responsePending);
         return false;
     }
@@ -154,7 +157,7 @@
     return true;
 }
 
-// Half of the places are for clients that do not idle.
+// Half of `maxClients` is reserved for clients that do not idle.
 void ClientListener::closeAboveIdleShare() {
     while (clients_.size() > maxClients_ / 2) {
         const auto client = longestIdle();
@@ -189,11 +192,12 @@
     for (auto it = clients_.begin(); it != clients_.end();) {
         ClientConnection& client = **it;
         ++it;
-        const bool isResponded = client.lastResponseAt() >= drain_->since;
-        const bool isTooLate = !acceptsRequests(0) && !client.hasOutstandingResponses() &&
-                               !client.isEnding() && client.partialRequestBytes() > 0;
+        const bool hasResponseSinceDrain = client.lastResponseAt() >= drain_->since;
+        const bool isRequestTooLate = !acceptsRequests(0) && !client.hasOutstandingResponses() &&
+                                      !client.isEnding() && client.partialRequestBytes() > 0;
         const bool isDue =
-            isTooLate || (client.mayClose() && (isResponded || static_cast<double>(idle) > maxIdle));
+            isRequestTooLate ||
+            (client.mayClose() && (hasResponseSinceDrain || static_cast<double>(idle) > maxIdle));
         if (!isDue) continue;
         if (idle > 0) --idle;
         closeIdle(client.position());
@@ -201,13 +205,13 @@
 }
 
 bool ClientListener::isOverMemory() const {
-    // A quarter of the buffers is left for writing to the servers.
+    // A quarter of the buffers is reserved for writing to upstream servers.
     return buffers_.available() < buffers_.capacity() / 4 || unsentBytes_ > maxBufferedBytes_ ||
            partialRequestBytes_ > maxBufferedBytes_;
 }
 
-// The connection whose incomplete request is oldest where these take too much, else the one with most bytes
-// of responses.
+// If incomplete requests exceed their limit, the least recently active connection that has one;
+// otherwise the connection with the most unsent response bytes.
 ClientListener::Position ClientListener::largestMemoryUser() {
     if (partialRequestBytes_ > maxBufferedBytes_)
         return std::find_if(clients_.begin(), clients_.end(),
@@ -216,8 +220,8 @@
                             [](const auto& a, const auto& b) { return a->unsentBytes() < b->unsentBytes(); });
 }
 
-// Clients that do not read, that have many responses waiting behind one, or that leave requests incomplete
-// would otherwise fill the memory.
+// Without this limit, the memory could be filled by clients that do not read, that have many responses
+// waiting for an earlier one, or that leave requests incomplete.
 bool ClientListener::relieveMemory(const ClientConnection& writing) {
     while (isOverMemory()) {
         const auto client = largestMemoryUser();
--- a/src/proxy/client_listener.hpp
+++ b/src/proxy/client_listener.hpp
@@ -1,4 +1,4 @@
-// Accepts clients, and decides which of their connections stay.
+// Accepts client connections, and decides which of them to close.
 #pragma once
 
 #include <cstddef>
@@ -19,34 +19,35 @@
 
 namespace poppyscale::proxy {
 
-// Owns the clients' connections. Keeps their number and memory within limits, by closing those that are of
-// least use, and closes them all while draining. Guarantees that a connection on which nothing is wrong is
-// not closed while a request on it has no response.
+// Owns the client connections. Keeps their number and memory within limits by closing some of them,
+// and closes all of them while draining. A connection is not closed while a request on it has no
+// response, unless the client breaks the protocol, does not read, or fills the memory.
 class ClientListener : private ClientConnection::Owner {
   public:
     using DrainSchedule = proxy::DrainSchedule;
 
-    // `maxBufferedBytes` bounds responses that can't be written and, apart from them, incomplete requests;
-    // `maxRequestTimeout` is for how long a client may leave responses unread.
+    // `maxBufferedBytes` limits the responses that wait to be written and, separately, the incomplete
+    // requests, each over all clients. `maxRequestTimeout` is how long a client may leave responses
+    // unread.
     ClientListener(transport::EventLoop& loop, transport::BufferPool& buffers, RequestDispatcher& dispatcher,
                    std::size_t maxClients, std::size_t maxBufferedBytes, Nanos maxRequestTimeout);
     ~ClientListener() override;
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
 
-    // Both return an empty text, or what the system said.
+    // Returns an empty string, or the system's error.
     std::string listen(const transport::Address& address) { return listener_->listen(address); }
-    // On a socket that another process has bound.
+    // As `listen`, on a socket that another process has bound.
     std::string listenOn(int descriptor) { return listener_->adopt(descriptor); }
-    // Below 0 when it does not listen.
+    // The descriptor of the listening socket; negative without one.
     int descriptor() const { return listener_ ? listener_->descriptor() : -1; }
-    // Leaves the socket's backlog to another process, which accepts from now on.
+    // Stops listening and leaves the backlog to another process, which accepts from now on.
     void stopListening() { listener_.reset(); }
-    // Accepts what is in the backlog, then no more.
+    // Accepts the connections in the backlog, then stops listening.
     void close();
     bool isClosed() const { return !listener_ && clients_.empty(); }
 
-    // Closes connections by that schedule from now on.
+    // Closes connections by `schedule` from now on.
     void drain(const DrainSchedule& schedule);
     void cancelDrain() { drain_.reset(); }
     // While on standby, health checks of clients fail.
@@ -55,21 +56,22 @@
     void setMaxRequestTimeout(Nanos timeout) { maxRequestTimeout_ = timeout; }
 
     std::size_t count() const { return clients_.size(); }
-    // Removes what is due, and reads the connections that have used their share of the last iteration.
+    // Called in each event-loop iteration. Closes the connections that are due, and resumes those that
+    // used up their share of the previous iteration.
     void runIteration();
-    // The system has nothing left for another connection, for the reason given.
+    // Called with the system's error when it has no descriptor or memory for another connection.
     std::function<void(std::string_view)> onExhausted;
 
   private:
     using Position = ClientConnection::List::iterator;
 
-    // As the owner of the connections.
+    // ClientConnection::Owner
     bool acceptsRequests(Nanos timeout) const override;
     bool isStandby() const override { return isStandby_; }
     Nanos maxRequestTimeout() const override { return maxRequestTimeout_; }
     std::uint64_t iteration() const override { return iteration_; }
     void onActive(ClientConnection& client) override;
-    void onUseful() override { ++usefulClients_; }
+    void onFirstValidRequest() override { ++clientsWithValidRequest_; }
     void updateUnsentBytes(std::size_t before, std::size_t after) override;
     void updatePartialRequestBytes(std::size_t before, std::size_t after) override;
     void deferReading(ClientConnection& client) override { deferred_.push_back(&client); }
@@ -80,12 +82,13 @@
 
     void onAccept(const std::function<bool(transport::Connection&)>& finish);
     void reportExhaustion(std::string_view reason);
-    // Whether one more client has a place; closes a connection of less use if it must.
+    // Whether there is room for one more client; closes another connection if that is necessary.
     bool ensureCapacity();
     Nanos idleTimeout() const;
-    // The useful connection that has idled longest, past the idle timeout; the end if there is none.
+    // Of the connections that have sent a valid request, the one that has idled longest and beyond the
+    // idle timeout; the end of the list if there is none.
     Position longestIdle();
-    // Closes a connection on which nothing is wrong. False when it stays.
+    // Closes the connection unless a response on it is outstanding. Returns whether it was closed.
     bool closeIdle(Position client);
     bool isOverMemory() const;
     Position largestMemoryUser();
@@ -102,7 +105,7 @@
     Nanos maxRequestTimeout_;
     std::size_t unsentBytes_ = 0;          // of responses, over all clients
     std::size_t partialRequestBytes_ = 0;  // of incomplete requests, over all clients
-    std::size_t usefulClients_ = 0;        // that have sent a valid request
+    std::size_t clientsWithValidRequest_ = 0;
     std::optional<DrainSchedule> drain_;
     std::size_t clientsAtDrainStart_ = 0;
     bool isStandby_ = false;
--- a/src/proxy/dispatcher_events.hpp
+++ b/src/proxy/dispatcher_events.hpp
@@ -1,4 +1,4 @@
-// What an iteration of the event loop brings to the policy, and what the policy answers with.
+// The events that the dispatcher passes to the policy, and the actions that the policy asks for.
 #pragma once
 
 #include <string>
@@ -42,14 +42,14 @@
 
 // Applied in the order in which they occurred.
 struct DispatcherEvent {
-    Nanos at;
+    Nanos occurredAt;
     std::variant<RequestArrived, AttemptEnded, ClientDisconnected, EndpointsUpdated, SettingsChanged,
                  EjectionChanged>
-        what;
+        payload;
 };
 
 struct StartAttempt {
-    UpstreamServer* server;  // null if it is not listed any more
+    UpstreamServer* server;  // null if it is no longer listed
     Nanos deadline;
     Nanos latestStart;
 };
@@ -57,7 +57,7 @@
 // Executed in the order in which the policy asked for them.
 struct DispatcherAction {
     RequestId id;
-    std::variant<StartAttempt, FinalResponse> what;
+    std::variant<StartAttempt, FinalResponse> payload;
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/drain_schedule.cpp
+++ b/src/proxy/drain_schedule.cpp
@@ -9,9 +9,9 @@
 }
 
 double DrainSchedule::idleFraction(Nanos now) const {
-    const auto left = static_cast<double>(idleUntil - now);
-    const auto width = static_cast<double>(std::max<Nanos>(idleUntil - idleFrom, 1));
-    return std::clamp(left / width, 0.0, 1.0);
+    const auto remaining = static_cast<double>(idleUntil - now);
+    const auto duration = static_cast<double>(std::max<Nanos>(idleUntil - idleFrom, 1));
+    return std::clamp(remaining / duration, 0.0, 1.0);
 }
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/drain_schedule.hpp
+++ b/src/proxy/drain_schedule.hpp
@@ -1,4 +1,4 @@
-// By when a draining listener parts with its connections.
+// The times at which a draining listener closes its connections.
 #pragma once
 
 #include <limits>
@@ -7,19 +7,19 @@
 
 namespace poppyscale::proxy {
 
-// A connection is closed as soon as a response went out on it and none is outstanding. Idle connections are
-// closed spread over a time, so that few closes cross a request on the wire. All times are absolute, on the
-// monotonic clock.
+// While draining, a connection is closed as soon as a response was sent on it and none is outstanding.
+// The closing of idle connections is spread over an interval, so that few of them are closed while a
+// request is on its way. All times are absolute, on the monotonic clock.
 struct DrainSchedule {
-    Nanos since = 0;      // a connection that got a response after this may be closed
-    Nanos idleFrom = 0;   // idle connections are closed from here
-    Nanos idleUntil = 0;  // to here
-    Nanos acceptUntil = 0;
+    Nanos since = 0;        // start of the drain; connections with a later response may be closed
+    Nanos idleFrom = 0;     // when the first idle connections are closed
+    Nanos idleUntil = 0;    // when the last idle connections are closed
+    Nanos acceptUntil = 0;  // when requests are no longer accepted
     Nanos deadline = std::numeric_limits<Nanos>::max();  // requests that may last longer are not accepted
 
-    // Whether a request is accepted at `now` whose client waits up to `timeout`.
+    // Whether a request whose client waits up to `timeout` is accepted at `now`.
     bool acceptsRequests(Nanos timeout, Nanos now) const;
-    // The part of the connections that may still be open and idle at `now`, from 1 down to 0.
+    // The fraction of the connections that may still be open and idle at `now`; falls from 1 to 0.
     double idleFraction(Nanos now) const;
 };
 
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -1,17 +1,16 @@
 // The invariants of a router at run time.
 //
-// Whatever would violate one is blocked at one place and counted there, and checked for a second time at the
-// last moment. A count of violations above zero is a bug report.
+// An action that would violate an invariant is blocked and counted at one place. Each invariant is
+// checked a second time immediately before the action. A violation that is found then is a bug.
 //
-// - Sending: a request's bytes go to a server only while the endpoint list has it as ready at that address
-// and
-//   no operator has ejected it, its client is connected, and its time has not passed.
-// - Repeating: a request that may have executed and must not execute twice is not sent again; one that may be
-//   repeated for a limited time is repeated only within that.
-// - Closing: the router does not close a client's connection while a request on it has no response, unless
-// the
-//   client breaks the protocol, does not read, or fills the memory.
-// - Starting: an attempt starts only for an open request, and as its only one in flight.
+// - Sending: the bytes of a request are sent to a server only while the endpoint list shows the server
+//   as ready at that address, no operator has ejected it, the request's client is connected, and the
+//   request's deadline has not passed.
+// - Repeating: a request that may have executed and must not execute twice is not sent again. One that
+//   may be repeated for a limited time is repeated only within that time.
+// - Closing: the router does not close a client's connection while a request on it has no response,
+//   unless the client breaks the protocol, does not read, or fills the memory.
+// - Starting: an attempt starts only for an open request that has no other attempt in flight.
 #pragma once
 
 #include <array>
@@ -44,10 +43,11 @@
     explicit InvariantGuard(Log log) : log_(std::move(log)) {}
 
     void recordBlocked(BlockedAction reason) { ++blocked_[static_cast<std::size_t>(reason)]; }
-    // The action was taken all the same. `subject` names the request, server or client.
+    // Counts and logs a violation. `subject` says what was about to happen, to which request, server or
+    // client.
     void reportViolation(Invariant invariant, const std::string& subject);
 
-    // All counts by their names in the operator socket's replies.
+    // All counts, under the names that replies on the operator socket use.
     nlohmann::json json() const;
 
   private:
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -1,4 +1,4 @@
-// A request that the router has accepted and not yet forgotten.
+// A request that the router has accepted and still holds.
 #pragma once
 
 #include <memory>
@@ -13,24 +13,24 @@
 
 namespace poppyscale::proxy {
 
-// Written by the `RequestDispatcher` alone; to a client's connection it is a handle. It lives on after its
-// final response for as long as an attempt is in flight.
+// Only the `RequestDispatcher` modifies a request; to a client's connection it is a handle. The request
+// outlives its final response while an attempt is in flight.
 struct PendingRequest {
     RequestId id = 0;
     Nanos acceptedAt = 0;
     protocol::Request message;
-    ResponseSink* sink = nullptr;  // null once it has its final response, or when the client has disconnected
-    RequestBody* body = nullptr;   // of a write that is streamed, until an attempt has taken it
+    ResponseSink* sink = nullptr;  // null after the final response, or if the client has disconnected
+    RequestBody* body = nullptr;   // value of a streamed write, until an attempt takes it
     Nanos deadline = 0;
     int attemptCount = 0;
-    std::unique_ptr<Attempt> attempt;  // in flight
-    // By the settings under which it was accepted.
+    std::unique_ptr<Attempt> attempt;  // the attempt in flight; null without one
+    // From the settings that were in force when the request was accepted.
     Idempotency idempotency = Idempotency::nonIdempotent;
     Nanos idempotencyKeyTtl = 0;
     Nanos firstPossiblyExecutedAt = kNever;  // when the first attempt that may have executed was sent
 };
 
-// The present status of a request, for operators.
+// The current status of a request, for operators.
 struct RequestStatus {
     std::string id;
     std::string requestClass;
@@ -40,8 +40,8 @@
     Nanos deadline = 0;
     int attemptCount = 0;
     bool isAwaited = false;  // a client waits for its response
-    std::string server;      // where an attempt is in flight, or empty
-    Nanos sentAt = 0;        // of that attempt
+    std::string server;      // of the attempt in flight; empty without one
+    Nanos sentAt = 0;        // of the attempt in flight
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/pipelined_request.cpp
+++ b/src/proxy/pipelined_request.cpp
@@ -54,7 +54,7 @@
 
 FlowControl PipelinedRequest::onChunk(std::string_view bytes) { return owner_.onStreamChunk(*this, bytes); }
 
-// A response that is cut off can only be shown by the end of its connection.
+// Closing the connection is the only way to tell the client that the response is truncated.
 void PipelinedRequest::onAborted() {
     source_ = nullptr;
     owner_.onStreamAborted();
--- a/src/proxy/pipelined_request.hpp
+++ b/src/proxy/pipelined_request.hpp
@@ -1,4 +1,4 @@
-// One request's place in the order of a client's responses.
+// One request of a client, and the unsent part of its response.
 #pragma once
 
 #include <cstddef>
@@ -12,57 +12,58 @@
 
 namespace poppyscale::proxy {
 
-// The sink of a request's response, and what of that response is not written to the connection yet.
+// Receives the response to a request, and keeps the part of it that is not written to the connection
+// yet.
 //
 //     awaiting --> complete
 //     awaiting --> streaming --> complete
 //
-// Lives in its connection's `RequestPipeline` at a fixed address.
+// Owned by its connection's `RequestPipeline`; its address does not change.
 class PipelinedRequest : public ResponseSink, public BodySink {
   public:
-    // The connection that the request came on.
+    // The connection that the request arrived on.
     class Owner {
       public:
         virtual ~Owner() = default;
         virtual bool isClientConnected() = 0;
-        // Both may destroy the request.
+        // `onCompleted` and `onStreamAborted` may destroy the request.
         virtual void onCompleted(PipelinedRequest& request, FinalResponse response) = 0;
         virtual void onStreamAborted() = 0;
         virtual void onStreamBegins(PipelinedRequest& request, std::size_t length) = 0;
-        // May destroy the request; returns `FlowControl::closed` then.
+        // May destroy the request, in which case it returns `FlowControl::closed`.
         virtual FlowControl onStreamChunk(PipelinedRequest& request, std::string_view bytes) = 0;
     };
 
     explicit PipelinedRequest(Owner& owner) : owner_(owner) {}
 
-    // The request as the dispatcher holds it; null without one, or once that has released this sink.
+    // The dispatcher's request; null if it accepted none, or once it has released this sink.
     PendingRequest* pending() const { return pending_; }
     void setPending(PendingRequest* pending) { pending_ = pending; }
 
     bool isAwaiting() const { return state_ == State::awaiting; }
     // Part of a streamed response is still to come.
     bool isStreaming() const { return state_ == State::streaming; }
-    // The connection ends behind this response.
+    // The connection is closed after this response.
     bool closesConnection() const { return closesConnection_; }
     void setClosesConnection() { closesConnection_ = true; }
 
-    // What is to be written of the response.
+    // The part of the response that is not written yet.
     const std::string& unsent() const { return unsent_; }
     // Begins the response with `text`.
     void respond(std::string_view text);
     void append(std::string_view text) { unsent_.append(text); }
     void clearUnsent() { unsent_.clear(); }
 
-    // Of `size` more bytes of a streamed response. True when these are the last ones.
+    // Counts `size` more bytes of a streamed response. Returns whether they are the last ones.
     bool countStreamed(std::size_t size);
-    // Takes the source away for the time of a call in which the client may be removed.
+    // Detaches the source during a call that may destroy this request, so that it is not cancelled.
     BodySource* takeSource();
-    // Gives it back, and notes whether it was told that there is no capacity.
+    // Attaches the source again. It is paused if it was told that the sink is full.
     void restoreSource(BodySource* source, bool isPaused);
-    // Has a paused source go on.
+    // Resumes a paused source.
     void resumeSource();
     bool hasPausedSource() const { return source_ != nullptr && isSourcePaused_; }
-    // Of a streamed response whose client goes away.
+    // Cancels the source of a streamed response, if there is one, since the client is gone.
     void cancelSource();
 
   private:
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -7,13 +7,14 @@
 namespace poppyscale::proxy {
 namespace {
 
-// Names of removed servers may take this part of the memory, since servers come under ever new names.
+// Each consumer may take this part (1/n) of the memory limit. The names of removed servers need a limit
+// because new servers may keep appearing under new names.
 constexpr std::size_t kRemovedServersMemoryDivisor = 32;
 constexpr std::size_t kRequestMemoryDivisor = 8;
 constexpr std::size_t kResponseMemoryDivisor = 16;
 
-// Servers close an idle connection at the settings' timeout at the latest: a tenth of it is left for a
-// request that is on its way.
+// Servers close a connection that has idled for `serverIdleTimeout`. The router closes it a tenth earlier,
+// so that a request that is on its way still arrives in time.
 Nanos idleTimeoutBefore(Nanos serverIdleTimeout) { return serverIdleTimeout - serverIdleTimeout / 10; }
 
 bool mayHaveExecuted(AttemptOutcome outcome) {
@@ -52,11 +53,13 @@
 
 RequestDispatcher::AcceptResult RequestDispatcher::accept(ResponseSink& sink, protocol::Request message,
                                                           Nanos arrivedAt, RequestBody* body) {
-    // Of an unknown class nobody can say whether it may be repeated, nor by when a response is due.
+    // For a request of an unknown class, it is not known whether it may be repeated, nor by when a
+    // response is due.
     const auto requestClass = requestClasses_.find(message.requestClass);
     if (requestClass == requestClasses_.end())
         return {nullptr, protocol::RequestProblem::unknownRequestClass};
-    // Servers tell requests apart by their ids: under one id, a client could get another's response.
+    // Servers identify requests by their ids: if two requests had the same id, a client could get the
+    // response to the other request.
     if (requests_.hasClientId(message.id)) return {nullptr, protocol::RequestProblem::idInUse};
     if (requests_.size() >= maxOpenRequests_ || requests_.bufferedBytes() >= maxBufferedBytes_) {
         if (metrics_) metrics_->recordRejected(message.requestClass, metrics::Rejection::requestLimit);
@@ -162,7 +165,7 @@
     addEvent(transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::failed, {}});
 }
 
-// No changes, which is a success to the policy: its backoff begins short again.
+// The policy treats a list without changes as a successful poll, which resets its backoff.
 void RequestDispatcher::onDiscoveryMoved() {
     addEvent(transport::EventLoop::now(), EndpointsUpdated{EndpointUpdateKind::delta, {}});
 }
@@ -179,7 +182,7 @@
     maxOpenRequests_ = config.maxOpenRequests;
     pool_.setIdleTimeout(idleTimeoutBefore(config.serverIdleTimeout));
     pool_.setConnectTimeout(config.connectTimeout);
-    // In its place among the events: what came before it arrived under the earlier settings.
+    // The change is queued like other events: events before it occurred under the earlier settings.
     addEvent(transport::EventLoop::now(), SettingsChanged{config.policy});
 }
 
@@ -206,40 +209,41 @@
 void RequestDispatcher::applyEvents() {
     const std::vector<DispatcherEvent> events = std::exchange(events_, {});
     for (const DispatcherEvent& event : events)
-        std::visit([&](const auto& what) { apply(event.at, what); }, event.what);
+        std::visit([&](const auto& payload) { apply(event.occurredAt, payload); }, event.payload);
 }
 
-void RequestDispatcher::apply(Nanos at, const RequestArrived& event) {
+void RequestDispatcher::apply(Nanos occurredAt, const RequestArrived& event) {
     const PendingRequest& request = *event.request;
     const protocol::Request& message = request.message;
-    policy_.onRequest(at, {request.id, message.requestClass, message.tenant, message.key, request.deadline,
-                           message.isWrite, message.isRetry, request.body != nullptr});
+    policy_.onRequest(occurredAt,
+                      {request.id, message.requestClass, message.tenant, message.key, request.deadline,
+                       message.isWrite, message.isRetry, request.body != nullptr});
 }
 
-void RequestDispatcher::apply(Nanos at, const AttemptEnded& event) {
+void RequestDispatcher::apply(Nanos occurredAt, const AttemptEnded& event) {
     AttemptResult result = event.result;
     const PendingRequest* const request = requests_.find(result.id);
     result.requestCompleted = !request || !request->sink;
-    policy_.onAttemptEnded(at, result);
+    policy_.onAttemptEnded(occurredAt, result);
     if (result.requestCompleted) requests_.remove(result.id);
 }
 
-void RequestDispatcher::apply(Nanos at, const ClientDisconnected& event) {
-    policy_.onClientDisconnected(at, event.id);
+void RequestDispatcher::apply(Nanos occurredAt, const ClientDisconnected& event) {
+    policy_.onClientDisconnected(occurredAt, event.id);
     const PendingRequest* const request = requests_.find(event.id);
     if (request && !request->attempt) requests_.remove(event.id);
 }
 
-void RequestDispatcher::apply(Nanos at, const EndpointsUpdated& event) {
-    policy_.onEndpointUpdate(at, event.kind, event.endpoints);
+void RequestDispatcher::apply(Nanos occurredAt, const EndpointsUpdated& event) {
+    policy_.onEndpointUpdate(occurredAt, event.kind, event.endpoints);
 }
 
-void RequestDispatcher::apply(Nanos at, const SettingsChanged& event) {
-    policy_.onSettingsChanged(at, event.settings);
+void RequestDispatcher::apply(Nanos occurredAt, const SettingsChanged& event) {
+    policy_.onSettingsChanged(occurredAt, event.settings);
 }
 
-void RequestDispatcher::apply(Nanos at, const EjectionChanged& event) {
-    policy_.onOperatorEjection(at, event.server, event.isEjected);
+void RequestDispatcher::apply(Nanos occurredAt, const EjectionChanged& event) {
+    policy_.onOperatorEjection(occurredAt, event.server, event.isEjected);
 }
 
 // ---- Actions
@@ -257,13 +261,13 @@
     actions_.push_back({id, FinalResponse{FinalResponse::Kind::failed, {}, 0}});
 }
 
-// An action may end at once and leave events, which `runIteration` applies in its next round.
+// An action may complete at once and add events, which `runIteration` applies in its next pass.
 void RequestDispatcher::executeActions() {
     std::vector<DispatcherAction> actions = std::exchange(actions_, {});
     for (DispatcherAction& action : actions) {
         PendingRequest* const request = requests_.find(action.id);
         if (!request) continue;
-        std::visit([&](auto& what) { execute(*request, what); }, action.what);
+        std::visit([&](auto& payload) { execute(*request, payload); }, action.payload);
     }
 }
 
@@ -296,15 +300,16 @@
 std::optional<BlockedAction> RequestDispatcher::blockedBy(const StartAttempt& action, PendingRequest& request,
                                                           Nanos deadline, Nanos now) {
     if (request.attempt) {
-        guard_.reportViolation(Invariant::starting,
-                               "a second attempt beside the one of request " + request.message.id);
+        guard_.reportViolation(
+            Invariant::starting,
+            "second attempt blocked while one is in flight: request " + request.message.id);
         return BlockedAction::requestClosed;
     }
     if (!action.server) return BlockedAction::serverUnavailable;
     if (deadline - now < protocol::kMinForwardedTimeout) return BlockedAction::deadlinePassed;
     if (!mayRepeat(request, now)) {
-        guard_.reportViolation(Invariant::repeating, "another attempt of request " + request.message.id +
-                                                         ", which may have executed");
+        guard_.reportViolation(Invariant::repeating, "repeated attempt blocked: request " +
+                                                         request.message.id + " may have executed");
         return BlockedAction::mayNotRepeat;
     }
     if (!isAwaited(request)) return BlockedAction::clientDisconnected;
@@ -331,8 +336,8 @@
 
 void RequestDispatcher::onAttemptEnded(Attempt& attempt, protocol::AttemptResponse response) {
     PendingRequest& request = requests_.at(attempt.requestId());
-    // Neither a time in which this process did not run, nor that of a long value's transfer, counts as the
-    // server's.
+    // The duration that counts for the server includes neither the time in which this process did not
+    // run, nor that of transferring a long value.
     const Nanos firstByteAt = attempt.firstByteAt();
     const Nanos respondedAt = firstByteAt ? firstByteAt : loop_.earliestArrival();
     const Nanos duration = std::max<Nanos>(respondedAt - attempt.sentAt(), 0);
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -1,5 +1,5 @@
-// The policy's host: collects the events of an event-loop iteration, passes them to the policy, and executes
-// the actions that it answers with.
+// The policy's host: collects the events of an event-loop iteration, passes them to the policy, and
+// executes the actions that the policy asks for.
 #pragma once
 
 #include <functional>
@@ -32,14 +32,17 @@
 
 using Log = std::function<void(std::string_view)>;
 
-// Decides nothing itself, and does not know what clients and servers speak. Guarantees that each accepted
-// request gets exactly one final response, unless its client has disconnected; that it has at most one
-// attempt in flight; and that what may have executed is repeated only if the request's class allows it.
+// Makes no routing decisions and does not depend on the protocols of clients and servers. Guarantees
+// that each accepted request gets exactly one final response, unless its client has disconnected; that
+// it has at most one attempt in flight; and that a request which may have executed is repeated only if
+// its request class allows it.
 //
-// Owns the requests with their attempts, the upstream servers and the policy. Response sinks belong to the
-// clients' side, which calls `onClientDisconnected` before a sink goes away. One thread: that of the loop.
+// Owns the requests with their attempts, the upstream servers and the policy. Response sinks belong to
+// the client connections, which call `onClientDisconnected` before a sink is destroyed. Must be used
+// only on the event loop's thread.
 //
-// Virtual functions are for the testbed, whose defective variants are this class with one defect.
+// Functions are virtual for the testbed, whose defective variants derive from this class and add one
+// defect each.
 class RequestDispatcher : private PolicyHost, protected AttemptHandler {
   public:
     RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& buffers,
@@ -48,8 +51,8 @@
 
     // ---- Requests
 
-    // Without a request, `problem` says what is wrong with the message; without that as well, the router
-    // holds as many requests as it may.
+    // If `request` is null, `problem` says what is wrong with the message. If `problem` is empty too,
+    // the router is at its limit of open requests or of their memory.
     struct AcceptResult {
         PendingRequest* request = nullptr;
         std::optional<protocol::RequestProblem> problem;
@@ -57,11 +60,11 @@
     // `arrivedAt` is when the client's timeout began; `body` is the value of a write that is streamed.
     virtual AcceptResult accept(ResponseSink& sink, protocol::Request message, Nanos arrivedAt,
                                 RequestBody* body = nullptr);
-    // The sink of that request goes away.
+    // The client of the request has disconnected; the request's sink is not called any more.
     virtual void onClientDisconnected(PendingRequest& request);
-    // Accepted and not yet forgotten.
+    // The number of requests that are accepted and still held.
     std::size_t openRequests() const { return requests_.size(); }
-    // The oldest first.
+    // Of all requests that are held, the oldest first.
     std::vector<RequestStatus> requestStatuses() const;
     // Completes all requests within this call: rejects those without an attempt, fails the others.
     void failAll();
@@ -74,31 +77,31 @@
     std::vector<EndpointStatus> endpointStatuses() {
         return policy_.endpointStatuses(transport::EventLoop::now());
     }
-    // Why an operator can't eject or readmit that server; empty if he can.
+    // Why an operator can't eject or readmit that server; empty if that is possible.
     std::string ejectionProblem(const std::string& name) const { return servers_.ejectionProblem(name); }
-    // Ejects a cache server for an operator, or readmits it. No attempt starts there once this returns.
+    // Ejects a cache server for an operator, or readmits it. After an ejection, no attempt starts there.
     void setEjected(const std::string& name, bool ejected);
 
     // ---- Discovery
 
     virtual void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& list);
     void onPollFailed();
-    // Polls go to another address from now on, so that earlier failures don't count.
+    // Discovery is polled at another address from now on, so that earlier failures no longer count.
     void onDiscoveryMoved();
     // Called when the policy wants the endpoint list to be polled.
     std::function<void()> requestPoll;
 
     // ---- Operation
 
-    // Counts from now on; `metrics` is null until then.
+    // Starts counting; `metrics` returns null before this call.
     void enableMetrics(const std::vector<RequestClass>& requestClasses);
     metrics::RouterMetrics* metrics() { return metrics_.get(); }
     InvariantGuard& guard() { return guard_; }
-    // Requests that are open end by the settings under which they were accepted.
+    // Open requests keep the settings under which they were accepted.
     void applyConfig(const protocol::StartupConfig& config);
-    // `memory` in bytes, of the whole process.
+    // `memory` is the limit of the whole process, in bytes.
     void setLimits(std::size_t memory, std::size_t maxConnections);
-    // Processes events until none is left.
+    // Called in each event-loop iteration. Processes events until none is left.
     void runIteration();
 
   protected:
@@ -106,15 +109,15 @@
     void setIdleTimeout(Nanos timeout) { pool_.setIdleTimeout(timeout); }
 
   private:
-    // As the policy's host.
+    // PolicyHost
     void startAttempt(RequestId id, std::string_view server, Nanos deadline, Nanos latestStart) override;
     void reject(RequestId id, Nanos retryAfter) override;
     void fail(RequestId id) override;
-    void scheduleWakeup(Nanos at) override { wakeup_.start(at); }
+    void scheduleWakeup(Nanos wakeupAt) override { wakeup_.start(wakeupAt); }
     void pollEndpoints() override { isPollRequested_ = true; }
     void log(std::string_view text) override { log_(text); }
 
-    // As the handler of attempts.
+    // AttemptHandler
     BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& source) override;
     bool isAwaited(Attempt& attempt) override { return isAwaited(requests_.at(attempt.requestId())); }
 
@@ -123,26 +126,26 @@
     void complete(PendingRequest& request, FinalResponse response);
     void recordFinalResponse(const PendingRequest& request, FinalResponse::Kind kind);
 
-    template <class What>
-    void addEvent(Nanos at, What what) {
-        events_.push_back({at, std::move(what)});
+    template <class Payload>
+    void addEvent(Nanos occurredAt, Payload payload) {
+        events_.push_back({occurredAt, std::move(payload)});
     }
     void applyEvents();
-    void apply(Nanos at, const RequestArrived& event);
-    void apply(Nanos at, const AttemptEnded& event);
-    void apply(Nanos at, const ClientDisconnected& event);
-    void apply(Nanos at, const EndpointsUpdated& event);
-    void apply(Nanos at, const SettingsChanged& event);
-    void apply(Nanos at, const EjectionChanged& event);
+    void apply(Nanos occurredAt, const RequestArrived& event);
+    void apply(Nanos occurredAt, const AttemptEnded& event);
+    void apply(Nanos occurredAt, const ClientDisconnected& event);
+    void apply(Nanos occurredAt, const EndpointsUpdated& event);
+    void apply(Nanos occurredAt, const SettingsChanged& event);
+    void apply(Nanos occurredAt, const EjectionChanged& event);
 
     void executeActions();
     void execute(PendingRequest& request, StartAttempt& action);
     void execute(PendingRequest& request, FinalResponse& response);
 
-    // Why an attempt may not start; none if it may.
+    // Why an attempt may not start; empty if it may.
     std::optional<BlockedAction> blockedBy(const StartAttempt& action, PendingRequest& request,
                                            Nanos deadline, Nanos now);
-    // Whether the next attempt of a request may be executed beside an earlier one.
+    // Whether a request may be sent again, given that an earlier attempt may have executed.
     static bool mayRepeat(const PendingRequest& request, Nanos now);
 
     transport::EventLoop& loop_;
@@ -150,7 +153,7 @@
     InvariantGuard guard_;
     ConnectionPool pool_;
     std::size_t maxOpenRequests_;
-    std::size_t maxBufferedBytes_;  // of the requests' messages
+    std::size_t maxBufferedBytes_;  // limit on the estimated memory of all open requests
     std::unordered_map<std::string, RequestClass> requestClasses_;
     std::unique_ptr<metrics::RouterMetrics> metrics_;
     RequestTable requests_;  // outlives the servers, whose connections refer to attempts
--- a/src/proxy/request_pipeline.hpp
+++ b/src/proxy/request_pipeline.hpp
@@ -1,4 +1,4 @@
-// The requests of one client's connection that have not been responded to, in the order in which they came.
+// The requests of one client's connection whose responses are not written yet, in order of arrival.
 #pragma once
 
 #include <cstddef>
@@ -10,36 +10,37 @@
 
 namespace poppyscale::proxy {
 
-// Responses may come in any order; they are written in the order of the requests. Owns the requests: a
-// reference to one is valid until its response was taken or it is removed.
+// Responses may arrive in any order; they are written in the order of the requests. Owns the requests:
+// a reference to one is valid until its whole response is taken, or the request is removed.
 class RequestPipeline {
   public:
     PipelinedRequest& add(PipelinedRequest::Owner& owner) { return requests_.emplace_back(owner); }
     void remove(const PipelinedRequest& request);
 
-    // Begins the response of a request with `text`, or adds to it.
+    // `respond` begins the response to a request with `text`, `append` adds to it.
     void respond(PipelinedRequest& request, std::string_view text);
     void append(PipelinedRequest& request, std::string_view text);
 
     struct Output {
         std::string bytes;
-        bool closesConnection = false;  // behind these bytes
+        bool closesConnection = false;  // after these bytes
     };
-    // Takes all that may be written now: up to the first response that is incomplete, or the one to
-    // `heldBack`, which may be null.
+    // Takes the bytes that may be written now: the responses up to the first incomplete one, of which
+    // the available part is taken if it is being streamed. Stops before the response to `heldBack`,
+    // which may be null.
     Output takeOutput(const PipelinedRequest* heldBack);
-    // Resumes the response that is being written, if its source waits for that.
+    // Resumes the source of the first request's response, if it is paused.
     void resumeFront();
 
     bool isEmpty() const { return requests_.empty(); }
     std::size_t size() const { return requests_.size(); }
     bool isFront(const PipelinedRequest& request) const { return &request == &requests_.front(); }
-    // Bytes of responses that wait for one ahead of them.
+    // Bytes of responses that have not been taken, since they wait for an earlier response.
     std::size_t unsentBytes() const { return unsentBytes_; }
     bool isStreaming() const;
     bool hasPendingRequest() const;
-    // The client goes away: cancels what is being streamed, and calls `disconnect` with each request that is
-    // open at the dispatcher, in order.
+    // For a client that is gone: cancels the sources of streamed responses, and calls `disconnect` with
+    // each request that is pending at the dispatcher, in order.
     template <class Disconnect>
     void cancelAll(Disconnect disconnect) {
         for (PipelinedRequest& request : requests_) {
--- a/src/proxy/request_table.cpp
+++ b/src/proxy/request_table.cpp
@@ -6,7 +6,8 @@
 namespace poppyscale::proxy {
 namespace {
 
-// What a request takes besides its text, here and in the policy; of short requests it is the most.
+// Estimated bytes that a request takes besides its text, in this table and in the policy. For short
+// requests this is the larger part.
 constexpr std::size_t kMemoryPerRequest = 1024;
 
 std::size_t memoryOf(const protocol::Request& message) {
--- a/src/proxy/request_table.hpp
+++ b/src/proxy/request_table.hpp
@@ -13,21 +13,21 @@
 
 namespace poppyscale::proxy {
 
-// Owns the requests. Finds them by the router's id, knows the ids that clients gave them, and counts the
-// memory that they take. References to a request stay valid until `remove`.
+// Owns the requests. Finds them by the router's id, tracks the ids that clients gave them, and estimates
+// the memory that they take. References to a request stay valid until `remove`.
 class RequestTable {
   public:
     using Requests = std::unordered_map<RequestId, std::unique_ptr<PendingRequest>>;
 
     // Takes a request whose message is set, and gives it the next id.
     PendingRequest& add(std::unique_ptr<PendingRequest> request);
-    // Null if there is none of that id.
+    // Null if no request has that id.
     PendingRequest* find(RequestId id) const;
-    // Only for a request that there is.
+    // The request must exist.
     PendingRequest& at(RequestId id) const { return *requests_.at(id); }
-    // Whether an open request has that id from its client.
+    // Whether the client of a request in this table gave it that id.
     bool hasClientId(std::string_view clientId) const { return clientIds_.contains(clientId); }
-    // Does nothing if there is none of that id.
+    // Does nothing if no request has that id.
     void remove(RequestId id);
 
     std::size_t size() const { return requests_.size(); }
--- a/src/proxy/streamed_write.hpp
+++ b/src/proxy/streamed_write.hpp
@@ -12,54 +12,55 @@
 
 class PipelinedRequest;
 
-// Passes the value on, chunk by chunk, from the client's connection to the attempt that writes it; buffers
-// only what arrives before that attempt has a connection or while that one has no capacity.
+// Passes the value on, chunk by chunk, from the client's connection to the attempt that writes it.
+// Buffers only the bytes that arrive before the attempt has an upstream connection, or while that
+// connection has no capacity.
 //
-//     inactive --> discarding                                   the request was not accepted
-//     discarding --> awaitingSink --> streaming <--> paused     it was accepted
-//     streaming --> delivered
-//     any but inactive --> discarding                           nothing of the value is needed any more
+//     inactive --> discarding                                   a request that is not accepted yet
+//     discarding --> awaitingSink --> streaming <--> paused     the request was accepted
+//     streaming --> delivered                                   all of the value was passed on
+//     any but inactive --> discarding                           the rest of the value is not needed
 //
-// The write is active until all of its value was read from the client and was delivered or discarded: a
-// response to it must not go out, and nothing that follows it may be parsed, before that.
+// The write is active until its whole value has been read from the client, and has been delivered or
+// discarded. Until then, its response must not be sent and input that follows it must not be parsed.
 class StreamedWrite : public RequestBody {
   public:
     // The connection that the value arrives on.
     class Owner {
       public:
         virtual ~Owner() = default;
-        // The attempt that writes the value has taken some of it, or needs no more.
+        // The attempt that writes the value has taken some of it, or needs no more of it.
         virtual void onStreamedWriteProgress() = 0;
-        // The write is not active any more.
+        // The write is no longer active.
         virtual void onStreamedWriteFinished() = 0;
     };
 
     explicit StreamedWrite(Owner& owner) : owner_(owner) {}
 
-    // Begins with a value of `length` bytes, which is discarded unless `accept` follows.
+    // Begins a write whose value has `length` bytes, which are discarded unless `accept` follows.
     void begin(PipelinedRequest& request, std::size_t length);
     // An attempt is going to stream the value.
     void accept() { state_ = State::awaitingSink; }
     // Bytes of the value, from the client.
     void onBytes(std::string_view bytes);
-    // The client has sent all of it.
+    // The value has been read from the client completely.
     void onAllRead();
-    // Needs no more of the value; aborts the attempt that is writing it.
+    // Discards the rest of the value, and aborts the attempt that is writing it.
     void discard();
-    // As `discard`, and ends the write if it was read to its end.
+    // As `discard`, and ends the write if its value has been read completely.
     void discardAndFinish();
-    // Ends the write at once.
+    // As `discard`, and ends the write even if its value has not been read completely.
     void abandon();
 
     bool isActive() const { return request_ != nullptr; }
     // Null when inactive.
     PipelinedRequest* request() const { return request_; }
-    // More of the value would have to be buffered.
+    // Further bytes of the value would have to be buffered.
     bool isBlocked() const {
         return isActive() &&
                (state_ == State::awaitingSink || state_ == State::paused || state_ == State::delivered);
     }
-    // All was read of the value, but what follows it may not be parsed yet.
+    // The value has been read completely, but input that follows it must not be parsed yet.
     bool holdsBackInput() const { return isActive() && isAllRead_; }
     std::size_t bufferedBytes() const { return buffered_.size(); }
 
