--- a/src/proxy/body_stream.hpp
+++ b/src/proxy/body_stream.hpp
@@ -1,5 +1,5 @@
-// Interfaces for passing a value that is too long to be buffered from a source to a sink, in chunks and
-// with backpressure.
+// Interfaces for passing a value that is too long to be buffered from a source to a sink, in chunks
+// and with backpressure.
 //
 // Neither side owns the other. Each side notifies the other when it goes away (`BodySink::onAborted`,
 // `BodySource::cancel`) and is not called again after that.
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -17,12 +17,13 @@
 
 // A client must complete a request that it has begun, and send its first one, within this time.
 constexpr Nanos kRequestReadTimeout = 2'500 * kMillisecond;
-// While a streamed value arrives, that timeout is extended as long as its bytes are no further apart
-// than `kBodyIdleTimeout`, by at most the time that the whole value takes at 32 KiB/s. Without the
-// second limit, a few bytes a second could occupy a connection indefinitely.
+// While a streamed value arrives, that timeout is extended as long as its bytes are no further
+// apart than `kBodyIdleTimeout`, by at most the time that the whole value takes at 32 KiB/s.
+// Without the second limit, a few bytes a second could occupy a connection indefinitely.
 constexpr Nanos kBodyIdleTimeout = 2'000 * kMillisecond;
 constexpr Nanos kMaxNanosPerBodyByte = 1'000'000'000 / (32 * 1024);
-// How long a client may leave a streamed response unread, since that occupies an upstream connection.
+// How long a client may leave a streamed response unread, since that occupies an upstream
+// connection.
 constexpr Nanos kMaxStreamUnreadDuration = 10'000 * kMillisecond;
 
 // The value of a write, its last argument, is streamed if it is longer than `maxBulkLength`.
@@ -154,8 +155,8 @@
     dispatch(slot, std::move(std::get<protocol::Request>(parsed)), arrivedAt, &write_);
 }
 
-// The value of a write that is not accepted is still read to its end, since the response to the write
-// is sent only after that.
+// The value of a write that is not accepted is still read to its end, since the response to the
+// write is sent only after that.
 void ClientConnection::dispatch(PipelinedRequest& slot, protocol::Request request, Nanos arrivedAt,
                                 RequestBody* body) {
     if (!owner_.acceptsRequests(request.timeout)) return respond(slot, protocol::rejectedResponse());
@@ -164,8 +165,8 @@
     if (body && accepted.request) write_.accept();
     if (!accepted.problem) markValidRequestSent();
     if (accepted.request) return;
-    // A request that exceeds the router's limits was not executed, so that a retry is harmless. A retry
-    // of an invalid request would be just as invalid.
+    // A request that exceeds the router's limits was not executed, so that a retry is harmless. A
+    // retry of an invalid request would be just as invalid.
     if (accepted.problem)
         respond(slot, protocol::problemResponse(*accepted.problem));
     else
@@ -206,8 +207,8 @@
     if (!unparsed_.empty()) owner_.deferReading(*this);
 }
 
-// Ends the write without reading the rest of its value. The error that closes the connection takes the
-// place of its response.
+// Ends the write without reading the rest of its value. The error that closes the connection takes
+// the place of its response.
 void ClientConnection::abandonStreamedWrite() {
     PipelinedRequest* const request = write_.request();
     write_.abandon();
@@ -313,8 +314,8 @@
     return Existence::exists;
 }
 
-// If the connection were closed at once, unread bytes in the kernel would cause a reset, and the client
-// could lose the last response.
+// If the connection were closed at once, unread bytes in the kernel would cause a reset, and the
+// client could lose the last response.
 void ClientConnection::linger() {
     connection_.shutdownWrite();
     state_ = State::lingering;
@@ -325,8 +326,8 @@
 // ---- Reading and time
 
 void ClientConnection::updateReading() {
-    // Nothing is read while a response is being streamed: if it is aborted, the connection is closed,
-    // and requests that were read meanwhile would be lost.
+    // Nothing is read while a response is being streamed: if it is aborted, the connection is
+    // closed, and requests that were read meanwhile would be lost.
     const bool isAllowed = state_ == State::open && pipeline_.size() < kMaxPipelinedRequests &&
                            connection_.unsentBytes() < kMaxUnsentBytes && !write_.isBlocked() &&
                            !pipeline_.isStreaming() && unparsed_.empty();
@@ -336,8 +337,8 @@
         requestBegunAt_ = lastReadAt_;
     }
     isReadingAllowed_ = isAllowed;
-    // Each connection has a share of an iteration, so that a client that sends at full speed does not
-    // delay the others.
+    // Each connection has a share of an iteration, so that a client that sends at full speed does
+    // not delay the others.
     const bool isShareUsed = readIteration_ == owner_.iteration() && readInIteration_ >= kMaxReadPerIteration;
     const bool isDeferred = isAllowed && isShareUsed;
     if (isDeferred) owner_.deferReading(*this);
@@ -346,8 +347,8 @@
     connection_.setReading(reads);
 }
 
-// Sets the timer to the time by which the client must complete a request that it has begun, send its
-// first request, or read some of its responses.
+// Sets the timer to the time by which the client must complete a request that it has begun, send
+// its first request, or read some of its responses.
 void ClientConnection::updateTimer() {
     const bool hasUnsent = connection_.unsentBytes() > 0;
     if (!hasUnsent || connection_.sentBytes() != sentBytesAtLastCheck_)
@@ -371,7 +372,8 @@
 void ClientConnection::onTimer() {
     if (state_ == State::lingering) return owner_.remove(*this);
     if (!requestBegunAt_ || !isReadingAllowed_) {
-        // A client that reads slowly is not removed as long as it has read something since the last check.
+        // A client that reads slowly is not removed as long as it has read something since the last
+        // check.
         const bool hasProgressed =
             connection_.unsentBytes() > 0 && connection_.sentBytes() != sentBytesAtLastCheck_;
         if (hasProgressed) return updateTimer();
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -86,10 +86,12 @@
 
     // Begins to read after the connection was accepted. May remove the connection.
     void start();
-    // Continues the reading or parsing that `Owner::deferReading` put off. May remove the connection.
+    // Continues the reading or parsing that `Owner::deferReading` put off. May remove the
+    // connection.
     void continueReading();
 
-    // No request is outstanding, incomplete or unread, so that closing the connection loses nothing.
+    // No request is outstanding, incomplete or unread, so that closing the connection loses
+    // nothing.
     bool mayClose() const { return isIdle() && !connection_.hasUnreadBytes(); }
     // A response is outstanding, or the kernel has not taken all of it yet.
     bool hasOutstandingResponses() const { return !pipeline_.isEmpty() || connection_.unsentBytes() > 0; }
@@ -103,8 +105,8 @@
     // The connection is kept open only to let the client read the last response.
     bool isLingering() const { return state_ == State::lingering && connection_.unsentBytes() == 0; }
     bool hasSentValidRequest() const { return hasSentValidRequest_; }
-    // The client has closed the connection while a request is pending and reading is paused, so that
-    // the transport does not report the close.
+    // The client has closed the connection while a request is pending and reading is paused, so
+    // that the transport does not report the close.
     bool hasDisconnectedUnread() const;
     Nanos lastActivity() const { return lastActivity_; }
     Nanos lastResponseAt() const { return lastResponseAt_; }
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -6,11 +6,11 @@
 namespace poppyscale::proxy {
 namespace {
 
-// A connection may idle for `kIdleTimeout` between two requests. Once clients that have sent a valid
-// request take more than `kCrowdedFrom` of `maxClients`, the timeout is `kCrowdedIdleTimeout`, and it
-// shrinks to `kShortestTimeoutFraction` of that as they approach `kShortestTimeoutFrom`. Otherwise,
-// behind a load balancer that opens a limited number of connections, those that are used once and
-// kept open would leave none for other clients.
+// A connection may idle for `kIdleTimeout` between two requests. Once clients that have sent a
+// valid request take more than `kCrowdedFrom` of `maxClients`, the timeout is
+// `kCrowdedIdleTimeout`, and it shrinks to `kShortestTimeoutFraction` of that as they approach
+// `kShortestTimeoutFrom`. Otherwise, behind a load balancer that opens a limited number of
+// connections, those that are used once and kept open would leave none for other clients.
 constexpr Nanos kIdleTimeout = 2'000 * kMillisecond;
 constexpr Nanos kCrowdedIdleTimeout = 250 * kMillisecond;
 constexpr double kCrowdedFrom = 0.5;           // fraction of `maxClients`
@@ -18,9 +18,10 @@
 constexpr double kShortestTimeoutFraction = 0.1;
 
 constexpr Nanos kExhaustionReportInterval = 1'000 * kMillisecond;
-// The transport does not report the close of a connection that is not being read, so connections with
-// a pending request are checked at this interval, to free their resources. This check is not what keeps
-// attempts from starting after a close: `ClientConnection::isClientConnected` is asked before each one.
+// The transport does not report the close of a connection that is not being read, so connections
+// with a pending request are checked at this interval, to free their resources. This check is not
+// what keeps attempts from starting after a close: `ClientConnection::isClientConnected` is asked
+// before each one.
 constexpr Nanos kDisconnectCheckInterval = 50 * kMillisecond;
 
 }  // namespace
@@ -76,8 +77,8 @@
     client.start();
 }
 
-// The system has no descriptor or memory for another connection. New clients wait in the backlog. No
-// open connection is closed for them, since a request on it may be on its way.
+// The system has no descriptor or memory for another connection. New clients wait in the backlog.
+// No open connection is closed for them, since a request on it may be on its way.
 void ClientListener::reportExhaustion(std::string_view reason) {
     const Nanos now = transport::EventLoop::now();
     if (now < exhaustionReportedAt_ + kExhaustionReportInterval) return;
@@ -116,9 +117,9 @@
 
 // ---- Closing of connections
 
-// Closes the first that is found of: a connection whose client is only reading its last response; the
-// least recently active one without a valid request, so that clients which send nothing, or nothing
-// valid, displace each other; the one that has idled longest.
+// Closes the first that is found of: a connection whose client is only reading its last response;
+// the least recently active one without a valid request, so that clients which send nothing, or
+// nothing valid, displace each other; the one that has idled longest.
 bool ClientListener::ensureCapacity() {
     if (clients_.size() < maxClients_) return true;
     auto victim = std::find_if(clients_.begin(), clients_.end(),
@@ -140,8 +141,8 @@
 }
 
 ClientListener::Position ClientListener::longestIdle() {
-    const Nanos since = transport::EventLoop::now() - idleTimeout();
-    for (auto it = clients_.begin(); it != clients_.end() && (*it)->lastActivity() <= since; ++it)
+    const Nanos idleSince = transport::EventLoop::now() - idleTimeout();
+    for (auto it = clients_.begin(); it != clients_.end() && (*it)->lastActivity() <= idleSince; ++it)
         if ((*it)->hasSentValidRequest() && (*it)->mayClose()) return it;
     return clients_.end();
 }
@@ -149,7 +150,7 @@
 bool ClientListener::closeIdle(Position client) {
     if ((*client)->hasOutstandingResponses()) {
         dispatcher_.guard().reportViolation(Invariant::closing,
-                                            "idle client connection kept open: a request has no response");
+                                            "client connection kept open: a request on it has no response");
         dispatcher_.guard().recordBlocked(BlockedAction::responsePending);
         return false;
     }
@@ -220,8 +221,8 @@
                             [](const auto& a, const auto& b) { return a->unsentBytes() < b->unsentBytes(); });
 }
 
-// Without this limit, the memory could be filled by clients that do not read, that have many responses
-// waiting for an earlier one, or that leave requests incomplete.
+// Without this limit, the memory could be filled by clients that do not read, that have many
+// responses waiting for an earlier one, or that leave requests incomplete.
 bool ClientListener::relieveMemory(const ClientConnection& writing) {
     while (isOverMemory()) {
         const auto client = largestMemoryUser();
--- a/src/proxy/client_listener.hpp
+++ b/src/proxy/client_listener.hpp
@@ -26,9 +26,9 @@
   public:
     using DrainSchedule = proxy::DrainSchedule;
 
-    // `maxBufferedBytes` limits the responses that wait to be written and, separately, the incomplete
-    // requests, each over all clients. `maxRequestTimeout` is how long a client may leave responses
-    // unread.
+    // `maxBufferedBytes` limits the responses that wait to be written and, separately, the
+    // incomplete requests, each over all clients. `maxRequestTimeout` is how long a client may
+    // leave responses unread.
     ClientListener(transport::EventLoop& loop, transport::BufferPool& buffers, RequestDispatcher& dispatcher,
                    std::size_t maxClients, std::size_t maxBufferedBytes, Nanos maxRequestTimeout);
     ~ClientListener() override;
@@ -56,8 +56,8 @@
     void setMaxRequestTimeout(Nanos timeout) { maxRequestTimeout_ = timeout; }
 
     std::size_t count() const { return clients_.size(); }
-    // Called in each event-loop iteration. Closes the connections that are due, and resumes those that
-    // used up their share of the previous iteration.
+    // Called in each event-loop iteration. Closes the connections that are due, and resumes those
+    // that used up their share of the previous iteration.
     void runIteration();
     // Called with the system's error when it has no descriptor or memory for another connection.
     std::function<void(std::string_view)> onExhausted;
@@ -85,8 +85,8 @@
     // Whether there is room for one more client; closes another connection if that is necessary.
     bool ensureCapacity();
     Nanos idleTimeout() const;
-    // Of the connections that have sent a valid request, the one that has idled longest and beyond the
-    // idle timeout; the end of the list if there is none.
+    // Of the connections that have sent a valid request, the one that has idled longest and beyond
+    // the idle timeout; the end of the list if there is none.
     Position longestIdle();
     // Closes the connection unless a response on it is outstanding. Returns whether it was closed.
     bool closeIdle(Position client);
--- a/src/proxy/drain_schedule.hpp
+++ b/src/proxy/drain_schedule.hpp
@@ -7,9 +7,9 @@
 
 namespace poppyscale::proxy {
 
-// While draining, a connection is closed as soon as a response was sent on it and none is outstanding.
-// The closing of idle connections is spread over an interval, so that few of them are closed while a
-// request is on its way. All times are absolute, on the monotonic clock.
+// While draining, a connection is closed as soon as a response was sent on it and none is
+// outstanding. The closing of idle connections is spread over an interval, so that few of them are
+// closed while a request is on its way. All times are absolute, on the monotonic clock.
 struct DrainSchedule {
     Nanos since = 0;        // start of the drain; connections with a later response may be closed
     Nanos idleFrom = 0;     // when the first idle connections are closed
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -43,8 +43,8 @@
     explicit InvariantGuard(Log log) : log_(std::move(log)) {}
 
     void recordBlocked(BlockedAction reason) { ++blocked_[static_cast<std::size_t>(reason)]; }
-    // Counts and logs a violation. `subject` says what was about to happen, to which request, server or
-    // client.
+    // Counts and logs a violation. `subject` says what was about to happen, to which request,
+    // server or client.
     void reportViolation(Invariant invariant, const std::string& subject);
 
     // All counts, under the names that replies on the operator socket use.
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -13,8 +13,8 @@
 
 namespace poppyscale::proxy {
 
-// Only the `RequestDispatcher` modifies a request; to a client's connection it is a handle. The request
-// outlives its final response while an attempt is in flight.
+// Only the `RequestDispatcher` modifies a request; to a client's connection it is a handle. The
+// request outlives its final response while an attempt is in flight.
 struct PendingRequest {
     RequestId id = 0;
     Nanos acceptedAt = 0;
--- a/src/proxy/pipelined_request.hpp
+++ b/src/proxy/pipelined_request.hpp
@@ -12,8 +12,8 @@
 
 namespace poppyscale::proxy {
 
-// Receives the response to a request, and keeps the part of it that is not written to the connection
-// yet.
+// Receives the response to a request, and keeps the part of it that is not written to the
+// connection yet.
 //
 //     awaiting --> complete
 //     awaiting --> streaming --> complete
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -7,14 +7,14 @@
 namespace poppyscale::proxy {
 namespace {
 
-// Each consumer may take this part (1/n) of the memory limit. The names of removed servers need a limit
-// because new servers may keep appearing under new names.
+// Each consumer may take this part (1/n) of the memory limit. The names of removed servers need a
+// limit because new servers may keep appearing under new names.
 constexpr std::size_t kRemovedServersMemoryDivisor = 32;
 constexpr std::size_t kRequestMemoryDivisor = 8;
 constexpr std::size_t kResponseMemoryDivisor = 16;
 
-// Servers close a connection that has idled for `serverIdleTimeout`. The router closes it a tenth earlier,
-// so that a request that is on its way still arrives in time.
+// Servers close a connection that has idled for `serverIdleTimeout`. The router closes it a tenth
+// earlier, so that a request that is on its way still arrives in time.
 Nanos idleTimeoutBefore(Nanos serverIdleTimeout) { return serverIdleTimeout - serverIdleTimeout / 10; }
 
 bool mayHaveExecuted(AttemptOutcome outcome) {
@@ -58,8 +58,8 @@
     const auto requestClass = requestClasses_.find(message.requestClass);
     if (requestClass == requestClasses_.end())
         return {nullptr, protocol::RequestProblem::unknownRequestClass};
-    // Servers identify requests by their ids: if two requests had the same id, a client could get the
-    // response to the other request.
+    // Servers identify requests by their ids: if two requests had the same id, a client could get
+    // the response to the other request.
     if (requests_.hasClientId(message.id)) return {nullptr, protocol::RequestProblem::idInUse};
     if (requests_.size() >= maxOpenRequests_ || requests_.bufferedBytes() >= maxBufferedBytes_) {
         if (metrics_) metrics_->recordRejected(message.requestClass, metrics::Rejection::requestLimit);
@@ -336,8 +336,8 @@
 
 void RequestDispatcher::onAttemptEnded(Attempt& attempt, protocol::AttemptResponse response) {
     PendingRequest& request = requests_.at(attempt.requestId());
-    // The duration that counts for the server includes neither the time in which this process did not
-    // run, nor that of transferring a long value.
+    // The duration that counts for the server includes neither the time in which this process did
+    // not run, nor that of transferring a long value.
     const Nanos firstByteAt = attempt.firstByteAt();
     const Nanos respondedAt = firstByteAt ? firstByteAt : loop_.earliestArrival();
     const Nanos duration = std::max<Nanos>(respondedAt - attempt.sentAt(), 0);
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -32,17 +32,17 @@
 
 using Log = std::function<void(std::string_view)>;
 
-// Makes no routing decisions and does not depend on the protocols of clients and servers. Guarantees
-// that each accepted request gets exactly one final response, unless its client has disconnected; that
-// it has at most one attempt in flight; and that a request which may have executed is repeated only if
-// its request class allows it.
+// Makes no routing decisions and does not depend on the protocols of clients and servers.
+// Guarantees that each accepted request gets exactly one final response, unless its client has
+// disconnected; that it has at most one attempt in flight; and that a request which may have
+// executed is repeated only if its request class allows it.
 //
-// Owns the requests with their attempts, the upstream servers and the policy. Response sinks belong to
-// the client connections, which call `onClientDisconnected` before a sink is destroyed. Must be used
-// only on the event loop's thread.
+// Owns the requests with their attempts, the upstream servers and the policy. Response sinks belong
+// to the client connections, which call `onClientDisconnected` before a sink is destroyed. Must be
+// used only on the event loop's thread.
 //
-// Functions are virtual for the testbed, whose defective variants derive from this class and add one
-// defect each.
+// Functions are virtual for the testbed, whose defective variants derive from this class and add
+// one defect each.
 class RequestDispatcher : private PolicyHost, protected AttemptHandler {
   public:
     RequestDispatcher(transport::EventLoop& loop, transport::BufferPool& buffers,
@@ -51,8 +51,8 @@
 
     // ---- Requests
 
-    // If `request` is null, `problem` says what is wrong with the message. If `problem` is empty too,
-    // the router is at its limit of open requests or of their memory.
+    // If `request` is null, `problem` says what is wrong with the message. If `problem` is empty
+    // too, the router is at its limit of open requests or of their memory.
     struct AcceptResult {
         PendingRequest* request = nullptr;
         std::optional<protocol::RequestProblem> problem;
@@ -79,7 +79,8 @@
     }
     // Why an operator can't eject or readmit that server; empty if that is possible.
     std::string ejectionProblem(const std::string& name) const { return servers_.ejectionProblem(name); }
-    // Ejects a cache server for an operator, or readmits it. After an ejection, no attempt starts there.
+    // Ejects a cache server for an operator, or readmits it. After an ejection, no attempt starts
+    // there.
     void setEjected(const std::string& name, bool ejected);
 
     // ---- Discovery
--- a/src/proxy/request_pipeline.hpp
+++ b/src/proxy/request_pipeline.hpp
@@ -10,8 +10,9 @@
 
 namespace poppyscale::proxy {
 
-// Responses may arrive in any order; they are written in the order of the requests. Owns the requests:
-// a reference to one is valid until its whole response is taken, or the request is removed.
+// Responses may arrive in any order; they are written in the order of the requests. Owns the
+// requests: a reference to one is valid until its whole response is taken, or the request is
+// removed.
 class RequestPipeline {
   public:
     PipelinedRequest& add(PipelinedRequest::Owner& owner) { return requests_.emplace_back(owner); }
@@ -25,9 +26,9 @@
         std::string bytes;
         bool closesConnection = false;  // after these bytes
     };
-    // Takes the bytes that may be written now: the responses up to the first incomplete one, of which
-    // the available part is taken if it is being streamed. Stops before the response to `heldBack`,
-    // which may be null.
+    // Takes the bytes that may be written now: the responses up to the first incomplete one, of
+    // which the available part is taken if it is being streamed. Stops before the response to
+    // `heldBack`, which may be null.
     Output takeOutput(const PipelinedRequest* heldBack);
     // Resumes the source of the first request's response, if it is paused.
     void resumeFront();
@@ -39,8 +40,8 @@
     std::size_t unsentBytes() const { return unsentBytes_; }
     bool isStreaming() const;
     bool hasPendingRequest() const;
-    // For a client that is gone: cancels the sources of streamed responses, and calls `disconnect` with
-    // each request that is pending at the dispatcher, in order.
+    // For a client that is gone: cancels the sources of streamed responses, and calls `disconnect`
+    // with each request that is pending at the dispatcher, in order.
     template <class Disconnect>
     void cancelAll(Disconnect disconnect) {
         for (PipelinedRequest& request : requests_) {
--- a/src/proxy/request_table.hpp
+++ b/src/proxy/request_table.hpp
@@ -13,8 +13,8 @@
 
 namespace poppyscale::proxy {
 
-// Owns the requests. Finds them by the router's id, tracks the ids that clients gave them, and estimates
-// the memory that they take. References to a request stay valid until `remove`.
+// Owns the requests. Finds them by the router's id, tracks the ids that clients gave them, and
+// estimates the memory that they take. References to a request stay valid until `remove`.
 class RequestTable {
   public:
     using Requests = std::unordered_map<RequestId, std::unique_ptr<PendingRequest>>;
--- a/src/proxy/response_sink.hpp
+++ b/src/proxy/response_sink.hpp
@@ -17,8 +17,8 @@
     Nanos retryAfter = 0;  // if rejected; 0 for no Retry-After
 };
 
-// The client's side of a request. Exactly one of `complete` and `beginStream` is called, unless the sink
-// has reported before that its client is gone.
+// The client's side of a request. Exactly one of `complete` and `beginStream` is called, unless the
+// sink has reported before that its client is gone.
 class ResponseSink {
   public:
     virtual ~ResponseSink() = default;
--- a/src/proxy/streamed_write.hpp
+++ b/src/proxy/streamed_write.hpp
@@ -16,13 +16,14 @@
 // Buffers only the bytes that arrive before the attempt has an upstream connection, or while that
 // connection has no capacity.
 //
-//     inactive --> discarding                                   a request that is not accepted yet
+//     inactive --> discarding                                   until the request is accepted
 //     discarding --> awaitingSink --> streaming <--> paused     the request was accepted
 //     streaming --> delivered                                   all of the value was passed on
 //     any but inactive --> discarding                           the rest of the value is not needed
 //
-// The write is active until its whole value has been read from the client, and has been delivered or
-// discarded. Until then, its response must not be sent and input that follows it must not be parsed.
+// The write is active until its whole value has been read from the client, and has been delivered
+// or discarded. Until then, its response must not be sent and input that follows it must not be
+// parsed.
 class StreamedWrite : public RequestBody {
   public:
     // The connection that the value arrives on.
