--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,5 +1,5 @@
-// The router process as its peers see it: clients, cache servers, the origin and discovery are sockets of the
-// test.
+// Tests the router process through its sockets: the test plays clients, cache servers, the origin
+// and discovery.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -21,7 +21,7 @@
 
 bool startsWith(const std::string& text, std::string_view prefix) { return text.starts_with(prefix); }
 
-// Serves one read from the cache server; returns the connection that the attempt came on.
+// Serves one read from the cache server; returns the connection on which the attempt arrived.
 Socket serveOne(Stage& stage, Socket& client, const std::string& key) {
     client.say(get(key));
     Socket cache = stage.caches[0].accept();
@@ -31,7 +31,8 @@
     return cache;
 }
 
-// Two requests of one client, each in flight at the cache server on a connection of its own.
+// Sends two requests of one client; returns the two connections of the cache server on which they
+// are in flight.
 std::pair<Socket, Socket> sendTwo(Stage& stage, Socket& client) {
     client.say(get("a") + get("b"));
     Socket first = stage.caches[0].accept();
@@ -41,8 +42,8 @@
     return {std::move(first), std::move(second)};
 }
 
-// One cache server's connections without a process around them. Records how attempts end, and stops the loop
-// then, so that the test continues.
+// The upstream side of a router with one cache server, without a router process. Records how
+// attempts end, and stops the event loop then, so that the test continues.
 struct UpstreamFixture : proxy::AttemptHandler {
     explicit UpstreamFixture(std::size_t maxBufferedBytes)
         : connectionPool(loop, buffers, *this, guard,
@@ -65,7 +66,7 @@
     static proxy::Attempt::Parameters parameters() {
         return {.deadline = transport::EventLoop::now() + 5'000 * ms};
     }
-    // Sends the attempt and runs the loop for a moment.
+    // Sends the attempt and runs the loop for up to 100 ms.
     void send(proxy::Attempt& attempt) {
         transport::Timer pause(loop, [this] { loop.stop(); });
         pause.start(transport::EventLoop::now() + 100 * ms);
@@ -98,7 +99,7 @@
     CHECK(words[2] == "9b1f-k");
     CHECK(startsWith(words[3], "c=read,t=north,d=1"));
     CHECK(words[3].ends_with(",size=9"));
-    // In single bytes, as a network may deliver it.
+    // Sends the response in single bytes, as a network may deliver it.
     const std::string answer = hit("value");
     for (const char c : answer) cache.say({&c, 1});
     CHECK(client.answer() == "value");
@@ -121,13 +122,14 @@
     REQUIRE(head.size() == 4);
     CHECK(head[0] == "GET /k HTTP/1.1");
     CHECK(head[2] == "X-Call-Id: 9b1f-k");
-    // The info list as the client sent it, except `d`: what is left of the client's time, never more.
-    const std::string list = "X-Call-Info: c=read,t=north,d=";
-    REQUIRE(head[3].starts_with(list));
-    const long left = std::stol(head[3].substr(list.size()));
-    CHECK(head[3] == list + std::to_string(left));
-    CHECK(left > 0);
-    CHECK(left <= 1'500);
+    // The info list is passed on as the client sent it, except for `d`, the rest of the client's
+    // timeout.
+    const std::string prefix = "X-Call-Info: c=read,t=north,d=";
+    REQUIRE(head[3].starts_with(prefix));
+    const long remainingMs = std::stol(head[3].substr(prefix.size()));
+    CHECK(head[3] == prefix + std::to_string(remainingMs));
+    CHECK(remainingMs > 0);
+    CHECK(remainingMs <= 1'500);
     origin.say(http(200, "fetched"));
     CHECK(client.answer() == "fetched");
 }
@@ -171,7 +173,7 @@
     CHECK(startsWith(client.answer(), "-BUSY"));
 }
 
-TEST_CASE("an idle connection found broken before the request is written leaves it unexecuted") {
+TEST_CASE("a request whose idle connection is found broken before the write counts as not executed") {
     UpstreamFixture upstream(64 * 1024);
     upstream.request.info = "c=pay,d=900";
     proxy::Attempt first(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
@@ -188,7 +190,8 @@
     CHECK(upstream.outcomes == std::vector{AttemptOutcome::succeeded, AttemptOutcome::connectFailed});
 }
 
-TEST_CASE("an incomplete response over the buffer limit fails its attempt, as one that may have executed") {
+TEST_CASE(
+    "an incomplete response over the buffer limit fails its attempt, which counts as possibly executed") {
     UpstreamFixture upstream(16 * 1024);
     proxy::Attempt attempt(upstream.loop, upstream.request, upstream.cache, upstream.parameters());
     upstream.send(attempt);
@@ -215,11 +218,11 @@
     CHECK(client.answer() == "vb");
 }
 
-TEST_CASE("a client that disconnects midway affects no other") {
+TEST_CASE("a client that disconnects with requests in flight does not affect other clients") {
     Stage stage;
-    Socket leaving = stage.client();
-    auto [first, second] = sendTwo(stage, leaving);
-    leaving.reset();
+    Socket disconnecting = stage.client();
+    auto [first, second] = sendTwo(stage, disconnecting);
+    disconnecting.reset();
     Socket client = stage.client();
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
     first.say(hit("late"));
@@ -230,7 +233,7 @@
     CHECK(client.answer() == "vc");
 }
 
-TEST_CASE("an abandoned attempt closes its connection, and silent ones of that server are not reused") {
+TEST_CASE("an attempt that times out closes its connection and the idle connections of that server") {
     Stage stage;
     Socket client = stage.client();
     auto [first, second] = sendTwo(stage, client);
@@ -245,7 +248,8 @@
     serveOne(stage, client, "d");
 }
 
-TEST_CASE("a router that was suspended responds by its client's timeout, not by a later one of its own") {
+TEST_CASE(
+    "a router that was suspended responds by the client's timeout, counted from the request's arrival") {
     Stage stage;
     Socket client = stage.client();
     CHECK(client.say(array({"PING"})).answer() == "+PONG");
@@ -258,7 +262,7 @@
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(1'200));
 }
 
-TEST_CASE("a cache server that refuses connections leaves the request unexecuted") {
+TEST_CASE("a request whose cache server refuses connections is rejected as not executed") {
     Stage stage;
     stage.caches[0].shut();
     Socket client = stage.client();
@@ -266,7 +270,7 @@
     CHECK(startsWith(client.answer(), "-BUSY"));
 }
 
-TEST_CASE("malformed bytes from a cache server fail that attempt alone") {
+TEST_CASE("malformed bytes from a cache server fail only that attempt and close the connection") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
@@ -281,7 +285,7 @@
     serveOne(stage, client, "e");
 }
 
-TEST_CASE("a response of another form ends its connection, and so does what follows a valid one") {
+TEST_CASE("a response of another form closes its connection, and so do bytes that follow a valid one") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
@@ -296,8 +300,8 @@
     cache.say(hit("vb") + hit("va"));
     CHECK(client.answer() == "vb");
     CHECK(cache.ended());
-    // Two at once, one of which may wait for the connection of the other: the first one's repeated response
-    // is not for that one.
+    // Two requests at once, the second of which may wait for the connection of the first: the
+    // duplicate of the first one's response must not be taken for the second one's.
     client.say(get("c"));
     cache = stage.caches[0].accept();
     cache.command();
@@ -312,7 +316,7 @@
     CHECK(other.command().at(1) == "e");
 }
 
-TEST_CASE("a connection that was closed behind its response loses no further request") {
+TEST_CASE("no request is lost when a server closes its connection after a response") {
     Stage stage;
     Socket client = stage.client();
     Socket cache = serveOne(stage, client, "a");
@@ -320,8 +324,8 @@
     client.say(set("b", "c=pay,d=900") + get("c"));
     cache.hangUp();
     stage.program.signal(SIGCONT);
-    Socket fresh = stage.caches[0].accept();
-    CHECK(fresh.command().at(1) == "c");
+    Socket newConnection = stage.caches[0].accept();
+    CHECK(newConnection.command().at(1) == "c");
     Socket origin = stage.origin.accept();
     origin.head();
     origin.bytes(1);
@@ -329,7 +333,7 @@
     CHECK(client.answer() == "receipt");
 }
 
-TEST_CASE("malformed bytes end the connection with an error, unknown commands only get one") {
+TEST_CASE("malformed bytes get an error and close the connection; unknown commands only get an error") {
     Stage stage;
     Socket client = stage.client();
     CHECK(startsWith(client.say(array({"FLUSHALL"})).answer(), "-ERR"));
@@ -337,20 +341,20 @@
     client.say("GET / HTTP/1.1\r\n\r\n");
     CHECK(startsWith(client.answer(), "-ERR Protocol error"));
     CHECK(client.ended());
-    Socket huge = stage.client();
-    huge.say("*5\r\n$7\r\nOBJ.SET\r\n$99999999\r\n");
-    CHECK(startsWith(huge.answer(), "-ERR Protocol error"));
-    CHECK(huge.ended());
+    Socket oversized = stage.client();
+    oversized.say("*5\r\n$7\r\nOBJ.SET\r\n$99999999\r\n");
+    CHECK(startsWith(oversized.answer(), "-ERR Protocol error"));
+    CHECK(oversized.ended());
 }
 
-TEST_CASE("where the simulator pushes the endpoint list, it is polled all the same") {
+TEST_CASE("in the simulator's membership mode \"pushed\", the endpoint list is polled as well") {
     auto start = smallStart();
     start["settings"]["membershipMode"] = "pushed";
     Stage stage(1, start);
     CHECK(startsWith(stage.discovery.accept().line(), "GET /api/targets?after=7&wait_ms="));
 }
 
-TEST_CASE("where lists are pushed, the drain grace period bounds the poll interval of a failing discovery") {
+TEST_CASE("in membership mode \"pushed\", the drain grace period limits the poll interval while polls fail") {
     auto start = smallStart();
     start["settings"]["membershipMode"] = "pushed";
     start["settings"]["replicasOfMe"] = 300;
@@ -365,7 +369,7 @@
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1'800));
 }
 
-TEST_CASE("the endpoint watcher polls again at once and its updates are applied") {
+TEST_CASE("the endpoint watcher applies an update and polls again at once") {
     Stage stage(2);
     Socket discovery = stage.discovery.accept();
     CHECK(startsWith(discovery.head().at(0), "GET /api/targets?after=7&wait_ms="));
@@ -378,7 +382,7 @@
     CHECK(stage.caches[0].quiet(200));
 }
 
-TEST_CASE("a failed poll is repeated, but not at once") {
+TEST_CASE("a failed poll is repeated after a backoff") {
     Stage stage;
     for (const char* answer : {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
                                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[7,]"}) {
@@ -392,13 +396,12 @@
     serveOne(stage, client, "k");
 }
 
-TEST_CASE(
-    "SIGHUP: discovery is polled where the new configuration names it, an invalid one changes nothing") {
+TEST_CASE("SIGHUP: discovery is polled at the new configuration's address; an invalid one changes nothing") {
     auto start = smallStart();
     Stage stage(2, start);
     stage.startOf(start);
-    Socket old = stage.discovery.accept();
-    CHECK(startsWith(old.head().at(0), "GET /api/targets?after=7&wait_ms="));
+    Socket oldPoll = stage.discovery.accept();
+    CHECK(startsWith(oldPoll.head().at(0), "GET /api/targets?after=7&wait_ms="));
     Socket client = stage.client();
     client.say(set("a", "c=pay,d=9000"));
     Socket origin = stage.origin.accept();
@@ -408,23 +411,24 @@
         stage.program.signal(SIGHUP);
         usleep(50'000);
     }
-    CHECK(old.quiet(100));
-    TestServer moved;
-    start["discovery"] = moved.address();
+    CHECK(oldPoll.quiet(100));
+    TestServer newDiscovery;
+    start["discovery"] = newDiscovery.address();
     stage.program.configure(start.dump());
     stage.program.signal(SIGHUP);
     stage.program.signal(SIGHUP);
-    // At once, and for the complete list: that the old one was closed is no failure to back off from.
-    Socket fresh = moved.accept();
-    CHECK(old.ended());
-    CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
-    fresh.reset();
-    fresh = moved.accept();
-    CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
+    // The new address is polled at once and for the complete list: the end of the old poll is no
+    // failure that would cause a backoff.
+    Socket newPoll = newDiscovery.accept();
+    CHECK(oldPoll.ended());
+    CHECK(newPoll.head().at(0) == "GET /api/targets HTTP/1.1");
+    newPoll.reset();
+    newPoll = newDiscovery.accept();
+    CHECK(newPoll.head().at(0) == "GET /api/targets HTTP/1.1");
     auto list = nlohmann::json::parse(listOf(3, {entryOf("c1", stage.caches[1])}));
     list["full"] = true;
-    fresh.say(http(200, list.dump()));
-    CHECK(startsWith(fresh.head().at(0), "GET /api/targets?after=3&wait_ms="));
+    newPoll.say(http(200, list.dump()));
+    CHECK(startsWith(newPoll.head().at(0), "GET /api/targets?after=3&wait_ms="));
     CHECK(stage.discovery.quiet(50));
     origin.say(http(200, "receipt"));
     CHECK(client.answer() == "receipt");
@@ -439,7 +443,7 @@
     CHECK(log.find("goes on with the old configuration") != std::string::npos);
 }
 
-TEST_CASE("on SIGTERM it accepts what still comes, responds to all of it and exits with 0") {
+TEST_CASE("on SIGTERM the router still accepts clients, responds to all requests, then exits with 0") {
     Stage stage;
     Socket idle = stage.client();
     idle.say(array({"PING"})).answer();
@@ -460,16 +464,17 @@
     CHECK(stage.program.exitCode() == 0);
 }
 
-TEST_CASE("an invalid configuration is one plain line and an exit code") {
+TEST_CASE("an invalid configuration is reported in one line and ends the process with exit code 1") {
     auto start = smallStart();
-    Stage taken(0);
-    start["listen"] = "127.0.0.1:" + std::to_string(taken.port);
+    Stage portOwner(0);
+    start["listen"] = "127.0.0.1:" + std::to_string(portOwner.port);
     start["discovery"] = "127.0.0.1:1";
-    auto odd = start;
-    odd["settings"]["verbs"][0]["responseGoalUs"] = "soon";
-    auto nowhere = start;
-    nowhere["listen"] = "localhost";
-    for (const auto& text : {std::string("{"), std::string(""), odd.dump(), nowhere.dump(), start.dump()}) {
+    auto wrongType = start;
+    wrongType["settings"]["verbs"][0]["responseGoalUs"] = "soon";
+    auto invalidAddress = start;
+    invalidAddress["listen"] = "localhost";
+    for (const auto& text :
+         {std::string("{"), std::string(""), wrongType.dump(), invalidAddress.dump(), start.dump()}) {
         Program program(text);
         CHECK(program.exitCode() == 1);
         const std::string log = program.log();
@@ -477,7 +482,7 @@
     }
 }
 
-TEST_CASE("a client that doesn't read is not read any more, and the others are served") {
+TEST_CASE("the router stops reading from a client that does not read, and serves the others") {
     Stage stage;
     Socket unresponsive = stage.client();
     const std::string value(64 * 1024, 'x');
@@ -487,8 +492,9 @@
     for (; answered < 1000 && !cache.quiet(300); ++answered) {
         cache.command();
         cache.say(hit(value));
-        unresponsive.say(get(
-            "k" + std::to_string(answered)));  // under one id it might come before that response is complete
+        // Each request has an id of its own: it may arrive before the previous response is
+        // complete, and an id that is in use gets an error.
+        unresponsive.say(get("k" + std::to_string(answered)));
     }
     CHECK(answered > 1);
     CHECK(answered < 1000);
@@ -499,7 +505,7 @@
     CHECK(client.answer() == "v");
 }
 
-TEST_CASE("more clients than descriptors: silent ones are closed first, then those that have idled longest") {
+TEST_CASE("with more clients than descriptors, silent ones are closed first, then the longest idle ones") {
     auto start = smallStart();
     start["limits"]["sockets"] = 64;
     Stage stage(1, start);
@@ -519,7 +525,7 @@
     CHECK(regular.front().say(array({"PING"})).answer() == "+PONG");
     CHECK(silent.front().ended());
     silent.clear();
-    // Over half of the limit, clients that have idled for a quarter of a second are closed.
+    // Above half of the limit, clients that have idled for 0.25 s are closed.
     for (int i = 0; i < 4; ++i) {
         regular.push_back(stage.client());
         CHECK(regular.back().say(array({"PING"})).answer() == "+PONG");
@@ -542,7 +548,7 @@
     serveOne(stage, late, "k");
 }
 
-TEST_CASE("an unknown request class and an id that is in use are errors at once and are not forwarded") {
+TEST_CASE("a request of an unknown class, or with an id in use, gets an error at once and is not forwarded") {
     Stage stage;
     Socket client = stage.client(), other = stage.client();
     client.say(get("a"));
@@ -559,14 +565,15 @@
     CHECK(cache.command().size() == 4);
 }
 
-TEST_CASE("a client that sends at full speed gets its share of an iteration, and others are served between") {
+TEST_CASE(
+    "a client that sends at full speed gets only its share of an iteration, so that others are served") {
     Stage stage;
     Socket fast = stage.client(), quiet = stage.client();
     for (Socket* client : {&fast, &quiet}) CHECK(client->say(array({"PING"})).answer() == "+PONG");
     stage.program.signal(SIGSTOP);
-    std::string many;
-    while (many.size() < 512 * 1024) many += array({"PING"});
-    while (fast.cram(many) > 0) {
+    std::string pings;
+    while (pings.size() < 512 * 1024) pings += array({"PING"});
+    while (fast.cram(pings) > 0) {
     }
     quiet.say(array({"PING"}));
     stage.program.signal(SIGCONT);
@@ -586,8 +593,8 @@
 }
 
 TEST_CASE(
-    "a silent or half-sent request ends its connection within 3 s, one always followed by half of the next "
-    "does not") {
+    "a client that sends nothing or half a request is closed within 3 s, one that keeps completing "
+    "requests is not") {
     Stage stage;
     const std::string ping = array({"PING"});
     Socket idle = stage.client();
@@ -608,7 +615,7 @@
     CHECK(idle.quiet(0));
 }
 
-TEST_CASE("mutated bytes from clients, cache servers and the origin leave the router serving") {
+TEST_CASE("the router keeps serving after mutated bytes from clients, cache servers and the origin") {
     Stage stage;
     std::mt19937 random(11);
     const auto mutated = [&](std::string text) {
@@ -616,12 +623,12 @@
             text[random() % text.size()] = "*$-:+\r\n019\0Z"[random() % 12];
         return text.substr(0, random() % 3 ? text.size() : random() % text.size());
     };
-    const std::vector<std::string> said{get("a") + get("b"), array({"PING"}) + get("c"),
-                                        set("d", "c=mark,d=300"), get("e", "c=read,d=0"),
-                                        set("f", "c=pay,d=200,k=1", std::string(9000, 'x'))};
+    const std::vector<std::string> requests{get("a") + get("b"), array({"PING"}) + get("c"),
+                                            set("d", "c=mark,d=300"), get("e", "c=read,d=0"),
+                                            set("f", "c=pay,d=200,k=1", std::string(9000, 'x'))};
     for (int i = 0; i < 150; ++i) {
         Socket client = stage.client();
-        client.say(mutated(said[random() % said.size()]));
+        client.say(mutated(requests[random() % requests.size()]));
         while (!stage.caches[0].quiet(2)) {
             Socket cache = stage.caches[0].accept();
             cache.say(mutated(random() % 2 ? hit("value") : std::string(kMiss)));
@@ -637,22 +644,22 @@
     CHECK(stage.program.exitCode() == 0);
 }
 
-TEST_CASE("incomplete requests don't fill a small memory, and other clients are served") {
+TEST_CASE("incomplete requests do not fill a small memory limit, and other clients are served") {
     auto start = smallStart();
     start["limits"]["memory_mb"] = 16;
     start["limits"]["sockets"] = 1024;
     Stage stage(1, start);
     Socket regular = stage.client();
     CHECK(regular.say(array({"PING"})).answer() == "+PONG");
-    const std::string most = set("k", "c=mark,d=900", std::string(60 * 1024, 'x'));
+    const std::string request = set("k", "c=mark,d=900", std::string(60 * 1024, 'x'));
     std::vector<Socket> incomplete;
     for (int i = 0; i < 200; ++i) {
         incomplete.push_back(stage.client());
-        incomplete.back().say(std::string_view(most).substr(0, most.size() - 9));
+        incomplete.back().say(std::string_view(request).substr(0, request.size() - 9));
     }
     CHECK(regular.say(array({"PING"})).answer() == "+PONG");
-    // Two hundred of them would be 12 MB. Those begun first are closed to free memory, without the error of a
-    // request that timed out.
+    // Two hundred incomplete requests would take 12 MB. The oldest ones are closed to free memory,
+    // without the error that a timed-out request gets.
     for (int i = 0; i < 100; ++i) {
         CHECK(incomplete[i].answer().empty());
         CHECK(incomplete[i].ended());
