--- a/src/discovery/endpoint_poll.cpp
+++ b/src/discovery/endpoint_poll.cpp
@@ -16,12 +16,12 @@
       handler_(handler),
       source_(std::move(source)),
       response_(maxListBytes),
-      timeout_(loop, [this] { handler_.onFailed(*this, lateReason()); }) {}
+      timeout_(loop, [this] { handler_.onFailed(*this, overdueReason()); }) {}
 
-std::string_view EndpointPoll::lateReason() const {
-    if (phase_ == Phase::connecting) return "can't connect in time";
-    if (phase_ == Phase::waiting) return "no answer in time";
-    return "the answer was not whole in time";
+std::string_view EndpointPoll::overdueReason() const {
+    if (phase_ == Phase::connecting) return "connection not established in time";
+    if (phase_ == Phase::waiting) return "no response in time";
+    return "response not complete in time";
 }
 
 bool EndpointPoll::start(const Request& request) {
@@ -51,7 +51,7 @@
     if (!isConnected) return handler_.onFailed(*this, "can't connect");
     connection_->setReading(true);
     const bool isWritten = write();
-    if (!isWritten) handler_.onFailed(*this, "the connection broke");
+    if (!isWritten) handler_.onFailed(*this, "can't write the request");
 }
 
 void EndpointPoll::onData(std::string_view bytes) {
@@ -61,7 +61,7 @@
     const auto state = response_.feed(bytes);
     if (state == protocol::HttpResponse::State::complete) return handler_.onResponse(*this);
     if (state == protocol::HttpResponse::State::malformed)
-        handler_.onFailed(*this, "an answer that is not HTTP");
+        handler_.onFailed(*this, "response is not valid HTTP or longer than the limit");
 }
 
 void EndpointPoll::extendTimeout() {
@@ -73,14 +73,14 @@
     bool isComplete = false;
     if (connection_->hasPeerFinished())
         isComplete = response_.end() == protocol::HttpResponse::State::complete;
-    if (!isComplete) return handler_.onFailed(*this, "the connection ended");
+    if (!isComplete) return handler_.onFailed(*this, "connection closed before the response was complete");
     connection_.reset();
     handler_.onResponse(*this);
 }
 
 std::string EndpointPoll::progress() const {
     static constexpr std::array<std::string_view, 3> kPhases{"connecting", "waiting", "reading"};
-    return fmt::format("poll to {} began {} ms ago, {}, {} bytes", source_.host,
+    return fmt::format("poll of {} began {} ms ago, phase {}, {} bytes received", source_.host,
                        (transport::EventLoop::now() - startedAt_) / kMillisecond,
                        kPhases[static_cast<std::size_t>(phase_)], receivedBytes_);
 }
--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -13,54 +13,56 @@
 
 namespace poppyscale::discovery {
 
-// A source of the list: discovery, or a distributor that speaks its protocol.
+// A source of the endpoint list: discovery, or a distributor that speaks its protocol.
 struct DiscoveryAddress {
     transport::Address address;
     std::string host;  // for the Host header and the log
 };
 
-// Times out by itself: after `kMaxSilence` past its wait without a byte, later while bytes arrive. Its
-// handler, loop and pool have to outlive it; the handler may destroy it in each callback.
+// A poll times out when no byte of the response has arrived `kMaxSilence` after the end of its wait
+// at the source. Once the response has begun, the timeout is extended while bytes arrive. Handler,
+// loop and pool have to outlive the poll; the handler may destroy the poll in any callback.
 class EndpointPoll : private transport::Connection::Handler {
   public:
     class Handler {
       public:
         virtual ~Handler() = default;
-        // The complete response has arrived. `start` may follow on the same connection if `canPollAgain`.
+        // The complete response has arrived. If `canPollAgain`, `start` polls on the same
+        // connection again.
         virtual void onResponse(EndpointPoll& poll) = 0;
-        // The poll is of no further use and has to be destroyed.
+        // The poll can't be used any more and has to be destroyed.
         virtual void onFailed(EndpointPoll& poll, std::string_view reason) = 0;
-        // The connection is up, and the request is about to be written.
+        // The connection is established, and the request is about to be written.
         virtual void onRequestSent() = 0;
     };
 
     struct Request {
-        std::optional<std::int64_t>
-            after;               // asks for what is newer than this version; none: the complete list
-        Nanos wait = 0;          // that the source may wait for something newer
+        // Requests the changes since this version; none: the complete list.
+        std::optional<std::int64_t> after;
+        Nanos wait = 0;          // how long the source may wait for a change before it responds
         std::int64_t known = 0;  // the version that was known when the poll began
     };
 
     enum class Phase : std::uint8_t { connecting, waiting, reading };
 
-    EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& owner,
+    EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& handler,
                  DiscoveryAddress source, std::size_t maxListBytes);
 
-    // False when it can't connect or write; the poll has to be destroyed then.
+    // Returns false if connecting or writing fails at once; the poll has to be destroyed then.
     bool start(const Request& request);
 
     const Request& request() const { return request_; }
     const DiscoveryAddress& source() const { return source_; }
-    // The response, after `onResponse`.
+    // Status and body of the response; valid from `onResponse` on.
     int status() const { return response_.status(); }
     std::string_view body() { return response_.body(); }
     bool canPollAgain() const { return connection_ && response_.isKeepAlive(); }
     Nanos startedAt() const { return startedAt_; }
-    // Since it began, without the time that it may have waited for a change.
-    Nanos durationBesideWait() const { return transport::EventLoop::now() - startedAt_ - request_.wait; }
-    // What a poll without a response in time is waiting for.
-    std::string_view lateReason() const;
-    // For the log: when it began, its phase, and how many bytes of the response have arrived.
+    // Time since the poll began, minus the wait that it allowed the source.
+    Nanos durationWithoutWait() const { return transport::EventLoop::now() - startedAt_ - request_.wait; }
+    // The failure to report when the response is overdue, by the phase that the poll is in.
+    std::string_view overdueReason() const;
+    // For the log: source, time since the poll began, phase, and received bytes of the response.
     std::string progress() const;
 
   private:
@@ -69,7 +71,7 @@
     void onClosed() override;
 
     bool write();
-    // Moves the time-out on, as bytes have arrived.
+    // Called when bytes of the response have arrived.
     void extendTimeout();
 
     transport::EventLoop& loop_;
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -8,14 +8,14 @@
 namespace poppyscale::discovery {
 namespace {
 
-// With several sources an unresponsive one is noticed when the wait of a poll ends, and another one can be
-// asked.
-constexpr Nanos kMaxWaitAmongSeveral = 2'000 * kMillisecond;
-// Moves from source to source are logged up to a bound.
+// Limits the wait of a long poll where there are several sources. An unresponsive source is noticed
+// only when the wait has ended, and another one can be polled then.
+constexpr Nanos kMaxPollWaitWithSeveralSources = 2'000 * kMillisecond;
+// At most kMaxLoggedMoves moves to another source are logged within each window.
 constexpr Nanos kMoveLogWindow = 60'000 * kMillisecond;
 constexpr int kHttpOk = 200;
 constexpr int kMaxLoggedMoves = 20;
-// Before another poll is tried while kMaxConcurrentPolls are in flight.
+// Pause before the next attempt to poll while kMaxConcurrentPolls are in flight.
 constexpr Nanos kPauseAtMaxPolls = 200 * kMillisecond;
 
 bool isSameSource(const DiscoveryAddress& a, const DiscoveryAddress& b) {
@@ -50,11 +50,11 @@
         sourceSet_.reset(new SourceSet{sources, std::move(selector), 0, 0, 0});
     }
     source_ = sources[first];
-    pacing_.setMayBeCrowded(!isPushed_ && !sourceSet_);
+    pacing_.setMayBeOverloaded(!isPushed_ && !sourceSet_);
 }
 
 void EndpointWatcher::start() {
-    if (unanswered_ || (nextPoll_.isActive() && (sourceSet_ || pacing_.isCrowded()))) return;
+    if (awaitedPoll_ || (nextPoll_.isActive() && (sourceSet_ || pacing_.isOverloaded()))) return;
     beginPoll();
 }
 
@@ -71,9 +71,9 @@
         replaceSources(std::move(sources));
         source_ = address;
         if (sourceSet_) sourceSet_->selector.resumeAt(index);
-        // Polls at sources that are not listed any more.
+        // Only the polls of the current source stay in flight.
         for (std::size_t i = polls_.size(); i > 0; --i)
-            if (!isSameSource(polls_[i - 1]->source(), source_)) drop(*polls_[i - 1]);
+            if (!isSameSource(polls_[i - 1]->source(), source_)) removePoll(*polls_[i - 1]);
         start();
         return;
     }
@@ -81,7 +81,7 @@
     if (sourceSet_) version_ = 0;
     needsCompleteList_ = true;
     longPoll_ = nullptr;
-    unanswered_ = nullptr;
+    awaitedPoll_ = nullptr;
     polls_.clear();
     nextPoll_.stop();
     dispatcher_.onDiscoveryMoved();
@@ -93,15 +93,15 @@
     request.known = version_;
     if (needsCompleteList_) return request;
     request.after = version_;
-    // After a failure, and at a source that is tried for the first time, the response has to come at once.
-    if (isProbing() || !lastFailure_.empty() || pacing_.isCrowded()) return request;
-    request.wait =
-        pacing_.longPollWait(sourceSet_ ? std::min(maxPollWait_, kMaxWaitAmongSeveral) : maxPollWait_);
+    // No wait at a source that has not responded yet, after a failure, or at an overloaded source.
+    if (isProbing() || !lastFailure_.empty() || pacing_.isOverloaded()) return request;
+    request.wait = pacing_.longPollWait(sourceSet_ ? std::min(maxPollWait_, kMaxPollWaitWithSeveralSources)
+                                                   : maxPollWait_);
     return request;
 }
 
 void EndpointWatcher::beginPoll() {
-    // A poll in flight is never given up for another one.
+    // A poll in flight is never cancelled in favour of a new one.
     if (polls_.size() >= kMaxConcurrentPolls) {
         nextPoll_.start(transport::EventLoop::now() + kPauseAtMaxPolls);
         return;
@@ -123,26 +123,26 @@
     std::rotate(std::find_if(polls_.begin(), polls_.end(), isThis), polls_.end() - 1, polls_.end());
     scheduleOverdue(poll, request);
     const bool isStarted = poll.start(request);
-    if (!isStarted) onFailed(poll, "the connection broke");
+    if (!isStarted) onFailed(poll, "can't write the request");
 }
 
 void EndpointWatcher::scheduleOverdue(const EndpointPoll& poll, const EndpointPoll::Request& request) {
-    unanswered_ = &poll;
+    awaitedPoll_ = &poll;
     const Nanos now = transport::EventLoop::now();
     if (isProbing())
         nextPoll_.start(now + sourceSet_->selector.attemptTimeout());
     else if (request.wait > 0)
         nextPoll_.start(now + request.wait + kLongPollGrace);
     else
-        nextPoll_.start(now + pacing_.intervalWithoutAnswer());
+        nextPoll_.start(now + pacing_.intervalWithoutResponse());
 }
 
 void EndpointWatcher::onPollDue() {
-    if (!unanswered_) return beginPoll();  // the pause after a failure has ended
-    const EndpointPoll& poll = *unanswered_;
-    unanswered_ = nullptr;
+    if (!awaitedPoll_) return beginPoll();  // the pause after a failure has ended
+    const EndpointPoll& poll = *awaitedPoll_;
+    awaitedPoll_ = nullptr;
     longPoll_ = nullptr;
-    const std::string_view reason = poll.lateReason();
+    const std::string_view reason = poll.overdueReason();
     recordFailure(reason, poll);
     dispatcher_.onPollFailed();
     if (sourceSet_)
@@ -153,24 +153,24 @@
 
 void EndpointWatcher::onResponse(EndpointPoll& poll) {
     if (poll.status() != kHttpOk) {
-        pacing_.onRefused(transport::EventLoop::now());
-        return onFailed(poll, fmt::format("answered {}", poll.status()));
+        pacing_.onRejected(transport::EventLoop::now());
+        return onFailed(poll, fmt::format("HTTP status {}", poll.status()));
     }
-    pacing_.onAnswered(transport::EventLoop::now(), poll.durationBesideWait());
+    pacing_.onResponded(transport::EventLoop::now(), poll.durationWithoutWait());
     try {
         const bool isApplied = applyResponse(poll);
         if (!isApplied) return;
     } catch (const protocol::ParseError& problem) {
-        // The same changes would be malformed in the same way again.
+        // The source would send the same malformed changes again.
         needsCompleteList_ = true;
         return onFailed(poll, problem.what());
     }
-    // Polls that began earlier can bring nothing newer.
-    while (polls_.front().get() != &poll) drop(*polls_.front());
-    if (longPoll_ && longPoll_ != &poll) return drop(poll);
-    if (pacing_.isCrowded()) return pollLater(poll);
+    // Responses to polls that began earlier can't contain a newer list.
+    while (polls_.front().get() != &poll) removePoll(*polls_.front());
+    if (longPoll_ && longPoll_ != &poll) return removePoll(poll);
+    if (pacing_.isOverloaded()) return pollLater(poll);
     if (poll.canPollAgain()) return pollAgain(poll);
-    drop(poll);
+    removePoll(poll);
     beginPoll();
 }
 
@@ -179,23 +179,22 @@
     nextPoll_.start(now + pacing_.pauseAfterFailure(now - lastHeardAt_));
 }
 
-// Leaves a crowded source to the other routers for a while.
 void EndpointWatcher::pollLater(EndpointPoll& poll) {
     const Nanos now = transport::EventLoop::now();
-    const bool isPrompt = poll.durationBesideWait() <= kPromptResponseTime;
-    const Nanos due = isPrompt ? now + kPromptPause : poll.startedAt() + kCrowdedPeriod;
-    drop(poll);
+    const bool isPrompt = poll.durationWithoutWait() <= kPromptResponseTime;
+    const Nanos due = isPrompt ? now + kPromptPause : poll.startedAt() + kOverloadedPeriod;
+    removePoll(poll);
     nextPoll_.start(std::max(due, now));
 }
 
 bool EndpointWatcher::applyResponse(EndpointPoll& poll) {
     const auto list = protocol::readEndpointList(poll.body());
     const EndpointPoll::Request& request = poll.request();
-    // Begun before a newer response was applied, so it brings nothing new.
+    // The poll began before a newer list was applied, so its response contains nothing new.
     const bool isOvertaken = request.known < version_ && list.version < version_;
     if (sourceSet_ && !isOvertaken) {
-        if (list.version < version_ && unanswered_ != &poll) {
-            drop(poll);
+        if (list.version < version_ && awaitedPoll_ != &poll) {
+            removePoll(poll);
             return false;
         }
         if (list.version < version_) {
@@ -203,12 +202,13 @@
             if (!isAccepted) return false;
         }
         resumeAtSourceOf(poll);
-        sourceSet_->selector.onAnswered();
+        sourceSet_->selector.onResponded();
     }
-    // Either the late response of another poll, or a discovery that has lost its state: the complete list
-    // tells which.
+    // Either this is the late response to another poll, or discovery has lost its state. The
+    // complete list, which is polled next, shows which of the two it is.
     if (!sourceSet_ && request.after && list.version < request.known)
-        throw protocol::ParseError(fmt::format("version {} after version {}", list.version, request.known));
+        throw protocol::ParseError(
+            fmt::format("version {} is older than the known version {}", list.version, request.known));
     lastHeardAt_ = transport::EventLoop::now();
     const bool isRecovered = !lastFailure_.empty();
     lastFailure_.clear();
@@ -224,15 +224,16 @@
 }
 
 void EndpointWatcher::onFailed(EndpointPoll& poll, std::string_view reason) {
-    // Newer polls are in flight, by which the next one is due.
-    if (unanswered_ != &poll) {
+    // The timer for the next poll is already set, by a newer poll or by an earlier failure.
+    if (awaitedPoll_ != &poll) {
         if (!sourceSet_)
-            log_(fmt::format("an older poll for the endpoint list failed: {}; {}", reason, poll.progress()));
-        drop(poll);
+            log_(
+                fmt::format("an earlier poll for the endpoint list failed: {}; {}", reason, poll.progress()));
+        removePoll(poll);
         return;
     }
     recordFailure(reason, poll);
-    drop(poll);
+    removePoll(poll);
     dispatcher_.onPollFailed();
     if (sourceSet_)
         moveToNextSource(reason);
@@ -240,9 +241,9 @@
         retryAfterPause();
 }
 
-void EndpointWatcher::drop(EndpointPoll& poll) {
+void EndpointWatcher::removePoll(EndpointPoll& poll) {
     if (longPoll_ == &poll) longPoll_ = nullptr;
-    if (unanswered_ == &poll) unanswered_ = nullptr;
+    if (awaitedPoll_ == &poll) awaitedPoll_ = nullptr;
     std::erase_if(polls_, [&](const auto& one) { return one.get() == &poll; });
 }
 
@@ -250,22 +251,23 @@
     lastFailure_ = sourceSet_ ? fmt::format("{}: {}", poll.source().host, reason) : std::string(reason);
     if (sourceSet_) return;  // logged with the move to the next source
     const auto ageMs = (transport::EventLoop::now() - lastHeardAt_) / kMillisecond;
-    log_(fmt::format("endpoint list unavailable from discovery: {}; last heard {} ms ago; {}", reason, ageMs,
-                     poll.progress()));
+    log_(fmt::format("endpoint list unavailable from discovery: {}; last usable response {} ms ago; {}",
+                     reason, ageMs, poll.progress()));
 }
 
 bool EndpointWatcher::acceptOlderVersion(EndpointPoll& poll, const protocol::EndpointList& list) {
-    const auto offered = fmt::format("version {} after version {}", list.version, version_);
+    const auto offered = fmt::format("version {} is older than the known version {}", list.version, version_);
     if (sourceSet_->selector.judgeVersion(list.version, version_) == ListVerdict::older) {
         onFailed(poll, offered);
         return false;
     }
     if (!list.isComplete) {
         needsCompleteList_ = true;
-        onFailed(poll, offered + ", as from all others; the whole list is needed");
+        onFailed(poll, offered + ", as at every other source; polls for the complete list next");
         return false;
     }
-    log_(fmt::format("accepts {} from {}: every source offers an older one", offered, source_.host));
+    log_(fmt::format("applies an older endpoint list ({}) from {}: every source offers an older one", offered,
+                     source_.host));
     return true;
 }
 
@@ -298,12 +300,14 @@
         return;
     }
     ++sourceSet_->loggedMoves;
-    const auto unlogged = sourceSet_->unloggedMoves
-                              ? fmt::format("; {} earlier moves not logged", sourceSet_->unloggedMoves)
-                              : "";
+    const auto unlogged = sourceSet_->unloggedMoves ? fmt::format("; {} earlier source changes not logged",
+                                                                  sourceSet_->unloggedMoves)
+                                                    : "";
     sourceSet_->unloggedMoves = 0;
-    log_(fmt::format("polls {} for the endpoint list from now on: {}; last heard {} ms ago{}", source_.host,
-                     reason, (now - lastHeardAt_) / kMillisecond, unlogged));
+    log_(
+        fmt::format("polls endpoint list source {} next, after a failure of {}; "
+                    "last usable response {} ms ago{}",
+                    source_.host, reason, (now - lastHeardAt_) / kMillisecond, unlogged));
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -1,4 +1,5 @@
-// Keeps the endpoint list current: polls its source and passes each response to the request dispatcher.
+// Keeps the endpoint list current: polls its source and passes each response to the request
+// dispatcher.
 #pragma once
 
 #include <memory>
@@ -13,46 +14,51 @@
 
 namespace poppyscale::discovery {
 
-// A poll without a response stays in flight beside newer ones, and whichever brings the newer list is
-// applied: a slow source is heard all the same. With several sources, a failure moves the watcher on to
-// another one, which is asked for what is newer than the known version. `PollPacing` and `SourceSelector`
-// decide when and whom; this class joins them with connections.
+// A poll without a response stays in flight beside newer ones, and the first response with a newer
+// list is applied, so that the list of a slow source is received, too. With several sources, the
+// watcher moves to another source after a failure and asks it for the changes since the known
+// version. `PollPacing` decides when to poll and `SourceSelector` which source; this class applies
+// their decisions to connections.
 //
-// Owns its polls. Loop, pool and dispatcher have to outlive it; all is called on the loop's thread.
+// Owns its polls. Loop, pool and dispatcher have to outlive the watcher. All calls are made on the
+// loop's thread.
 class EndpointWatcher : private EndpointPoll::Handler {
   public:
     struct Settings {
         std::vector<DiscoveryAddress> sources;  // at least one
-        std::uint64_t sourceSeed = 0;           // for the random choice among several
+        std::uint64_t sourceSeed = 0;           // for the random order of several sources
         std::int64_t version = 0;               // of the list that is known at the start
-        Nanos maxPollWait = 0;                  // that a long poll may wait at its source
+        Nanos maxPollWait = 0;                  // how long a long poll may wait at its source
         std::uint64_t seed = 0;                 // for random pauses
-        std::int64_t routerCount = 1;           // in the fleet
+        std::int64_t routerCount = 1;           // routers in the fleet
         std::size_t maxListBytes = 0;
-        bool isPushed =
-            false;  // what the source has counts as known at once, whether or not a poll is in flight
+        // A change counts as known to the router as soon as the source has it, even without a poll
+        // in flight.
+        bool isPushed = false;
     };
 
-    EndpointWatcher(transport::EventLoop& loop, transport::BufferPool& pool, proxy::RequestDispatcher& core,
-                    Settings settings, proxy::Log log);
+    EndpointWatcher(transport::EventLoop& loop, transport::BufferPool& pool,
+                    proxy::RequestDispatcher& dispatcher, Settings settings, proxy::Log log);
 
-    // Polls now, unless a poll is due anyway. Nothing is polled before the first call; from then on the
-    // watcher goes on by itself.
+    // Polls now, unless the newest poll still awaits its response, or the next poll is scheduled
+    // and the source is overloaded or one of several. Nothing is polled before the first call;
+    // after it, the watcher repeats its polls without further calls.
     void start();
-    // Replaces the sources and polls at once for the complete list, whose versions may be counted otherwise.
-    // If the current source is among the new ones, its polls stay in flight.
+    // Replaces the sources. If the current source is among the new ones, its polls stay in flight.
+    // Otherwise polls at once for the complete list, as the new sources may number their versions
+    // differently.
     void setSources(std::vector<DiscoveryAddress> sources);
     void setRouterCount(std::int64_t routers) { pacing_.setRouterCount(routers); }
 
-    // In use, or the next to be polled.
+    // The source in use, or the next one to be polled.
     const std::string& currentSource() const { return source_.host; }
     std::size_t sourceCount() const { return sourceSet_ ? sourceSet_->addresses.size() : 1; }
-    // Polls sent since the start.
+    // Number of polls sent since the start.
     std::uint64_t pollCount() const { return pollsSent_; }
-    // Why the list is unavailable, from the first failure until the next usable response; empty while it is
-    // available.
+    // Why the list is unavailable, from the first failure until the next usable response; empty
+    // while it is available.
     const std::string& lastFailure() const { return lastFailure_; }
-    // When the last usable response came, on the loop's clock.
+    // When the last usable response arrived, on the loop's clock.
     Nanos lastHeardAt() const { return lastHeardAt_; }
 
   private:
@@ -60,9 +66,9 @@
     struct SourceSet {
         std::vector<DiscoveryAddress> addresses;
         SourceSelector selector;
-        Nanos logWindowStart = 0;         // of the bound on logged moves
-        int loggedMoves = 0;              // within that window
-        std::uint64_t unloggedMoves = 0;  // since the last logged one
+        Nanos logWindowStart = 0;         // start of the current kMoveLogWindow
+        int loggedMoves = 0;              // within the current window
+        std::uint64_t unloggedMoves = 0;  // since the last logged move
     };
 
     void onResponse(EndpointPoll& poll) override;
@@ -70,24 +76,26 @@
     void onRequestSent() override { ++pollsSent_; }
 
     void replaceSources(std::vector<DiscoveryAddress> sources);
-    // The current source has not responded since it was chosen.
+    // True while one of several sources is tried: it has not responded since it became current.
     bool isProbing() const { return sourceSet_ && !sourceSet_->selector.isConfirmed(); }
     EndpointPoll::Request nextRequest();
     // Polls on a new connection, beside the polls in flight.
     void beginPoll();
     // Polls again on the connection of a poll that has its response.
     void pollAgain(EndpointPoll& poll);
+    // Sets the timer to the time at which `poll` is overdue.
     void scheduleOverdue(const EndpointPoll& poll, const EndpointPoll::Request& request);
-    // The pause after a failure has ended, or the newest poll has no response in time.
+    // Called when the pause after a failure has ended, or when the newest poll is overdue.
     void onPollDue();
-    void drop(EndpointPoll& poll);
+    void removePoll(EndpointPoll& poll);
+    // Ends a poll that has its response, and polls an overloaded source again after a while.
     void pollLater(EndpointPoll& poll);
     void retryAfterPause();
-    // False when the poll has failed by what it brought.
+    // Returns false if the list was refused for its version; the poll no longer exists then.
     bool applyResponse(EndpointPoll& poll);
-    // Whether a response of a version below the known one is applied; if not, its poll has failed.
+    // Returns whether to apply a list older than the known one; if not, the poll has failed.
     bool acceptOlderVersion(EndpointPoll& poll, const protocol::EndpointList& list);
-    // A source that responds after another one was tried is the current one again.
+    // Makes the source of `poll` current again if another one was tried in the meantime.
     void resumeAtSourceOf(const EndpointPoll& poll);
     void recordFailure(std::string_view reason, const EndpointPoll& poll);
     void moveToNextSource(std::string_view reason);
@@ -103,14 +111,14 @@
     DiscoveryAddress source_;
     std::unique_ptr<SourceSet> sourceSet_;  // null with a single source
     std::int64_t version_;
-    bool needsCompleteList_ = false;  // the next poll asks for the complete list, without waiting
+    bool needsCompleteList_ = false;  // the next poll requests the complete list, without a wait
     const bool isPushed_;
     PollPacing pacing_;
     transport::Timer nextPoll_;                         // fires when another poll is due
     std::vector<std::unique_ptr<EndpointPoll>> polls_;  // the oldest first
-    EndpointPoll* longPoll_ = nullptr;  // the one that waits for a change, until it is overdue
-    const EndpointPoll* unanswered_ =
-        nullptr;  // the newest poll, until it has its response, is overdue or has failed
+    EndpointPoll* longPoll_ = nullptr;  // the poll that waits for a change, until it is overdue
+    // The newest poll, until it has its response, is overdue or has failed.
+    const EndpointPoll* awaitedPoll_ = nullptr;
     std::uint64_t pollsSent_ = 0;
     std::string lastFailure_;
     Nanos lastHeardAt_;
--- a/src/discovery/poll_pacing.cpp
+++ b/src/discovery/poll_pacing.cpp
@@ -4,27 +4,27 @@
 
 namespace poppyscale::discovery {
 
-PollPacing::PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeCrowded)
+PollPacing::PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeOverloaded)
     : routerCount_(routerCount),
-      mayBeCrowded_(mayBeCrowded),
+      mayBeOverloaded_(mayBeOverloaded),
       random_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)) {}
 
-void PollPacing::setMayBeCrowded(bool mayBeCrowded) {
-    mayBeCrowded_ = mayBeCrowded;
-    if (!mayBeCrowded) promptResponsesLeft_ = 0;
+void PollPacing::setMayBeOverloaded(bool mayBeOverloaded) {
+    mayBeOverloaded_ = mayBeOverloaded;
+    if (!mayBeOverloaded) promptResponsesLeft_ = 0;
 }
 
-void PollPacing::onRefused(Nanos now) {
-    if (!mayBeCrowded_) return;
-    if (!isCrowded()) {
-        const bool isAgain = hasCapacitySince_ != kNever && now - hasCapacitySince_ < kCrowdedAgainWithin;
+void PollPacing::onRejected(Nanos now) {
+    if (!mayBeOverloaded_) return;
+    if (!isOverloaded()) {
+        const bool isAgain = overloadEndedAt_ != kNever && now - overloadEndedAt_ < kOverloadedAgainWithin;
         promptResponsesNeeded_ = isAgain ? std::min(2 * promptResponsesNeeded_, kMaxPromptResponses) : 1;
     }
     promptResponsesLeft_ = promptResponsesNeeded_;
 }
 
 Nanos PollPacing::pauseAfterFailure(Nanos listAge) {
-    if (isCrowded()) return randomBetween(kMinRefusedPause, kMaxRefusedPause);
+    if (isOverloaded()) return randomBetween(kMinRejectedPause, kMaxRejectedPause);
     const Nanos byFleet = std::clamp(routerCount_ * kPausePerRouter, kMinPause, kMaxPause);
     const double freshness =
         std::clamp(1 - static_cast<double>(listAge) / static_cast<double>(kUrgentAge), 0.0, 1.0);
@@ -32,14 +32,14 @@
     return randomBetween(max / 2, max);
 }
 
-void PollPacing::onAnswered(Nanos now, Nanos duration) {
-    if (!isCrowded() || duration > kPromptResponseTime) return;
+void PollPacing::onResponded(Nanos now, Nanos duration) {
+    if (!isOverloaded() || duration > kPromptResponseTime) return;
     --promptResponsesLeft_;
-    if (promptResponsesLeft_ == 0) hasCapacitySince_ = now;
+    if (promptResponsesLeft_ == 0) overloadEndedAt_ = now;
 }
 
-Nanos PollPacing::intervalWithoutAnswer() {
-    return isCrowded() ? kCrowdedInterval : randomBetween(kMinInterval, kMaxInterval);
+Nanos PollPacing::intervalWithoutResponse() {
+    return isOverloaded() ? kOverloadedInterval : randomBetween(kMinInterval, kMaxInterval);
 }
 
 Nanos PollPacing::longPollWait(Nanos maxWait) { return randomBetween(maxWait / 2, maxWait); }
--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -1,24 +1,25 @@
 // When polls for the endpoint list begin, and how long each is kept. Free of I/O.
 //
+// A source that rejects polls counts as overloaded until it has responded promptly a few times. An
+// overloaded source may end a poll when the same router begins another one, so its polls are far
+// apart.
+//
 // Guarantees, for a source of the list that responds at all:
-// - Progress: a poll is never given up because another one is due. A poll without a response stays in flight
-// beside newer ones
-//   until its own bound, so a source that takes longer than the interval between two polls is heard all the
-//   same. A source that refuses polls is crowded, and may end a poll when the same router begins another:
-//   after a refusal, until some prompt responses, a poll is left alone for kCrowdedInterval.
-// - Freshness: while the list is unavailable, a new poll begins at most kMaxInterval after the last one began
-// (kCrowdedInterval
-//   at a crowded source), and at most kMaxPause after one that failed (kMaxRefusedPause after one that was
-//   refused). With a source that takes up to 3.6 s to respond and refuses nothing, a change is known within 6
-//   s.
-// - Fairness: a router holds no long poll at a crowded source, whose responses to it would take turns from
-// routers that have no
-//   list at all; it polls once in kCrowdedPeriod instead.
-// - Load: at most kMaxConcurrentPolls are in flight. Refusing costs a source work, so a refused poll is
-// repeated after
-//   kMinRefusedPause at least. Polls that fail otherwise are repeated by a router of a fleet of n after
-//   kPausePerRouter * n, within kMinPause and kMaxPause, of which a random half is left out: up to 300
-//   routers make at most 270 polls a second together.
+// - Progress: a poll is never cancelled because another one is due. A poll without a response stays
+//   in flight beside newer ones until its own timeout, so that a response is received even if it
+//   takes longer than the interval between two polls. At an overloaded source that interval is
+//   kOverloadedInterval.
+// - Freshness: while the list is unavailable, a new poll begins at most kMaxInterval after the last
+//   one began (kOverloadedInterval at an overloaded source), and at most kMaxPause after a poll
+//   failed (kMaxRejectedPause after it was rejected). With a source that responds within 3.6 s and
+//   rejects nothing, a change is known within 6 s.
+// - Fairness: a router holds no long poll at an overloaded source, as responses to long polls would
+//   delay those to routers that have no list at all. It polls once in kOverloadedPeriod instead.
+// - Load: at most kMaxConcurrentPolls are in flight. Rejecting costs the source work, so a rejected
+//   poll is repeated after kMinRejectedPause at the earliest. After another failure, a router in a
+//   fleet of n pauses for a random time between half and all of n * kPausePerRouter, where that
+//   product is limited to kMinPause..kMaxPause. Up to 300 routers together make at most 270 polls a
+//   second.
 #pragma once
 
 #include <cstddef>
@@ -30,76 +31,82 @@
 namespace poppyscale::discovery {
 
 constexpr std::size_t kMaxConcurrentPolls = 4;
-// Past its wait at the source, a poll without a byte of its response is ended after this time, its connection
-// included.
+// A poll ends, and its connection is closed, when no byte of the response has arrived this long
+// after the end of its wait at the source.
 constexpr Nanos kMaxSilence = 6'500 * kMillisecond;
-// A response that has begun goes on while bytes arrive at least this often, and up to kMaxResponseDuration
-// past the wait.
+// Once the response has begun, the poll ends after kMaxStall without a further byte, and
+// kMaxResponseDuration after the end of its wait at the latest.
 constexpr Nanos kMaxStall = 2'500 * kMillisecond;
 constexpr Nanos kMaxResponseDuration = 15'000 * kMillisecond;
-// A long poll without a response so long after its wait is overdue. Changes count as known 2 s after the
-// wait, and the rest of these is for another poll.
+// From the end of its wait until a long poll without a response is overdue. A change counts as
+// known to the router 2 s after the wait; the second that remains is for another poll.
 constexpr Nanos kLongPollGrace = 1'000 * kMillisecond;
-// Between the starts of two polls of which the first has no response yet.
+// From the start of a poll that has no response yet to the start of the next one.
 constexpr Nanos kMaxInterval = 2'200 * kMillisecond;
 constexpr Nanos kMinInterval = 1'800 * kMillisecond;
-// The same at a crowded source: above the 3 to 4.5 s that one takes for the polls ahead, and short enough for
-// another poll within 6 s.
-constexpr Nanos kCrowdedInterval = 4'600 * kMillisecond;
-// From the start of a poll that a crowded source responded to, to the start of the next one.
-constexpr Nanos kCrowdedPeriod = 5'000 * kMillisecond;
-// From a prompt response of a crowded source to the next poll, which shows whether it has capacity again.
+// The same at an overloaded source: longer than the 3 to 4.5 s that the source needs for the polls
+// ahead, and short enough for another poll within 6 s.
+constexpr Nanos kOverloadedInterval = 4'600 * kMillisecond;
+// From the start of a poll that an overloaded source responded to, to the start of the next one.
+constexpr Nanos kOverloadedPeriod = 5'000 * kMillisecond;
+// From a prompt response of an overloaded source to the next poll, which shows whether the source
+// has capacity again.
 constexpr Nanos kPromptPause = 500 * kMillisecond;
 // A response within this time is prompt: the source has capacity.
 constexpr Nanos kPromptResponseTime = 1'000 * kMillisecond;
-// Prompt responses in a row after which a source no longer counts as crowded: one, and twice as many each
-// time that it is crowded again within kCrowdedAgainWithin.
+// Prompt responses without a rejection in between, after which a source no longer counts as
+// overloaded: one at first, and twice as many, up to this maximum, each time that the source is
+// overloaded again within kOverloadedAgainWithin.
 constexpr int kMaxPromptResponses = 4;
-constexpr Nanos kCrowdedAgainWithin = 15'000 * kMillisecond;
-// After a poll that a crowded source refused: polls that come sooner take work from those that it admits.
-constexpr Nanos kMinRefusedPause = 1'500 * kMillisecond;
-constexpr Nanos kMaxRefusedPause = 3'000 * kMillisecond;
-// After a poll that failed otherwise.
-constexpr Nanos kFirstPause = 500 * kMillisecond;  // at most, by a router whose list is fresh
-constexpr Nanos kUrgentAge =
-    4'000 * kMillisecond;  // of the list; from here on the first pause no longer counts
+constexpr Nanos kOverloadedAgainWithin = 15'000 * kMillisecond;
+// Pause after a poll that an overloaded source rejected. Polls that come sooner cost the source
+// work that it needs for the polls it admits.
+constexpr Nanos kMinRejectedPause = 1'500 * kMillisecond;
+constexpr Nanos kMaxRejectedPause = 3'000 * kMillisecond;
+// Pause after a poll that failed in another way. It is at most kFirstPause if the list is fresh;
+// that limit falls to 0 at an age of kUrgentAge. The pause by the size of the fleet counts where it
+// is longer.
+constexpr Nanos kFirstPause = 500 * kMillisecond;
+constexpr Nanos kUrgentAge = 4'000 * kMillisecond;
 constexpr Nanos kMinPause = 400 * kMillisecond;
 constexpr Nanos kMaxPause = 1'500 * kMillisecond;
 constexpr Nanos kPausePerRouter = 5 * kMillisecond;
 
-// Decides from responses, refusals and time alone. All random pauses are drawn from one generator, in the
-// order of the calls.
+// Its decisions depend only on the seed and on the responses, rejections and times that it is told.
+// All random pauses come from one generator, in the order of the calls.
 class PollPacing {
   public:
-    // `routerCount`: routers that poll the same source. `mayBeCrowded`: a source may count as crowded where
-    // routers poll it in turns and there is no other one; where changes count as known at once, or another
-    // source can be polled, it never does.
-    PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeCrowded);
-    void setMayBeCrowded(bool mayBeCrowded);
+    // `routerCount`: routers that poll the same source. `mayBeOverloaded`: whether a source may
+    // count as overloaded. False where changes count as known as soon as the source has them, or
+    // where another source can be polled instead.
+    PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeOverloaded);
+    void setMayBeOverloaded(bool mayBeOverloaded);
     void setRouterCount(std::int64_t routerCount) { routerCount_ = routerCount; }
 
-    // The pause before the next poll after one that failed; `listAge`: since the last usable response.
-    // Random, so that routers whose polls failed together don't poll together.
+    // The pause after a failed poll; `listAge`: time since the last usable response. Random, so
+    // that routers whose polls failed together don't poll together again.
     Nanos pauseAfterFailure(Nanos listAge);
-    // The source has refused a poll.
-    void onRefused(Nanos now);
-    // The source has responded, `duration` after the poll began but for its wait.
-    void onAnswered(Nanos now, Nanos duration);
-    bool isCrowded() const { return promptResponsesLeft_ > 0; }
-    // Between the starts of two polls while none has its response.
-    Nanos intervalWithoutAnswer();
-    // How long a long poll waits at the source, up to `maxWait`. Random: all routers poll again with each
-    // change, and long polls that became unresponsive together would otherwise be repeated together.
+    // The source has rejected a poll.
+    void onRejected(Nanos now);
+    // The source has responded; `duration`: from the start of the poll to the response, minus the
+    // poll's wait.
+    void onResponded(Nanos now, Nanos duration);
+    bool isOverloaded() const { return promptResponsesLeft_ > 0; }
+    // From the start of a poll that has no response yet to the start of the next one.
+    Nanos intervalWithoutResponse();
+    // How long a long poll waits at the source, at most `maxWait`. Random, as all routers poll
+    // again after each change: if their long polls then got no response, they would all be repeated
+    // at the same time.
     Nanos longPollWait(Nanos maxWait);
 
   private:
     Nanos randomBetween(Nanos min, Nanos max);
 
     std::int64_t routerCount_;
-    bool mayBeCrowded_;
-    int promptResponsesLeft_ = 0;  // until the source no longer counts as crowded
+    bool mayBeOverloaded_;
+    int promptResponsesLeft_ = 0;  // until the source no longer counts as overloaded
     int promptResponsesNeeded_ = 1;
-    Nanos hasCapacitySince_ = kNever;  // kNever while it has never been crowded
+    Nanos overloadEndedAt_ = kNever;  // when the source was last overloaded; kNever for never
     std::mt19937 random_;
 };
 
--- a/src/discovery/removed_endpoints.cpp
+++ b/src/discovery/removed_endpoints.cpp
@@ -5,11 +5,11 @@
 namespace poppyscale::discovery {
 namespace {
 
-// Of one id beside its characters: a list node, a hash node and its bucket, with the overhead of the
-// allocator.
-constexpr std::size_t kBytesBesideId = 160;
+// Memory per id beside its characters: a list node, a hash node and its bucket, with the
+// allocator's overhead.
+constexpr std::size_t kOverheadBytesPerId = 160;
 
-std::size_t bytesOf(std::string_view id) { return kBytesBesideId + id.size(); }
+std::size_t bytesOf(std::string_view id) { return kOverheadBytesPerId + id.size(); }
 
 }  // namespace
 
--- a/src/discovery/removed_endpoints.hpp
+++ b/src/discovery/removed_endpoints.hpp
@@ -1,4 +1,5 @@
-// The ids of servers that were listed once and are removed, so that an operator may still eject them.
+// The ids of servers that were listed once and are removed, so that an operator can still eject
+// them.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +10,13 @@
 
 namespace poppyscale::discovery {
 
-// Holds as many ids as fit into its capacity; the one that was removed first is evicted first.
+// Holds as many ids as fit into its capacity. The id of the server that was removed first is
+// evicted first.
 class RemovedEndpoints {
   public:
     explicit RemovedEndpoints(std::size_t capacityBytes) : capacityBytes_(capacityBytes) {}
 
-    // An id that is held already counts as the latest from now on.
+    // An id that is already held becomes the latest one, which is evicted last.
     void add(const std::string& id);
     void remove(std::string_view id);
     bool contains(std::string_view id) const { return positions_.contains(id); }
--- a/src/discovery/server_start_times.cpp
+++ b/src/discovery/server_start_times.cpp
@@ -11,7 +11,7 @@
     const auto same = [&](const ClockOffset& one) { return std::abs(one.value - offset) <= kTolerance; };
     const auto known = std::find_if(clockOffsets_.begin(), clockOffsets_.end(), same);
     if (known != clockOffsets_.end()) {
-        // Follows the drift, and keeps the offset in force last.
+        // Follows the clock's drift, and moves the offset in force to the end.
         *known = {offset, now};
         std::rotate(known, known + 1, clockOffsets_.end());
         return;
--- a/src/discovery/server_start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -1,13 +1,18 @@
-// When servers last started, on this process's monotonic clock. The endpoint list has it on the machines'
-// wall clock, which may be stepped at any time, before or after a server recorded its start. Free of I/O.
+// When servers last started, on this process's monotonic clock. The endpoint list gives start times
+// on the machines' wall clock, which may be stepped at any time, before or after a server recorded
+// its start. Free of I/O.
+//
+// A reading is a start time converted to the monotonic clock by one of the recent offsets between
+// the two clocks. As it is not known which offset was in force when the server started, there may
+// be several.
 //
 // Guarantees:
 // - A start that is known keeps its time, whatever the wall clock does afterwards.
-// - Of the readings that the recent steps of the wall clock allow, the latest one that is not in the future
-// counts: a server is
-//   never taken for further warmed up than one of them says.
+// - The latest reading that is not in the future counts, so that no server counts as warmed up
+//   further than any of its readings says.
 // - A start of which every reading is in the future counts from when it became known.
-// A step before this process began is not known: a start recorded before it is off by as much.
+// A step before this process began is not known: a start recorded before that step is off by its
+// size.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +27,18 @@
 
 class ServerStartTimes {
   public:
-    // How long an offset counts after a step away from it.
+    // How long an offset is kept after a step away from it.
     static constexpr Nanos kOffsetRetention = 600'000 * kMillisecond;
-    // A smaller difference is the drift of the clock, or a start that was just recorded elsewhere.
+    // A difference up to this one is the drift of the clock, or a start just recorded on another
+    // machine.
     static constexpr Nanos kTolerance = 50 * kMillisecond;
     static constexpr std::size_t kMaxOffsets = 16;
 
-    // `offset`: the monotonic clock minus the wall clock, both read at `now`. To be called often: only a step
-    // between two calls is known.
+    // `offset`: the monotonic clock minus the wall clock, both read at `now`. Has to be called
+    // often: two steps between two calls count as one.
     void recordClockOffset(Nanos now, Nanos offset);
     // When the server started, on the monotonic clock; 0 for long ago. `startedMs`: Unix time in
-    // milliseconds.
+    // milliseconds; 0 or less for a start long ago.
     Nanos startOf(std::string_view server, std::int64_t startedMs, Nanos now);
     void forget(const std::string& server) { starts_.erase(server); }
 
--- a/src/discovery/source_selector.cpp
+++ b/src/discovery/source_selector.cpp
@@ -30,36 +30,36 @@
 void SourceSelector::resumeAt(std::size_t source) {
     const auto it = std::find(order_.begin(), order_.end(), source);
     position_ = static_cast<std::size_t>(it - order_.begin());
-    confirmed_ = true;
+    isConfirmed_ = true;
 }
 
 Attempt SourceSelector::onFailed(Nanos now) {
-    Source& lost = sources_[current()];
+    Source& failed = sources_[current()];
     ++failures_;
-    ++lost.failures;
-    lost.retryAt = now + backoffAfter(lost.failures);
-    confirmed_ = false;
+    ++failed.failures;
+    failed.retryAt = now + backoffAfter(failed.failures);
+    isConfirmed_ = false;
     if (isFirstRound()) {
         position_ = (position_ + 1) % count();
-        return {current(), now + pauseOfFirstRound()};
+        return {current(), now + firstRoundPause()};
     }
     moveToEarliestRetry();
     return {current(), std::max(now, sources_[current()].retryAt)};
 }
 
-void SourceSelector::onAnswered() {
+void SourceSelector::onResponded() {
     failures_ = 0;
     for (Source& source : sources_) source = Source{};
-    confirmed_ = true;
+    isConfirmed_ = true;
     if (!isEnabled(Safeguard::stickiness)) position_ = 0;
 }
 
 ListVerdict SourceSelector::judgeVersion(std::int64_t offered, std::int64_t known) {
     if (offered >= known) return ListVerdict::usable;
     if (!isEnabled(Safeguard::versionGuard)) return ListVerdict::allOlder;
-    sources_[current()].offeredOlder = true;
+    sources_[current()].hasOfferedOlder = true;
     const bool all = std::all_of(sources_.begin(), sources_.end(),
-                                 [](const Source& source) { return source.offeredOlder; });
+                                 [](const Source& source) { return source.hasOfferedOlder; });
     return all ? ListVerdict::allOlder : ListVerdict::older;
 }
 
@@ -75,7 +75,7 @@
     return randomBetween(max / 2, max);
 }
 
-Nanos SourceSelector::pauseOfFirstRound() {
+Nanos SourceSelector::firstRoundPause() {
     if (!isEnabled(Safeguard::bound)) return backoffAfter(static_cast<int>(failures_));
     return randomBetween(0, failures_ == 1 ? kLossJitter : kRoundJitter);
 }
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -1,4 +1,4 @@
-// The router among several sources of its list: real processes, the sources played by the test.
+// A router process with several sources of its endpoint list, which the test plays.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -27,15 +27,15 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kChangeWithin{5'000};
-constexpr milliseconds kStartWithin{30'000};  // of a process with sanitizers, beside other work
+constexpr milliseconds kStartWithin{30'000};  // a process with sanitizers on a busy machine
 
-// Versions here begin where those of no other test do: a router of another test run that still asks at a port
-// that was given to a source here meanwhile is told apart by them.
+// Each test run has a range of versions of its own. A source's port may have belonged to another
+// run whose router still polls it; that router's requests are recognized by their versions.
 std::int64_t versionOf(int step) {
     static const std::int64_t base = 1'000'000 + static_cast<std::int64_t>(getpid()) * 100;
     return base + step;
 }
-constexpr int kMostSteps = 100;
+constexpr int kMaxSteps = 100;
 
 struct Request {
     Clock::time_point at;
@@ -43,10 +43,10 @@
     int connection = 0;
 };
 
-enum class Behaviour { serves, silent, stopsWithin, spoilt, refuses };
+enum class Behaviour { serves, silent, truncates, malformed, rejects };
 
-// A source of the list on a thread of its own: holds a request until there is something newer or its wait is
-// over, as discovery does.
+// A source of the list on a thread of its own. Like discovery, it holds a request until there is a
+// newer version or the request's wait has ended.
 class StandInSource {
   public:
     StandInSource() : thread_([this] { run(); }) {}
@@ -60,7 +60,7 @@
         const std::lock_guard lock(mutex_);
         behaviour_ = behaviour;
     }
-    // Whoever waits is told, also of an older version.
+    // Every waiting request is answered, even with an older version.
     void publish(int step) {
         const std::lock_guard lock(mutex_);
         version_ = versionOf(step);
@@ -75,8 +75,8 @@
         return requests_;
     }
     std::size_t requestCount() const { return requests().size(); }
-    // All requests, for a person.
-    std::string listed() const {
+    // All requests as text, shown when a check fails.
+    std::string requestLog() const {
         std::string text;
         for (const Request& request : requests())
             text += std::to_string(request.at.time_since_epoch().count() / 1'000'000) + " connection " +
@@ -93,9 +93,9 @@
         Socket socket;
         int descriptor;
         int number;
-        std::optional<std::int64_t> after;  // none: the whole list
-        Clock::time_point until{};
-        bool waits = false;
+        std::optional<std::int64_t> after;  // none: the complete list
+        Clock::time_point waitsUntil{};
+        bool isWaiting = false;
     };
 
     static std::optional<std::int64_t> numberIn(const std::string& line, const std::string& key) {
@@ -117,23 +117,23 @@
         if (killed_) {
             for (Peer& peer : peers_) peer.socket.reset();
             peers_.clear();
-            door_.shut();
+            listener_.shut();
             return;
         }
-        while (readable(door_.descriptor(), 0)) {
-            const int descriptor = ::accept4(door_.descriptor(), nullptr, nullptr, SOCK_CLOEXEC);
+        while (readable(listener_.descriptor(), 0)) {
+            const int descriptor = ::accept4(listener_.descriptor(), nullptr, nullptr, SOCK_CLOEXEC);
             if (descriptor < 0) break;
             peers_.push_back({Socket(descriptor), descriptor, ++connections_, {}, {}, false});
         }
         for (auto peer = peers_.begin(); peer != peers_.end();) {
-            const bool gone = !receive(*peer);
-            if (gone)
+            const bool isClosed = !receive(*peer);
+            if (isClosed)
                 peer = peers_.erase(peer);
             else
                 ++peer;
         }
         for (Peer& peer : peers_)
-            if (peer.waits) answerIfDue(peer);
+            if (peer.isWaiting) respondIfDue(peer);
         published_ = false;
     }
     bool receive(Peer& peer) {
@@ -141,36 +141,37 @@
         const auto head = peer.socket.head();
         if (head.empty()) return false;
         peer.after = numberIn(head[0], "after");
-        const bool isStrange =
-            peer.after && (*peer.after < versionOf(0) || *peer.after >= versionOf(kMostSteps));
-        if (isStrange) return false;
+        const bool isOfOtherRun =
+            peer.after && (*peer.after < versionOf(0) || *peer.after >= versionOf(kMaxSteps));
+        if (isOfOtherRun) return false;
         requests_.push_back({Clock::now(), head[0], peer.number});
-        peer.until = Clock::now() + milliseconds(numberIn(head[0], "wait_ms").value_or(0));
-        peer.waits = true;
+        peer.waitsUntil = Clock::now() + milliseconds(numberIn(head[0], "wait_ms").value_or(0));
+        peer.isWaiting = true;
         return true;
     }
-    void answerIfDue(Peer& peer) {
+    void respondIfDue(Peer& peer) {
         const bool isNewer = !peer.after || version_ > *peer.after;
-        if (!isNewer && !published_ && Clock::now() < peer.until && behaviour_ != Behaviour::refuses) return;
+        if (!isNewer && !published_ && Clock::now() < peer.waitsUntil && behaviour_ != Behaviour::rejects)
+            return;
         if (behaviour_ == Behaviour::silent) return;
-        peer.waits = false;
+        peer.isWaiting = false;
         const bool full = !peer.after || version_ < *peer.after;
         auto servers = nlohmann::json::array();
         if (isNewer || full)
             servers = {entryOf("origin", origin_, "origin"), entryOf("c" + std::to_string(version_), cache_)};
         nlohmann::json list = {{"version", version_}, {"full", full}, {"servers", servers}};
-        if (behaviour_ == Behaviour::refuses) {
+        if (behaviour_ == Behaviour::rejects) {
             peer.socket.say(http(503, ""));
             return;
         }
-        if (behaviour_ == Behaviour::spoilt) list["servers"] = {{{"id", 7}}};
-        std::string answer = http(200, list.dump());
-        if (behaviour_ == Behaviour::stopsWithin) answer.resize(answer.size() / 2);
-        peer.socket.say(answer);
+        if (behaviour_ == Behaviour::malformed) list["servers"] = {{{"id", 7}}};
+        std::string response = http(200, list.dump());
+        if (behaviour_ == Behaviour::truncates) response.resize(response.size() / 2);
+        peer.socket.say(response);
     }
 
-    TestServer door_, origin_, cache_;
-    const std::string address_ = door_.address();
+    TestServer listener_, origin_, cache_;
+    const std::string address_ = listener_.address();
     mutable std::mutex mutex_;
     std::list<Peer> peers_;
     std::vector<Request> requests_;
@@ -183,16 +184,16 @@
     std::thread thread_;
 };
 
-bool soon(const std::function<bool()>& is, milliseconds within = kStartWithin) {
+bool eventually(const std::function<bool()>& condition, milliseconds within = kStartWithin) {
     const auto end = Clock::now() + within;
     while (Clock::now() < end) {
-        if (is()) return true;
+        if (condition()) return true;
         std::this_thread::sleep_for(milliseconds(5));
     }
     return false;
 }
 
-std::string sectionOf(const std::vector<std::string>& addresses) {
+std::string distributorsSection(const std::vector<std::string>& addresses) {
     std::string list;
     for (const auto& address : addresses) list += "\"" + address + "\", ";
     return "[distributors]\naddresses = [" + list + "]\n";
@@ -200,9 +201,9 @@
 
 const std::string kAdmin = "[admin]\nsocket = \"{}/admin.sock\"\n";
 
-// A router beside a platform's configuration, which names a discovery of its own.
+// A router with a platform configuration, which names a discovery server of its own.
 struct RouterProcess {
-    // Without a name, one by its port: the choices that are drawn by name differ from run to run.
+    // The default name contains the port, so that choices seeded by the name differ between runs.
     explicit RouterProcess(const std::string& operatorFile, const std::string& name = "")
         : program(configuration(name).dump(), kAdmin + operatorFile) {}
 
@@ -235,69 +236,76 @@
     Program program;
 };
 
-bool hasRequest(const StandInSource& source, const std::string& begin, std::size_t from = 0) {
+// Whether a request line, from the one of that index on, starts with `prefix`.
+bool hasRequest(const StandInSource& source, const std::string& prefix, std::size_t from = 0) {
     const auto all = source.requests();
     return std::any_of(all.begin() + static_cast<long>(std::min(from, all.size())), all.end(),
-                       [&](const Request& request) { return request.line.starts_with(begin); });
+                       [&](const Request& request) { return request.line.starts_with(prefix); });
 }
 
 std::string after(int step) {
     return "GET /api/targets?after=" + std::to_string(versionOf(step)) + "&wait_ms=";
 }
-const std::string kWhole = "GET /api/targets HTTP";
-
-// A router that has version 8 from one of two sources and waits there for the next change.
-struct Pair {
-    Pair() {
-        const bool first = soon([&] { return a.requestCount() + b.requestCount() > 0; });
-        REQUIRE(first);
-        REQUIRE(settles());
+const std::string kCompleteRequest = "GET /api/targets HTTP";
+
+// A router with two sources that has received version 8 from one of them and waits there for the
+// next change.
+struct TwoSourceFixture {
+    TwoSourceFixture() {
+        const bool hasPolled = eventually([&] { return a.requestCount() + b.requestCount() > 0; });
+        REQUIRE(hasPolled);
+        REQUIRE(waitUntilSettled());
         const bool usesA = router.list().at("source") == a.address();
         used = usesA ? &a : &b;
         other = usesA ? &b : &a;
         a.publish(8);
         b.publish(8);
-        REQUIRE(soon([&] { return hasRequest(*used, after(8)); }));
-        asked = other->requestCount();
+        REQUIRE(eventually([&] { return hasRequest(*used, after(8)); }));
+        otherRequestsBefore = other->requestCount();
     }
-    // Answered by whom it asks: a slow start may have cost the first attempt.
-    bool settles() {
-        return soon([&] {
+    // Waits until the router has a response from its current source. On a slow start the first
+    // attempt may have timed out.
+    bool waitUntilSettled() {
+        return eventually([&] {
             const auto list = router.list();
             return list.at("trouble") == "" && list.at("age_ms") < 1'000 &&
                    a.connectionCount() + b.connectionCount() == 1;
         });
     }
-    // The next change comes to the other source only now, and the router has it from there in time.
-    void changeComesFromOther(bool whole = false) {
+    // Publishes the next change at the other source only, and checks that the router receives it
+    // from there in time.
+    void checkChangeFromOther(bool isComplete = false) {
         const auto changed = Clock::now();
-        const auto askedOfUsed = used->requestCount();
+        const auto usedRequestsBefore = used->requestCount();
         other->publish(9);
-        const bool has = soon([&] { return hasRequest(*other, after(9), asked); }, 2 * kChangeWithin);
-        const auto took = Clock::now() - changed;
-        CHECK(has);
-        CHECK(took < kChangeWithin);
-        MESSAGE("had from the other source after ms: ",
-                std::chrono::duration_cast<milliseconds>(took).count());
+        const bool isReceived =
+            eventually([&] { return hasRequest(*other, after(9), otherRequestsBefore); }, 2 * kChangeWithin);
+        const auto elapsed = Clock::now() - changed;
+        CHECK(isReceived);
+        CHECK(elapsed < kChangeWithin);
+        MESSAGE("change received from the other source after ms: ",
+                std::chrono::duration_cast<milliseconds>(elapsed).count());
         const auto requests = other->requests();
-        const std::string told = "used " + used->address() + " asked " + std::to_string(askedOfUsed) + "\n" +
-                                 used->listed() + "other " + other->address() + " asked " +
-                                 std::to_string(asked) + "\n" + other->listed() + router.program.log();
-        INFO(told);
-        REQUIRE(requests.size() > asked);
-        CHECK(requests[asked].line.starts_with(whole ? kWhole : after(8)));
-        if (!whole) CHECK_FALSE(hasRequest(*other, kWhole));
-        CHECK(router.logs("polls " + other->address() +
-                          " for the endpoint list from now on: " + used->address()));
+        const std::string context = "source in use " + used->address() +
+                                    ", earlier requests: " + std::to_string(usedRequestsBefore) + "\n" +
+                                    used->requestLog() + "other source " + other->address() +
+                                    ", earlier requests: " + std::to_string(otherRequestsBefore) + "\n" +
+                                    other->requestLog() + router.program.log();
+        INFO(context);
+        REQUIRE(requests.size() > otherRequestsBefore);
+        CHECK(requests[otherRequestsBefore].line.starts_with(isComplete ? kCompleteRequest : after(8)));
+        if (!isComplete) CHECK_FALSE(hasRequest(*other, kCompleteRequest));
+        CHECK(router.logs("polls endpoint list source " + other->address() + " next, after a failure of " +
+                          used->address()));
         CHECK(router.list().at("source") == other->address());
         CHECK(router.list().at("trouble") == "");
     }
 
     StandInSource a, b;
-    RouterProcess router{sectionOf({a.address(), b.address()})};
+    RouterProcess router{distributorsSection({a.address(), b.address()})};
     StandInSource* used = nullptr;
     StandInSource* other = nullptr;
-    std::size_t asked = 0;  // requests that the other had before
+    std::size_t otherRequestsBefore = 0;  // requests to the other source during set-up
 };
 
 std::string problemsOf(const std::string& text, bool platform) {
@@ -308,7 +316,7 @@
 
 }  // namespace
 
-TEST_CASE("problems of the distributors' section are told all at once, with line and key") {
+TEST_CASE("reports all problems of the distributors section at once, with line and key") {
     const std::string text = problemsOf(
         "[distributors]\naddresses = [\"nowhere\", \"127.0.0.1:70000\", \"127.0.0.1:1\", \"127.0.0.1:1\"]\n"
         "pause = 3\n",
@@ -323,63 +331,68 @@
           "op.toml:2: distributors.addresses: names none");
     std::vector<std::string> nine;
     for (int i = 1; i <= 9; ++i) nine.push_back("127.0.0.1:" + std::to_string(i));
-    CHECK(problemsOf(sectionOf(nine), true) == "op.toml:2: distributors.addresses: names more than 8");
-    // In a file that says all, they stand for discovery: no list of servers is asked for.
-    const std::string whole =
+    CHECK(problemsOf(distributorsSection(nine), true) ==
+          "op.toml:2: distributors.addresses: names more than 8");
+    // Without a platform configuration, distributors replace discovery: no [[servers]] are
+    // required.
+    const std::string fileWithoutSection =
         "[instance]\nname = \"n0\"\nlisten = \"127.0.0.1:1\"\n"
         "[[verbs]]\nname = \"read\"\neffect = \"pure\"\ngoal_ms = 500\nlimit_ms = 2000\n";
-    CHECK(problemsOf(whole + sectionOf({"127.0.0.1:2"}), false) == "");
-    CHECK(problemsOf(whole, false).find("servers") != std::string::npos);
+    CHECK(problemsOf(fileWithoutSection + distributorsSection({"127.0.0.1:2"}), false) == "");
+    CHECK(problemsOf(fileWithoutSection, false).find("servers") != std::string::npos);
 }
 
-TEST_CASE("a killed source: the next change is had from the other one, by its version") {
-    Pair pair;
-    pair.used->kill();
-    pair.changeComesFromOther();
+// The tests below break the source in use. The router has to poll the other one for the changes
+// since the known version, and receive the next change within the limit.
+TEST_CASE("receives the next change from the other source after the source in use is killed") {
+    TwoSourceFixture fixture;
+    fixture.used->kill();
+    fixture.checkChangeFromOther();
 }
 
-TEST_CASE("a silent source: the next change is had from the other one, by its version") {
-    Pair pair;
-    pair.used->set(Behaviour::silent);
-    pair.changeComesFromOther();
+TEST_CASE("receives the next change from the other source when the source in use doesn't respond") {
+    TwoSourceFixture fixture;
+    fixture.used->set(Behaviour::silent);
+    fixture.checkChangeFromOther();
 }
 
-TEST_CASE("a source that stops within an answer: the next change is had from the other one, by its version") {
-    Pair pair;
-    pair.used->set(Behaviour::stopsWithin);
-    pair.used->publish(9);
-    pair.changeComesFromOther();
+TEST_CASE("receives the next change from the other source when the source in use truncates a response") {
+    TwoSourceFixture fixture;
+    fixture.used->set(Behaviour::truncates);
+    fixture.used->publish(9);
+    fixture.checkChangeFromOther();
 }
 
-TEST_CASE("a spoilt list: the whole list is had from the other one") {
-    Pair pair;
-    pair.used->set(Behaviour::spoilt);
-    pair.used->publish(9);
-    pair.changeComesFromOther(true);
+TEST_CASE("polls the other source for the complete list after a malformed list") {
+    TwoSourceFixture fixture;
+    fixture.used->set(Behaviour::malformed);
+    fixture.used->publish(9);
+    fixture.checkChangeFromOther(true);
 }
 
-TEST_CASE("a source that tells an older version: it is refused, and the other one asked by the known one") {
-    Pair pair;
-    pair.used->publish(5);
-    pair.changeComesFromOther();
-    CHECK(pair.router.logs(pair.used->address() + ": version " + std::to_string(versionOf(5)) +
-                           " after version " + std::to_string(versionOf(8))));
+TEST_CASE("refuses an older version, and polls the other source for changes since the known version") {
+    TwoSourceFixture fixture;
+    fixture.used->publish(5);
+    fixture.checkChangeFromOther();
+    CHECK(fixture.router.logs(fixture.used->address() + ": version " + std::to_string(versionOf(5)) +
+                              " is older than the known version " + std::to_string(versionOf(8))));
 }
 
-TEST_CASE("a source that refuses with 503: the next change is had from the other one, by its version") {
-    Pair pair;
-    pair.used->set(Behaviour::refuses);
-    pair.changeComesFromOther();
-    CHECK(pair.router.logs(pair.used->address() + ": answered 503"));
+TEST_CASE("receives the next change from the other source when the source in use responds with 503") {
+    TwoSourceFixture fixture;
+    fixture.used->set(Behaviour::rejects);
+    fixture.checkChangeFromOther();
+    CHECK(fixture.router.logs(fixture.used->address() + ": HTTP status 503"));
 }
 
-TEST_CASE("two of three sources lost, one of them silent: the change is had from the third, by its version") {
+TEST_CASE("receives the change from the third source when one of the others is killed and one is silent") {
     std::array<StandInSource, 3> sources;
-    RouterProcess router(sectionOf({sources[0].address(), sources[1].address(), sources[2].address()}));
-    const auto waitsAt = [&](const StandInSource& source) { return source.connectionCount() > 0; };
-    REQUIRE(soon([&] { return std::any_of(sources.begin(), sources.end(), waitsAt); }));
+    RouterProcess router(
+        distributorsSection({sources[0].address(), sources[1].address(), sources[2].address()}));
+    const auto isConnected = [&](const StandInSource& source) { return source.connectionCount() > 0; };
+    REQUIRE(eventually([&] { return std::any_of(sources.begin(), sources.end(), isConnected); }));
     std::this_thread::sleep_for(milliseconds(1'000));
-    const auto used = std::find_if(sources.begin(), sources.end(), waitsAt);
+    const auto used = std::find_if(sources.begin(), sources.end(), isConnected);
     REQUIRE(used != sources.end());
     StandInSource& silent = sources[static_cast<std::size_t>(used - sources.begin() + 1) % 3];
     StandInSource& alive = sources[static_cast<std::size_t>(used - sources.begin() + 2) % 3];
@@ -387,101 +400,109 @@
     const auto killed = Clock::now();
     used->kill();
     alive.publish(8);
-    CHECK(soon([&] { return hasRequest(alive, after(8)); }, 2 * kChangeWithin));
-    const auto took = Clock::now() - killed;
-    CHECK(took < kChangeWithin);
-    MESSAGE("had from the third source after ms: ", std::chrono::duration_cast<milliseconds>(took).count());
+    CHECK(eventually([&] { return hasRequest(alive, after(8)); }, 2 * kChangeWithin));
+    const auto elapsed = Clock::now() - killed;
+    CHECK(elapsed < kChangeWithin);
+    MESSAGE("change received from the third source after ms: ",
+            std::chrono::duration_cast<milliseconds>(elapsed).count());
     REQUIRE(alive.requestCount() > 0);
     CHECK(alive.requests()[0].line.starts_with(after(7)));
-    CHECK_FALSE(hasRequest(alive, kWhole));
+    CHECK_FALSE(hasRequest(alive, kCompleteRequest));
 }
 
-TEST_CASE("what a stranger asks of a stand-in source counts for nothing") {
+// Checks the test's own source: a router left over from another test run would spoil the counts
+// otherwise.
+TEST_CASE("the stand-in source ignores requests with versions of another test run") {
     StandInSource source;
-    Socket stranger(
+    Socket otherRouter(
         static_cast<std::uint16_t>(std::stoi(source.address().substr(source.address().find(':') + 1))));
-    stranger.say("GET /api/targets?after=9&wait_ms=0 HTTP/1.1\r\n\r\n");
-    CHECK(stranger.ended());
+    otherRouter.say("GET /api/targets?after=9&wait_ms=0 HTTP/1.1\r\n\r\n");
+    CHECK(otherRouter.ended());
     CHECK(source.requestCount() == 0);
 }
 
-TEST_CASE("an older list is taken once every source tells an older one, and that is logged") {
-    Pair pair;
-    pair.other->publish(5);
-    pair.used->publish(4);
-    CHECK(soon([&] { return pair.router.logs("every source offers an older one"); }, 2 * kChangeWithin));
-    CHECK(soon([&] {
-        return hasRequest(*pair.used, after(5)) || hasRequest(*pair.other, after(5)) ||
-               hasRequest(*pair.used, after(4)) || hasRequest(*pair.other, after(4));
+// Discovery may lose its state and number its versions anew. The router must not refuse its lists
+// forever.
+TEST_CASE("applies an older list once every source offers an older one, and logs that") {
+    TwoSourceFixture fixture;
+    fixture.other->publish(5);
+    fixture.used->publish(4);
+    CHECK(eventually([&] { return fixture.router.logs("every source offers an older one"); },
+                     2 * kChangeWithin));
+    CHECK(eventually([&] {
+        return hasRequest(*fixture.used, after(5)) || hasRequest(*fixture.other, after(5)) ||
+               hasRequest(*fixture.used, after(4)) || hasRequest(*fixture.other, after(4));
     }));
 }
 
-TEST_CASE("an older list is refused while the other source can't be asked; status tells why and how old") {
-    Pair pair;
-    pair.used->kill();
-    pair.other->publish(5);
+// A single source with stale state must not undo newer changes while the other source is down.
+TEST_CASE("refuses an older list while the other source is down; the status shows the reason and list age") {
+    TwoSourceFixture fixture;
+    fixture.used->kill();
+    fixture.other->publish(5);
     std::this_thread::sleep_for(milliseconds(6'000));
-    CHECK_FALSE(pair.router.logs("every source offers an older one"));
-    CHECK_FALSE(hasRequest(*pair.other, after(5)));
-    CHECK_FALSE(hasRequest(*pair.other, kWhole));
-    const auto list = pair.router.list();
+    CHECK_FALSE(fixture.router.logs("every source offers an older one"));
+    CHECK_FALSE(hasRequest(*fixture.other, after(5)));
+    CHECK_FALSE(hasRequest(*fixture.other, kCompleteRequest));
+    const auto list = fixture.router.list();
     CHECK(list.at("sources") == 2);
     CHECK(list.at("age_ms") > 5'000);
     CHECK(list.at("trouble") != "");
-    const std::string shown = pair.router.status();
+    const std::string shown = fixture.router.status();
     CHECK(shown.find("the list is asked of ") != std::string::npos);
     CHECK(shown.find(", one of 2; last heard of ") != std::string::npos);
     CHECK(shown.find("it can't be had: ") != std::string::npos);
-    // Bounded, however long it lasts.
-    const std::string log = pair.router.program.log();
+    // The number of logged moves is bounded, however long the outage lasts.
+    const std::string log = fixture.router.program.log();
     std::size_t moves = 0;
-    for (auto at = log.find("for the endpoint list from now on:"); at != std::string::npos;
-         at = log.find("for the endpoint list from now on:", at + 1))
+    for (auto at = log.find("polls endpoint list source "); at != std::string::npos;
+         at = log.find("polls endpoint list source ", at + 1))
         ++moves;
     CHECK(moves <= 20);
-    // It catches up.
-    pair.other->publish(9);
-    CHECK(soon([&] { return hasRequest(*pair.other, after(9)); }, 2 * kChangeWithin));
-    CHECK(soon([&] { return pair.router.list().at("trouble") == ""; }));
+    // The router applies the next newer list.
+    fixture.other->publish(9);
+    CHECK(eventually([&] { return hasRequest(*fixture.other, after(9)); }, 2 * kChangeWithin));
+    CHECK(eventually([&] { return fixture.router.list().at("trouble") == ""; }));
 }
 
-TEST_CASE("the router stays with the source that it moved to when the first one is back") {
-    Pair pair;
-    pair.used->set(Behaviour::refuses);
-    pair.changeComesFromOther();
-    pair.used->set(Behaviour::serves);
-    const auto before = pair.used->requestCount();
+TEST_CASE("stays with the source that it moved to when the first one is available again") {
+    TwoSourceFixture fixture;
+    fixture.used->set(Behaviour::rejects);
+    fixture.checkChangeFromOther();
+    fixture.used->set(Behaviour::serves);
+    const auto before = fixture.used->requestCount();
     std::this_thread::sleep_for(milliseconds(3'000));
-    CHECK(pair.used->requestCount() == before);
-    CHECK(pair.router.list().at("source") == pair.other->address());
+    CHECK(fixture.used->requestCount() == before);
+    CHECK(fixture.router.list().at("source") == fixture.other->address());
 }
 
-TEST_CASE("a reload moves the watch; where the source in use stays, its call stays") {
-    Pair pair;
+TEST_CASE("a reload replaces the sources; if the source in use is kept, its poll stays in flight") {
+    TwoSourceFixture fixture;
     StandInSource third;
-    const auto connections = pair.used->requests().back().connection;
-    // One more source: nobody asks anew.
-    pair.router.reload(sectionOf({third.address(), pair.used->address()}));
-    CHECK(soon([&] { return pair.router.logs("distributors: "); }));
-    pair.used->publish(9);
-    CHECK(soon([&] { return hasRequest(*pair.used, after(9)); }));
-    CHECK(pair.used->requests().back().connection == connections);
+    const auto connection = fixture.used->requests().back().connection;
+    // With the source in use kept, no new poll begins.
+    fixture.router.reload(distributorsSection({third.address(), fixture.used->address()}));
+    CHECK(eventually([&] { return fixture.router.logs("distributors: "); }));
+    fixture.used->publish(9);
+    CHECK(eventually([&] { return hasRequest(*fixture.used, after(9)); }));
+    CHECK(fixture.used->requests().back().connection == connection);
     CHECK(third.requestCount() == 0);
-    // Other sources: asked at once and for all, as after any move.
-    pair.router.reload(sectionOf({third.address(), pair.other->address()}));
-    CHECK(soon([&] { return hasRequest(third, kWhole) || hasRequest(*pair.other, kWhole); }));
-    CHECK(soon([&] { return pair.used->connectionCount() == 0; }));
-    // A broken file changes nothing.
-    pair.router.reload("[distributors]\naddresses = [\"nowhere\"]\n");
-    CHECK(soon([&] { return pair.router.logs("goes on with the old configuration"); }));
-    // Without the section: discovery.
-    pair.router.reload("");
-    Socket discovery = pair.router.discovery.accept();
-    CHECK(discovery.head().at(0).starts_with(kWhole));
-    CHECK_FALSE(pair.router.list().contains("source"));
+    // Other sources are polled at once for the complete list.
+    fixture.router.reload(distributorsSection({third.address(), fixture.other->address()}));
+    CHECK(eventually(
+        [&] { return hasRequest(third, kCompleteRequest) || hasRequest(*fixture.other, kCompleteRequest); }));
+    CHECK(eventually([&] { return fixture.used->connectionCount() == 0; }));
+    // An invalid file changes nothing.
+    fixture.router.reload("[distributors]\naddresses = [\"nowhere\"]\n");
+    CHECK(eventually([&] { return fixture.router.logs("goes on with the old configuration"); }));
+    // Without the section, discovery is polled.
+    fixture.router.reload("");
+    Socket discovery = fixture.router.discovery.accept();
+    CHECK(discovery.head().at(0).starts_with(kCompleteRequest));
+    CHECK_FALSE(fixture.router.list().contains("source"));
 }
 
-TEST_CASE("without the section discovery is asked as ever, and nothing tells of sources") {
+TEST_CASE("without a distributors section polls discovery, and the status has no entries for sources") {
     RouterProcess router("");
     Socket discovery = router.discovery.accept();
     const std::string line = discovery.head().at(0);
@@ -493,29 +514,31 @@
         {"version", versionOf(7)}, {"full", false}, {"servers", nlohmann::json::array()}};
     discovery.say(http(200, empty.dump()));
     CHECK(discovery.head().at(0).starts_with(after(7)));
-    REQUIRE(soon([&] { return router.status().find("serving") != std::string::npos; }));
+    REQUIRE(eventually([&] { return router.status().find("serving") != std::string::npos; }));
     CHECK_FALSE(router.list().contains("source"));
     CHECK_FALSE(router.list().contains("sources"));
     CHECK(router.status().find("distributors") == std::string::npos);
     discovery.say(http(503, ""));
-    CHECK(soon([&] { return router.logs("endpoint list unavailable from discovery: answered 503"); }));
-    CHECK_FALSE(router.logs("for the endpoint list from now on"));
+    CHECK(
+        eventually([&] { return router.logs("endpoint list unavailable from discovery: HTTP status 503"); }));
+    CHECK_FALSE(router.logs("polls endpoint list source "));
 }
 
-TEST_CASE("thirty routers that lose a source don't arrive at the other one together") {
+// Routers that move to another source at the same moment would overload it.
+TEST_CASE("thirty routers that lose a source spread their arrival at the other one over time") {
     constexpr int kRouters = 30;
-    constexpr std::size_t kLeastShare = 5;
+    constexpr std::size_t kMinRouters = 5;  // at each source before the loss
     StandInSource a, b;
-    const std::string section = sectionOf({a.address(), b.address()});
+    const std::string section = distributorsSection({a.address(), b.address()});
     std::vector<std::unique_ptr<RouterProcess>> routers;
     for (int i = 0; i < kRouters; ++i)
         routers.push_back(std::make_unique<RouterProcess>(section, "n" + std::to_string(i)));
-    REQUIRE(soon([&] { return a.connectionCount() + b.connectionCount() == kRouters; }));
-    // Past the first, which only asks whether anything is newer.
+    REQUIRE(eventually([&] { return a.connectionCount() + b.connectionCount() == kRouters; }));
+    // The first poll of each router doesn't wait at the source; the long polls after it do.
     std::this_thread::sleep_for(milliseconds(2'500));
     REQUIRE(a.connectionCount() + b.connectionCount() == kRouters);
-    CHECK(a.connectionCount() >= kLeastShare);
-    CHECK(b.connectionCount() >= kLeastShare);
+    CHECK(a.connectionCount() >= kMinRouters);
+    CHECK(b.connectionCount() >= kMinRouters);
     const auto lost = a.connectionCount();
     std::set<int> before;
     for (const Request& request : b.requests()) before.insert(request.connection);
@@ -527,13 +550,13 @@
             if (!before.contains(request.connection)) first.emplace(request.connection, request.at);
         return first;
     };
-    CHECK(soon([&] { return arrivals().size() >= lost; }, kChangeWithin));
+    CHECK(eventually([&] { return arrivals().size() >= lost; }, kChangeWithin));
     std::vector<Clock::time_point> times;
     for (const auto& [connection, at] : arrivals()) times.push_back(at);
     REQUIRE(times.size() >= lost);
     const auto [first, last] = std::minmax_element(times.begin(), times.end());
     CHECK(*last - *first > milliseconds(100));
     CHECK(*last - killed < milliseconds(2'000));
-    MESSAGE("lost by ", lost,
+    MESSAGE("routers that lost their source: ", lost,
             ", arrivals spread over ms: ", std::chrono::duration_cast<milliseconds>(*last - *first).count());
 }
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -581,7 +581,7 @@
         Socket fresh = router.discovery.accept();
         CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(waits.back() + 1'200));
         CHECK(fresh.head().at(0).find("?after=" + std::to_string(version - 1) + "&") != std::string::npos);
-        CHECK(lastFailure() == "no answer in time");
+        CHECK(lastFailure() == "no response in time");
         CHECK(dead.quiet(0));  // it may still be answered, until the newer one is
         fresh.say(list(version, false, version == 8 ? "Ready" : "Terminating"));
         CHECK(dead.ended());
@@ -597,7 +597,7 @@
     dead.say(list(8, true, "Ready"));
     Socket fresh = router.discovery.accept();
     CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
-    CHECK(lastFailure() == "version 8 after version 9");
+    CHECK(lastFailure() == "version 8 is older than the known version 9");
     client.say(get("m"));
     CHECK(router.cache.quiet(200));
     // Malformed: the same version would have the same content. A response that makes no progress times out.
@@ -605,7 +605,7 @@
     fresh = router.discovery.accept();
     CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
     CHECK(fresh.say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{").ended());
-    CHECK(lastFailure() == "the answer was not whole in time");
+    CHECK(lastFailure() == "response not complete in time");
     // A complete list is applied whatever its version.
     fresh = router.discovery.accept();
     fresh.head();
--- a/tests/source_selector_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -33,7 +33,7 @@
         std::mt19937_64 random(seed);
         const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), without);
-        selector.onAnswered();
+        selector.onResponded();
         const std::size_t alive = random() % count;
         Nanos now = kBegin;
         while (true) {
@@ -64,7 +64,7 @@
                 continue;
             }
             if (random() % 2 == 0) selector.judgeVersion(static_cast<std::int64_t>(random() % 10), 5);
-            selector.onAnswered();
+            selector.onResponded();
             if (selector.current() != before)
                 return "seed " + std::to_string(seed) + ": another source without a failure";
         }
@@ -79,7 +79,7 @@
     std::vector<int> first(kCount), second(kCount);
     for (int router = 0; router < kRouters; ++router) {
         SourceSelector selector(kCount, static_cast<std::uint64_t>(router) * 7'919, without);
-        selector.onAnswered();
+        selector.onResponded();
         ++first[selector.current()];
         if (selector.current() == 0) ++second[selector.onFailed(kBegin).source];
     }
@@ -97,7 +97,7 @@
     std::vector<Nanos> arrivals;
     for (int router = 0; router < kRouters; ++router) {
         SourceSelector selector(2, static_cast<std::uint64_t>(router) * 7'919, without);
-        selector.onAnswered();
+        selector.onResponded();
         arrivals.push_back(selector.onFailed(kBegin).at);
     }
     std::sort(arrivals.begin(), arrivals.end());
@@ -115,7 +115,7 @@
         std::mt19937_64 random(seed);
         const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), without);
-        selector.onAnswered();
+        selector.onResponded();
         std::vector<Nanos> askedAt(count, kBegin);
         std::size_t attempts = 0;
         for (Nanos now = kBegin; now < kBegin + kOutage;) {
@@ -156,7 +156,7 @@
                 continue;
             }
             known = std::max<std::int64_t>(offered, 5);
-            selector.onAnswered();
+            selector.onResponded();
             older.clear();
         }
     }
