--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -72,7 +72,7 @@
 constexpr Nanos kMaxPause = 1'500 * kMillisecond;
 constexpr Nanos kPausePerRouter = 5 * kMillisecond;
 
-// Its decisions depend only on the seed and on the responses, rejections and times that it is told.
+// Its decisions depend only on the seed and on the responses, rejections and times passed to it.
 // All random pauses come from one generator, in the order of the calls.
 class PollPacing {
   public:
--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -1,5 +1,6 @@
-// After failed calls to discovery a router has a change 6 s after discovery could be reached, whatever failed
-// before, however many routers ask, and also while idle clients fill its descriptors.
+// A router receives a change within 6 s after discovery can be reached again, whatever failures
+// came before, however many routers poll, and also while idle clients take up all its client
+// connections.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/resource.h>
@@ -24,45 +25,46 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-// What the operators allow; and what is left of it beside the machine's own delays.
-constexpr milliseconds kToldWithin = 6s;
+// The operators' limit for the time from the recovery of discovery until a router has the new list.
+constexpr milliseconds kMaxUpdateDelay = 6s;
 constexpr int kFirstVersion = 7;  // of the list that a router is started with
 constexpr int kNextVersion = 8;
 
 enum class Failure {
-    refused,      // nobody listens
-    hanging,      // connections are not accepted, and not refused
+    refused,      // the port is closed
+    hanging,      // connections are neither accepted nor refused
     unavailable,  // 503
     reset,
-    spoilt,    // an answer that can't be read
-    stalled,   // silent after the first bytes of an answer
-    silent,    // from the call on
-    outdated,  // an older version than the router's
+    malformed,  // a list that can't be parsed
+    stalled,    // no further byte after the first bytes of a response
+    silent,     // no response
+    outdated,   // an older version than the router's
 };
 
-// Played for `lasting`, and then until the next attempt has failed by it, so that the router is at the
-// beginning of a pause or time-out when the step ends. Of refused and hanging connections nothing is seen:
-// these end with the time.
+// Lasts for `duration`, and then until one more request has failed, so that the router is at the
+// beginning of a pause or timeout when the step ends. Refused and hanging connections can't be
+// observed: these steps end after `duration`.
 struct Step {
     Failure failure;
-    milliseconds lasting;
+    milliseconds duration;
 };
 
-// A discovery that goes through failures and then serves its next list, to one call after the other. What it
-// left unanswered stays unanswered.
+// A discovery server that goes through failures and then serves its next list, to one request at a
+// time. Requests that got no response during a failure never get one.
 class FailingDiscovery {
   public:
-    FailingDiscovery(std::vector<Step> steps, std::string changes, milliseconds perCall = 0ms)
-        : steps_(std::move(steps)), changes_(std::move(changes)), perCall_(perCall) {
+    FailingDiscovery(std::vector<Step> steps, std::string changes, milliseconds timePerRequest = 0ms)
+        : steps_(std::move(steps)), changes_(std::move(changes)), timePerRequest_(timePerRequest) {
         thread_ = std::thread([this] { run(); });
     }
     ~FailingDiscovery() {
         stopped_ = true;
         thread_.join();
     }
-    std::string address() const { return "127.0.0.1:" + std::to_string(place_.port); }
+    std::string address() const { return "127.0.0.1:" + std::to_string(reservedPort_.port); }
     bool serves() const { return servedSince_.load() != Clock::time_point{}; }
-    // For each router that has taken the new list, how long after discovery could be reached.
+    // For each router that has the new list: the time from the recovery of discovery until the
+    // router polled with the new version.
     std::vector<milliseconds> delays() const {
         const std::lock_guard lock(mutex_);
         return delays_;
@@ -77,58 +79,59 @@
 
         const int descriptor;
         std::string unread;
-        bool abandoned = false;
-        bool toReset = false;
-        bool counted = false;
-        std::optional<Clock::time_point> waitsUntil;  // a call that waits for a change
+        bool isAbandoned = false;
+        bool mustReset = false;
+        bool isCounted = false;
+        std::optional<Clock::time_point> waitsUntil;  // while a long poll waits for a change
     };
 
     void run() {
         for (const Step& step : steps_) {
             if (stopped_) return;
-            fail(step);
+            runStep(step);
         }
-        // Fresh sockets: whatever is left from before the recovery is dead, and without a sign.
-        listenOn(place_.port);
+        // Listens on a new socket. Requests that failed before the recovery stay without a
+        // response.
+        listenOn(reservedPort_.port);
         servedSince_ = Clock::now();
         while (!stopped_) serveOnce();
     }
 
-    void fail(const Step& step) {
-        failed_ = false;
-        const auto until = Clock::now() + step.lasting;
+    void runStep(const Step& step) {
+        hasFailedRequest_ = false;
+        const auto until = Clock::now() + step.duration;
         if (step.failure == Failure::refused) {
-            shut();
+            closeSockets();
             while (!stopped_ && Clock::now() < until) std::this_thread::sleep_for(5ms);
             return;
         }
-        listenOn(place_.port);
+        listenOn(reservedPort_.port);
         if (step.failure == Failure::hanging) {
             fillBacklog();
             while (!stopped_ && Clock::now() < until) std::this_thread::sleep_for(5ms);
-            shut();
+            closeSockets();
             return;
         }
-        while (!stopped_ && (Clock::now() < until || !failed_)) {
-            if (Clock::now() < until) failed_ = false;
+        while (!stopped_ && (Clock::now() < until || !hasFailedRequest_)) {
+            if (Clock::now() < until) hasFailedRequest_ = false;
             acceptAll(20);
             for (auto& peer : peers_)
-                if (!peer->abandoned && hasCall(*peer)) failCall(*peer, step.failure);
+                if (!peer->isAbandoned && hasRequest(*peer)) failRequest(*peer, step.failure);
             resetPeers();
         }
-        shut();
+        closeSockets();
     }
 
-    void failCall(Peer& peer, Failure failure) {
-        peer.abandoned = true;
-        failed_ = true;
+    void failRequest(Peer& peer, Failure failure) {
+        peer.isAbandoned = true;
+        hasFailedRequest_ = true;
         switch (failure) {
             case Failure::unavailable:
                 return send(peer, http(503, ""));
             case Failure::reset:
-                peer.toReset = true;
+                peer.mustReset = true;
                 return;
-            case Failure::spoilt:
+            case Failure::malformed:
                 return send(peer, http(200, R"({"version":9,"full":true,"servers":[{"id":7}]})"));
             case Failure::stalled:
                 return send(peer, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{");
@@ -144,42 +147,42 @@
     void resetPeers() {
         const linger now{1, 0};
         for (auto& peer : peers_)
-            if (peer->toReset) setsockopt(peer->descriptor, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        peers_.remove_if([](const auto& peer) { return peer->toReset; });
+            if (peer->mustReset) setsockopt(peer->descriptor, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+        peers_.remove_if([](const auto& peer) { return peer->mustReset; });
     }
 
     void serveOnce() {
         acceptAll(5);
         for (auto& peer : peers_) {
-            if (peer->abandoned) continue;
+            if (peer->isAbandoned) continue;
             if (peer->waitsUntil && Clock::now() >= *peer->waitsUntil) {
                 peer->waitsUntil.reset();
                 send(*peer, http(200, R"({"version":8,"full":false,"servers":[]})"));
             }
-            if (hasCall(*peer)) serveCall(*peer);
+            if (hasRequest(*peer)) serveRequest(*peer);
         }
     }
 
-    void serveCall(Peer& peer) {
-        std::this_thread::sleep_for(perCall_);
-        const std::string call = peer.unread.substr(0, peer.unread.find("\r\n"));
+    void serveRequest(Peer& peer) {
+        std::this_thread::sleep_for(timePerRequest_);
+        const std::string requestLine = peer.unread.substr(0, peer.unread.find("\r\n"));
         peer.unread.clear();
-        const int after = numberIn(call, "after=");
+        const int after = numberAfter(requestLine, "after=");
         if (after < kNextVersion) return send(peer, http(200, changes_));
-        if (!peer.counted) {
-            peer.counted = true;
+        if (!peer.isCounted) {
+            peer.isCounted = true;
             const std::lock_guard lock(mutex_);
             delays_.push_back(std::chrono::duration_cast<milliseconds>(Clock::now() - servedSince_.load()));
         }
-        peer.waitsUntil = Clock::now() + milliseconds(std::max(numberIn(call, "wait_ms="), 0));
+        peer.waitsUntil = Clock::now() + milliseconds(std::max(numberAfter(requestLine, "wait_ms="), 0));
     }
 
-    static int numberIn(const std::string& call, const std::string& name) {
-        const auto at = call.find(name);
-        return at == std::string::npos ? -1 : std::stoi(call.substr(at + name.size()));
+    static int numberAfter(const std::string& requestLine, const std::string& name) {
+        const auto at = requestLine.find(name);
+        return at == std::string::npos ? -1 : std::stoi(requestLine.substr(at + name.size()));
     }
 
-    bool hasCall(Peer& peer) {
+    bool hasRequest(Peer& peer) {
         char buffer[4096];
         const auto count = recv(peer.descriptor, buffer, sizeof buffer, MSG_DONTWAIT);
         if (count > 0) peer.unread.append(buffer, static_cast<std::size_t>(count));
@@ -197,18 +200,20 @@
             peers_.push_back(std::make_unique<Peer>(accepted));
     }
 
-    // A process that is being started holds a copy of a closed listener until it executes its program.
+    // Retries, as a child process that is being started holds a copy of the closed listener until
+    // it calls exec.
     void listenOn(std::uint16_t port) {
-        shut();
+        closeSockets();
         const auto until = Clock::now() + 2s;
         while (!tryListening(port)) {
-            if (Clock::now() > until) throw std::runtime_error("discovery can't listen");
+            if (Clock::now() > until)
+                throw std::runtime_error("the test's discovery can't listen on its port within 2 s");
             std::this_thread::sleep_for(1ms);
         }
     }
 
     bool tryListening(std::uint16_t port) {
-        shut();
+        closeSockets();
         listener_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
         const int yes = 1;
         setsockopt(listener_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
@@ -217,26 +222,26 @@
                listen(listener_, 128) == 0;
     }
 
-    // With its backlog full a listener answers no further connection.
+    // A listener with a full backlog doesn't answer further connection attempts.
     void fillBacklog() {
         listen(listener_, 0);
         filler_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-        const auto at = loopback(place_.port);
+        const auto at = loopback(reservedPort_.port);
         (void)!connect(filler_, reinterpret_cast<const sockaddr*>(&at), sizeof at);
     }
 
-    void shut() {
+    void closeSockets() {
         for (int* descriptor : {&filler_, &listener_})
             if (*descriptor >= 0) close(std::exchange(*descriptor, -1));
     }
 
-    ReservedPort place_;
+    ReservedPort reservedPort_;
     const std::vector<Step> steps_;
     const std::string changes_;
-    const milliseconds perCall_;
+    const milliseconds timePerRequest_;
     int listener_ = -1;
     int filler_ = -1;
-    bool failed_ = false;  // an attempt, in this step
+    bool hasFailedRequest_ = false;  // since the duration of the current step ended
     std::list<std::unique_ptr<Peer>> peers_;
     mutable std::mutex mutex_;
     std::vector<milliseconds> delays_;
@@ -245,8 +250,8 @@
     std::thread thread_;
 };
 
-// Settings under which a call may wait, and the module may pause, for long.
-nlohmann::json patientStart(const std::string& membershipMode) {
+// Settings that allow long waits of a poll and long pauses between polls.
+nlohmann::json startWithLongWaits(const std::string& membershipMode) {
     auto start = smallStart();
     start["settings"]["membershipMode"] = membershipMode;
     start["settings"]["rules"]["askWithinUs"] = 20'000'000;
@@ -275,27 +280,27 @@
     return condition();
 }
 
-struct Chain {
+struct FailureSequence {
     std::string name;
     std::vector<Step> steps;
 };
 
-std::vector<Chain> chains() {
-    // Long enough for pauses that double to have grown past the bound.
+std::vector<FailureSequence> failureSequences() {
+    // Long enough for pauses that double with each failure to exceed the limit of 6 s.
     constexpr auto kLong = 9s;
     return {
         {"refused", {{Failure::refused, kLong}}},
         {"hanging", {{Failure::hanging, kLong}}},
         {"503", {{Failure::unavailable, kLong}}},
         {"reset", {{Failure::reset, kLong}}},
-        {"spoilt", {{Failure::spoilt, kLong}}},
+        {"malformed list", {{Failure::malformed, kLong}}},
         {"stalled", {{Failure::stalled, kLong}}},
         {"silent after a 503", {{Failure::unavailable, 0ms}, {Failure::silent, kLong}}},
         {"older version", {{Failure::outdated, 0ms}}},
-        {"one after the other",
+        {"several failures in sequence",
          {{Failure::outdated, 0ms},
           {Failure::unavailable, 2s},
-          {Failure::spoilt, 0ms},
+          {Failure::malformed, 0ms},
           {Failure::refused, 2s},
           {Failure::reset, 0ms},
           {Failure::hanging, 2s},
@@ -305,43 +310,44 @@
     };
 }
 
-// A router that plays one chain.
+// A router, and a discovery server that goes through one sequence of failures.
 struct Trial {
-    Trial(const Chain& chain, const std::string& membershipMode)
-        : name(chain.name + ", " + membershipMode),
-          discovery(chain.steps, changesTo({entryOf("c1", cache)})),
-          program(configuration(patientStart(membershipMode), place.port, discovery.address(),
+    Trial(const FailureSequence& sequence, const std::string& membershipMode)
+        : name(sequence.name + ", " + membershipMode),
+          discovery(sequence.steps, changesTo({entryOf("c1", cache)})),
+          program(configuration(startWithLongWaits(membershipMode), reservedPort.port, discovery.address(),
                                 {entryOf("c0", cache)})) {}
 
     std::string name;
     TestServer cache;
-    ReservedPort place;
+    ReservedPort reservedPort;
     FailingDiscovery discovery;
     Program program;
 };
 
-void checkChains(const std::string& membershipMode) {
+void checkSequences(const std::string& membershipMode) {
     std::vector<std::unique_ptr<Trial>> trials;
-    for (const Chain& chain : chains()) trials.push_back(std::make_unique<Trial>(chain, membershipMode));
+    for (const FailureSequence& sequence : failureSequences())
+        trials.push_back(std::make_unique<Trial>(sequence, membershipMode));
     for (const auto& trial : trials) {
         CAPTURE(trial->name);
         REQUIRE(waitFor([&] { return trial->discovery.serves(); }, 60s));
-        // Longer than allowed, so that a failure tells by how much.
-        REQUIRE(waitFor([&] { return !trial->discovery.delays().empty(); }, 4 * kToldWithin));
+        // Waits longer than the limit, so that a failed check shows the delay.
+        REQUIRE(waitFor([&] { return !trial->discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
         const auto delay = trial->discovery.delays().front();
         MESSAGE(trial->name << ": " << delay.count() << " ms");
-        CHECK(delay < kToldWithin);
+        CHECK(delay < kMaxUpdateDelay);
     }
 }
 
-// Connections that say nothing, or one PING and then nothing. Each that is closed is opened again, one
-// every 10 ms.
-class IdleCrowd {
+// Connections that send nothing at all, or one PING and then nothing. Closed ones are opened again,
+// one every 10 ms.
+class IdleClients {
   public:
-    IdleCrowd(std::uint16_t port, std::size_t size) : port_(port), sockets_(size, -1) {
+    IdleClients(std::uint16_t port, std::size_t size) : port_(port), sockets_(size, -1) {
         thread_ = std::thread([this] { run(); });
     }
-    ~IdleCrowd() {
+    ~IdleClients() {
         stopped_ = true;
         thread_.join();
         for (const int descriptor : sockets_)
@@ -356,7 +362,7 @@
             std::this_thread::sleep_for(10ms);
         }
     }
-    void keepOpen(int& descriptor, bool useful) {
+    void keepOpen(int& descriptor, bool sendsPing) {
         char byte = 0;
         if (descriptor >= 0) {
             const auto count = recv(descriptor, &byte, 1, MSG_DONTWAIT);
@@ -367,10 +373,11 @@
         const auto at = loopback(port_);
         if (connect(descriptor, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) return;
         ++opened_;
-        // Clients that idle, no storm of connections: each newcomer has time to say something.
+        // Bounds the rate of new connections: the test is about idle clients, and each needs time
+        // for its PING.
         std::this_thread::sleep_for(10ms);
         const std::string ping = array({"PING"});
-        if (useful) (void)!send(descriptor, ping.data(), ping.size(), MSG_NOSIGNAL);
+        if (sendsPing) (void)!send(descriptor, ping.data(), ping.size(), MSG_NOSIGNAL);
     }
 
     const std::uint16_t port_;
@@ -380,12 +387,12 @@
     std::thread thread_;
 };
 
-// For the processes that are started while it lives.
+// Lowers the limit on descriptors for processes that are started during its lifetime.
 class DescriptorLimit {
   public:
-    explicit DescriptorLimit(rlim_t most) {
+    explicit DescriptorLimit(rlim_t maxDescriptors) {
         getrlimit(RLIMIT_NOFILE, &before_);
-        const rlimit lower{most, before_.rlim_max};
+        const rlimit lower{maxDescriptors, before_.rlim_max};
         setrlimit(RLIMIT_NOFILE, &lower);
     }
     ~DescriptorLimit() { setrlimit(RLIMIT_NOFILE, &before_); }
@@ -398,66 +405,73 @@
 
 }  // namespace
 
-TEST_CASE("after each chain of failed calls an asked list is told within 6 s of discovery's return") {
-    checkChains("on_request");
+// Pauses that grow with each failure, and polls that hang on a dead connection, delay the first
+// poll after the recovery.
+TEST_CASE("on_request: receives the list within 6 s after discovery recovers, whatever failed before") {
+    checkSequences("on_request");
 }
 
-TEST_CASE("after each chain of failed calls a pushed list is told within 6 s of discovery's return") {
-    checkChains("pushed");
+TEST_CASE("pushed: receives the list within 6 s after discovery recovers, whatever failed before") {
+    checkSequences("pushed");
 }
 
-TEST_CASE("forty routers that lost one discovery have its list within 6 s, one call served after the other") {
+// Routers that poll all at once after an outage delay each other, as discovery serves one request
+// at a time.
+TEST_CASE("forty routers receive the list within 6 s after discovery recovers and serves polls one by one") {
     constexpr std::size_t kRouters = 40;
-    constexpr auto kPerCall = 20ms;
+    constexpr auto kTimePerRequest = 20ms;
     TestServer cache;
     FailingDiscovery discovery({{Failure::unavailable, 6s}, {Failure::refused, 4s}},
-                               changesTo({entryOf("c1", cache)}), kPerCall);
-    std::vector<std::unique_ptr<ReservedPort>> places;
+                               changesTo({entryOf("c1", cache)}), kTimePerRequest);
+    std::vector<std::unique_ptr<ReservedPort>> reservedPorts;
     std::vector<std::unique_ptr<Program>> routers;
     for (std::size_t i = 0; i < kRouters; ++i) {
-        auto start = patientStart("on_request");
+        auto start = startWithLongWaits("on_request");
         start["seed"] = std::to_string(1000 + i);
-        places.push_back(std::make_unique<ReservedPort>());
+        reservedPorts.push_back(std::make_unique<ReservedPort>());
         routers.push_back(std::make_unique<Program>(
-            configuration(start, places.back()->port, discovery.address(), {entryOf("c0", cache)})));
+            configuration(start, reservedPorts.back()->port, discovery.address(), {entryOf("c0", cache)})));
     }
     REQUIRE(waitFor([&] { return discovery.serves(); }, 60s));
-    REQUIRE(waitFor([&] { return discovery.delays().size() >= kRouters; }, 4 * kToldWithin));
+    REQUIRE(waitFor([&] { return discovery.delays().size() >= kRouters; }, 4 * kMaxUpdateDelay));
     const auto delays = discovery.delays();
     const auto latest = *std::max_element(delays.begin(), delays.begin() + kRouters);
-    MESSAGE("the last of " << kRouters << " routers: " << latest.count() << " ms");
-    CHECK(latest < kToldWithin);
+    MESSAGE("the last of " << kRouters << " routers received the list after " << latest.count() << " ms");
+    CHECK(latest < kMaxUpdateDelay);
 }
 
-TEST_CASE("idle clients fill the descriptors while discovery is down, and all works again when it returns") {
+// A router needs a descriptor for its poll. Clients that take all descriptors would cut it off from
+// discovery.
+TEST_CASE("receives the list within 6 s after discovery recovers while idle clients take all client places") {
     constexpr std::size_t kDescriptors = 128;
     TestServer oldCache, newCache, origin;
-    ReservedPort place, consolePlace;
+    ReservedPort reservedPort, consolePort;
     FailingDiscovery discovery({{Failure::refused, 9s}},
                                changesTo({entryOf("origin", origin, "origin"), entryOf("c1", newCache)}));
-    auto start = patientStart("on_request");
+    auto start = startWithLongWaits("on_request");
     start["limits"]["sockets"] = kDescriptors;
-    const std::string console = "127.0.0.1:" + std::to_string(consolePlace.port);
+    const std::string console = "127.0.0.1:" + std::to_string(consolePort.port);
     start["console"] = console;
     std::optional<Program> program;
     {
         const DescriptorLimit limit(kDescriptors);
-        program.emplace(configuration(start, place.port, discovery.address(),
+        program.emplace(configuration(start, reservedPort.port, discovery.address(),
                                       {entryOf("origin", origin, "origin"), entryOf("c0", oldCache)}));
     }
-    REQUIRE(waitFor([&] { return Socket(place.port).say(array({"PING"})).line() == "+PONG"; }, 10s));
-    IdleCrowd crowd(place.port, 3 * kDescriptors);
-    const auto status = [&] { return Socket(consolePlace.port).say("status\n").line("\n"); };
-    REQUIRE(waitFor([&] { return crowd.opened() > 3 * kDescriptors; }, 10s));
-    // All of the places that descriptors, links and the router's own needs leave for clients.
+    REQUIRE(waitFor([&] { return Socket(reservedPort.port).say(array({"PING"})).line() == "+PONG"; }, 10s));
+    IdleClients idleClients(reservedPort.port, 3 * kDescriptors);
+    const auto status = [&] { return Socket(consolePort.port).say("status\n").line("\n"); };
+    REQUIRE(waitFor([&] { return idleClients.opened() > 3 * kDescriptors; }, 10s));
+    // 37 clients are as many as the descriptors allow beside connections to servers and the
+    // router's own use.
     CHECK(waitFor([&] { return status().starts_with("ACK serving; 37 clients"); }, 5s));
     REQUIRE(waitFor([&] { return discovery.serves(); }, 20s));
-    REQUIRE(waitFor([&] { return !discovery.delays().empty(); }, 4 * kToldWithin));
-    MESSAGE("the list: " << discovery.delays().front().count() << " ms");
-    CHECK(discovery.delays().front() < kToldWithin);
-    // The crowd is still there.
+    REQUIRE(waitFor([&] { return !discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
+    MESSAGE("received the list after " << discovery.delays().front().count() << " ms");
+    CHECK(discovery.delays().front() < kMaxUpdateDelay);
+    // The idle clients are still connected.
     CHECK(status().starts_with("ACK serving; "));
-    Socket client(place.port);
+    Socket client(reservedPort.port);
     client.say(get("k"));
     Socket cache = newCache.accept();
     CHECK(cache.command().size() == 4);
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -1,4 +1,5 @@
-// Lists of servers and routers well past 1,024 entries: from discovery, in files, as bans, and handed over.
+// Lists of well over 1,024 servers or routers: from discovery, in files, as operators' ejections,
+// and in a hot restart.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -21,7 +22,7 @@
 constexpr int kManyServers = 3'100;
 constexpr int kRouters = 350;
 constexpr int kMemoryMb = 56;
-constexpr int kAnswerWithinMs = 20'000;
+constexpr int kResponseTimeoutMs = 20'000;
 
 bool becomesTrue(const std::function<bool()>& condition) {
     for (int tries = 0; tries < 500; ++tries) {
@@ -38,43 +39,45 @@
 
 struct Folder {
     Folder() {
-        char made[] = "/tmp/poppyscale-test-XXXXXX";
-        path = mkdtemp(made) ? made : "";
+        char pathTemplate[] = "/tmp/poppyscale-test-XXXXXX";
+        path = mkdtemp(pathTemplate) ? pathTemplate : "";
     }
     ~Folder() { std::filesystem::remove_all(path); }
     std::string path;
 };
 
-// A router of 56 MB, one of 350, with a console and an operator's socket; the test plays its discovery.
-class LargeSite {
+// A router with a memory limit of 56 MB, one of 350, with a console and an operators' socket. The
+// test plays its discovery.
+class LargeDeployment {
   public:
-    LargeSite() : program_(configuration().dump(), "[admin]\nsocket = \"{}/admin.sock\"\n") {
+    LargeDeployment() : program_(configuration().dump(), "[admin]\nsocket = \"{}/admin.sock\"\n") {
         REQUIRE(becomesTrue([&] { return askConsole("status").starts_with("ACK"); }));
     }
 
-    // Answers the next call to discovery with a whole list: the origin, and `count` servers of that group.
-    std::size_t giveList(const std::string& group, int count) {
-        // A call that has waited for long is given up, and comes again on another connection.
-        while (discoveryLink_.head().empty()) {
-            discoveryLink_ = discovery_.accept();
-            REQUIRE(discoveryLink_.open());
+    // Responds to the next poll with a complete list: the origin, and `count` servers of that
+    // group. Returns the list's length in bytes.
+    std::size_t sendList(const std::string& group, int count) {
+        // A poll that has waited for too long times out, and is repeated on another connection.
+        while (pollConnection_.head().empty()) {
+            pollConnection_ = discovery_.accept();
+            REQUIRE(pollConnection_.open());
         }
         nlohmann::json servers = nlohmann::json::array({entryOf("origin", origin_, "origin")});
         for (int i = 0; i < count; ++i) servers.push_back(entryOf(serverId(group, i), cache_));
         const nlohmann::json list{{"version", ++version_}, {"full", true}, {"servers", servers}};
         const std::string body = list.dump(4);
-        discoveryLink_.say(http(200, body));
+        pollConnection_.say(http(200, body));
         return body.size();
     }
     std::string askConsole(const std::string& line) const {
-        return Socket(console_.port).say(line + "\n").line("\n");
+        return Socket(consolePort_.port).say(line + "\n").line("\n");
     }
     nlohmann::json askAdmin(const std::string& what) const {
-        return ctl::sendRequest(program_.folder() + "/admin.sock", {{"do", what}}, kAnswerWithinMs);
+        return ctl::sendRequest(program_.folder() + "/admin.sock", {{"do", what}}, kResponseTimeoutMs);
     }
-    // Whether soon exactly `count` servers are listed, all of that group. Asks rarely: such long answers take
-    // the test a while to read.
-    bool lists(const std::string& group, int count) const {
+    // Waits until exactly `count` servers are listed, with one of that group; false after 40
+    // requests. They are 250 ms apart, as the test needs a while to read these long responses.
+    bool waitForList(const std::string& group, int count) const {
         std::size_t listed = 0;
         for (int tries = 0; tries < 40; ++tries, usleep(250'000)) {
             const auto servers = askAdmin("figures").at("caches");
@@ -82,10 +85,11 @@
             if (listed == static_cast<std::size_t>(count) && servers.contains(serverId(group, 0)))
                 return true;
         }
-        MESSAGE(listed << " are listed; " << askAdmin("status").at("list").dump());
+        MESSAGE("expected " << count << " listed servers of group " << group << ", found " << listed << "; "
+                            << askAdmin("status").at("list").dump());
         return false;
     }
-    int ready() const {
+    int readyCaches() const {
         int count = 0;
         const auto answer = askAdmin("caches");
         for (const auto& server : answer.at("caches"))
@@ -98,8 +102,8 @@
         nlohmann::json config = smallStart();
         config["limits"]["memory_mb"] = kMemoryMb;
         config["settings"]["replicasOfMe"] = kRouters;
-        config["listen"] = "127.0.0.1:" + std::to_string(place_.port);
-        config["console"] = "127.0.0.1:" + std::to_string(console_.port);
+        config["listen"] = "127.0.0.1:" + std::to_string(reservedPort_.port);
+        config["console"] = "127.0.0.1:" + std::to_string(consolePort_.port);
         config["discovery"] = discovery_.address();
         config["known"] = {
             {"version", version_}, {"full", true}, {"servers", {entryOf("origin", origin_, "origin")}}};
@@ -107,69 +111,75 @@
     }
 
     TestServer discovery_, origin_, cache_;
-    ReservedPort place_, console_;
+    ReservedPort reservedPort_, consolePort_;
     int version_ = 7;
     Program program_;
-    Socket discoveryLink_{-1};
+    Socket pollConnection_{-1};
 };
 
-// Of the process at an operator's socket; 0 while none listens there, as between two of a hand-over.
+// The process that listens at an operators' socket; 0 for none, as between the two of a hot
+// restart.
 pid_t pidAt(const std::string& socket) try {
-    return ctl::sendRequest(socket, {{"do", "status"}}, kAnswerWithinMs).value("pid", 0);
+    return ctl::sendRequest(socket, {{"do", "status"}}, kResponseTimeoutMs).value("pid", 0);
 } catch (const ctl::Unreachable&) {
     return 0;
 }
 
-// Operators' words with so many servers out, each id of that length.
-process::OperatorState wordsOut(int count, std::size_t idLength) {
-    process::OperatorState words;
+// Operator state with `count` ejected servers, each with an id of `idLength` characters.
+process::OperatorState stateWithEjected(int count, std::size_t idLength) {
+    process::OperatorState operatorState;
     for (int i = 0; i < count; ++i) {
         std::string id = serverId("out", i);
         id.resize(idLength, 'x');
-        CHECK(words.applyLine("out " + id));
+        CHECK(operatorState.applyLine("out " + id));
     }
-    return words;
+    return operatorState;
 }
 
 }  // namespace
 
-TEST_CASE("one of 350 routers takes 1,500 servers after 1,500 others, and then 3,100, as indented JSON") {
-    LargeSite site;
-    CHECK(site.askAdmin("status").at("described").get<std::string>().find("routers                350\n") !=
-          std::string::npos);
-    site.giveList("first", kServers);
-    REQUIRE(site.lists("first", kServers));
-    site.giveList("second", kServers);
-    REQUIRE(site.lists("second", kServers));
-    const std::size_t length = site.giveList("third", kManyServers);
+// Buffers for a list, its size limit and the memory limit have to hold for lists of this size.
+TEST_CASE("one of 350 routers applies lists of 1,500 servers, 1,500 others, and 3,100, as indented JSON") {
+    LargeDeployment deployment;
+    CHECK(deployment.askAdmin("status")
+              .at("described")
+              .get<std::string>()
+              .find("routers                350\n") != std::string::npos);
+    deployment.sendList("first", kServers);
+    REQUIRE(deployment.waitForList("first", kServers));
+    deployment.sendList("second", kServers);
+    REQUIRE(deployment.waitForList("second", kServers));
+    const std::size_t length = deployment.sendList("third", kManyServers);
     CHECK(length > 700'000);
-    REQUIRE(site.lists("third", kManyServers));
-    CHECK(site.ready() == kManyServers);
+    REQUIRE(deployment.waitForList("third", kManyServers));
+    CHECK(deployment.readyCaches() == kManyServers);
 }
 
-TEST_CASE("of 1,500 servers that are gone the first can still be banned, and one that never was can't") {
-    LargeSite site;
-    site.giveList("first", kServers);
-    REQUIRE(site.lists("first", kServers));
-    site.giveList("second", kServers);
-    REQUIRE(site.lists("second", kServers));
+// The ids of removed servers are kept up to a capacity, which must not be too small for a whole
+// fleet.
+TEST_CASE("any of 1,500 removed servers can still be ejected, and a server that was never listed can't") {
+    LargeDeployment deployment;
+    deployment.sendList("first", kServers);
+    REQUIRE(deployment.waitForList("first", kServers));
+    deployment.sendList("second", kServers);
+    REQUIRE(deployment.waitForList("second", kServers));
     for (const int number : {0, 1, kServers / 2, kServers - 1}) {
         const std::string id = serverId("first", number);
-        CHECK(site.askConsole("maint-on " + id).starts_with("ACK"));
-        CHECK(site.askConsole("status").find(id) != std::string::npos);
+        CHECK(deployment.askConsole("maint-on " + id).starts_with("ACK"));
+        CHECK(deployment.askConsole("status").find(id) != std::string::npos);
     }
-    CHECK(site.askConsole("maint-on " + serverId("fourth", 0)).starts_with("NAK"));
+    CHECK(deployment.askConsole("maint-on " + serverId("fourth", 0)).starts_with("NAK"));
 }
 
-TEST_CASE("1,500 servers with the longest ids are out, on file and in the process that comes next") {
-    const process::OperatorState words = wordsOut(kServers, 256);
-    REQUIRE(words.ejectedServers.size() == kServers);
+TEST_CASE("1,500 ejected servers with ids of maximum length survive on file and in a hot restart") {
+    const process::OperatorState operatorState = stateWithEjected(kServers, 256);
+    REQUIRE(operatorState.ejectedServers.size() == kServers);
     Folder folder;
     const std::string path = folder.path + "/poppyscale-n0.words";
-    REQUIRE_FALSE(process::OperatorStateFile(path).write(words).has_value());
+    REQUIRE_FALSE(process::OperatorStateFile(path).write(operatorState).has_value());
     process::OperatorState read;
     CHECK_FALSE(process::OperatorStateFile(path).read(read).has_value());
-    CHECK(read == words);
+    CHECK(read == operatorState);
 
     TestServer discovery, origin, listening;
     const ReservedPort firstConsole, secondConsole;
@@ -188,36 +198,39 @@
         return becomesTrue([&] {
             const std::string status = statusOf(console);
             return status.starts_with("ACK") &&
-                   status.find(*words.ejectedServers.begin()) != std::string::npos &&
-                   status.find(*words.ejectedServers.rbegin()) != std::string::npos &&
+                   status.find(*operatorState.ejectedServers.begin()) != std::string::npos &&
+                   status.find(*operatorState.ejectedServers.rbegin()) != std::string::npos &&
                    status.size() > kServers * 256;
         });
     };
     const auto first = start(firstConsole);
     REQUIRE(hasAll(firstConsole));
-    // So that the second one can't have them from there.
+    // Without the file, the second process can get the state only from the first one.
     std::filesystem::remove(path);
     const auto second = start(secondConsole);
     CHECK(hasAll(secondConsole));
 }
 
-TEST_CASE("what operators say is refused where there is no room for it, instead of passed over") {
-    process::OperatorState words;
-    int taken = 0;
-    while (words.applyLine("out " + serverId("out", taken))) ++taken;
-    CHECK(taken > 4'000);
-    CHECK(words.ejectedServers.size() == static_cast<std::size_t>(taken));
-    CHECK(words.applyLine("out " + serverId("out", 0)));  // which is out already
-    CHECK(words.applyLine("in " + serverId("out", 0)));
-    CHECK(words.applyLine("out " + serverId("out", taken)));
+// An ejection that is dropped silently would leave the server in use.
+TEST_CASE("refuses an ejection when the operator state is full, and accepts it after another one ends") {
+    process::OperatorState operatorState;
+    int accepted = 0;
+    while (operatorState.applyLine("out " + serverId("out", accepted))) ++accepted;
+    CHECK(accepted > 4'000);
+    CHECK(operatorState.ejectedServers.size() == static_cast<std::size_t>(accepted));
+    CHECK(operatorState.applyLine("out " + serverId("out", 0)));  // ejected already
+    CHECK(operatorState.applyLine("in " + serverId("out", 0)));
+    CHECK(operatorState.applyLine("out " + serverId("out", accepted)));
 }
 
-TEST_CASE("a process that has 3,100 servers in its file hands over to another one") {
+// The description of this configuration is larger than a local socket's buffer, so that it can't be
+// sent at once.
+TEST_CASE("a hot restart succeeds with 3,100 servers in the operator file") {
     TestServer origin, cache;
-    const ReservedPort place;
+    const ReservedPort reservedPort;
     std::string file =
         "[admin]\nsocket = \"{}/admin.sock\"\n[instance]\nname = \"n0\"\nlisten = \"127.0.0.1:" +
-        std::to_string(place.port) +
+        std::to_string(reservedPort.port) +
         "\"\n[[verbs]]\nname = \"read\"\neffect = \"pure\"\ngoal_ms = 500\nlimit_ms = 2000\n"
         "[[servers]]\nname = \"origin\"\norigin = true\naddress = \"" +
         origin.address() + "\"\n";
@@ -227,25 +240,26 @@
     Program program("", file);
     const std::string socket = program.folder() + "/admin.sock";
     REQUIRE(becomesTrue([&] { return std::filesystem::exists(socket); }));
-    const auto described = ctl::sendRequest(socket, {{"do", "status"}}, kAnswerWithinMs).at("described");
-    CHECK(described.get<std::string>().size() > 250'000);  // more than a local socket holds at once
-    const auto answer = ctl::sendRequest(socket, {{"do", "upgrade"}}, kAnswerWithinMs);
+    const auto described = ctl::sendRequest(socket, {{"do", "status"}}, kResponseTimeoutMs).at("described");
+    CHECK(described.get<std::string>().size() > 250'000);  // more than the buffer of a local socket
+    const auto answer = ctl::sendRequest(socket, {{"do", "upgrade"}}, kResponseTimeoutMs);
     CAPTURE(answer.dump());
     REQUIRE(answer.contains("taken_over_by"));
     const pid_t successor = answer.at("taken_over_by");
     CHECK(becomesTrue([&] { return pidAt(socket) == successor; }));
-    CHECK(ctl::sendRequest(socket, {{"do", "figures"}}, kAnswerWithinMs).at("caches_listed") == kManyServers);
+    CHECK(ctl::sendRequest(socket, {{"do", "figures"}}, kResponseTimeoutMs).at("caches_listed") ==
+          kManyServers);
     kill(successor, SIGKILL);
 }
 
-TEST_CASE("servers that are gone are remembered up to a number of bytes, the latest the longest") {
-    constexpr std::size_t kCapacity = 16'000'000 / 32;  // with the least memory
+TEST_CASE("RemovedEndpoints holds ids up to its capacity in bytes, and evicts the oldest first") {
+    constexpr std::size_t kCapacity = 16'000'000 / 32;  // at the lowest memory limit
     discovery::RemovedEndpoints known(kCapacity);
     const auto longId = [](int number) { return serverId("gone", number) + std::string(237, 'x'); };
     REQUIRE(longId(0).size() >= 256);
     for (int i = 0; i < 1'024; ++i) known.add(longId(i));
     CHECK(known.size() == 1'024);
-    known.add(longId(0));  // gone once more
+    known.add(longId(0));  // removed once more
     CHECK(known.size() == 1'024);
     for (int i = 1'024; i < 10'000; ++i) known.add(longId(i));
     CHECK(known.size() < kCapacity / 256);
@@ -256,26 +270,26 @@
     CHECK(!known.contains(longId(9'999)));
 }
 
-TEST_CASE("a list keeps nothing of what is not asked for in it, and an entry has to be an object") {
+TEST_CASE("the reader of an endpoint list ignores unknown fields and rejects entries that are no objects") {
     const auto list = [](const std::string& servers) {
         return R"({"other": [[{"servers": [{}]}]], "version": 3, "full": true, "servers": )" + servers + "}";
     };
-    const auto roster = protocol::readEndpointList(list(
+    const auto endpoints = protocol::readEndpointList(list(
         R"([{"id": "c0", "tags": [[1], {"id": "x"}], "state": "Ready", "weight": [2, [3]], "cell": 4}])"));
-    REQUIRE(roster.entries.size() == 1);
-    CHECK(roster.version == 3);
-    CHECK(roster.entries[0].endpoint.name == "c0");
-    CHECK(roster.entries[0].endpoint.cell == 4);
-    CHECK(roster.entries[0].endpoint.weight == 0);  // not told
-    for (const char* wrong :
+    REQUIRE(endpoints.entries.size() == 1);
+    CHECK(endpoints.version == 3);
+    CHECK(endpoints.entries[0].endpoint.name == "c0");
+    CHECK(endpoints.entries[0].endpoint.cell == 4);
+    CHECK(endpoints.entries[0].endpoint.weight == 0);  // an array is not a valid weight
+    for (const char* malformed :
          {"[7]", "[[]]", "{\"c0\": {}}", "7", "null", "[{}]", "[{\"id\": [], \"state\": \"Ready\"}]"})
-        CHECK_THROWS_AS(protocol::readEndpointList(list(wrong)), protocol::ParseError);
+        CHECK_THROWS_AS(protocol::readEndpointList(list(malformed)), protocol::ParseError);
     CHECK(protocol::readEndpointList(list("[]")).entries.empty());
     CHECK_THROWS_AS(protocol::readEndpointList(R"({"version": 3, "full": true})"), protocol::ParseError);
     CHECK_THROWS_AS(protocol::readEndpointList(R"([{"version": 3}])"), protocol::ParseError);
 }
 
-TEST_CASE("an agent keeps 1,500 instances, and a rollout changes as many at a time") {
+TEST_CASE("a fleet description of 1,500 instances and a rollout plan of 1,500 at a time are accepted") {
     Folder folder;
     const std::string form = folder.path + "/form.toml", fleet = folder.path + "/fleet.toml";
     std::ofstream(form) << "# {name} {listen} {socket}\n";
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -1,4 +1,5 @@
-// Start times of servers, told on a wall clock that is stepped, read on a monotonic one.
+// Start times of servers, recorded on a wall clock that is stepped and converted to a monotonic
+// clock.
 #include "discovery/server_start_times.hpp"
 
 #include <doctest/doctest.h>
@@ -14,22 +15,22 @@
 constexpr Nanos kHour = 3'600 * kSecond;
 constexpr std::int64_t kWallBegin = 1'700'000'000'000;  // ms
 
-// A router and the machines' one wall clock, which is that far off what it showed at first.
+// A router's monotonic clock and the wall clock that all machines share.
 struct Clocks {
     Nanos now = 100 * kHour;
-    Nanos off = 0;
+    Nanos wallClockShift = 0;  // sum of the steps of the wall clock so far
     ServerStartTimes times;
 
-    std::int64_t wallMs() const { return kWallBegin + (now + off) / test::ms; }
-    void look() { times.recordClockOffset(now, now - wallMs() * test::ms); }
-    void pass(Nanos time) {
+    std::int64_t wallMs() const { return kWallBegin + (now + wallClockShift) / test::ms; }
+    void sampleOffset() { times.recordClockOffset(now, now - wallMs() * test::ms); }
+    void advance(Nanos time) {
         for (; time > 0; time -= 100 * test::ms) {
             now += std::min<Nanos>(time, 100 * test::ms);
-            look();
+            sampleOffset();
         }
     }
-    void step(Nanos by) { off += by; }
-    void list() { look(); }
+    void stepWallClock(Nanos by) { wallClockShift += by; }
+    void receiveList() { sampleOffset(); }
     Nanos ageOf(const char* server, std::int64_t startedMs) {
         return now - times.startOf(server, startedMs, now);
     }
@@ -39,71 +40,74 @@
 
 }  // namespace
 
+// A step of the wall clock makes a server look older than it is. Counted as warmed up, the server
+// would get more load than its cold cache can take.
 TEST_CASE(
-    "a server that starts before or after a step of the wall clock is never taken for warmer than it is") {
+    "a server never counts as older than it is after a step of the wall clock before or after its start") {
     for (const Nanos step : {-kHour, -5 * kSecond, -kSecond, Nanos{0}, kSecond, 5 * kSecond, kHour}) {
         for (const bool startsFirst : {true, false}) {
             CAPTURE(step);
             CAPTURE(startsFirst);
             Clocks clocks;
-            clocks.list();
-            clocks.pass(20 * kSecond);
-            if (!startsFirst) clocks.step(step);
-            clocks.pass(kSecond);
+            clocks.receiveList();
+            clocks.advance(20 * kSecond);
+            if (!startsFirst) clocks.stepWallClock(step);
+            clocks.advance(kSecond);
             const std::int64_t started = clocks.wallMs();
-            clocks.pass(kSecond);
-            if (startsFirst) clocks.step(step);
-            clocks.pass(kSecond);
-            clocks.list();
-            // A step shorter than the age leaves two readings open, of which the colder one counts.
+            clocks.advance(kSecond);
+            if (startsFirst) clocks.stepWallClock(step);
+            clocks.advance(kSecond);
+            clocks.receiveList();
+            // After a step shorter than the server's age two readings are possible, and the lower
+            // age counts.
             const Nanos age = clocks.ageOf("a", started);
             CHECK(age <= 2 * kSecond + ServerStartTimes::kTolerance);
             CHECK(age >=
                   (std::abs(step) == kSecond ? kSecond : 2 * kSecond) - 2 * ServerStartTimes::kTolerance);
-            // What was heard once stays, whatever the clock does then.
-            clocks.step(-3 * step);
-            clocks.pass(10 * kSecond);
-            clocks.list();
+            // A known start keeps its time, whatever the wall clock does afterwards.
+            clocks.stepWallClock(-3 * step);
+            clocks.advance(10 * kSecond);
+            clocks.receiveList();
             CHECK(isNear(clocks.ageOf("a", started), age + 10 * kSecond));
         }
     }
 }
 
-TEST_CASE("a start in the future counts from when it is heard of, an old one is old in any list") {
+TEST_CASE("a start in the future counts from when it becomes known; an old start is old in every list") {
     Clocks clocks;
-    clocks.list();
+    clocks.receiveList();
     CHECK(clocks.ageOf("future", clocks.wallMs() + 3'600'000) == 0);
     CHECK(isNear(clocks.ageOf("old", clocks.wallMs() - 3'600'000), kHour));
-    clocks.pass(30 * kSecond);
-    clocks.list();
-    // Put back on the list without a restart.
+    clocks.advance(30 * kSecond);
+    clocks.receiveList();
+    // A server that is put back on the list without a restart keeps its old start.
     CHECK(isNear(clocks.ageOf("added", clocks.wallMs() - 3'600'000), kHour));
     CHECK(clocks.ageOf("always", 0) == clocks.now);
 }
 
-TEST_CASE("two steps between two lists leave the coldest reading that is not in the future") {
+TEST_CASE("after two steps between two lists the lowest age counts whose start is not in the future") {
     Clocks clocks;
-    clocks.list();
-    clocks.pass(kSecond);
-    clocks.step(-10 * kSecond);
-    clocks.pass(kSecond);
+    clocks.receiveList();
+    clocks.advance(kSecond);
+    clocks.stepWallClock(-10 * kSecond);
+    clocks.advance(kSecond);
     const std::int64_t started = clocks.wallMs();
-    clocks.pass(kSecond);
-    clocks.step(kHour);
-    clocks.pass(kSecond);
-    clocks.list();
+    clocks.advance(kSecond);
+    clocks.stepWallClock(kHour);
+    clocks.advance(kSecond);
+    clocks.receiveList();
     CHECK(isNear(clocks.ageOf("a", started), 2 * kSecond));
 }
 
-TEST_CASE("a server that is listed again with the same start keeps it, one with a new start is new") {
+TEST_CASE("a server listed again with the same start time keeps its age; a new start time resets it") {
     Clocks clocks;
-    clocks.list();
+    clocks.receiveList();
     const std::int64_t first = clocks.wallMs() - 60'000;
     CHECK(isNear(clocks.ageOf("a", first), 60 * kSecond));
-    clocks.pass(5 * kSecond);
+    clocks.advance(5 * kSecond);
     const std::int64_t second = clocks.wallMs();
-    clocks.pass(kSecond);
-    clocks.list();
+    clocks.advance(kSecond);
+    clocks.receiveList();
     CHECK(isNear(clocks.ageOf("a", second), kSecond));
     clocks.times.forget("a");
     CHECK(isNear(clocks.ageOf("a", second), kSecond));
