--- a/src/base/decaying_sum.hpp
+++ b/src/base/decaying_sum.hpp
@@ -8,7 +8,8 @@
 
 namespace poppyscale {
 
-// Each term counts 1/e of its value after one time constant. A `now` before the latest one is read as that.
+// Each term counts 1/e of its value after one time constant. A `now` that is earlier than a
+// previous one is replaced by the latest one.
 class DecayingSum {
   public:
     // `timeConstant` in nanoseconds, above zero.
@@ -30,8 +31,9 @@
     Nanos updatedAt_ = 0;
 };
 
-// What a decaying sum of a constant rate of one a nanosecond has reached after `elapsed`: divides such a sum
-// to a rate also while it is younger than its time constant. In nanoseconds.
+// The value of a DecayingSum, `elapsed` after its start, to which 1 was added in each nanosecond. A
+// sum divided by this value is a rate per nanosecond, even when the sum is younger than its time
+// constant.
 inline double effectiveDuration(Nanos timeConstant, Nanos elapsed) {
     const auto constant = static_cast<double>(timeConstant);
     return -constant * std::expm1(-static_cast<double>(elapsed) / constant);
--- a/src/base/file_descriptor.hpp
+++ b/src/base/file_descriptor.hpp
@@ -29,13 +29,13 @@
         descriptor_ = -1;
         return released;
     }
-    // Closes what is owned, if anything. False where the system reports an error (errno): of a file that was
-    // written, data may be lost.
+    // Closes the owned descriptor, if any. Returns false if the system reports an error (in errno):
+    // data that was written to the file may then be lost.
     bool close() {
         if (!isOpen()) return true;
         return ::close(release()) == 0;
     }
-    // Closes what is owned and takes ownership of `descriptor`.
+    // Closes the owned descriptor, if any, and takes ownership of `descriptor`.
     void reset(int descriptor = -1) {
         if (descriptor_ >= 0) ::close(descriptor_);
         descriptor_ = descriptor;
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,4 +1,4 @@
-// Times and durations as all layers name them.
+// The type and constants for times and durations.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/admission_queue.hpp
+++ b/src/policy/admission_queue.hpp
@@ -10,14 +10,15 @@
 
 namespace poppyscale::policy {
 
-// Orders waiting requests, and judges which of them will be served in time. Owns the order; the requests
-// belong to the policy, which removes them here before it destroys them.
+// Orders waiting requests, and estimates which of them will be served in time. Owns the order only;
+// RoutingPolicy owns the requests, and destroys a queued one only while visitAll() removes it.
 class AdmissionQueue {
   public:
     void push(Request& request) { entries_.push_back({&request, 0}); }
 
-    // Puts requests within their tenant's quota first, and those of higher priority before others; equal ones
-    // stay in their order. `priorityOf(Request&)` is called for each request, in the present order.
+    // Sorts requests within their tenant's quota before those over it, then by descending priority;
+    // equal requests keep their order. Calls `priorityOf(Request&)` for each request in the current
+    // order.
     template <class PriorityOf>
     void prioritize(PriorityOf priorityOf) {
         if (entries_.size() < 2) return;
@@ -25,8 +26,8 @@
         std::stable_sort(entries_.begin(), entries_.end(), isBefore);
     }
 
-    // Calls `visit(Request&)` for each request in order; those for which it returns false leave the queue. It
-    // may destroy these, and must not push.
+    // Calls `visit(Request&)` for each request in order, and removes those for which it returns
+    // false. `visit` may destroy the requests that it removes, and must not call push().
     template <class Visit>
     void visitAll(Visit visit) {
         std::size_t kept = 0;
@@ -39,11 +40,12 @@
         entries_.resize(kept);
     }
 
-    // Before a visitAll(): what hasTimeToWait() then reckons with. `isOverloaded`: whether the servers' limit
-    // has ever been reached; before that no request waits long.
+    // Sets the inputs of hasTimeToWait(); to be called before visitAll(). `isOverloaded`: whether
+    // the limit over all cache servers has ever been lowered; until then no request is expected to
+    // wait long. `successInterval`: the mean time between two successful attempts.
     void beginEstimates(bool isOverloaded, Nanos successInterval);
-    // For each request in turn that finds no server: whether the ones before it leave it one within
-    // `timeLeft`.
+    // Whether a server is expected to be free for the request within half of `timeLeft`. To be
+    // called in queue order, once for each request that finds no server.
     bool hasTimeToWait(Nanos timeLeft);
 
   private:
--- a/src/policy/candidate_selector.cpp
+++ b/src/policy/candidate_selector.cpp
@@ -20,8 +20,9 @@
 namespace poppyscale::policy {
 namespace {
 
-constexpr std::size_t kPreferredCandidates = 2;  // the others are of last resort
-constexpr double kBusyRatio = 2;                 // to the mean over servers
+constexpr std::size_t kPreferredCandidates = 2;  // further candidates are a last resort
+// A server is busy from this multiple of the mean attempts in flight or of the median latency.
+constexpr double kBusyRatio = 2;
 constexpr double kMinBusyInFlight = 2;
 
 }  // namespace
@@ -49,7 +50,8 @@
     auto candidates = parts_.ranking.candidatesFor(request, now).servers;
     if (parts_.zoneAffinity.isActive() && request.hasFailedAttempt())
         std::rotate(candidates.begin(), candidates.begin() + kPreferredCandidates, candidates.end());
-    // A quiet router would hear nothing of such a server for long: all of its keys have other places.
+    // A readmitted server gets the next safe request. Otherwise a router with little traffic might
+    // not try it for a long time, since all of the server's keys are cached elsewhere by now.
     Server* awaiting = parts_.ranking.awaitingFirstAttempt();
     const bool isSafe = request.requestClass().idempotency == Idempotency::safe;
     if (awaiting && isSafe && canServe(request, *awaiting, now)) return awaiting;
@@ -60,7 +62,7 @@
             Server* server = candidates[i];
             if (!server || server->hints.mayContain(request.key()) != isHinted) continue;
             const bool isAvailable = canServe(request, *server, now);
-            // A hinted server that is only at its limit is waited for: a miss elsewhere costs more.
+            // Waits for a hinted server that is at its limit: a miss elsewhere costs more.
             const bool isWaitedFor = isHinted && !request.hasFailedAttempt() &&
                                      !server->limiter.hasCapacity(now, request.isOverQuota());
             if (!isAvailable && !isWaitedFor) continue;
@@ -86,16 +88,18 @@
 }
 
 Server* CandidateSelector::selectOrigin(const Request& request, Nanos now) {
-    Server* least = nullptr;
+    Server* leastLoaded = nullptr;
     for (Server* origin : parts_.registry.origins()) {
         if (!parts_.registry.isUsable(*origin)) continue;
-        if (!least || origin->limiter.inFlight() < least->limiter.inFlight()) least = origin;
+        if (!leastLoaded || origin->limiter.inFlight() < leastLoaded->limiter.inFlight())
+            leastLoaded = origin;
     }
-    if (!least || !canServe(request, *least, now)) return nullptr;
-    return parts_.originFetches.hasCapacity(request, *least) ? least : nullptr;
+    if (!leastLoaded || !canServe(request, *leastLoaded, now)) return nullptr;
+    return parts_.originFetches.hasCapacity(request, *leastLoaded) ? leastLoaded : nullptr;
 }
 
-// Checks without random numbers come first; the budget of a warm-up is last, since it is filled by the check.
+// Apart from hasFailedAt(), checks that draw no random number come first. The slow-start budget
+// comes last, because the check itself fills the budget.
 bool CandidateSelector::canServe(const Request& request, Server& server, Nanos now) {
     if (!server.limiter.hasCapacity(now, request.isOverQuota())) return false;
     if (!server.isOrigin() && !parts_.totalLimiter.hasCapacity(now, request.isOverQuota())) return false;
@@ -106,7 +110,8 @@
     return parts_.slowStart.hasBudget(server, now, parts_.random);
 }
 
-// The origin is attempted again: there is no other place for what only it has.
+// False for the origin, which may be attempted again: nothing else has the keys that are not
+// cached.
 bool CandidateSelector::hasFailedAt(const Request& request, const Server& server) const {
     if (!request.hasFailedAttempt() || server.isOrigin()) return false;
     const auto& attempts = request.attempts();
@@ -114,7 +119,7 @@
                        [&](const Attempt& attempt) { return attempt.server.get() == &server; });
 }
 
-// Attempts in flight from which a server is busy.
+// The number of attempts in flight from which a server counts as busy.
 double CandidateSelector::busyThreshold() const {
     const auto servers = std::max<double>(static_cast<double>(parts_.ranking.size()), 1);
     const double mean = parts_.totalLimiter.inFlight() / servers;
@@ -123,14 +128,15 @@
 
 bool CandidateSelector::isBusy(const Request& request, Server& server, double threshold, Nanos now) {
     if (server.limiter.inFlight() >= threshold) return true;
-    if (isLate(server, now)) return true;
+    if (isSlow(server, now)) return true;
     return parts_.loadEstimator.isBusyByLoadReport(server, request.randomSample(),
                                                    request.requestClass().latencyObjective,
                                                    parts_.statistics.meanLatency(now));
 }
 
-// A quiet router hardly has two attempts in flight, but the latencies of its few attempts show the same.
-bool CandidateSelector::isLate(Server& server, Nanos now) {
+// A router with little traffic rarely has two attempts in flight at a server, so that it can detect
+// a busy server only by the latencies of its few attempts.
+bool CandidateSelector::isSlow(Server& server, Nanos now) {
     const double median = parts_.totalLimiter.medianLatencyRatio();
     const double ratio = (server.outcomes.latencyRatios(now) + median) / (server.outcomes.outcomes(now) + 1);
     return ratio > std::max(kTargetLatencyRatio, kBusyRatio * median);
--- a/src/policy/candidate_selector.hpp
+++ b/src/policy/candidate_selector.hpp
@@ -19,12 +19,12 @@
 class SlowStart;
 class ZoneAffinity;
 
-// Sends a request to the candidate whose hints have its key, else to the first in rendezvous order; one that
-// is busy leaves it to another. Returns only servers that every other class of the policy allows at this
-// time: the one place where all of them are asked. Owns no state.
+// Prefers the candidate whose hints contain the request's key, then rendezvous order, and passes
+// over busy candidates. Returns only servers that every other class of the policy allows at this
+// time; all of these checks are made here. Owns no state.
 class CandidateSelector {
   public:
-    // What the choice rests on; all outlive the selector.
+    // The inputs of the choice; all of them outlive the selector.
     struct Parts {
         const PolicySettings& settings;
         const EndpointRegistry& registry;
@@ -39,13 +39,13 @@
         Random& random;
     };
     struct Selection {
-        Server* server = nullptr;  // null: none at this time
-        bool awaitsFetch = false;  // of its key at the origin, by another request
+        Server* server = nullptr;  // null if no server may be sent the request now
+        bool awaitsFetch = false;  // another request is fetching the key from the origin
     };
 
     explicit CandidateSelector(const Parts& parts) : parts_(parts) {}
 
-    // For a request that waits. May draw random numbers.
+    // Chooses a server for a waiting request. May draw random numbers.
     Selection select(Request& request, Nanos now);
     // Whether a candidate is expected to have the request's key.
     bool isHinted(Request& request, Nanos now);
@@ -59,7 +59,7 @@
     bool hasFailedAt(const Request& request, const Server& server) const;
     double busyThreshold() const;
     bool isBusy(const Request& request, Server& server, double threshold, Nanos now);
-    bool isLate(Server& server, Nanos now);
+    bool isSlow(Server& server, Nanos now);
     bool isBetterFallback(const Server& server, const Server* fallback) const;
 
     const Parts parts_;
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -9,18 +9,18 @@
 constexpr int kMinSamples = 32;
 constexpr double kMinLimit = 0.05;
 constexpr double kMinMedian = 0.01;
-constexpr double kMaxTargetRatio = 0.7;  // however slow a server is when idle
+constexpr double kMaxTargetRatio = 0.7;  // bounds the target of servers that are slow when idle
 constexpr double kDecreaseFactor = 0.85;
-constexpr double kOverQuotaFraction = 0.75;
-constexpr Nanos kMaxLatencyRatio = 4;  // of one sample, whatever is reported
+constexpr double kOverQuotaFraction = 0.75;  // of the limit
+constexpr Nanos kMaxLatencyRatio = 4;        // bounds a single sample
 constexpr Nanos kSlowMedianPeriod = 2'000 * kMillisecond;
-constexpr double kIdleRatioGrowth = 1.0002;  // for each sample
+constexpr double kIdleRatioGrowth = 1.0002;  // factor per sample
 
 }  // namespace
 
 bool ConcurrencyLimiter::hasCapacity(Nanos now, bool isOverQuota) const {
-    const double most = isOverQuota ? limit_ * kOverQuotaFraction : std::max(1.0, std::floor(limit_));
-    return now >= nextAttemptAt_ && inFlight_ + 1 <= most;
+    const double maxInFlight = isOverQuota ? limit_ * kOverQuotaFraction : std::max(1.0, std::floor(limit_));
+    return now >= nextAttemptAt_ && inFlight_ + 1 <= maxInFlight;
 }
 
 bool ConcurrencyLimiter::hasEnoughSamples() const { return sampleCount_ >= kMinSamples; }
@@ -43,7 +43,8 @@
 
 void ConcurrencyLimiter::recordLatency(Nanos now, Nanos latency, Nanos latencyObjective) {
     const Nanos objective = std::max(latencyObjective, kMillisecond);
-    // Bounded: one absurd report must not distort the medians and the pauses for long.
+    // Bounds the sample, so that one implausible report cannot distort the medians and pauses for
+    // long.
     const Nanos bounded = std::clamp<Nanos>(latency, 0, kMaxLatencyRatio * objective);
     updateMedians(now, static_cast<double>(bounded) / static_cast<double>(objective));
     const double target = targetRatio();
@@ -64,8 +65,8 @@
         fastMedian_ = ratio;
     else
         fastMedian_ = std::max(kMinMedian, fastMedian_ * (ratio > fastMedian_ ? 1.1 : 0.9));
-    // Moves slowly, or its minimum would lie far below the latency of an idle server; faster where responses
-    // are few.
+    // The slow median moves slowly, since its minimum would otherwise lie far below the latency of
+    // an idle server. It moves faster where responses are few.
     const double elapsed = static_cast<double>(now - lastSampleAt_) / kSlowMedianPeriod;
     const double step = std::max(std::clamp(elapsed, 0.02, 0.1), 1.0 / (2 + sampleCount_));
     lastSampleAt_ = now;
@@ -84,13 +85,14 @@
 }
 
 void ConcurrencyLimiter::increase() {
-    const bool isNearlyUsedUp = inFlight_ + 1 >= std::floor(limit_) * 0.75;
-    if (!isNearlyUsedUp) return;
+    const bool isNearlyReached = inFlight_ + 1 >= std::floor(limit_) * 0.75;
+    if (!isNearlyReached) return;
     const double step = hasDecreased() ? 0.5 / std::max(limit_, 2.0) : 0.5;
     limit_ += std::min(step, 0.2 * limit_);
 }
 
-// With many routers even one attempt of each is too much: a limit below one is kept by a pause.
+// With many routers, even one attempt from each can overload a server: a limit below one is
+// enforced by a pause between attempts.
 void ConcurrencyLimiter::scheduleNextAttempt(Nanos now, Nanos latency) {
     if (limit_ < 1)
         nextAttemptAt_ = now + static_cast<Nanos>(static_cast<double>(latency) * (1 / limit_ - 1));
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -5,21 +5,22 @@
 
 namespace poppyscale::policy {
 
-// The median latency of a server that is not queueing, as a fraction of the latency objective: the spread
-// about the median needs the rest.
+// The median latency up to which a server is not taken to be queueing, as a fraction of the latency
+// objective. The rest of the objective is left for the spread about the median.
 constexpr double kTargetLatencyRatio = 0.4;
 
-// Learns from latencies how many attempts may be in flight at one server, or at all cache servers together:
-// raises the limit by small steps while it is nearly used up, and lowers it by a factor when both medians of
-// the latency lie above the target. All latencies are taken as ratios to the latency objective of their
-// request, so that requests of different classes can be compared. Limits below one are kept by a pause
-// between attempts.
+// Learns from latencies how many attempts may be in flight at one server, or at all cache servers
+// together: raises the limit by small steps while it is nearly reached, and lowers it by a factor
+// when both medians of the latency lie above the target. All latencies are taken as ratios to the
+// latency objective of their request, so that requests of different classes can be compared. Limits
+// below one are enforced by a pause between attempts.
 //
-// Owns the count of attempts in flight: each onAttemptStarted() is followed by one onAttemptEnded().
+// Owns the count of attempts in flight: each onAttemptStarted() is followed by one
+// onAttemptEnded().
 class ConcurrencyLimiter {
   public:
-    // The median latency ratio up to which a server is not taken to be queueing, for one that is quick when
-    // idle: `ratio` and, divided by the limit, `ratioAtLimitOne` on top, so that a small limit stays usable
+    // The median latency ratio up to which a server that is quick when idle is not taken to be
+    // queueing: `ratio` + `ratioAtLimitOne` / limit. The second term keeps a small limit usable
     // where many routers share a server.
     struct Target {
         double ratio;
@@ -34,25 +35,26 @@
 
     void onAttemptStarted() { ++inFlight_; }
     void onAttemptEnded() { --inFlight_; }
-    // Takes in the latency of an attempt that ended at `now`, and adapts the limit.
+    // Records the latency of an attempt that ended at `now`, and adapts the limit.
     void recordLatency(Nanos now, Nanos latency, Nanos latencyObjective);
-    // Multiplies the limit by `factor`, once within `window`: what was in flight together shows one overload.
+    // Multiplies the limit by `factor`, at most once per `window`: attempts that were in flight
+    // together show the same overload.
     void decrease(Nanos now, Nanos window, double factor);
 
     void setLimit(double limit) { limit_ = limit; }
     void lowerLimitTo(double limit);
     void raiseLimitTo(double limit);
-    // Forgets what was learnt; attempts in flight stay counted.
+    // Starts over with this target and limit; attempts in flight stay counted.
     void restart(Target target, double initialLimit);
 
     int inFlight() const { return inFlight_; }
     double limit() const { return limit_; }
     bool hasDecreased() const { return lastDecreaseAt_ != 0; }
-    // Slowly moving median of latency ratios; 0 before the first.
+    // Slowly moving median of latency ratios; 0 before the first sample.
     double medianLatencyRatio() const { return slowMedian_; }
-    // About the least of that median so far.
+    // Approximately the minimum of medianLatencyRatio() so far.
     double idleLatencyRatio() const { return idleRatio_; }
-    // Whether the medians rest on enough latencies to be relied on.
+    // Whether enough latencies were recorded for the medians to be reliable.
     bool hasEnoughSamples() const;
     Nanos lastSampleAt() const { return lastSampleAt_; }
 
@@ -70,7 +72,7 @@
     int sampleCount_ = 0;
     int inFlight_ = 0;
     Nanos lastDecreaseAt_ = 0;  // 0: never
-    Nanos nextAttemptAt_ = 0;   // while the limit is below one
+    Nanos nextAttemptAt_ = 0;   // 0 unless the limit is below one
     Nanos lastSampleAt_ = 0;
 };
 
--- a/src/policy/counting_bloom_filter.hpp
+++ b/src/policy/counting_bloom_filter.hpp
@@ -1,4 +1,4 @@
-// A set of keys in constant memory that may report keys it does not have.
+// A set of keys in constant memory that may report keys it does not contain.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -30,7 +30,7 @@
     return hasChanged;
 }
 
-// Whether anything but the weight has changed.
+// Returns whether anything but the weight has changed.
 bool EndpointRegistry::applyEntry(Nanos now, const Endpoint& listed) {
     const auto known = servers_.find(listed.name);
     const bool isNew = known == servers_.end();
@@ -56,7 +56,7 @@
     return server;
 }
 
-// Without a listed weight a server keeps the one that it was last known for, or gets the least.
+// A server that is listed without a weight keeps its last known weight, or gets the minimum.
 double EndpointRegistry::weightOf(const Endpoint& listed, const Server& server) const {
     const double known = server.endpoint().weight;
     if (settings_.weightsFollowLoad) return known;
@@ -79,7 +79,8 @@
     }
 }
 
-// Ever new servers must not fill the memory. Requests keep those where they have an attempt.
+// Frees servers that stay removed, so that memory does not grow with every new name. Requests share
+// ownership of the servers of their attempts.
 void EndpointRegistry::forgetRemoved(std::vector<Server*>& servers) {
     std::vector<Server*> remaining;
     for (Server* server : servers) {
--- a/src/policy/endpoint_registry.hpp
+++ b/src/policy/endpoint_registry.hpp
@@ -15,9 +15,10 @@
 
 class Server;
 
-// Makes a Server for each name in the endpoint list, keeps its entry up to date, and forgets it when it was
-// removed for two hint generations. Owns the servers, the ejections by operators and the hint generations.
-// Only the policy's event functions change it; every other class reads it.
+// Creates a Server for each name in the endpoint list, keeps its entry up to date, and drops it
+// when it is in state `removed` at the end of two successive hint generations. Owns the servers,
+// the ejections by operators and the hint generations. Only RoutingPolicy changes the registry; the
+// other classes read it.
 class EndpointRegistry {
   public:
     // `settings` is read at each call.
@@ -26,18 +27,20 @@
     EndpointRegistry(const EndpointRegistry&) = delete;
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
 
-    // Takes over an update that is not `failed`. Whether the ranking of servers has to be rebuilt.
+    // Applies an update of any kind but `failed`. Returns whether the ranking of servers has to be
+    // rebuilt.
     bool applyUpdate(Nanos now, EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints);
-    // An operator's ejection holds for the name, listed or not. A server that is no longer ejected counts as
-    // just started. Whether the ejection has changed.
+    // Sets or lifts an operator's ejection, which applies to the name, listed or not. A server
+    // whose ejection is lifted counts as just started. Returns whether the ejection has changed.
     bool setOperatorEjection(Nanos now, const std::string& name, bool isEjected);
     // Ends the hint generations that are over by `now`.
     void endGenerations(Nanos now);
 
     bool isEjectedByOperator(const Server& server) const;
-    // Whether the endpoint list and the operators allow attempts there.
+    // Whether the endpoint list and the operators allow attempts at `server`.
     bool isUsable(const Server& server) const;
-    // In the order in which they were first listed. Valid until the next event; unusable ones included.
+    // All known servers, unusable ones included, in the order in which they were first listed.
+    // Valid until the next event.
     const std::vector<Server*>& cacheServers() const { return cacheServers_; }
     const std::vector<Server*>& origins() const { return origins_; }
 
@@ -55,7 +58,8 @@
     Nanos generationEndsAt_;
 };
 
-// Attempts for each cache server that all routers together may begin with.
+// Attempts per cache server that all routers together may start with: the routers' initial limits
+// and initial retry credits are shares of it.
 constexpr double kInitialAttemptsPerServer = 6;
 
 }  // namespace poppyscale::policy
--- a/src/policy/hint_filter.cpp
+++ b/src/policy/hint_filter.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMinCounters = 1 << 8;
-constexpr std::size_t kMaxCounters = 10 << 20;  // for each server
+constexpr std::size_t kMaxCounters = 10 << 20;  // for each server and generation
 
 }  // namespace
 
@@ -33,10 +33,10 @@
 
 void HintFilter::insert(std::uint64_t key) {
     if (contains(current_, key)) return;
-    const std::size_t last = current_.empty() ? 0 : current_.back().counterCount();
-    const bool mayGrow = last < kMaxCounters / 4;
-    if (last == 0 || (current_.back().isFull() && mayGrow))
-        current_.emplace_back(std::max(2 * last, kMinCounters));
+    const std::size_t lastCounters = current_.empty() ? 0 : current_.back().counterCount();
+    const bool mayGrow = lastCounters < kMaxCounters / 4;
+    if (lastCounters == 0 || (current_.back().isFull() && mayGrow))
+        current_.emplace_back(std::max(2 * lastCounters, kMinCounters));
     current_.back().insert(key);
 }
 
--- a/src/policy/hint_filter.hpp
+++ b/src/policy/hint_filter.hpp
@@ -9,9 +9,9 @@
 
 namespace poppyscale::policy {
 
-// A key is reported from its insertion until the end of the next generation, unless it is removed. One filter
-// for each server; takes no memory before the first key, as most routers of a large fleet have a key or two
-// for each server.
+// A key is reported from its insertion until the end of the next generation, unless it is removed.
+// Each server has one filter, which takes no memory before the first key: most routers of a large
+// fleet have only a key or two for each server.
 class HintFilter {
   public:
     bool mayContain(std::uint64_t key) const;
@@ -23,7 +23,7 @@
     std::int64_t keyCount() const;
 
   private:
-    // Grows by filters of doubled size.
+    // When the last filter is full, one of twice its size is added.
     using Generation = std::vector<CountingBloomFilter>;
 
     static bool contains(const Generation& generation, std::uint64_t key);
--- a/src/policy/key_popularity.hpp
+++ b/src/policy/key_popularity.hpp
@@ -1,4 +1,4 @@
-// Which keys are requested more often than one server should bear.
+// Detects keys that are requested more often than one server should bear.
 #pragma once
 
 #include <array>
@@ -9,12 +9,13 @@
 
 class Random;
 
-// Spreads the requests of a popular key over as many servers as its part of the recent requests asks for.
-// Owns the keys of the recent requests.
+// Spreads the requests for a popular key over a number of servers in proportion to its share of the
+// recent requests. Owns the keys of the recent requests.
 class KeyPopularity {
   public:
-    // The place in the key's ranking from which a request takes its candidates: 0, unless the key is popular.
-    // Draws a number if it is. `serverCount`: those in the ranking.
+    // The place in the key's ranking from which a request takes its candidates: 0 unless the key is
+    // popular. Draws a random number only for a popular key. `serverCount`: the number of servers
+    // in the ranking.
     std::size_t firstCandidate(std::uint64_t key, std::size_t serverCount, Random& random) const;
     void record(std::uint64_t key);
 
--- a/src/policy/latency_statistics.cpp
+++ b/src/policy/latency_statistics.cpp
@@ -7,7 +7,7 @@
 namespace poppyscale::policy {
 namespace {
 
-constexpr double kMinSuccesses = 0.5;  // for a mean latency
+constexpr double kMinSuccessesForMean = 0.5;
 constexpr double kMinSuccessesForInterval = 32;
 
 }  // namespace
@@ -24,13 +24,13 @@
 
 void LatencyStatistics::updatePressure(const ConcurrencyLimiter& totalLimiter, Nanos now) {
     const double idleRatio = totalLimiter.hasEnoughSamples() ? 2 * totalLimiter.idleLatencyRatio() : 0;
-    const double bearableRatio = std::max(kTargetLatencyRatio, idleRatio);
-    isUnderPressure_ = latencyRatios_.read(now) > bearableRatio * std::max(outcomes_.read(now), 1.0);
+    const double maxRatio = std::max(kTargetLatencyRatio, idleRatio);
+    isUnderPressure_ = latencyRatios_.read(now) > maxRatio * std::max(outcomes_.read(now), 1.0);
 }
 
 Nanos LatencyStatistics::meanLatency(Nanos now) {
     const double successes = successes_.read(now);
-    if (successes < kMinSuccesses) return 0;
+    if (successes < kMinSuccessesForMean) return 0;
     return static_cast<Nanos>(successLatencies_.read(now) / successes);
 }
 
--- a/src/policy/latency_statistics.hpp
+++ b/src/policy/latency_statistics.hpp
@@ -1,4 +1,4 @@
-// What the ends of all attempts show of the system as a whole.
+// Statistics over the attempts at all servers.
 #pragma once
 
 #include "base/decaying_sum.hpp"
@@ -15,17 +15,17 @@
     explicit LatencyStatistics(Nanos now) : startedAt_(now) {}
 
     void recordSuccess(Nanos latency, Nanos now);
-    // `latencyRatio`: of the latency to the latency objective.
+    // `latencyRatio`: the latency divided by the latency objective.
     void recordOutcome(double latencyRatio, Nanos now);
-    // Works out isUnderPressure() anew; `totalLimiter` is the one over all cache servers.
+    // Recomputes isUnderPressure(). `totalLimiter`: the limiter over all cache servers.
     void updatePressure(const ConcurrencyLimiter& totalLimiter, Nanos now);
 
-    // Of successful attempts; 0 while there are none.
+    // The mean latency of recent successful attempts; 0 if there are none.
     Nanos meanLatency(Nanos now);
     // The mean time between two successes, as seen by this router.
     Nanos successInterval(Nanos now);
     bool doMostSucceed(Nanos now);
-    // Whether responses are so late that requests over their tenant's quota have to be shed.
+    // Whether responses are so slow that requests over their tenant's quota have to be shed.
     bool isUnderPressure() const { return isUnderPressure_; }
 
   private:
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -12,18 +12,20 @@
 namespace poppyscale::policy {
 namespace {
 
-constexpr double kAbsurdRatio = 100;  // to the usual: no weight or load that is meant
+// A weight above this multiple of the median, or a load from this value on, is ignored as
+// implausible.
+constexpr double kMaxPlausibleRatio = 100;
 constexpr double kSmoothing = 0.5;
 
-// The largest listed weight of a shape that is no absurd one. Sorts the servers by listed weight.
+// The largest plausible listed weight of servers of one shape. Sorts `servers` by listed weight.
 double fullWeightOf(std::vector<Server*>& servers) {
     std::sort(servers.begin(), servers.end(), [](const Server* a, const Server* b) {
         return a->loadReport.listedWeight() > b->loadReport.listedWeight();
     });
     const double median = servers[servers.size() / 2]->loadReport.listedWeight();
-    const double most = kAbsurdRatio * median;
+    const double maxPlausible = kMaxPlausibleRatio * median;
     auto largest = servers.begin();
-    while ((*largest)->loadReport.listedWeight() > most) ++largest;
+    while ((*largest)->loadReport.listedWeight() > maxPlausible) ++largest;
     return (*largest)->loadReport.listedWeight();
 }
 
@@ -35,7 +37,7 @@
 
 void LoadReport::update(double fullWeight) {
     const double reported = std::max(fullWeight / listedWeight_ - 1, 0.0);
-    if (reported < kAbsurdRatio) load_ += kSmoothing * (reported - load_);
+    if (reported < kMaxPlausibleRatio) load_ += kSmoothing * (reported - load_);
 }
 
 bool LoadEstimator::update() {
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -1,4 +1,4 @@
-// Weights that fall with load, read as load reports.
+// Derives the load of servers from listed weights that fall with load.
 #pragma once
 
 #include "base/time.hpp"
@@ -9,15 +9,16 @@
 class EndpointRegistry;
 class Server;
 
-// What the endpoint list last reported of one server's load. One for each server.
+// One server's load, as last reported in the endpoint list. Each server has one.
 class LoadReport {
   public:
-    // As listed: full weight / (1 + requests for each core). 0 is no report.
+    // `weight` as listed: full weight / (1 + requests per core). 0 means no report and is ignored.
     void setListedWeight(double weight);
     double listedWeight() const { return listedWeight_; }
-    // Follows the report of a server whose weight without load is `fullWeight`; an absurd one is ignored.
+    // Updates load() from the listed weight of a server whose weight without load is `fullWeight`.
+    // Ignores implausible loads.
     void update(double fullWeight);
-    // Requests for each core, smoothed over reports.
+    // Requests per core, smoothed over reports.
     double load() const { return load_; }
 
   private:
@@ -25,19 +26,20 @@
     double load_ = 0;
 };
 
-// Where listed weights follow load, splits them into a full weight, which the ranking uses, and a load: a
-// weight that moves with load must not move the ranking, so the largest listed of a shape stands for it. Owns
-// the mean load; each server has its LoadReport.
+// Where listed weights follow load, splits each into a full weight, which the ranking uses, and a
+// load. The full weight is the largest one listed for servers of the same shape, so that a change
+// in load does not change the ranking. Owns the mean load; each server has its LoadReport.
 class LoadEstimator {
   public:
     LoadEstimator(const PolicySettings& settings, const EndpointRegistry& registry)
         : settings_(settings), registry_(registry) {}
 
-    // Takes in the listed weights after an update of the endpoint list. Whether a full weight has changed.
-    // Does nothing where weights do not follow load.
+    // Evaluates the listed weights after an update of the endpoint list. Returns whether a full
+    // weight has changed. Does nothing where weights do not follow load.
     bool update();
-    // Whether a request should leave `server` to others for its load. The report is late and the same at all
-    // routers, which would swing together if it were not for `sample`, a random number in [0, 1).
+    // Whether a request should avoid `server` because of its load. All routers get the same delayed
+    // report and would move their requests at the same time without `sample`, a random number in
+    // [0, 1).
     bool isBusyByLoadReport(const Server& server, double sample, Nanos latencyObjective,
                             Nanos meanLatency) const;
 
--- a/src/policy/origin_fetches.hpp
+++ b/src/policy/origin_fetches.hpp
@@ -1,4 +1,4 @@
-// The reads that are in flight at the origin, where the servers are cache-aside.
+// Reads in flight at the origin, where the servers are cache-aside.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,18 @@
 class Request;
 class Server;
 
-// Lets one read of a key at a time be in flight at the origin, for others to wait for, and keeps reads that
-// missed at servers that are warming up to a part of the origin's limit. Owns the fetches in flight.
+// Tracks the reads in flight at the origin, so that other requests for a key wait for its fetch,
+// and limits reads that missed at servers that are warming up to a fraction of the origin's limit.
+// Owns the fetches in flight.
 class OriginFetches {
   public:
-    // Of attempts at the origin.
+    // To be called for attempts at the origin only.
     void onAttemptStarted(const Request& request);
     void onAttemptEnded(const Request& request);
 
     bool isInFlight(std::uint64_t key) const { return fetches_.contains(key); }
-    // Whether the request may be sent to `origin` as far as misses at servers that are warming up go.
+    // Whether the limit for reads that missed at servers that are warming up lets the request be
+    // sent to `origin`. Always true for other requests.
     bool hasCapacity(const Request& request, const Server& origin) const;
 
   private:
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -14,11 +14,11 @@
 constexpr Nanos kEjectionDuration = 4'000 * kMillisecond;
 constexpr double kMinFailures = 1.5;
 constexpr double kMinOutcomes = 0.5;     // for a server's failure rate to count
-constexpr double kMinMedianRate = 0.02;  // for the spread
+constexpr double kMinMedianRate = 0.02;  // in the standard deviation
 constexpr double kStandardDeviations = 1.5;
-constexpr double kMinExcessRate = 0.1;  // over twice the median
+constexpr double kMinExcessRate = 0.1;  // above twice the median rate
 
-// The number of failures among `outcomes` that a server with the median rate may well have.
+// The largest number of failures among `outcomes` that is still likely at the median failure rate.
 double likelyFailures(double medianRate, double outcomes) {
     const double deviation = std::sqrt(outcomes * std::max(medianRate, kMinMedianRate));
     const double byChance = medianRate * outcomes + kMinFailures + kStandardDeviations * deviation;
@@ -88,8 +88,8 @@
 }
 
 void OutlierDetector::eject(Server& server, double failures, double outcomes, Nanos now) {
-    host_.log("ejected " + server.name() + ": " + std::to_string(failures) + " of " +
-              std::to_string(outcomes) + " failed");
+    host_.log("ejected cache server " + server.name() + " as an outlier: " + std::to_string(failures) +
+              " of " + std::to_string(outcomes) + " recent attempts failed");
     server.outcomes.eject(now + kEjectionDuration + random_.jitter(kEjectionDuration / 4));
     server.limiter.setLimit(1);
 }
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -13,20 +13,22 @@
 class Random;
 class Server;
 
-// The recent outcomes of one server's attempts, as decaying sums, and whether it is ejected for them. One for
-// each server; OutlierDetector alone ejects.
+// The recent outcomes of one server's attempts, as decaying sums, and the end of its ejection as an
+// outlier. Each server has one; only OutlierDetector ejects.
 class OutcomeHistory {
   public:
-    // Notes that an attempt ended. Whether it is the first that ended at this time: responses on one
-    // connection come in order, so that what a heavy one delayed ends with it.
+    // Records that an attempt ended. Returns whether it is the first that ended at this time:
+    // responses on one connection come in order, so that those delayed by a heavy one arrive at the
+    // same time as it does.
     bool noteEnd(Nanos now);
-    // `latencyRatio`: of the latency to the latency objective. A success or a miss is an answer.
+    // `latencyRatio`: the latency divided by the latency objective. A success or a cache miss
+    // resets consecutiveTimeouts().
     void record(AttemptOutcome outcome, double latencyRatio, Nanos now);
     void recordFailure(Nanos now) { failures_.add(now, 1); }
 
     double outcomes(Nanos now) { return outcomes_.read(now); }
     double failures(Nanos now) { return failures_.read(now); }
-    // Sum over the outcomes.
+    // Sum of the latency ratios of the outcomes.
     double latencyRatios(Nanos now) { return latencyRatios_.read(now); }
     int consecutiveTimeouts() const { return consecutiveTimeouts_; }
 
@@ -34,11 +36,11 @@
     Nanos ejectedUntil() const { return ejectedUntil_; }
     // Ejects the server, and forgets its outcomes.
     void eject(Nanos until);
-    // Forgets all, an ejection included.
+    // Forgets all outcomes, and ends an ejection.
     void restart();
 
   private:
-    // A quiet router sees few outcomes of each server.
+    // Long, since a router with little traffic sees few outcomes of each server.
     static constexpr Nanos kTimeConstant = 15'000 * kMillisecond;
 
     void clearSums();
@@ -51,21 +53,21 @@
     Nanos ejectedUntil_ = 0;
 };
 
-// Ejects a cache server for some seconds when its failures lie above what the median of all servers makes
-// likely. Guarantees that no more than half of the usable cache servers are ejected, and that the origin
-// never is. Owns no state; each server has its OutcomeHistory.
+// Ejects a cache server for some seconds when it has more failures than are likely at the median
+// failure rate of all cache servers. Guarantees that no more than half of the usable cache servers
+// are ejected, and that the origin never is. Owns no state; each server has its OutcomeHistory.
 class OutlierDetector {
   public:
     OutlierDetector(const EndpointRegistry& registry, PolicyHost& host, Random& random)
         : registry_(registry), host_(host), random_(random) {}
 
-    // Records a failure of `server`; whether it is ejected for it now.
+    // Records a failure of `server`. Returns whether the failure has caused its ejection.
     bool recordFailure(Server& server, Nanos now);
 
   private:
-    // Of all usable cache servers.
+    // All usable cache servers.
     struct Population {
-        std::vector<double> failureRates;
+        std::vector<double> failureRates;  // of the servers with enough outcomes
         std::size_t usable = 0;
         std::size_t ejected = 0;
     };
--- a/src/policy/policy_host.hpp
+++ b/src/policy/policy_host.hpp
@@ -17,13 +17,14 @@
     // response by `deadline` times out. One that is not written by `latestStart` must not be written at all,
     // since its idempotency key may have been forgotten by then.
     virtual void startAttempt(RequestId id, std::string_view server, Nanos deadline, Nanos latestStart) = 0;
-    // Final response: not executed, the client may retry after that duration.
+    // Sends the final response: the request was not executed, and the client may retry after
+    // `retryAfter`.
     virtual void reject(RequestId id, Nanos retryAfter) = 0;
-    // Final response: it may have been executed, and must not be repeated.
+    // Sends the final response: the request may have been executed, and must not be repeated.
     virtual void fail(RequestId id) = 0;
-    // Calls RoutingPolicy::reconcile at that time.
+    // Calls RoutingPolicy::reconcile at the time `at`.
     virtual void scheduleWakeup(Nanos at) = 0;
-    // Asks for the endpoint list; RoutingPolicy::onEndpointUpdate reports the result.
+    // Requests the endpoint list; the result is reported through RoutingPolicy::onEndpointUpdate.
     virtual void pollEndpoints() = 0;
     virtual void log(std::string_view text) = 0;
 };
--- a/src/policy/poll_schedule.cpp
+++ b/src/policy/poll_schedule.cpp
@@ -25,7 +25,7 @@
         case EndpointUpdateKind::failed:
             onFailure(now);
             return;
-        case EndpointUpdateKind::cached:  // shows nothing of discovery
+        case EndpointUpdateKind::cached:  // does not show that discovery answers
             return;
         case EndpointUpdateKind::delta:
         case EndpointUpdateKind::complete:
--- a/src/policy/poll_schedule.hpp
+++ b/src/policy/poll_schedule.hpp
@@ -1,4 +1,4 @@
-// When the endpoint list is polled, where the policy does that.
+// Schedules polls of the endpoint list, where the policy polls it.
 #pragma once
 
 #include "base/time.hpp"
@@ -9,16 +9,17 @@
 
 class Random;
 
-// The first poll comes soon after the start, and one that fails is repeated with a growing backoff; later
-// lists come without a poll. Both are spread by chance: the load on discovery must not grow with the routers,
-// and all may have been restarted together. Owns the time of the next poll and the backoff.
+// The first poll comes soon after the start, and a failed poll is repeated with a growing backoff;
+// later lists arrive without a poll. Both delays are random, since all routers may have been
+// restarted together and the load on discovery must not grow with their number. Owns the time of
+// the next poll and the backoff.
 class PollSchedule {
   public:
     PollSchedule(const PolicySettings& settings, Random& random, Nanos now);
 
-    // kNever if none is due.
+    // kNever if no poll is scheduled.
     Nanos nextPollAt() const { return nextPollAt_; }
-    // The poll that was due has been started.
+    // The scheduled poll has been started.
     void onPollStarted() { nextPollAt_ = kNever; }
     // An update of the endpoint list, or the failure of a poll.
     void onUpdate(Nanos now, EndpointUpdateKind kind);
--- a/src/policy/random.hpp
+++ b/src/policy/random.hpp
@@ -8,8 +8,8 @@
 
 namespace poppyscale::policy {
 
-// One generator for all decisions of a policy, so that a run repeats exactly from its seed and its events.
-// Each call draws one number.
+// One generator for all decisions of a policy, so that a run can be repeated exactly from its seed
+// and events. Each call draws one number.
 class Random {
   public:
     explicit Random(std::uint64_t seed) {
--- a/src/policy/rendezvous_ranking.cpp
+++ b/src/policy/rendezvous_ranking.cpp
@@ -62,7 +62,8 @@
     return candidates;
 }
 
-// The routers of the other zones ask those servers for the key.
+// The routers of other zones send requests for the key to the top servers over all zones, which are
+// therefore likely to have it cached.
 void RendezvousRanking::replaceLastByTopOverAllZones(std::uint64_t key, CandidateList& candidates) const {
     const auto& servers = candidates.servers;
     for (const ScoredServer& scored : topServers(key, kMaxCandidates, &Entry::weight)) {
--- a/src/policy/rendezvous_ranking.hpp
+++ b/src/policy/rendezvous_ranking.hpp
@@ -1,4 +1,4 @@
-// Which servers a key belongs to.
+// Ranks the cache servers for a key.
 #pragma once
 
 #include <cstddef>
@@ -15,12 +15,14 @@
 class SlowStart;
 class ZoneAffinity;
 
-// Weighted rendezvous hashing over the usable cache servers that are not ejected: all routers with the same
-// endpoint list rank the servers of a key alike, and a change of one server moves only its share of the keys.
-// Weights are those of the list, less while a server warms up and less across zones.
+// Weighted rendezvous hashing over the usable cache servers that are not ejected: all routers with
+// the same endpoint list rank the servers of a key alike, and a change of one server moves only its
+// share of the keys. Weights are those of the endpoint list, reduced while a server warms up and
+// for servers in other zones.
 //
-// Owns the table of these weights and its version. Whoever changes what it rests on calls invalidate(); the
-// next candidatesFor() then rebuilds it. Tells SlowStart and ZoneAffinity of a rebuild.
+// Owns the table of these weights and its version. invalidate() must be called when an input of the
+// table changes; the next candidatesFor() then rebuilds it, and updates SlowStart and ZoneAffinity
+// too.
 class RendezvousRanking {
   public:
     RendezvousRanking(const EndpointRegistry& registry, SlowStart& slowStart, ZoneAffinity& zoneAffinity)
@@ -28,21 +30,23 @@
 
     // The weights or the usable servers have changed.
     void invalidate() { ++version_; }
-    // As invalidate(), if a warm-up has gone a step further or an ejection has ended since the last rebuild.
+    // Calls invalidate() if a warm-up has advanced by a step or an ejection has ended since the
+    // last rebuild.
     void invalidateIfExpired(Nanos now);
 
-    // The request's candidates in the present version, which are also stored in the request.
+    // The request's candidates in the current version. Also stores them in the request.
     const CandidateList& candidatesFor(Request& request, Nanos now);
-    // As of the last rebuild: how many servers can be candidates, and one of those that have had no attempt
-    // since an operator's ejection was lifted, or null.
+    // The number of servers that can be candidates, as of the last rebuild.
     std::size_t size() const { return entries_.size(); }
+    // A server that has had no attempt since an operator's ejection was lifted, as of the last
+    // rebuild; null if there is none.
     Server* awaitingFirstAttempt() const { return awaitingFirstAttempt_; }
 
   private:
     struct Entry {
         std::uint64_t hash = 0;
         double weight = 0;       // without regard to zones
-        double zonedWeight = 0;  // less across zones
+        double zonedWeight = 0;  // reduced for other zones
         Server* server = nullptr;
     };
     struct ScoredServer {
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -16,14 +16,14 @@
 class Server;
 struct TenantUsage;
 
-// The first candidate and its replacement, and one of last resort.
+// The first candidate, its replacement and a last resort.
 constexpr std::size_t kMaxCandidates = 3;
 
-// The servers that a request may be sent to, best first; null from where there are no more.
-// RendezvousRanking alone writes it.
+// The servers that a request may be sent to, best first; unused places at the end are null. Only
+// RendezvousRanking writes it.
 struct CandidateList {
     std::array<Server*, kMaxCandidates> servers{};
-    std::uint64_t rankingVersion = 0;  // that it was taken from; the servers are valid in this one only
+    std::uint64_t rankingVersion = 0;  // the version of the ranking in which `servers` is valid
 };
 
 enum class AttemptState : std::uint8_t { inFlight, neverExecuted, mayHaveExecuted };
@@ -38,28 +38,31 @@
     queued,      // waits for a server
     unservable,  // waits for its final response, since a further attempt would be of no use
     inFlight,    // has one attempt in flight
-    closed       // has its final response, or its client has disconnected; ends with its attempt, if any
+    // Has its final response, or its client has disconnected. An attempt may still be in flight.
+    closed
 };
 
-// What is known of a request when it comes, and does not change any more.
+// Properties that are fixed when a request arrives.
 struct RequestProperties {
     RequestId id = 0;
-    std::shared_ptr<const RequestClass> requestClass;  // as it was when the request came
+    std::shared_ptr<const RequestClass> requestClass;  // as of the arrival of the request
     std::shared_ptr<TenantUsage> tenantUsage;          // null without a known tenant
-    std::uint64_t key = 0;                             // hash of the key, or a number of its own without one
+    std::uint64_t key = 0;                             // hash of the key, else of the request id
     bool hasKey = false;
     bool isWrite = false;
     bool isOverQuota = false;
     int maxAttempts = 1;
     Nanos deadline = 0;
-    Nanos objectiveDeadline = 0;     // by when a response meets the latency objective
+    Nanos objectiveDeadline = 0;     // until when a response meets the latency objective
     std::size_t firstCandidate = 0;  // place of the first candidate in the ranking of the key
-    // In [0, 1), drawn once: a request that is tried again and again would else pass any chance in the end.
+    // In [0, 1). Drawn once, since a request that is considered many times with new numbers would
+    // eventually pass a check of any probability.
     double randomSample = 0;
 };
 
-// Guarantees that at most one attempt is in flight. The policy owns requests from onRequest() until they are
-// closed and have no attempt in flight; the queue and the origin's fetches refer to them meanwhile.
+// Guarantees that at most one attempt is in flight. RoutingPolicy owns a request from onRequest()
+// until it is closed and has no attempt in flight; meanwhile AdmissionQueue and OriginFetches may
+// refer to it.
 class Request {
   public:
     // `initial` is queued or unservable.
@@ -82,27 +85,30 @@
     bool isUnservable() const { return state_ == RequestState::unservable; }
     bool isWaiting() const { return state_ == RequestState::queued || isUnservable(); }
     const std::vector<Attempt>& attempts() const { return attempts_; }
-    // Null if the request has certainly not been executed.
+    // The first attempt that may have executed the request, in flight or ended; null if there is
+    // none.
     const Attempt* firstThatMayHaveExecuted() const;
     // Whether an ended attempt at the origin, or at a cache server, may have been executed.
     bool mayHaveExecuted(bool atOrigin) const { return mayHaveExecuted_[atOrigin ? 1 : 0]; }
     // Whether an attempt ended with anything but a response or a cache miss.
     bool hasFailedAttempt() const { return hasFailedAttempt_; }
-    // Whether a server lacked its key while it was warming up.
+    // Whether an attempt ended with a cache miss at a server that was warming up.
     bool hasMissedAtWarmingServer() const { return hasMissedAtWarmingServer_; }
-    // The cache servers that lacked its key.
+    // The cache servers at which attempts ended with a cache miss.
     const std::vector<std::shared_ptr<Server>>& missedAt() const { return missedAt_; }
-    // When an attempt must be written at the latest, for its idempotency key to be remembered.
+    // The latest time at which an attempt may be written, so that its idempotency key is still
+    // remembered.
     Nanos latestStart() const { return latestStart_; }
 
     void startAttempt(Server& server, Nanos now);
-    // Null if there is no such attempt in flight.
+    // The attempt with this number; null if it is not in flight.
     const Attempt* findInFlight(int attempt) const;
     // Ends the attempt in flight. The request is then closed, or queue() follows.
     void endAttempt(AttemptOutcome outcome);
     void addMiss(Server& server) { missedAt_.push_back(sharedServer(server)); }
     void noteMissAtWarmingServer() { hasMissedAtWarmingServer_ = true; }
-    // After an attempt that ended without a response: `queued`, or `unservable` if no other would be of use.
+    // Makes the request wait after an attempt that ended without a response: `queued`, or
+    // `unservable` if a further attempt would be of no use.
     void queue(AttemptOutcome outcome, bool isServable);
     void close() { state_ = RequestState::closed; }
 
--- a/src/policy/request_classes.cpp
+++ b/src/policy/request_classes.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr double kMedianStep = 0.01;
-constexpr double kFullTimeout = 0.98;  // of the median: what a client's first attempt has at least
+// A retry with at least this fraction of the median timeout left is treated like a first attempt.
+constexpr double kFullTimeout = 0.98;
 
 }  // namespace
 
--- a/src/policy/request_classes.hpp
+++ b/src/policy/request_classes.hpp
@@ -1,4 +1,4 @@
-// The request classes of the settings, and how long their clients wait.
+// The request classes of the settings, and the timeouts of their clients.
 #pragma once
 
 #include <memory>
@@ -12,18 +12,18 @@
 
 namespace poppyscale::policy {
 
-// Owns the classes, which requests share, and for each the median of its clients' timeouts.
+// Owns the classes, which requests share, and the median client timeout of each class.
 class RequestClasses {
   public:
     explicit RequestClasses(const PolicySettings& settings) : settings_(settings) { applySettings(); }
 
-    // Takes over the classes of the settings, and forgets the timeouts.
+    // Applies the classes of the settings, and forgets the timeouts.
     void applySettings();
-    // A class of its own, without any promise, for an unknown name.
+    // For an unknown name, returns a default class that guarantees nothing.
     std::shared_ptr<const RequestClass> find(std::string_view name) const;
-    // Takes in the timeout of a request, and returns by when a response to it meets the latency objective.
-    // All retries of a client share its timeout: the deadline of one that comes late shows when the first
-    // came.
+    // Records the timeout of a first attempt of a client, and returns until when a response meets
+    // the latency objective. All retries of a client share one timeout, so that the deadline of a
+    // late retry shows when the first attempt came.
     Nanos objectiveDeadline(const RequestClass& requestClass, const IncomingRequest& incoming, Nanos now);
 
   private:
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -62,7 +62,7 @@
         case Idempotency::nonIdempotent:
             return false;
         case Idempotency::idempotentWithKey:
-            // The client's retry may come to any server.
+            // The client's retry may be sent to any server.
             return request.requestClass().deduplicationScope == DeduplicationScope::all;
     }
     return false;
@@ -80,14 +80,14 @@
     const bool isFirstAttempt = request.attempts().empty();
     if (server.isOrigin() || requestClass.idempotency != Idempotency::safe || !isFirstAttempt)
         return request.deadline();
-    // Before enough is known of latencies, a guess would eject slow servers at once.
+    // Without enough latency samples, a guessed timeout would get slow servers ejected at once.
     if (settings_.weightsFollowLoad || !totalLimiter.hasEnoughSamples()) return request.deadline();
     const Nanos meanLatency = statistics.meanLatency(now);
-    const Nanos until = now + std::max(4 * meanLatency, requestClass.latencyObjective / 2);
-    const Nanos worthlessFrom = requestClass.lateWeight > 0
-                                    ? request.deadline()
-                                    : std::min(request.objectiveDeadline(), request.deadline());
-    return until + meanLatency < worthlessFrom ? until : request.deadline();
+    const Nanos earlyDeadline = now + std::max(4 * meanLatency, requestClass.latencyObjective / 2);
+    const Nanos usefulUntil = requestClass.lateWeight > 0
+                                  ? request.deadline()
+                                  : std::min(request.objectiveDeadline(), request.deadline());
+    return earlyDeadline + meanLatency < usefulUntil ? earlyDeadline : request.deadline();
 }
 
 }  // namespace poppyscale::policy
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Which further attempts of a request are allowed.
+// Decides which further attempts of a request are allowed.
 #pragma once
 
 #include "base/time.hpp"
@@ -13,8 +13,9 @@
 class Request;
 class Server;
 
-// What one server's successes allow it in attempts of requests that may already have been executed: such an
-// attempt can double its work, so that retries must not grow with failures. One for each server.
+// The number of attempts that a server may be sent of requests that may already have been executed.
+// It grows with the server's successes: each of these attempts can repeat work, so retries must not
+// grow with failures. Each server has one.
 class RetryCredit {
   public:
     explicit RetryCredit(double attempts) : attempts_(attempts) {}
@@ -28,10 +29,11 @@
     double attempts_;
 };
 
-// Guarantees that no effect happens twice: a non-idempotent request that may have been executed is neither
-// attempted again nor rejected, and one with an idempotency key only where and while its key is remembered.
-// Every attempt and every rejection passes this class. Owns no state; requests keep their attempts, servers
-// their credit.
+// Guarantees that no effect happens twice. A non-idempotent request that may have been executed is
+// neither attempted again nor rejected. A request with an idempotency key that may have been
+// executed is attempted again only where and while the key is remembered, and rejected only if all
+// servers recognise the key. Every attempt and every rejection is checked here. Owns no state;
+// requests keep their attempts, servers their credit.
 class RetryPolicy {
   public:
     RetryPolicy(const PolicySettings& settings, const EndpointRegistry& registry)
@@ -42,10 +44,12 @@
     bool mayAttempt(const Request& request, const Server& server, Nanos now) const;
     // Whether the client may be asked to retry.
     bool mayReject(const Request& request) const;
-    // Whether `server` has the credit for it. Draws a number if any is needed.
+    // Whether `server` has the retry credit for an attempt. Draws a random number only if credit is
+    // needed.
     bool hasCredit(const Request& request, const Server& server, Random& random) const;
-    // When an attempt that starts at `now` is given up, so that another one still meets the objective; the
-    // request's deadline if none would. `totalLimiter` is the one over all cache servers.
+    // When an attempt that starts at `now` times out: early enough for another one to be of use, or
+    // at the request's deadline if that is not possible. `totalLimiter`: the limiter over all cache
+    // servers.
     Nanos attemptDeadline(const Request& request, const Server& server, LatencyStatistics& statistics,
                           const ConcurrencyLimiter& totalLimiter, Nanos now) const;
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -19,17 +19,18 @@
 
 constexpr ConcurrencyLimiter::Target kTotalTarget{policy::kTargetLatencyRatio};
 constexpr double kInitialTotalLimit = 1;
-constexpr double kOverloadedFactor = 0.7;  // of the limit, after a server's report that it is overloaded
-constexpr double kMaxLatencyRatio = 2;     // of one outcome, in sums
-constexpr double kLatencySamplesPerLatency = 16;  // at most, and one for each attempt of the limit
-constexpr double kHintedPriority = 2;             // as many times that of a read which is cached nowhere
+constexpr double kOverloadedFactor = 0.7;  // on the limit of a server that reports an overload
+constexpr double kMaxLatencyRatio = 2;     // bounds one outcome in the sums of latency ratios
+// The most latency samples in one mean latency, plus one for each attempt of the server's limit.
+constexpr double kMaxSamplesPerLatency = 16;
+constexpr double kPreferredPriorityFactor = 2;  // for writes, and for reads of hinted keys
 constexpr Nanos kRecheckInterval = 25 * kMillisecond;
 
 bool isAnswer(AttemptOutcome outcome) {
     return outcome == AttemptOutcome::succeeded || outcome == AttemptOutcome::cacheMiss;
 }
 
-// A timeout is only held against a server that had time for an answer.
+// A timeout counts as a failure only if the server had time to answer.
 bool isServerFailure(const AttemptResult& result, Nanos latencyObjective) {
     switch (result.outcome) {
         case AttemptOutcome::failed:
@@ -86,7 +87,8 @@
     const bool hasRankingChanged = registry_.applyUpdate(now, kind, endpoints);
     const bool haveWeightsChanged = loadEstimator_.update();
     if (hasRankingChanged || haveWeightsChanged) ranking_.invalidate();
-    // Divided by all routers: a thousand that begin with a few attempts each would begin with an overload.
+    // Divided among all routers: a thousand routers that start with a few attempts each would
+    // overload the servers.
     const auto serverCount = static_cast<double>(registry_.cacheServers().size());
     const double initialLimit = policy::kInitialAttemptsPerServer * serverCount / settings_.routerCount;
     if (!totalLimiter_.hasDecreased()) totalLimiter_.raiseLimitTo(initialLimit);
@@ -100,7 +102,7 @@
 void RoutingPolicy::onRequest(Nanos now, const IncomingRequest& incoming) {
     if (requests_.contains(incoming.id)) return;
     RequestProperties properties = propertiesOf(incoming, now);
-    // A retry whose first attempt came too long ago for a response to be of any worth.
+    // A retry is too late if its latency objective has passed and a late response has no weight.
     const bool isTooLate =
         incoming.isRetry && properties.objectiveDeadline <= now && properties.requestClass->lateWeight <= 0;
     const RequestState initial = isTooLate ? RequestState::unservable : RequestState::queued;
@@ -132,7 +134,7 @@
 void RoutingPolicy::onClientDisconnected(Nanos, RequestId id) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) return;
-    // It goes with its attempt in flight, or else with the next reconcile().
+    // The request is destroyed when its attempt in flight ends, or else by the next reconcile().
     found->second->close();
 }
 
@@ -147,7 +149,8 @@
     releaseCapacity(request, server);
     if (result.outcome == AttemptOutcome::cacheMiss && slowStart_.isWarmingUp(server, now))
         request.noteMissAtWarmingServer();
-    // What was not sent since the client had disconnected shows nothing of the server.
+    // An attempt that was not sent because the client had disconnected says nothing about the
+    // server.
     const bool wasAbandoned = result.requestCompleted && result.outcome == AttemptOutcome::notSent;
     if (!wasAbandoned && server.outcomes.noteEnd(now)) recordLatency(server, request, result, now);
     if (!isFailedFetch(result)) recordOutcome(server, request, result, now);
@@ -170,7 +173,8 @@
         totalLimiter_.onAttemptEnded();
 }
 
-// Timeouts and misses too: in an overload hardly anything is answered, yet every end shows the queue.
+// Timeouts and cache misses count too: in an overload few attempts succeed, but the latency of
+// every ended attempt shows the queueing.
 void RoutingPolicy::recordLatency(Server& server, const Request& request, const AttemptResult& result,
                                   Nanos now) {
     const Nanos latencyObjective = request.requestClass().latencyObjective;
@@ -182,11 +186,12 @@
     statistics_.recordOutcome(latencyRatio, now);
     const auto meanLatency = static_cast<double>(statistics_.meanLatency(now));
     const auto sampleInterval =
-        static_cast<Nanos>(meanLatency / (kLatencySamplesPerLatency + server.limiter.limit()));
+        static_cast<Nanos>(meanLatency / (kMaxSamplesPerLatency + server.limiter.limit()));
     if (!hasLatency || now - server.limiter.lastSampleAt() < sampleInterval) return;
     if (!isAnswer(result.outcome) && result.duration < latencyObjective / 2) return;
     server.limiter.recordLatency(now, result.duration, latencyObjective);
-    // A second timeout in a row shows that server alone to hang, while most attempts succeed.
+    // While most attempts succeed, a second timeout in a row shows that only this server hangs; its
+    // latencies then do not count for the limit over all cache servers.
     const bool isHanging = server.outcomes.consecutiveTimeouts() > 1 && statistics_.doMostSucceed(now);
     if (!server.isOrigin() && !isHanging) totalLimiter_.recordLatency(now, result.duration, latencyObjective);
 }
@@ -226,8 +231,8 @@
     if (hasRankingChanged) ranking_.invalidate();
 }
 
-// After an attempt: a cache server has the key that it answered, and the origin's response to a read is
-// stored where the key was missed.
+// A cache server is expected to have a key for which it has answered a request. The origin's
+// response to a read is stored at the cache servers that missed the key.
 void RoutingPolicy::updateHints(Request& request, Server& server, AttemptOutcome outcome) {
     const bool hasSucceeded = outcome == AttemptOutcome::succeeded;
     if (server.isOrigin()) {
@@ -256,7 +261,7 @@
     ranking_.invalidateIfExpired(now);
     queue_.prioritize([&](Request& request) {
         const bool isPreferred = request.isWrite() || selector_.isHinted(request, now);
-        return request.requestClass().priorityWeight * (isPreferred ? kHintedPriority : 1);
+        return request.requestClass().priorityWeight * (isPreferred ? kPreferredPriorityFactor : 1);
     });
     queue_.beginEstimates(totalLimiter_.hasDecreased(), statistics_.successInterval(now));
     Nanos wakeupAt = pollSchedule_.nextPollAt();
@@ -270,7 +275,8 @@
     host_.pollEndpoints();
 }
 
-// Whether the request still waits; `wakeupAt` is then no later than when it has to be looked at again.
+// Returns whether the request still waits. If so, `wakeupAt` is no later than the time of its next
+// check.
 bool RoutingPolicy::processWaiting(Request& request, Nanos now, Nanos& wakeupAt) {
     if (!request.isClosed()) {
         const CandidateSelector::Selection selection = selector_.select(request, now);
@@ -321,7 +327,8 @@
 
 void RoutingPolicy::respondFinally(Request& request, Nanos now) {
     if (retryPolicy_.mayReject(request)) {
-        // Half of it by chance: clients with the same Retry-After would come back as one wave.
+        // Up to half of Retry-After is random, since clients with equal values would return in one
+        // wave.
         const Nanos half = settings_.retryAfterAllowed ? settings_.maxRetryAfter / 2 : 0;
         host_.reject(request.id(), half + random_.jitter(half));
     } else {
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -32,16 +32,16 @@
 
 namespace poppyscale {
 
-// Decides where each request is sent, when, and how often. Knows no wire, socket or clock: the caller passes
-// the time, which must not go backwards, and reports events as they come; reconcile() alone asks the host for
-// actions on requests.
+// Decides where each request is sent, when, and how often. Does not depend on a protocol, socket or
+// clock: the caller passes the time, which must not go backwards, and reports events as they come;
+// only reconcile() asks the host for actions on requests.
 //
-// Guarantees that each request gets exactly one final response, unless its client disconnects first, and that
-// none is executed twice that must not be (see policy::RetryPolicy). The same seed and events give the same
-// actions. Not thread-safe.
+// Guarantees that each request gets exactly one final response, unless its client disconnects
+// first, and that no request is executed twice that must not be (see policy::RetryPolicy). The same
+// seed and events give the same actions. Not thread-safe.
 class RoutingPolicy {
   public:
-    // `host` must outlive the policy. It is not called yet.
+    // `host` must outlive the policy. The constructor does not call it.
     RoutingPolicy(PolicySettings settings, PolicyHost& host, Nanos now);
     ~RoutingPolicy();
     RoutingPolicy(const RoutingPolicy&) = delete;
@@ -49,20 +49,20 @@
 
     // An update of the endpoint list, or the failure of a poll. `endpoints` is empty for a failure.
     void onEndpointUpdate(Nanos now, EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints);
-    // An operator ejects a server or lifts that: nothing is sent to an ejected one, whatever the endpoint
-    // list says. It counts as just started when that is lifted.
+    // An operator has ejected a server or lifted its ejection. An ejected server is sent nothing,
+    // whatever the endpoint list says; a server whose ejection is lifted counts as just started.
     void onOperatorEjection(Nanos now, const std::string& name, bool isEjected);
     // A request with the id of an open one is ignored.
     void onRequest(Nanos now, const IncomingRequest& incoming);
     // An attempt that is not in flight is ignored.
     void onAttemptEnded(Nanos now, const AttemptResult& result);
     void onClientDisconnected(Nanos now, RequestId id);
-    // `seed`, `cacheAside`, `originShape`, `pollsEndpoints`, `weightsFollowLoad` and `overloadWindow` have to
-    // be those of the start. Open requests keep the request class that they came with, and the smaller number
-    // of attempts.
+    // `seed`, `cacheAside`, `originShape`, `pollsEndpoints`, `weightsFollowLoad` and
+    // `overloadWindow` must have their initial values. Open requests keep the request class that
+    // they arrived with, and the smaller of the old and new numbers of attempts.
     void onSettingsChanged(Nanos now, PolicySettings settings);
-    // To be called once after all events of a moment, and at each wake-up: starts attempts, and gives final
-    // responses to requests that no server will serve in time.
+    // To be called once after all events of one point in time, and at each wake-up. Starts
+    // attempts, and gives final responses to requests that no server will serve in time.
     void reconcile(Nanos now);
     // In the order in which the servers were first listed, the origin last.
     std::vector<EndpointStatus> endpointStatuses(Nanos now);
@@ -86,7 +86,7 @@
     void scheduleWakeup(Nanos now, Nanos at);
     EndpointStatus statusOf(policy::Server& server, Nanos now) const;
 
-    PolicySettings settings_;  // first: most parts refer to it
+    PolicySettings settings_;  // declared first, since most other members refer to it
     PolicyHost& host_;
     policy::Random random_;
     policy::RequestClasses requestClasses_;
@@ -104,9 +104,9 @@
     policy::ConcurrencyLimiter totalLimiter_;  // over all cache servers
     policy::OriginFetches originFetches_;
     policy::CandidateSelector selector_;
-    std::unordered_map<RequestId, std::unique_ptr<policy::Request>> requests_;  // the open ones
+    std::unordered_map<RequestId, std::unique_ptr<policy::Request>> requests_;  // open requests
     policy::AdmissionQueue queue_;
-    Nanos wakeupAt_ = 0;  // the last that was scheduled
+    Nanos wakeupAt_ = 0;  // the last scheduled wake-up
 };
 
 }  // namespace poppyscale
--- a/src/policy/server.cpp
+++ b/src/policy/server.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kInitialLimit = 4;
 constexpr double kRestartedLimit = 2;
-// The origin's response comes on top of a cache miss.
+// Below that of cache servers, since the origin's latency adds to that of a cache miss.
 constexpr double kOriginLatencyRatio = 0.25;
 constexpr ConcurrencyLimiter::Target kCacheServerTarget{kTargetLatencyRatio};
 constexpr ConcurrencyLimiter::Target kOriginTarget{kOriginLatencyRatio, kOriginLatencyRatio};
@@ -33,7 +33,9 @@
     endpoint_.weight = std::max({endpoint_.weight, weight, kMinServerWeight});
 }
 
-Nanos Server::startedAtOrAfterReadmission(Nanos listed) const { return std::max(listed, readmittedAt_); }
+Nanos Server::startedAtOrAfterReadmission(Nanos listedStart) const {
+    return std::max(listedStart, readmittedAt_);
+}
 
 void Server::restart() {
     hints.clear();
@@ -42,7 +44,7 @@
 
 void Server::readmit(Nanos now) {
     hints.clear();
-    limiter.restart(kCacheServerTarget, kRestartedLimit);  // an origin's target is not restored
+    limiter.restart(kCacheServerTarget, kRestartedLimit);  // an origin gets this target, too
     outcomes.restart();
     warmupBudget.restart(now);
     endpoint_.startedAt = now;
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -15,36 +15,39 @@
 
 namespace poppyscale::policy {
 
-constexpr double kMinServerWeight = 1e-9;  // of one that is listed without a weight
+constexpr double kMinServerWeight = 1e-9;  // also for a server without a known weight
 
-// A cache server or the origin: its entry in the endpoint list, and for each concern of the policy an object
-// with what that concern has learnt about it. The EndpointRegistry makes it and writes the entry; requests
-// share it while they have an attempt there, so that it may outlive its removal from the registry.
+// A cache server or the origin: its entry in the endpoint list, and the state that each part of the
+// policy keeps about it. EndpointRegistry creates it and writes the entry. Requests share ownership
+// of the servers of their attempts, so that a server may outlive its removal from the registry.
 class Server : public std::enable_shared_from_this<Server> {
   public:
     Server(const std::string& name, bool isOrigin, double initialRetryCredit);
 
     const std::string& name() const { return endpoint_.name; }
-    // Of the name; its place in the rendezvous ranking of each key.
+    // Hash of the name, which determines the server's place in the rendezvous ranking of each key.
     std::uint64_t hash() const { return hash_; }
     bool isOrigin() const { return isOrigin_; }
-    // As listed, but for a weight that follows load, and for a start that readmit() has made later.
+    // As listed, except for a start before the last readmission, and for a weight that follows load
+    // or is not known.
     const Endpoint& endpoint() const { return endpoint_; }
-    // Whether no attempt has been sent there since an operator's ejection was lifted.
+    // Whether an operator's ejection was lifted and no attempt has been sent to the server since.
     bool awaitsFirstAttempt() const { return awaitsFirstAttempt_; }
 
-    // Takes over an entry of the endpoint list.
+    // Applies an entry of the endpoint list.
     void applyListing(const Endpoint& listed, Nanos startedAt, double weight);
     void raiseWeightTo(double weight);
     void markRemoved() { endpoint_.state = EndpointState::removed; }
-    // When it started, as far as known at `listed`: no earlier than the last readmission.
-    Nanos startedAtOrAfterReadmission(Nanos listed) const;
-    // Its process has lost what it had cached.
+    // The later of the listed start and the last readmission.
+    Nanos startedAtOrAfterReadmission(Nanos listedStart) const;
+    // The server's process has restarted and has lost its cached keys.
     void restart();
-    // An operator's ejection was lifted: it counts as just started, with nothing cached and nothing learnt.
+    // An operator's ejection was lifted: the server counts as just started, with its hints, limit
+    // and outcomes reset.
     void readmit(Nanos now);
     void endWaitForFirstAttempt() { awaitsFirstAttempt_ = false; }
-    // Notes the end of a hint generation. Whether it was removed at the end of the last one, too.
+    // Ends a hint generation. Returns whether the server was removed at the end of this and the
+    // last one.
     bool endGeneration();
 
     HintFilter hints;
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,4 +1,4 @@
-// What a deployment promises and allows, as far as the routing policy reads it.
+// The settings of a deployment that the routing policy reads.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,17 @@
 
 namespace poppyscale {
 
-// Requests with the same promises to their clients.
+// Requests with the same guarantees and objectives.
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::nonIdempotent;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;  // of idempotentWithKey
-    Nanos idempotencyKeyTtl =
-        0;  // how long a key is remembered, from the first attempt that may have executed
+    // How long a key is remembered, from the first attempt that may have executed.
+    Nanos idempotencyKeyTtl = 0;
     Nanos latencyObjective = 0;
     Nanos timeout = 0;          // of a client, over all its retries; 0 if not known
     double priorityWeight = 1;  // of a response within the latency objective
-    double lateWeight = 0;      // the fraction of it that a later response still has
+    double lateWeight = 0;      // fraction of the priority weight that a later response has
     bool operator==(const RequestClass&) const = default;
 };
 
@@ -32,8 +32,8 @@
 struct PolicySettings {
     std::uint64_t seed = 0;  // of all random decisions
     int routerCount = 1;     // routers that share the servers, this one included
-    bool cacheAside =
-        false;  // a server that lacks a key responds with a miss, and the router asks the origin
+    // A server that lacks a key responds with a miss, and the router asks the origin.
+    bool cacheAside = false;
     std::string originShape;   // the machine type that marks the origin in the endpoint list
     std::string zone;          // this router's own
     double crossZoneCost = 0;  // of an attempt in another zone, as a fraction of a request's priority weight
@@ -43,12 +43,14 @@
     Nanos maxRetryAfter = 0;
     Nanos pollInterval = 0;
     Nanos maxFirstPollDelay = kNever;  // from the start to the first poll
-    // A listed weight falls with the server's load: weight / (1 + requests for each core).
+    // A listed weight falls with the server's load: weight / (1 + requests per core).
     bool weightsFollowLoad = false;
-    double initialFraction = 1;   // of its load, which a server bears when just started
-    Nanos rampDuration = 0;       // until a started server bears all of it
-    double overloadMultiple = 1;  // of the load that it bears, at which a server that is warming up collapses
-    Nanos overloadWindow = 0;     // over which that load is counted
+    double initialFraction = 1;  // fraction of its full load that a just started server bears
+    Nanos rampDuration = 0;      // time from its start until a server bears its full load
+    // A server that is warming up collapses at this multiple of the load that it bears, counted
+    // over the window.
+    double overloadMultiple = 1;
+    Nanos overloadWindow = 0;
     std::vector<RequestClass> requestClasses;
     std::vector<Tenant> tenants;
     bool operator==(const PolicySettings&) const = default;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,7 +8,9 @@
 namespace poppyscale::policy {
 namespace {
 
-constexpr double kMaxWindowsSaved = 12;  // a quiet router rarely has a request for the server within one
+// More than one, since a router with little traffic rarely has a request for the server within one
+// window.
+constexpr double kMaxWindowsSaved = 12;
 constexpr Nanos kRampSteps = 32;
 constexpr double kSafetyMargin = 0.5;  // of the load at which a server collapses
 
@@ -21,7 +23,8 @@
     filledAt_ = now;
 }
 
-// By chance below one attempt: a thousand routers that all round up would be a flood.
+// A budget below one attempt is rounded at random: a thousand routers that all rounded up would
+// overload the server.
 bool WarmupBudget::fill(double rate, Nanos window, Nanos now, Random& random) {
     const double windows =
         std::min(kMaxWindowsSaved, static_cast<double>(now - filledAt_) / static_cast<double>(window));
--- a/src/policy/tenant_fairness.cpp
+++ b/src/policy/tenant_fairness.cpp
@@ -7,7 +7,8 @@
 namespace poppyscale::policy {
 namespace {
 
-// Within less, a quiet router cannot tell a tenant over its quota from chance.
+// Over a shorter time, a router with little traffic cannot tell a tenant over its quota from random
+// variation.
 constexpr Nanos kTimeConstant = 10'000 * kMillisecond;
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 
@@ -19,12 +20,12 @@
 }
 
 void TenantFairness::applySettings() {
-    const auto before = std::move(usages_);
+    const auto previous = std::move(usages_);
     usages_ = {};
     for (const Tenant& tenant : settings_.tenants) {
-        const auto known = std::find_if(before.begin(), before.end(),
+        const auto known = std::find_if(previous.begin(), previous.end(),
                                         [&](const auto& usage) { return usage->tenant.name == tenant.name; });
-        if (known != before.end())
+        if (known != previous.end())
             usages_.push_back(*known);
         else
             usages_.push_back(std::make_shared<TenantUsage>(TenantUsage{tenant, DecayingSum(kTimeConstant)}));
--- a/src/policy/tenant_fairness.hpp
+++ b/src/policy/tenant_fairness.hpp
@@ -1,4 +1,4 @@
-// Which tenants send more than their quota.
+// Detects tenants that send more than their quota.
 #pragma once
 
 #include <memory>
@@ -11,20 +11,21 @@
 
 namespace poppyscale::policy {
 
-// One tenant, and the requests that were forwarded for it recently. Written by TenantFairness alone; requests
-// share it, so that it outlives the tenant's removal from the settings.
+// One tenant, and the requests that were forwarded for it recently. Only TenantFairness writes it;
+// requests share ownership, so that it may outlive the tenant's removal from the settings.
 struct TenantUsage {
     Tenant tenant;
     DecayingSum forwarded;
 };
 
-// Judges each tenant's recent requests against its quota. Owns the usage of all tenants. No router knows its
-// part of all traffic, so the median tenant stands for it: what that one sent of its quota, each may.
+// Compares each tenant's recent requests with its quota. Owns the usage of all tenants. A router
+// does not know its share of all traffic, so it allows each tenant the fraction of its quota that
+// the median tenant has sent, or an even share of all routers if that is larger.
 class TenantFairness {
   public:
     TenantFairness(const PolicySettings& settings, Nanos now);
 
-    // Takes over the tenants of the settings; those that stay keep their usage.
+    // Applies the tenants of the settings; tenants that remain keep their usage.
     void applySettings();
     // Null for an unknown tenant.
     std::shared_ptr<TenantUsage> find(std::string_view name) const;
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -67,9 +67,9 @@
     std::string_view requestClass;
     std::string_view tenant;  // empty if it has none
     std::string_view key;     // empty if it has none
-    Nanos deadline = 0;       // when the client gives up
+    Nanos deadline = 0;       // when the client times out
     bool isWrite = false;
-    bool isRetry = false;        // a repeated attempt of the client, as it says itself
+    bool isRetry = false;        // the client marks it as a repeated attempt
     bool singleAttempt = false;  // its body is not buffered, so that it can be sent only once
 };
 
@@ -82,7 +82,7 @@
     ReadThroughResult readThrough = ReadThroughResult::unknown;
 };
 
-// What the policy has learnt about a server; for display only.
+// The state of a server in the policy; for display only.
 struct EndpointStatus {
     std::string name;
     std::string zone;
--- a/src/policy/zone_affinity.cpp
+++ b/src/policy/zone_affinity.cpp
@@ -15,8 +15,11 @@
 
 constexpr double kMinRemoteWeight = 0.02;
 constexpr double kCopyCost = 0.01;  // of a zone's own copies of keys, as a fraction of the priority weight
-constexpr double kLossSensitivity = 4;  // times the excess loss of the own zone: at 1 zones count no more
-constexpr double kMinChange = 0.1;      // of the remote weight, for a rebuild
+// Multiplies the excess loss rate of the own zone; from a product of 1 on, remote servers have full
+// weight.
+constexpr double kLossSensitivity = 4;
+// Relative change of the remote weight from which a rebuild is due.
+constexpr double kMinChange = 0.1;
 
 }  // namespace
 
@@ -44,10 +47,11 @@
     const double local = localZone != weightByZone.end() ? localZone->second : 0;
     isActive_ = settings_.crossZoneCost > 0 && local > 0 && local < total;
     if (!isActive_) return;
-    // Where traffic comes in is not known: that of this router, and of the others evenly by zone.
+    // The own zone's share of all traffic is not known. Assumes that all routers receive equal
+    // traffic and that the other routers are spread evenly over the zones.
     const auto zoneCount = static_cast<double>(weightByZone.size());
-    const double traffic = (1 + (settings_.routerCount - 1.0) / zoneCount) / settings_.routerCount;
-    const double bearable = std::min(1.0, local / total / traffic);
+    const double localTraffic = (1 + (settings_.routerCount - 1.0) / zoneCount) / settings_.routerCount;
+    const double bearable = std::min(1.0, local / total / localTraffic);
     effectiveRemoteWeight_ = std::max(remoteWeight_, (1 - bearable) / bearable * local / (total - local));
 }
 
--- a/src/policy/zone_affinity.hpp
+++ b/src/policy/zone_affinity.hpp
@@ -1,4 +1,4 @@
-// Keeps keys in the router's own zone as long as that pays.
+// Keeps keys in the router's own zone as long as that costs less than crossing zones.
 #pragma once
 
 #include "base/decaying_sum.hpp"
@@ -11,24 +11,27 @@
 class Server;
 class SlowStart;
 
-// Gives the servers of other zones a lower weight, by what crossing costs and by what the own zone can bear;
-// that weight rises again while more is lost in the own zone than across. Inactive where crossing costs
-// nothing, and where the own zone has no usable cache servers, or all of them. Owns the outcomes on both
-// sides and the weight of remote servers.
+// Gives the servers of other zones a lower weight, which depends on the cross-zone cost and on the
+// load that the own zone can bear. This weight rises while more requests are lost in the own zone
+// than in other zones. Inactive where crossing costs nothing, and where the own zone has no usable
+// cache servers, or all of them. Owns the outcomes in the own zone and in others, and the weight of
+// remote servers.
 class ZoneAffinity {
   public:
     ZoneAffinity(const PolicySettings& settings, const EndpointRegistry& registry,
                  const SlowStart& slowStart);
 
-    // Starts again from the least weight that the settings give.
+    // Resets the weight of remote servers to the minimum that the settings give.
     void applySettings();
-    // Works out the weights of servers anew; RendezvousRanking calls it when it is rebuilt.
+    // Recomputes the weights of servers; RendezvousRanking calls it when it is rebuilt.
     void rebuild(Nanos now);
-    // Of a server with that warm-up fraction, relative to one in the own zone. A local one that is warming up
-    // is not preferred before it can bear its zone.
+    // The factor on the weight of a server with that warm-up fraction: 1 for a warmed-up server in
+    // the own zone. A local server that is warming up is preferred less, since it cannot bear the
+    // load of its zone yet.
     double weightFactor(const Server& server, double warmupFraction) const;
-    // Takes in how a request fared that was, or would have been, first sent to `server`. Whether the weights
-    // have changed so much that rebuild() is due.
+    // Records the outcome of a request that was, or would have been, first sent to `server`.
+    // `isLost`: it got no response within its latency objective. Returns whether the weights have
+    // changed so much that rebuild() is due.
     bool recordOutcome(const Server& server, bool isLost, Nanos now);
 
     bool isActive() const { return isActive_; }
@@ -36,7 +39,7 @@
   private:
     static constexpr Nanos kTimeConstant = 5'000 * kMillisecond;
 
-    // Of the requests whose first server lies on one side.
+    // Of the requests whose first server is in the own zone, or of those where it is not.
     struct Outcomes {
         double lossRate(Nanos now) { return lost.read(now) / (requests.read(now) + 1); }
         DecayingSum requests{kTimeConstant};
@@ -51,9 +54,9 @@
     const SlowStart& slowStart_;
     Outcomes local_;
     Outcomes remote_;
-    double remoteWeight_ = 1;           // as the outcomes have it
-    double rebuiltRemoteWeight_ = 1;    // that at the last rebuild
-    double effectiveRemoteWeight_ = 1;  // at least that, and what the own zone cannot bear
+    double remoteWeight_ = 1;           // derived from the outcomes
+    double rebuiltRemoteWeight_ = 1;    // remoteWeight_ at the last rebuild
+    double effectiveRemoteWeight_ = 1;  // higher where the own zone cannot bear its traffic
     bool isActive_ = false;
 };
 
