--- a/tests/overload_control_test.cpp
+++ b/tests/overload_control_test.cpp
@@ -6,23 +6,23 @@
 using namespace poppyscale::test;
 
 TEST_CASE(
-    "two hundred quiet routers together do not overload a server in slow start, though one attempt each "
+    "two hundred routers with little traffic do not overload a server in slow start, though one attempt each "
     "would") {
     int sent = 0;
-    for (std::uint64_t r = 0; r < 200; ++r) {
+    for (std::uint64_t router = 0; router < 200; ++router) {
         PolicySettings settings = smallPolicySettings(false);
-        settings.seed = r;
+        settings.seed = router;
         settings.routerCount = 200;
         PolicyFixture fixture(settings, 2);
         for (RequestId id = 1; id <= 6; ++id, fixture.now += 500 * ms)
-            fixture.serveRequest(id, std::to_string(id + 10 * r));
+            fixture.serveRequest(id, std::to_string(id + 10 * router));
         fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete,
                                         {{"cold", "z", "m", EndpointState::ready, fixture.now}});
         fixture.now += 500 * ms;
         if (fixture.sendRequest(7) == "cold") ++sent;
     }
-    // Two warmed-up servers answered 200 a second each; the other bears a fifth of that, and collapses at
-    // three times as much.
+    // Two warmed-up servers answered 200 requests per second each. The server in slow start bears a
+    // fifth of that, and collapses at three times as much.
     CHECK(sent > 10);
     CHECK(sent < 60);
 }
@@ -49,12 +49,13 @@
                 fixture.endAttempt(action.id, 0, AttemptOutcome::succeeded);
             }
     }
-    // The warmed-up one took 100 in such a second; the budget is 3 x 0.2 to 0.28 of that, as the ramp rises.
+    // The warmed-up server took 100 requests in a second. The load at which the other one collapses
+    // is 3 x 0.2 of that, rising along the ramp to 3 x 0.28.
     CHECK(sent > 5);
     CHECK(sent < 75);
 }
 
-TEST_CASE("a quick first response does not make usual latencies look like an overload") {
+TEST_CASE("a quick first response does not make normal latencies look like an overload") {
     PolicyFixture fixture;
     RequestId id = 0;
     const auto respond = [&](Nanos latency) {
@@ -71,7 +72,7 @@
     CHECK(started == 12);
 }
 
-TEST_CASE("a server that fails more than the median is ejected, but not when most fail") {
+TEST_CASE("a server that fails more often than the median is ejected") {
     PolicyFixture fixture;
     RequestId id = 100;
     for (int i = 0; i < 40; ++i) fixture.serveRequest(++id, std::to_string(i));
@@ -85,7 +86,7 @@
 
 TEST_CASE("a fetch at the origin after a lost connection at a cache server needs no retry credit") {
     PolicySettings settings = smallPolicySettings(true);
-    settings.routerCount = 1'000'000;  // so that no server begins with credit
+    settings.routerCount = 1'000'000;  // the initial retry credit of each server is almost zero
     PolicyFixture fixture(settings, 4);
     for (RequestId id = 100; id < 150; ++id) fixture.serveRequest(id, std::to_string(id));
     fixture.sendRequest(1);
@@ -101,14 +102,14 @@
     int attempts = 0;
     for (RequestId id = 1; id <= 60; ++id) {
         fixture.sendRequest(id, std::to_string(id));
-        for (int r = 0; r < 3; ++r) fixture.endAttempt(id, r, AttemptOutcome::failed);
+        for (int attempt = 0; attempt < 3; ++attempt) fixture.endAttempt(id, attempt, AttemptOutcome::failed);
     }
     for (const RecordedAction& action : fixture.host.actions)
         if (action.kind == ActionKind::startAttempt) ++attempts;
     CHECK(attempts <= 60 + 3 * 2);
 }
 
-TEST_CASE("under pressure tenants within their quota go first") {
+TEST_CASE("requests of a tenant over its quota are rejected before those of a tenant within its quota") {
     PolicySettings settings = smallPolicySettings(false);
     settings.tenants = {{"greedy", 10}, {"modest", 10}};
     PolicyFixture fixture(settings, 2);
@@ -125,13 +126,13 @@
 }
 
 TEST_CASE("a concurrency limit between one and two rises again once responses are quick") {
-    // Guards against a router that stays at one attempt in flight after an overload has ended.
+    // Guards against a limit that stays at one attempt in flight after an overload has ended.
     PolicyFixture fixture(false, 2);
     RequestId id = 1;
     const auto load = [&](Nanos latency) {
         const auto before = fixture.host.actions.size();
         for (const RequestId end = id + 40; id < end; ++id) fixture.sendRequest(id, std::to_string(id));
-        fixture.now += 500 * ms;  // past the objectives: requests that still wait are rejected
+        fixture.now += 500 * ms;  // the objectives have passed: waiting requests are rejected
         std::size_t sent = 0;
         for (auto i = before; i < fixture.host.actions.size(); ++i)
             if (const RecordedAction action = fixture.host.actions[i];
@@ -147,7 +148,7 @@
     CHECK(load(20 * ms) > 4);
 }
 
-TEST_CASE("a few suddenly heavy requests lower no concurrency limit") {
+TEST_CASE("a minority of slow requests does not lower the concurrency limits") {
     PolicyFixture fixture(false, 2);
     RequestId id = 0;
     for (int i = 0; i < 100; ++i, fixture.now += 50 * ms) {
@@ -160,7 +161,7 @@
     CHECK(sent >= 8);
 }
 
-TEST_CASE("just started, no attempt times out before the client's deadline") {
+TEST_CASE("attempts time out before the client's deadline only once enough latencies are known") {
     PolicyFixture fixture;
     fixture.sendRequest(1);
     CHECK(fixture.host.actions.back().time == fixture.now + 2'000 * ms);
@@ -169,7 +170,7 @@
     CHECK(fixture.host.actions.back().time < fixture.now + 500 * ms);
 }
 
-TEST_CASE("a request too far back in the queue is rejected at once, once an overload has been seen") {
+TEST_CASE("after an overload, a request too far back in the queue is rejected at once") {
     PolicyFixture fixture(false, 2);
     RequestId id = 0;
     for (int round = 0; round < 8; ++round, fixture.now += 600 * ms) {
@@ -187,7 +188,7 @@
     CHECK(last == "rejected");
 }
 
-TEST_CASE("a router that saw the origin idle is not starved by others that keep it busy") {
+TEST_CASE("a router that has seen the origin idle still uses it when other routers keep it busy") {
     PolicyFixture fixture(true);
     RequestId id = 0;
     for (int i = 0; i < 140; ++i, fixture.now += 400 * ms)
@@ -196,7 +197,7 @@
     CHECK(fixture.sendRequest(++id, "k", "read", true) == "origin");
 }
 
-TEST_CASE("a heavy request that delays the responses behind it on a connection lowers no concurrency limit") {
+TEST_CASE("a heavy request that delays the responses behind it on a connection does not lower the limit") {
     PolicyFixture fixture(false, 1);
     RequestId id = 0;
     for (; id < 60; fixture.now += 50 * ms) fixture.serveRequest(++id, "k");
@@ -213,7 +214,7 @@
     CHECK(sent == 4);
 }
 
-TEST_CASE("responses that a pause delays to one moment count once and lower no concurrency limit") {
+TEST_CASE("responses that a pause delays together count once and do not lower the concurrency limit") {
     PolicyFixture fixture(false, 1);
     RequestId id = 0;
     for (; id < 60; fixture.now += 50 * ms) fixture.serveRequest(++id, "k");
@@ -232,7 +233,7 @@
 }
 
 TEST_CASE(
-    "while a fifth of all attempts hang, tenants over quota are shed though the median latency is low") {
+    "while a quarter of all attempts hang, tenants over quota are shed though the median latency is low") {
     PolicySettings settings = smallPolicySettings(false);
     settings.tenants = {{"greedy", 1}, {"modest", 1}, {"third", 1}};
     PolicyFixture fixture(settings, 8);
@@ -268,9 +269,7 @@
     CHECK(sent == 2);
 }
 
-TEST_CASE(
-    "an attempt that a server rejected as overloaded costs no retry credit, one that may have executed "
-    "does") {
+TEST_CASE("a retry needs retry credit after an attempt that may have executed, but not after an overload") {
     for (const AttemptOutcome outcome : {AttemptOutcome::overloaded, AttemptOutcome::failed}) {
         PolicySettings settings = smallPolicySettings(false);
         settings.routerCount = 1'000;
@@ -281,32 +280,33 @@
 }
 
 TEST_CASE(
-    "a readmitted server is sent no more than its slow start allows by sixty routers that all try it first") {
+    "sixty routers that all send their next request to a readmitted server stay within its slow start") {
     PolicySettings settings = smallPolicySettings(false);
     settings.routerCount = 60;
-    int cold = 0;
-    int warm = 0;
-    for (int r = 0; r < 60; ++r) {
-        settings.seed = static_cast<std::uint64_t>(r);
+    int attemptsAtReadmitted = 0;
+    int attemptsAtOthers = 0;
+    for (int router = 0; router < 60; ++router) {
+        settings.seed = static_cast<std::uint64_t>(router);
         PolicyFixture fixture(settings, 4);
         fixture.policy.onOperatorEjection(fixture.now, "a", true);
         RequestId id = 0;
         for (int i = 0; i < 40; ++i, fixture.now += 50 * ms)
-            fixture.serveRequest(++id, std::to_string(r * 1000 + i));
+            fixture.serveRequest(++id, std::to_string(router * 1000 + i));
         fixture.policy.onOperatorEjection(fixture.now, "a", false);
         const Nanos until = fixture.now + 1'000 * ms;
         for (int i = 0; fixture.now < until; ++i, fixture.now += 50 * ms) {
             ++id;
-            const std::string server = fixture.serveRequest(id, "x" + std::to_string(r * 1000 + i));
+            const std::string server = fixture.serveRequest(id, "x" + std::to_string(router * 1000 + i));
             if (server == "a")
-                ++cold;
+                ++attemptsAtReadmitted;
             else
-                ++warm;
+                ++attemptsAtOthers;
         }
     }
-    MESSAGE(cold, " attempts at the readmitted server, at the others ", warm);
-    CHECK(cold >= 60);
-    CHECK(cold < 0.2 * 3 * (warm / 3.0));  // a fifth of what one of the three others bears, times three
+    MESSAGE(attemptsAtReadmitted, " attempts at the readmitted server, at the others: ", attemptsAtOthers);
+    CHECK(attemptsAtReadmitted >= 60);
+    // A fifth of what each of the three other servers bears, times three.
+    CHECK(attemptsAtReadmitted < 0.2 * 3 * (attemptsAtOthers / 3.0));
 }
 
 TEST_CASE(
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -70,9 +70,9 @@
     }
     // Sends a request and returns the server of its first attempt ("" if none was started).
     std::string sendRequest(RequestId id, std::string_view key = "k", std::string_view requestClass = "read",
-                            bool write = false, std::string_view tenant = "") {
+                            bool isWrite = false, std::string_view tenant = "") {
         const auto before = host.actions.size();
-        policy.onRequest(now, {id, requestClass, tenant, key, now + 2'000 * ms, write});
+        policy.onRequest(now, {id, requestClass, tenant, key, now + 2'000 * ms, isWrite});
         policy.reconcile(now);
         return firstActionSince(before);
     }
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -10,7 +10,7 @@
 using namespace poppyscale;
 using namespace poppyscale::test;
 
-TEST_CASE("no request is lost: one that no server can serve within its objective is rejected, once") {
+TEST_CASE("a request that no server can serve within its latency objective is rejected exactly once") {
     PolicyFixture fixture(false, 0);
     CHECK(fixture.sendRequest(1) == "rejected");
     CHECK(fixture.finalResponses(1) == 1);
@@ -20,7 +20,7 @@
     CHECK(expired.finalResponses(2) == 1);
 }
 
-TEST_CASE("no request is lost: a timeout at the client's deadline is followed by a final response") {
+TEST_CASE("a request whose attempt times out at the client's deadline gets exactly one final response") {
     PolicyFixture fixture;
     fixture.sendRequest(1);
     fixture.now += 2'000 * ms;
@@ -51,7 +51,7 @@
     CHECK(fixture.host.actions.back().latestStart == kNever);
     fixture.now += 300 * ms;
     CHECK(fixture.endAttempt(1, 0, AttemptOutcome::connectionLost).size() == 1);
-    // The host may have to wait for a connection, so it gets the time until which the key is remembered.
+    // The host may have to wait for a connection, so it is told until when the key is remembered.
     CHECK(fixture.host.actions.back().latestStart == first + 2'000 * ms);
     fixture.now += 2'001 * ms;
     fixture.sendRequest(2, "k", "mark");
@@ -75,7 +75,7 @@
     CHECK(fixture.sendRequest(3) == first);
 }
 
-TEST_CASE("a server removed for two generations is forgotten, and its attempts may still end") {
+TEST_CASE("a server removed for two hint generations is forgotten, and its attempts may still end") {
     PolicyFixture fixture(false, 1);
     for (RequestId id = 1; id <= 20; ++id, fixture.now += 10 * ms) {
         CHECK(fixture.sendRequest(id) == "a");
@@ -86,13 +86,14 @@
                                     {{"a", "z", "m", EndpointState::removed}});
     for (int i = 0; i < 3; ++i, fixture.now += 10'000 * ms) fixture.policy.reconcile(fixture.now);
     CHECK(fixture.endAttempt(21, 0, AttemptOutcome::failed) == "rejected");
-    // A server known for overload gets one attempt at a time; a new one has its initial limit.
+    // A known overloaded server would get one attempt at a time; a new one has its initial limit.
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {{"a", "z", "m"}});
     CHECK(fixture.sendRequest(22) == "a");
     CHECK(fixture.sendRequest(23) == "a");
 }
 
-TEST_CASE("where a late response has a weight, an attempt without one times out in time for another") {
+TEST_CASE(
+    "an attempt too late for another within the objective times out early only if late responses count") {
     for (const double lateWeight : {0.0, 0.3}) {
         PolicySettings settings = smallPolicySettings(false);
         settings.requestClasses[0].latencyObjective = 170 * ms;
@@ -121,7 +122,7 @@
     CHECK(fixture.sendRequest(1) != "");
 }
 
-TEST_CASE("the first poll comes within its maximum delay, and routers spread theirs over it") {
+TEST_CASE("first polls come within their maximum delay and are spread over it across routers") {
     PolicySettings settings = smallPolicySettings(false);
     settings.pollsEndpoints = true;
     settings.pollInterval = 10'000 * ms;
@@ -140,8 +141,7 @@
     CHECK(early < 70);
 }
 
-TEST_CASE(
-    "an endpoint list of the origin alone, no key, no weight: every request still gets one final response") {
+TEST_CASE("requests are handled with only the origin listed, without a key, and without classes or weights") {
     PolicyFixture fixture(true, 0);
     CHECK(fixture.sendRequest(1, "") == "origin");
     fixture.endAttempt(1, 0, AttemptOutcome::succeeded);
@@ -157,7 +157,7 @@
     CHECK(withoutClasses.finalResponses(77) == 0);
 }
 
-TEST_CASE("an endpoint list that is shuffled, doubled, emptied and restored loses no request") {
+TEST_CASE("no request is lost while the endpoint list is reordered, doubled, emptied and restored") {
     PolicyFixture fixture(true, 8);
     std::vector<RequestId> waiting;
     RequestId id = 0;
@@ -178,13 +178,13 @@
     fixture.policy.reconcile(fixture.now);
     CHECK(waiting.size() == 10);
     for (const RequestId request : waiting) {
-        fixture.endAttempt(request, 0, AttemptOutcome::timedOut, false,
-                           2'000 * ms);  // sent meanwhile, when the list was restored
+        // The attempt was started when the list was restored.
+        fixture.endAttempt(request, 0, AttemptOutcome::timedOut, false, 2'000 * ms);
         CHECK(fixture.finalResponses(request) == 1);
     }
 }
 
-TEST_CASE("a request without attempts left is rejected at once, not at its objective") {
+TEST_CASE("a request without attempts left is rejected at once, not at the end of its latency objective") {
     PolicySettings settings = smallPolicySettings(true);
     settings.maxAttempts = 2;
     PolicyFixture fixture(settings, 4);
@@ -193,12 +193,12 @@
     CHECK(fixture.endAttempt(1, 1, AttemptOutcome::cacheMiss) == "rejected");
 }
 
-TEST_CASE("new settings apply at once, but a request ends by the request class it came with") {
+TEST_CASE("new settings apply at once, but an open request keeps the request class it arrived with") {
     PolicyFixture fixture;
     CHECK(fixture.sendRequest(1, "k", "pay") != "");
     PolicySettings looser = smallPolicySettings(false);
-    looser.requestClasses[2].idempotency = Idempotency::safe;    // pay may now be repeated
-    looser.requestClasses.erase(looser.requestClasses.begin());  // and there is no class read any more
+    looser.requestClasses[2].idempotency = Idempotency::safe;    // "pay" may now be repeated
+    looser.requestClasses.erase(looser.requestClasses.begin());  // removes "read"
     looser.maxAttempts = 9;
     fixture.policy.onSettingsChanged(1 * ms, looser);
     fixture.policy.onAttemptEnded(2 * ms, {1, 0, AttemptOutcome::failed, false, ms});
@@ -228,8 +228,8 @@
 }
 
 TEST_CASE(
-    "an operator's ejection outlasts every endpoint update; a readmitted server is in slow start and soon "
-    "tried") {
+    "an operator's ejection outlasts every endpoint update; a readmitted server gets the next request and is "
+    "in slow start") {
     PolicyFixture fixture(false, 3);
     const std::string ejected = fixture.serveRequest(1, "k");
     for (const auto& entry : fixture.endpoints)
@@ -243,10 +243,10 @@
     CHECK(isAvoided());
     auto other = fixture.endpoints;
     std::erase_if(other, [&](const Endpoint& endpoint) { return endpoint.name == ejected; });
-    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, other);  // left out
+    // The server is no longer listed, then listed again, then removed.
+    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, other);
     CHECK(isAvoided());
-    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete,
-                                    fixture.endpoints);  // and back
+    fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, fixture.endpoints);
     CHECK(isAvoided());
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
                                     {{ejected, "z", "m", EndpointState::removed}});
@@ -259,7 +259,8 @@
     fixture.policy.onOperatorEjection(fixture.now, ejected, true);
     fixture.policy.onOperatorEjection(fixture.now, ejected, false);
     fixture.policy.onOperatorEjection(fixture.now, ejected, false);
-    // The first request goes there: a router whose keys all have other places would not try it for long.
+    // The next request goes to the readmitted server: since all of its keys are cached elsewhere by
+    // now, the router might otherwise not try it for a long time.
     CHECK(fixture.serveRequest(++id, "k") == ejected);
     for (const EndpointStatus& status : fixture.policy.endpointStatuses(fixture.now))
         if (status.name == ejected) CHECK(status.warmupFraction == doctest::Approx(0.2));
@@ -269,7 +270,7 @@
                                     {{ejected, "z", "m", EndpointState::ready, fixture.now - 3'000 * ms}});
     for (const EndpointStatus& status : fixture.policy.endpointStatuses(fixture.now))
         if (status.name == ejected) CHECK(status.warmupFraction == doctest::Approx(0.28));
-    // It stays draining if it is so listed.
+    // A server that is listed as draining is not used, even when its ejection is lifted.
     fixture.policy.onOperatorEjection(fixture.now, ejected, true);
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
                                     {{ejected, "z", "m", EndpointState::draining}});
@@ -277,17 +278,18 @@
     CHECK(isAvoided());
 }
 
-TEST_CASE("the status of all endpoints can be read") {
+TEST_CASE("endpoint statuses show attempts in flight and hinted keys") {
     PolicyFixture fixture;
-    const std::string to = fixture.sendRequest(1, "k", "read");
+    const std::string server = fixture.sendRequest(1, "k", "read");
     for (const EndpointStatus& status : fixture.policy.endpointStatuses(1 * ms))
-        CHECK(status.inFlight == (status.name == to ? 1 : 0));
+        CHECK(status.inFlight == (status.name == server ? 1 : 0));
     fixture.policy.onAttemptEnded(2 * ms, {1, 0, AttemptOutcome::succeeded, true, ms});
     for (const EndpointStatus& status : fixture.policy.endpointStatuses(2 * ms))
-        CHECK(status.hintedKeys == (status.name == to ? 1 : 0));
+        CHECK(status.hintedKeys == (status.name == server ? 1 : 0));
 }
 
-TEST_CASE("a client's retry is rejected if its objective passed before it came, and served otherwise") {
+TEST_CASE(
+    "a client's retry is rejected if its latency objective passed before it arrived, and served otherwise") {
     PolicySettings settings = smallPolicySettings(false);
     settings.requestClasses[0].timeout = 1'000 * ms;
     const auto isRejected = [&](Nanos timeout, bool isRetry) {
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -9,8 +9,7 @@
 using namespace poppyscale::test;
 
 TEST_CASE(
-    "cache-aside: after a miss the request goes to the origin, whose response hints the key where it "
-    "missed") {
+    "cache-aside: after a miss the origin is asked, and its response adds a hint where the key was missed") {
     PolicyFixture fixture(true);
     const std::string first = fixture.sendRequest(1);
     CHECK(fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss) == "origin");
@@ -18,9 +17,7 @@
     CHECK(fixture.sendRequest(2) == first);
 }
 
-TEST_CASE(
-    "one fetch of a key is in flight, and other requests for the key wait for it and go to the cache "
-    "server") {
+TEST_CASE("cache-aside: requests for a key wait for its fetch in flight, then go to the cache server") {
     PolicyFixture fixture(true);
     const std::string first = fixture.sendRequest(1);
     CHECK(fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss) == "origin");
@@ -28,7 +25,7 @@
     CHECK(fixture.endAttempt(1, 1, AttemptOutcome::succeeded) == first);
 }
 
-TEST_CASE("cache-aside: after a miss without a response of the origin the key is not hinted") {
+TEST_CASE("cache-aside: a miss adds no hint if the origin fails") {
     PolicyFixture fixture(true);
     fixture.sendRequest(1);
     fixture.endAttempt(1, 0, AttemptOutcome::cacheMiss);
@@ -38,10 +35,9 @@
     CHECK(fixture.endAttempt(2, 0, AttemptOutcome::cacheMiss) == "origin");
 }
 
-TEST_CASE(
-    "a hinted candidate goes before rendezvous order, until a lost connection or a write removes the hint") {
-    for (const bool write : {false, true}) {
-        PolicyFixture fixture(write);
+TEST_CASE("a hint takes precedence over rendezvous order until a lost connection or a write removes it") {
+    for (const bool isWrite : {false, true}) {
+        PolicyFixture fixture(isWrite);
         const std::string first = fixture.sendRequest(1);
         Endpoint drained{first, "z", "m", EndpointState::draining};
         fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {drained});
@@ -51,7 +47,7 @@
         fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {{first, "z", "m"}});
         CHECK(fixture.sendRequest(3) == other);
         fixture.endAttempt(3, 0, AttemptOutcome::succeeded);
-        if (write) {
+        if (isWrite) {
             CHECK(fixture.sendRequest(4, "k", "pay", true) == "origin");
         } else {
             fixture.sendRequest(5, "k", "pay");
@@ -75,7 +71,7 @@
     CHECK(other != first);
 }
 
-TEST_CASE("a candidate with twice the mean in flight is passed over for the other") {
+TEST_CASE("a candidate with twice the mean number of attempts in flight is passed over") {
     PolicyFixture fixture;
     const std::string first = fixture.serveRequest(1, "k");
     CHECK(fixture.sendRequest(2) == first);
@@ -83,8 +79,7 @@
     CHECK(fixture.sendRequest(4) != first);
 }
 
-TEST_CASE(
-    "a quiet router passes over a server that was slow lately, though with one attempt in flight at a time") {
+TEST_CASE("a router with one attempt in flight at a time passes over a server that was slow recently") {
     PolicyFixture fixture(false, 6);
     for (RequestId id = 1; id <= 20; ++id, fixture.now += 2'000 * ms)
         fixture.serveRequest(id, std::to_string(id));
@@ -93,10 +88,10 @@
     CHECK(fixture.sendRequest(101) != first);
     fixture.endAttempt(101, 0, AttemptOutcome::cacheMiss);
     fixture.now += 20'000 * ms;
-    CHECK(fixture.serveRequest(102, "k") == first);  // its latency is forgotten, so it is tried again
+    CHECK(fixture.serveRequest(102, "k") == first);  // the high latency has decayed
 }
 
-TEST_CASE("a hinted candidate that is only at its limit is waited for, not passed over") {
+TEST_CASE("a request waits for a hinted candidate that is at its limit") {
     PolicyFixture fixture(false, 2);
     RequestId id = 10;
     for (int round = 0; round < 8; ++round, fixture.now += 600 * ms) {
@@ -112,8 +107,8 @@
     }
     const std::string first = fixture.serveRequest(1, "k");
     CHECK(fixture.sendRequest(2, "k") == first);
-    CHECK(fixture.sendRequest(3, "k").size() !=
-          1);  // waiting or rejected, but not sent to a server that lacks the key
+    // The request waits or is rejected, but is not sent to a server that lacks the key.
+    CHECK(fixture.sendRequest(3, "k").size() != 1);
     CHECK(fixture.sendRequest(4, "other").size() == 1);
 }
 
@@ -144,12 +139,12 @@
 }
 
 TEST_CASE(
-    "a weight that follows load does not move the ranking, an absurd one is ignored, a loaded server "
-    "yields") {
-    // Of sixty keys.
+    "weights that follow load do not change the ranking, implausible ones are ignored, and loaded servers "
+    "are avoided") {
+    // Counts of sixty requests, each for another key.
     struct AttemptCounts {
-        int moved = 0;    // go elsewhere than with equal weights
-        int onFirst = 0;  // go to the first server
+        int moved = 0;    // sent to another server than with equal weights
+        int onFirst = 0;  // sent to the first server
         bool operator==(const AttemptCounts&) const = default;
     };
     PolicySettings settings = smallPolicySettings(false);
@@ -179,12 +174,12 @@
     CHECK(calm.moved == 0);
     CHECK(busy.onFirst < calm.onFirst / 2);
     CHECK(busy.moved <= calm.onFirst);
-    // Two requests for each core, latencies of 100 ms and an objective of 500 ms; then absurd and missing
-    // weights.
+    // The first weight means two requests per core, which is no reason to avoid the server at
+    // latencies of 100 ms and an objective of 500 ms. The other weights are implausible or missing.
     for (const double weight : {4.0 / 3, 1e12, 0.0, 1e-12}) CHECK(listed(weight) == calm);
 }
 
-TEST_CASE("a failed fetch of a read-through cache is no failure of the server and is not retried") {
+TEST_CASE("a read-through cache's failed fetch is not counted as a failure of the server and not retried") {
     PolicyFixture fixture;
     const std::string first = fixture.serveRequest(1, "held");
     for (RequestId id = 10; id < 14; ++id, fixture.now += 200 * ms) {
@@ -200,34 +195,38 @@
 }
 
 TEST_CASE(
-    "quiet routers: a popular key goes past the third candidate, and a slow start's budget is saved up") {
+    "with little traffic per router, a popular key is spread past its third candidate and slow-start budget "
+    "accumulates") {
     int onWarmingServer = 0;
-    std::set<std::string> popular;
-    for (std::uint64_t r = 0; r < 200; ++r) {
+    std::set<std::string> popularKeyServers;
+    for (std::uint64_t router = 0; router < 200; ++router) {
         PolicySettings settings = smallPolicySettings(false);
         settings.weightsFollowLoad = true;
         settings.routerCount = 100;
-        settings.seed = r;
+        settings.seed = router;
         settings.rampDuration = 60'000 * ms;
         PolicyFixture fixture(settings, 20);
         for (RequestId id = 1; id <= 70; ++id, fixture.now += 1'000 * ms) {
             const bool isHot = id < 30 && id % 2;
-            const std::string server = fixture.serveRequest(id, isHot ? "hot" : std::to_string(id + 100 * r));
+            const std::string server =
+                fixture.serveRequest(id, isHot ? "hot" : std::to_string(id + 100 * router));
             if (server == "cold") ++onWarmingServer;
-            if (id == 29) popular.insert(server);
+            if (id == 29) popularKeyServers.insert(server);
             if (id == 30)
                 fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
                                                 {{"cold", "z", "m", EndpointState::ready, fixture.now}});
         }
     }
-    CHECK(popular.size() > 3);
-    // By rank alone one of forty requests of a router, half of what a warmed-up server gets; from the budget
-    // of one window, a tenth.
+    CHECK(popularKeyServers.size() > 3);
+    // By rank alone, the server in slow start would get one of a router's forty requests, half of
+    // what a warmed-up server gets. With the budget of a single window it would get a tenth of
+    // that.
     CHECK(onWarmingServer > 20);
     CHECK(onWarmingServer < 200);
 }
 
-// Servers n0, n1 ... in the router's own zone and f0, f1 ... in others, where crossing costs `price`.
+// Servers n0, n1 ... in the router's own zone and f0, f1 ... in others. The cross-zone cost is
+// `price`.
 struct ZonesFixture {
     ZonesFixture(int localCount, int remoteCount, double price = 0.03, const char* own = "here",
                  int routers = 300)
@@ -245,8 +244,8 @@
         return settings;
     }
     void update() { fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, endpoints); }
-    // Of `count` requests, each after the last has ended: the fraction that was first sent across zones.
-    // Attempts in the own zone end with `localOutcome`, others succeed.
+    // Sends `count` requests one after another and returns the fraction whose first attempt crossed
+    // zones. Attempts in the own zone end with `localOutcome`, others succeed.
     double crossingFraction(int count, AttemptOutcome localOutcome, Nanos localLatency = 20 * ms) {
         int crossed = 0;
         for (int i = 0; i < count; ++i, fixture.now += 50 * ms) {
@@ -267,14 +266,15 @@
     RequestId id = 0;
 };
 
-TEST_CASE("keys stay in the own zone, but not where crossing is free, nor in a zone without servers") {
+TEST_CASE("keys stay in the own zone unless crossing zones is free or the zone has no servers") {
     CHECK(ZonesFixture(4, 8).crossingFraction(400, AttemptOutcome::succeeded) < 0.2);
     CHECK(ZonesFixture(4, 8, 0.01).crossingFraction(400, AttemptOutcome::succeeded) > 0.2);
-    // One of two routers has more of the traffic than its zone has of the servers: its zone's part stays
-    // there.
+    // One of two routers has a larger share of the traffic than its zone has of the servers: only
+    // what its zone can bear stays there.
     CHECK(ZonesFixture(4, 8, 0.03, "here", 2).crossingFraction(400, AttemptOutcome::succeeded) > 0.35);
     CHECK(ZonesFixture(2, 10).crossingFraction(400, AttemptOutcome::succeeded) > 0.3);
-    // Free, not known, or without servers of its own: as if there were no zones.
+    // Zones are ignored if crossing is free, and if the own zone is not known, has no servers or
+    // has all of them.
     const auto firsts = [](ZonesFixture&& zones) {
         std::vector<std::string> all;
         for (RequestId id = 1'000; id < 1'050; ++id)
@@ -287,10 +287,11 @@
     CHECK(firsts(ZonesFixture(12, 0, 0)) == firsts(ZonesFixture(12, 0)));
 }
 
-TEST_CASE("a lost zone's requests cross zones at once, and its servers return in slow start") {
+TEST_CASE("requests cross zones at once when the own zone fails, and its servers return in slow start") {
     ZonesFixture zones(4, 8);
     zones.crossingFraction(200, AttemptOutcome::succeeded);
-    // Before the endpoint list shows it: after failed connects the next attempt but one crosses zones.
+    // The endpoint list does not show the failure yet; it is noticed by failed connection attempts
+    // alone.
     CHECK(zones.crossingFraction(60, AttemptOutcome::connectFailed, 200 * ms) > 0.3);
     const auto all = zones.endpoints;
     zones.endpoints.erase(zones.endpoints.begin(), zones.endpoints.begin() + 4);
@@ -299,20 +300,21 @@
     zones.endpoints = all;
     for (int i = 0; i < 4; ++i) zones.endpoints[i].startedAt = zones.fixture.now;
     zones.update();
-    CHECK(zones.crossingFraction(20, AttemptOutcome::succeeded) >
-          0.6);  // servers in slow start are not preferred yet
+    // Servers in slow start are not preferred yet.
+    CHECK(zones.crossingFraction(20, AttemptOutcome::succeeded) > 0.6);
     zones.fixture.now += 10'000 * ms;
     zones.crossingFraction(100, AttemptOutcome::succeeded);
     CHECK(zones.crossingFraction(200, AttemptOutcome::succeeded) < 0.2);
 }
 
-TEST_CASE("the requests of a zone of one server, or of a slow zone, cross zones until that has ended") {
+TEST_CASE("requests cross zones while the servers of the own zone, one or four, are slow") {
     for (const int localCount : {1, 4}) {
         ZonesFixture zones(localCount, 8);
         zones.crossingFraction(100, AttemptOutcome::succeeded);
         zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // past the objective
         CHECK(zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms) > 0.5);
-        zones.fixture.now += 60'000 * ms;  // a server with many late responses is passed over for as long
+        // A server with many late responses is passed over for that long.
+        zones.fixture.now += 60'000 * ms;
         zones.crossingFraction(200, AttemptOutcome::succeeded);
         CHECK(zones.crossingFraction(200, AttemptOutcome::succeeded) < (localCount == 1 ? 0.8 : 0.3));
     }
