--- a/src/proxy/attempt.cpp
+++ b/src/proxy/attempt.cpp
@@ -20,7 +20,7 @@
 
 RequestBody* Attempt::takeBody() { return std::exchange(body_, nullptr); }
 
-// The client's time, and the origin's, count from the last byte of the value.
+// The request's timeout counts from the last byte of its value, at the client and at the origin.
 void Attempt::onBodySent(Nanos now) {
     sentAt_ = now;
     timeout_.start(now + message_.timeout);
--- a/src/proxy/attempt.hpp
+++ b/src/proxy/attempt.hpp
@@ -12,9 +12,9 @@
 class UpstreamConnection;
 class UpstreamServer;
 
-// Owned by the request that it belongs to, which also owns the message and outlives the attempt. States:
-// waiting for a connection (`connection()` is null), then in flight on one. When the timeout fires, the
-// attempt is abandoned at its server.
+// Owned by its request, which also owns the message and outlives the attempt. An attempt first waits for
+// a connection (`connection()` is null) and is then in flight on one. When the timeout fires,
+// `UpstreamServer::abandon` ends the attempt.
 class Attempt {
   public:
     struct Parameters {
@@ -23,7 +23,7 @@
         Nanos startedAt = 0;          // when the attempt was decided on
         Nanos deadline = 0;           // the response must be complete by then
         Nanos latestStart = kNever;   // the request must not be written after this
-        RequestBody* body = nullptr;  // the value of a write, where it comes in chunks
+        RequestBody* body = nullptr;  // the value of a write if it is streamed
     };
 
     Attempt(transport::EventLoop& loop, const protocol::Request& message, UpstreamServer& server,
@@ -37,20 +37,20 @@
     UpstreamServer& server() const { return server_; }
     Nanos deadline() const { return deadline_; }
     Nanos latestStart() const { return latestStart_; }
-    // When the attempt started or, of a write that comes in chunks, when its last byte was sent.
+    // When the attempt was decided on or, for a streamed write, when its last byte was sent.
     Nanos sentAt() const { return sentAt_; }
-    // When the first chunk of a streamed response arrived; 0 before that, and for a response in one part.
+    // When the first chunk of a streamed response arrived; 0 before that, and if it is not streamed.
     Nanos firstByteAt() const { return firstByteAt_; }
     // Null while the attempt waits for a connection.
     UpstreamConnection* connection() const { return connection_; }
 
     void attach(UpstreamConnection& connection) { connection_ = &connection; }
     void detach() { connection_ = nullptr; }
-    // The value to stream, once; null without one and from the second call on.
+    // Returns the value to stream; null if there is none, and from the second call on.
     RequestBody* takeBody();
     void onBodySent(Nanos now);
     void onFirstByte(Nanos arrivedAt) { firstByteAt_ = arrivedAt; }
-    // Replaces the timeout that was set before; an absolute time.
+    // Sets the timeout to the absolute time `at`, in place of an earlier one.
     void startTimeout(Nanos at) { timeout_.start(at); }
     void stopTimeout() { timeout_.stop(); }
 
--- a/src/proxy/attempt_handler.hpp
+++ b/src/proxy/attempt_handler.hpp
@@ -1,4 +1,4 @@
-// What the upstream side reports about attempts.
+// The interface through which upstream servers report on attempts.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
 class AttemptHandler {
   public:
     virtual ~AttemptHandler() = default;
-    // The response is a value of `length` bytes that comes in chunks from `source`. Returns where they go, or
-    // null when no client waits for the response any more.
+    // The response is a value of `length` bytes that `source` delivers in chunks. Returns the sink for
+    // them, or null when no client waits for the response any more.
     virtual BodySink* onStreamBegins(Attempt& attempt, std::size_t length, BodySource& source) = 0;
-    // Whether a client still waits for the response. Asked before the request is written.
+    // Whether a client still waits for the response. Called before the request is written.
     virtual bool isAwaited(Attempt& attempt) = 0;
     // Called once for each attempt. The attempt may be destroyed within this call; the caller does not use it
     // afterwards.
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -8,8 +8,8 @@
     limits_.maxBufferedBytes = maxBufferedBytes;
     limits_.maxConnections = maxConnections;
     while (connectionCount_ > limits_.maxConnections) {
-        const bool isOneClosed = closeLongestIdle();
-        if (!isOneClosed) break;
+        const bool wasClosed = closeLongestIdle();
+        if (!wasClosed) break;
     }
 }
 
@@ -36,7 +36,7 @@
 
 void ConnectionPool::serveWaiting() {
     hasFreedCapacity_ = false;
-    // Attempts that end within this only leave an event, so that no server is removed meanwhile.
+    // The end of an attempt during this loop only queues an event, so no server is removed meanwhile.
     for (UpstreamServer* server : servers_)
         if (server->hasWaitingAttempts()) server->serveWaiting();
 }
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -15,16 +15,17 @@
 
 class UpstreamServer;
 
-// Counts the connections and the buffered response bytes of all upstream servers, and closes the connection
-// that has idled longest where another one needs its place. Owns no connection: each belongs to its server,
-// which registers here for as long as it lives. The pool outlives all servers.
+// Counts the connections and the buffered response bytes of all upstream servers. At the connection
+// limit, closes the connection that has been idle longest to make room for a new one. Owns no
+// connection: each belongs to its server, which is registered here during its lifetime. The pool
+// outlives all servers.
 class ConnectionPool {
   public:
     struct Limits {
         std::size_t maxConnections = 0;
         Nanos idleTimeout = 0;             // after which an idle connection is closed
         Nanos connectTimeout = 0;          // within which a connection must be established
-        std::size_t maxBufferedBytes = 0;  // of incomplete responses, over all connections
+        std::size_t maxBufferedBytes = 0;  // in incomplete responses of all connections together
     };
 
     ConnectionPool(transport::EventLoop& loop, transport::BufferPool& buffers, AttemptHandler& handler,
@@ -38,34 +39,34 @@
     AttemptHandler& handler() const { return handler_; }
     InvariantGuard& guard() const { return guard_; }
 
-    // New timeouts count for connections that become idle, or are opened, from now on.
+    // A new timeout applies to connections that become idle, or are opened, after the call.
     void setIdleTimeout(Nanos timeout) { limits_.idleTimeout = timeout; }
     void setConnectTimeout(Nanos timeout) { limits_.connectTimeout = timeout; }
     Nanos idleTimeout() const { return limits_.idleTimeout; }
     Nanos connectTimeout() const { return limits_.connectTimeout; }
-    // Closes idle connections above the new limit.
+    // Closes idle connections beyond the new limit.
     void setCapacity(std::size_t maxConnections, std::size_t maxBufferedBytes);
 
     std::size_t connectionCount() const { return connectionCount_; }
-    // Since the start of the process.
+    // Connections opened since the start of the process.
     std::uint64_t connectionsOpened() const { return connectionsOpened_; }
 
     void addServer(UpstreamServer& server) { servers_.push_back(&server); }
     void removeServer(UpstreamServer& server) { std::erase(servers_, &server); }
 
-    // Whether one more connection may be opened; closes the one that has idled longest if it must.
+    // Whether one more connection may be opened. At the limit, closes the one that has been idle longest.
     bool ensureCapacity();
     void onConnectionOpened();
     void onConnectionsClosed(std::size_t count) { connectionCount_ -= count; }
 
-    // A connection is idle, or one more may be opened. Attempts that wait for that start in the next
-    // iteration and not at once: further bytes, or the end of the connection, are only read by then.
+    // A connection has become idle, or one more may be opened. Waiting attempts start in the next iteration
+    // rather than at once, because only by then have further bytes, or the end of the connection, been read.
     void notifyCapacityFreed() { hasFreedCapacity_ = true; }
     bool hasFreedCapacity() const { return hasFreedCapacity_; }
     // Starts waiting attempts as far as there is capacity.
     void serveWaiting();
 
-    // The response bytes that one connection buffers have changed from `before` to `after`.
+    // The number of response bytes that one connection buffers has changed from `before` to `after`.
     void updateBufferedBytes(std::size_t before, std::size_t after);
     std::size_t bufferedBytes() const { return bufferedBytes_; }
     bool isOverBufferLimit() const { return bufferedBytes_ > limits_.maxBufferedBytes; }
--- a/src/proxy/peer_liveness.hpp
+++ b/src/proxy/peer_liveness.hpp
@@ -1,4 +1,4 @@
-// Whether a client's connection was open a moment ago.
+// Tracks when a client's connection was last known to be open.
 #pragma once
 
 #include <algorithm>
@@ -9,23 +9,26 @@
 
 namespace poppyscale::proxy {
 
-// No attempt may start more than 0.1 s after its client has closed the connection. An attempt starts without
-// a system call if the connection was known to be open within a short time; otherwise the kernel is asked
-// first. The time of arrival that counts as known to be open may itself be late by 40 ms: a poll of 20 ms,
-// and 10 ms of delay each in the poll and in the iteration before it, which `EventLoop::earliestArrival` does
-// not take for a hold-up. An attempt thus starts 60 ms after the close at the latest, if the kernel has the
-// end by then. It has not where a client has closed behind more bytes than fit in this machine's receive
-// window (64 KiB at first): the end stays on the client's machine until the router reads on.
+// No attempt may start more than 0.1 s after its client has closed the connection. If the connection was
+// known to be open within the last `kKnownOpenDuration`, an attempt starts without a system call;
+// otherwise the kernel is asked first.
+//
+// The recorded arrival time of bytes may be up to 40 ms too late: a poll takes up to 20 ms, and
+// `EventLoop::earliestArrival` ignores delays of up to 10 ms each in the poll and in the iteration before
+// it. An attempt therefore starts at most 60 ms after the close, provided that the kernel has received the
+// end of the stream by then. The kernel has not received it if the client closed after sending more bytes
+// than fit in this machine's receive window (64 KiB initially): the end then stays on the client's machine
+// until the router reads more.
 class PeerLiveness {
   public:
     static constexpr Nanos kKnownOpenDuration = 20 * kMillisecond;
 
     bool isKnownOpen(Nanos now) const { return now - knownOpenAt_ < kKnownOpenDuration; }
-    // The kernel had not got the end of the connection at `now`.
+    // The kernel had not received the end of the connection at `now`.
     void onFoundOpen(Nanos now) { knownOpenAt_ = now; }
-    // Bytes prove that the connection was open when they arrived. When that was is only known if everything
-    // before them had been read: otherwise they, and the end behind them, may have been in the kernel for
-    // long.
+    // Bytes prove that the connection was open when they arrived. `arrivedAt` is only reliable if all
+    // earlier bytes had been read: otherwise these bytes, and the end of the connection after them, may
+    // have been in the kernel for a long time.
     void onRead(std::size_t size, Nanos arrivedAt) {
         if (hasReadAll_) knownOpenAt_ = std::max(knownOpenAt_, arrivedAt);
         hasReadAll_ = size < transport::kBufferSize;
@@ -33,8 +36,8 @@
     void onReadingStopped() { hasReadAll_ = false; }
 
   private:
-    bool hasReadAll_ = false;  // it is being read, and the last read took all that the kernel had
-    Nanos knownOpenAt_ = 0;    // the latest time at which it was known to be open
+    bool hasReadAll_ = false;  // reading is on, and the last read took all bytes that the kernel had
+    Nanos knownOpenAt_ = 0;    // the latest time at which the connection was known to be open
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/upstream_codec.cpp
+++ b/src/proxy/upstream_codec.cpp
@@ -49,7 +49,7 @@
 
   private:
     protocol::RespDecoder decoder_{kResponseLimits};
-    bool isReusable_ = false;  // nothing has followed the response
+    bool isReusable_ = false;  // no bytes followed the response
 };
 
 class OriginCodec : public UpstreamCodec {
@@ -60,16 +60,17 @@
     }
     std::string_view bodyTerminator() const override { return {}; }
 
-    // The parser takes all bytes at once: a chunk comes ahead of the state that it left.
+    // The parser consumes all bytes at once, so they may hold a chunk and also complete the response.
+    // The chunk is reported first, and the parser's state by the next call.
     State feed(std::string_view& bytes) override {
-        if (isStateWithheld_) {
-            isStateWithheld_ = false;
+        if (isStatePending_) {
+            isStatePending_ = false;
             return state_;
         }
         state_ = stateOf(response_.feed(bytes));
         bytes = {};
-        isStateWithheld_ = !response_.chunk().empty();
-        return isStateWithheld_ ? State::chunk : state_;
+        isStatePending_ = !response_.chunk().empty();
+        return isStatePending_ ? State::chunk : state_;
     }
     State onConnectionEnd() override { return stateOf(response_.end()); }
     std::size_t streamedLength() const override { return response_.streamedLength(); }
@@ -100,7 +101,7 @@
 
     protocol::HttpResponse response_{kMaxBufferedValue, kMaxValue};
     State state_ = State::more;
-    bool isStateWithheld_ = false;  // until the chunk before it was taken
+    bool isStatePending_ = false;  // `state_` is reported by the next `feed`, after a chunk
 };
 
 }  // namespace
--- a/src/proxy/upstream_codec.hpp
+++ b/src/proxy/upstream_codec.hpp
@@ -1,4 +1,4 @@
-// What an upstream connection speaks.
+// The protocols of upstream connections.
 #pragma once
 
 #include <cstddef>
@@ -13,32 +13,33 @@
 
 namespace poppyscale::proxy {
 
-// Encodes requests and decodes their responses, one at a time, without knowing of attempts or sockets. One
-// for each connection.
+// Encodes requests and decodes their responses, one at a time. Independent of attempts and sockets;
+// each connection has its own codec.
 class UpstreamCodec {
   public:
     enum class State : std::uint8_t { more, chunk, complete, malformed };
 
     virtual ~UpstreamCodec() = default;
-    // All of a request, or what precedes a value that is streamed.
+    // Returns the whole request or, if its value is streamed, the part that precedes the value.
     virtual std::string encode(const protocol::Request& request, std::string_view host,
                                Nanos timeLeft) const = 0;
-    // Follows a value that is streamed; may be empty.
+    // The bytes that follow a streamed value; may be empty.
     virtual std::string_view bodyTerminator() const = 0;
 
-    // Takes from the front of `bytes` up to the end of a response, or of one chunk of it, at most. After
-    // `chunk` it must be called again, also without bytes.
+    // Consumes bytes from the front of `bytes`, at most up to the end of a response or of one chunk of
+    // it. After `chunk` it must be called again, even without bytes.
     virtual State feed(std::string_view& bytes) = 0;
-    // The connection has ended behind what was fed: `complete` if the response lasts up to there.
+    // The connection ended after the bytes fed so far. Returns `complete` if the response extends to
+    // the end of the connection.
     virtual State onConnectionEnd() = 0;
-    // After `chunk`: the length of the whole value, and a part of it, which is valid until the next `feed`.
+    // After `chunk`: the length of the whole value, and a part of it that is valid until the next `feed`.
     virtual std::size_t streamedLength() const = 0;
     virtual std::string_view chunk() const = 0;
     // After `complete`.
     virtual protocol::AttemptResponse takeResponse() = 0;
-    // After `complete`: another request may be sent on the connection.
+    // After `complete`: whether another request may be sent on the connection.
     virtual bool isReusable() const = 0;
-    // Of an incomplete response.
+    // Bytes buffered of an incomplete response.
     virtual std::size_t bufferedBytes() const = 0;
     // Prepares for the next response.
     virtual void clear() = 0;
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -5,7 +5,7 @@
 namespace poppyscale::proxy {
 namespace {
 
-// A streamed value fails its attempt when nothing of it moved for this long.
+// An attempt with a streamed value fails when no byte of the value was transferred for this long.
 constexpr Nanos kBodyIdleTimeout = 5'000 * kMillisecond;
 
 }  // namespace
@@ -43,11 +43,11 @@
     attempt.attach(*this);
     const protocol::Request& message = attempt.message();
     const Nanos timeLeft = attempt.deadline() - transport::EventLoop::now();
-    // Every request passes here: whatever was decided before, nothing may be wrong with it now.
+    // Every request is written here, so the invariant is checked again, whatever was checked before.
     if (isStale() || timeLeft <= 0)
         pool_.guard().reportViolation(Invariant::sending, "request " + message.id + " to " + owner_.host());
     const std::string head = codec_->encode(message, owner_.host(), timeLeft);
-    // The request's last byte was not taken.
+    // The request's last byte was not accepted, so the server can't have executed the request.
     if (!connection_.write(head)) return breakOff(AttemptOutcome::connectFailed);
     requestBody_ = attempt.takeBody();
     if (!requestBody_) return;
@@ -68,7 +68,7 @@
     if (!success) return onConnectFailed();
     state_ = State::idle;
     owner_.onActivity();
-    // The server was removed or ejected meanwhile, or is at another address.
+    // While the connection was being established, the server became unusable or its address changed.
     if (isStale()) return owner_.remove(*this);
     connection_.setReading(true);
     becomeIdle();
@@ -86,7 +86,7 @@
 
 void UpstreamConnection::onData(std::string_view bytes) {
     owner_.onActivity();
-    // Nothing was requested.
+    // No request is in flight, so the bytes are no response.
     if (!attempt_) return owner_.remove(*this);
     using CodecState = UpstreamCodec::State;
     CodecState state = codec_->feed(bytes);
@@ -99,11 +99,12 @@
         return endAttempt(std::move(response), codec_->isReusable());
     }
     if (state == CodecState::malformed) return endAttempt({}, false);
-    bufferBytes(codec_->bufferedBytes());
+    setBufferedBytes(codec_->bufferedBytes());
 }
 
-// Each response has its limit, but all of them together would fill a small machine.
-void UpstreamConnection::bufferBytes(std::size_t bytes) {
+// Each response has its own size limit, but many incomplete responses together could exhaust the memory
+// of a small machine, so the pool limits their sum.
+void UpstreamConnection::setBufferedBytes(std::size_t bytes) {
     pool_.updateBufferedBytes(bufferedBytes_, bytes);
     bufferedBytes_ = bytes;
     if (pool_.isOverBufferLimit()) endAttempt({}, false);
@@ -111,8 +112,8 @@
 
 void UpstreamConnection::onClosed() {
     if (state_ == State::connecting) return onConnectFailed();
-    // A response without a length lasts to the end of the connection; one that was cut off by a reset would
-    // pass for a shorter one.
+    // A response without a length extends to the end of the connection. The peer must have closed it in
+    // order: a response truncated by a reset would look like a complete, shorter one.
     if (attempt_ && isWritten() && connection_.hasPeerFinished() &&
         codec_->onConnectionEnd() == UpstreamCodec::State::complete)
         return endAttempt(codec_->takeResponse(), false);
@@ -134,7 +135,7 @@
     if (responseBodyLeft_ == 0) responseSink_ = nullptr;
     extendTimeout();
     if (control == FlowControl::full && responseSink_) {
-        // The client reads slowly; the client's connection limits for how long it may.
+        // The client reads slowly. Its own connection limits for how long, so this timeout is stopped.
         connection_.setReading(false);
         attempt_->stopTimeout();
     }
@@ -169,7 +170,7 @@
     return FlowControl::ready;
 }
 
-// By its client, which does not concern the server.
+// The client aborted the request body, which says nothing about the server.
 void UpstreamConnection::onAborted() {
     requestBody_ = nullptr;
     breakOff(AttemptOutcome::notSent);
@@ -192,7 +193,8 @@
 
 void UpstreamConnection::endAttempt(protocol::AttemptResponse response, bool isReusable) {
     AttemptHandler& handler = pool_.handler();
-    // After a response that came before the request was complete, it is not known what was read of that.
+    // If the response came before the whole request was written, it is unknown how much of the request
+    // the server has read, so the connection is not reused.
     const bool isKept = isReusable && response.isWellFormed && isWritten() && !isStale();
     Attempt* const attempt = releaseAttempt();
     codec_->clear();
@@ -211,7 +213,8 @@
     removeAndEnd(attempt, outcome);
 }
 
-// The attempt is taken before the connection is removed: for a waiting one another would be opened.
+// Callers detach `attempt` from the connection or the queue first: removing the connection lets the pool
+// open another one for each attempt that still waits.
 void UpstreamConnection::removeAndEnd(Attempt* attempt, AttemptOutcome outcome) {
     AttemptHandler& handler = pool_.handler();
     owner_.remove(*this);
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -15,25 +15,25 @@
 
 namespace poppyscale::proxy {
 
-// Carries one attempt at a time: responses come in order, so a second request would only wait behind a slow
-// one.
+// Carries one attempt at a time: responses come in order, so a second request would wait behind the
+// first if that one is slow.
 //
 //     connecting --> idle <--> busy
 //
-// Each state may end in the removal of the connection. Whatever ends it removes it from its owner, which
-// destroys it within that call: functions that may do so say so, and nothing of the object is used after it.
+// From each state the connection may be removed: it calls `Owner::remove`, which destroys it within that
+// call. Functions that may remove the connection say so; the object must not be used afterwards.
 class UpstreamConnection : private transport::Connection::Handler, private BodySource, private BodySink {
   public:
-    // The server that the connection leads to.
+    // The server at the other end of the connection.
     class Owner {
       public:
         virtual ~Owner() = default;
-        // Where it is listed now; none if it has no usable address.
+        // The server's address in the latest endpoint list; none if the list has no valid one.
         virtual const std::optional<transport::Address>& address() const = 0;
         virtual const std::string& host() const = 0;
-        // Whether requests may be sent to it.
+        // Whether requests may be sent to the server.
         virtual bool isUsable() const = 0;
-        // Bytes came from it, or a connection was established.
+        // The server sent bytes, or a connection to it was established.
         virtual void onActivity() = 0;
         // Takes the attempt that has waited longest for a connection; null if none waits.
         virtual Attempt* takeNextWaiting() = 0;
@@ -42,26 +42,28 @@
     };
 
     UpstreamConnection(Owner& owner, ConnectionPool& pool, const transport::Address& address, bool isOrigin);
-    // Aborts a response and cancels a value that are being streamed.
+    // Aborts the response and cancels the request body that are being streamed, if any.
     ~UpstreamConnection() override;
 
-    // Begins to connect. False when that failed at once.
+    // Starts to connect; false if that failed immediately.
     bool open();
     // Removes the connection, and fails the attempt that has waited longest.
     void onConnectFailed();
-    // Writes the request of an attempt; only while idle. May remove the connection.
+    // Writes the request of an attempt. The connection must be idle; it may be removed.
     void start(Attempt& attempt);
-    // Parts with the attempt in flight; the caller removes the connection or makes it idle. Null without one.
+    // Detaches and returns the attempt in flight; null without one. The caller must then remove the
+    // connection or make it idle.
     Attempt* releaseAttempt();
 
     bool isConnecting() const { return state_ == State::connecting; }
     bool isIdle() const { return state_ == State::idle; }
     bool isBusy() const { return state_ == State::busy; }
-    // Neither bytes nor its end have arrived on it unread.
-    bool isQuiet() const { return connection_.isIdle(); }
-    // Whether the request's last byte is with the kernel: before that it can't have been executed.
+    // Whether neither unread bytes nor the end of the stream have arrived.
+    bool isInputEmpty() const { return connection_.isIdle(); }
+    // Whether the kernel has taken the request's last byte; before that the server can't execute it.
     bool isWritten() const { return connection_.unsentBytes() == 0 && requestBodyLeft_ == 0; }
-    // It leads to an earlier address, or to a server that must get nothing new.
+    // Whether the connection must get no further request: it leads to an earlier address of the server,
+    // or the server is not usable.
     bool isStale() const;
     Nanos idleSince() const { return idleSince_; }
 
@@ -70,7 +72,7 @@
         connecting,
         idle,      // open, without an attempt
         busy,      // open, with an attempt in flight
-        releasing  // its attempt was taken from it, until it is idle again or removed
+        releasing  // the attempt was detached; the connection becomes idle or is removed next
     };
 
     void onConnected(bool success) override;
@@ -79,25 +81,26 @@
     void onDrained() override;
     void onTimer();
 
-    // As the source of a streamed response.
+    // BodySource of a streamed response.
     void resume() override;
     void cancel() override;
-    // As the sink of a streamed request body.
+    // BodySink of a streamed request body.
     FlowControl onChunk(std::string_view bytes) override;
     void onAborted() override;
 
-    // False when the connection was removed.
+    // Passes a chunk of a streamed response to the client. False when the connection was removed.
     bool forwardChunk(std::size_t length, std::string_view bytes);
-    void bufferBytes(std::size_t bytes);
+    // Removes the connection if the pool's buffer limit is exceeded.
+    void setBufferedBytes(std::size_t bytes);
     void extendTimeout();
 
     // Transitions.
     void becomeIdle();
-    // Ends the attempt with a response, and keeps the connection only if that is safe.
+    // Ends the attempt with a response. The connection becomes idle if it can be reused, else is removed.
     void endAttempt(protocol::AttemptResponse response, bool isReusable);
     // Removes the connection, and ends its attempt.
     void breakOff(AttemptOutcome outcome);
-    // Removes the connection, and ends an attempt that it does not carry; none if null.
+    // Removes the connection, and ends an attempt that it does not carry any more; none if null.
     void removeAndEnd(Attempt* attempt, AttemptOutcome outcome);
 
     Owner& owner_;
@@ -108,9 +111,9 @@
     std::unique_ptr<UpstreamCodec> codec_;
     State state_ = State::connecting;
     Attempt* attempt_ = nullptr;
-    BodySink* responseSink_ = nullptr;  // of a streamed response, until it has all of it
+    BodySink* responseSink_ = nullptr;  // takes a streamed response; null once it has all of it
     std::size_t responseBodyLeft_ = 0;
-    RequestBody* requestBody_ = nullptr;  // that is being streamed, until all of it came
+    RequestBody* requestBody_ = nullptr;  // is being streamed; null once its last chunk has come
     std::size_t requestBodyLeft_ = 0;
     Nanos idleSince_ = 0;
     std::size_t bufferedBytes_ = 0;  // of an incomplete response
--- a/src/proxy/upstream_registry.cpp
+++ b/src/proxy/upstream_registry.cpp
@@ -15,7 +15,7 @@
 
 constexpr Nanos kClockSamplingInterval = 100 * kMillisecond;
 
-// Of the monotonic clock over the machine's wall clock.
+// The monotonic clock minus the machine's wall clock.
 Nanos clockOffset() {
     const auto wall = std::chrono::duration_cast<std::chrono::nanoseconds>(
         std::chrono::system_clock::now().time_since_epoch());
@@ -61,7 +61,8 @@
     UpstreamServer& server = findOrAdd(endpoint);
     const auto parsed = transport::parseAddress(address);
     if (!parsed && endpoint.state != EndpointState::removed)
-        log_(fmt::format("{} is listed without an address to connect to", endpoint.name));
+        log_(fmt::format("endpoint list has no valid address for server {}; attempts to it fail",
+                         endpoint.name));
     server.updateEndpoint(endpoint.state, parsed, address);
 }
 
@@ -107,9 +108,12 @@
 
 std::string UpstreamRegistry::ejectionProblem(const std::string& name) const {
     const UpstreamServer* const server = find(name);
-    if (server) return server->isOrigin() ? "that is the origin, not a cache" : "";
+    if (server)
+        return server->isOrigin()
+                   ? fmt::format("server {} is the origin; only cache servers can be ejected", name)
+                   : "";
     const bool isKnown = ejected_.contains(name) || removed_.contains(name);
-    return isKnown ? "" : "no server of that id was ever listed here";
+    return isKnown ? "" : fmt::format("no server {} was ever in the endpoint list of this router", name);
 }
 
 bool UpstreamRegistry::setEjected(const std::string& name, bool ejected) {
@@ -120,7 +124,8 @@
         ejected_.erase(name);
     UpstreamServer* const server = find(name);
     if (server) server->setEjected(ejected);
-    // Known from now on, also if the ejection came from another process that had it listed.
+    // The name stays known after it is readmitted, even if this process never had the server in its list
+    // and took the ejection over from another process.
     if (!server && !ejected) removed_.add(name);
     return true;
 }
--- a/src/proxy/upstream_registry.hpp
+++ b/src/proxy/upstream_registry.hpp
@@ -22,16 +22,16 @@
 
 namespace poppyscale::proxy {
 
-// By a server's name: how many attempts it was given, and whether it is listed as draining.
+// How many attempts a server was given, and whether it is listed as draining.
 struct ServerAttempts {
     std::uint64_t attempts;
     bool isDraining;
 };
 
-// Keeps the servers in step with the endpoint list: makes one for each listed name, and destroys it once it
-// was removed from the list and is unused. Remembers which servers an operator has ejected, also while they
-// are not listed, and which ones were removed. Owns the servers; a pointer to one is valid until the next
-// `update`.
+// Keeps the servers in step with the endpoint list: creates one for each listed name, and destroys it
+// when it has been removed from the list and is unused. Remembers which servers an operator has ejected,
+// even while they are not listed, and which servers were removed. Owns the servers; a pointer to one is
+// valid until the next `update`.
 class UpstreamRegistry {
   public:
     using Log = std::function<void(std::string_view)>;
@@ -41,16 +41,16 @@
 
     // Applies a list. Returns its endpoints with their start times on this process's clock.
     std::vector<Endpoint> update(EndpointUpdateKind kind, const protocol::EndpointList& list, Nanos now);
-    // Reads the wall clock, rarely, to notice when it is stepped.
+    // Reads the wall clock, at most once in 100 ms, to detect when it is stepped.
     void sampleClockOffset(Nanos now);
 
-    // Null if it is not listed.
+    // Null without a server of that name.
     UpstreamServer* find(std::string_view name) const;
     std::unordered_map<const UpstreamServer*, std::string_view> names() const;
-    // Of cache servers.
+    // Cache servers only, by name.
     std::map<std::string, ServerAttempts> attemptsByServer() const;
 
-    // Why an operator can't eject or readmit that server; empty if he can.
+    // Why the server can't be ejected or readmitted; empty if it can.
     std::string ejectionProblem(const std::string& name) const;
     // False when nothing changed.
     bool setEjected(const std::string& name, bool ejected);
--- a/src/proxy/upstream_server.cpp
+++ b/src/proxy/upstream_server.cpp
@@ -33,7 +33,7 @@
         if (!connection->isBusy() && connection->isStale()) stale.push_back(connection.get());
     for (UpstreamConnection* connection : stale) remove(*connection);
     if (isUsable()) return;
-    // What still waits for a connection would be sent to a server that must get nothing new.
+    // Attempts that wait for a connection must not be sent to an unusable server.
     while (!waiting_.empty()) {
         Attempt& attempt = *takeNextWaiting();
         endAttempt(attempt, AttemptOutcome::notSent);
@@ -71,8 +71,9 @@
     while (!waiting_.empty()) {
         UpstreamConnection* const connection = mostRecentlyUsedIdle();
         if (!connection) break;
-        // Ended, or written to, since its last response, and not read yet: a request would be lost on it.
-        if (!connection->isQuiet()) {
+        // Unread bytes or the end of the stream have arrived while the connection was idle: a request on
+        // it would be lost.
+        if (!connection->isInputEmpty()) {
             remove(*connection);
             continue;
         }
@@ -83,13 +84,14 @@
 }
 
 void UpstreamServer::startOn(UpstreamConnection& connection, Attempt& attempt) {
-    const auto reason = blockedBy(attempt);
+    const auto reason = reasonToBlock(attempt);
     if (!reason) return connection.start(attempt);
     pool_.guard().recordBlocked(*reason);
     endAttempt(attempt, AttemptOutcome::notSent);
 }
 
-// As many connections are being established as attempts wait; whichever is idle first takes the next attempt.
+// Opens connections until one is being established for each waiting attempt. The first connection that
+// becomes idle takes the next attempt.
 void UpstreamServer::openConnections() {
     for (auto count = connectingCount(); count < waiting_.size() && address_; ++count) {
         if (!pool_.ensureCapacity()) return;
@@ -102,7 +104,7 @@
     }
 }
 
-std::optional<BlockedAction> UpstreamServer::blockedBy(Attempt& attempt) const {
+std::optional<BlockedAction> UpstreamServer::reasonToBlock(Attempt& attempt) const {
     const Nanos now = transport::EventLoop::now();
     if (!isUsable()) return BlockedAction::serverUnavailable;
     if (now >= attempt.latestStart() || attempt.deadline() - now < protocol::kMinForwardedTimeout)
@@ -111,7 +113,7 @@
     return std::nullopt;
 }
 
-// Not the one that has idled longest, so that the others can reach their idle timeout.
+// Reusing the most recently used connection lets the others reach their idle timeout.
 UpstreamConnection* UpstreamServer::mostRecentlyUsedIdle() {
     UpstreamConnection* best = nullptr;
     for (auto& connection : connections_)
@@ -151,16 +153,17 @@
         return endAttempt(attempt,
                           connectingCount() > 0 ? AttemptOutcome::connectFailed : AttemptOutcome::notSent);
     }
-    // Closed before the attempt's end is reported: a retry must not start while this one is in flight.
+    // The connection is closed before the attempt's end is reported: a retry must not start while this
+    // attempt is in flight.
     AttemptOutcome outcome =
         connection->isWritten() ? AttemptOutcome::timedOut : AttemptOutcome::connectFailed;
     const bool isStreamStalled = attempt.firstByteAt() != 0;
     if (isStreamStalled) outcome = AttemptOutcome::failed;
     connection->releaseAttempt();
     remove(*connection);
-    // Not a byte came from there while the attempt was in flight: a machine that is cut off leaves its
-    // connections open and silent. On a new connection that shows as not executed, on these only as one more
-    // attempt that may have executed.
+    // The server sent no byte while the attempt was in flight. If its machine is cut off, its connections
+    // stay open and silent. The idle ones are closed: an attempt that opens a new connection fails as not
+    // executed, while one on an old connection would time out and might have executed.
     while (lastActivity_ < attempt.sentAt()) {
         UpstreamConnection* const silent = mostRecentlyUsedIdle();
         if (!silent) break;
@@ -186,7 +189,7 @@
     pool_.handler().onAttemptEnded(attempt, {outcome, {}});
 }
 
-// The connection is destroyed after its place was given up, and before this returns.
+// Destroys the connection on return, when it is no longer in `connections_` or counted by the pool.
 void UpstreamServer::remove(UpstreamConnection& connection) {
     const auto it = std::find_if(connections_.begin(), connections_.end(),
                                  [&](auto& candidate) { return candidate.get() == &connection; });
--- a/src/proxy/upstream_server.hpp
+++ b/src/proxy/upstream_server.hpp
@@ -18,9 +18,9 @@
 
 namespace poppyscale::proxy {
 
-// Guarantees that an attempt is written only while the server is listed as ready, is not ejected, and the
-// attempt's time has not passed; each attempt that was sent ends with exactly one call of
-// `AttemptHandler::onAttemptEnded`. Opens as many connections as attempts wait for one, within the pool's
+// Guarantees that an attempt is written only while the server is listed as ready and is not ejected, and
+// before the attempt's deadline; each attempt passed to `send` ends with exactly one call of
+// `AttemptHandler::onAttemptEnded`. Opens one connection for each attempt that waits, within the pool's
 // limits. Owns its connections; the attempts belong to their requests.
 class UpstreamServer : private UpstreamConnection::Owner {
   public:
@@ -29,35 +29,37 @@
     UpstreamServer(const UpstreamServer&) = delete;
     UpstreamServer& operator=(const UpstreamServer&) = delete;
 
-    // What the endpoint list says of it. `address` is none where `host`, its text, is no address. Idle
-    // connections to an earlier address are closed; attempts that wait end as not sent unless it is usable.
+    // Applies the server's entry of the endpoint list. `host` is the address as text; `address` is none
+    // if that text is not a valid address. Closes connections without an attempt that lead to an earlier
+    // address. If the server is not usable, closes all connections without an attempt, and waiting
+    // attempts end as not sent.
     void updateEndpoint(EndpointState state, const std::optional<transport::Address>& address,
                         const std::string& host);
-    // While ejected it gets no attempts, whatever it is listed as.
+    // An ejected server gets no attempts, whatever its state in the endpoint list is.
     void setEjected(bool ejected);
     bool isOrigin() const { return isOrigin_; }
     bool isUsable() const override { return state_ == EndpointState::ready && !isEjected_; }
     bool isDraining() const { return state_ == EndpointState::draining; }
-    // Removed from the list, without connections and attempts: it may be destroyed.
+    // Whether the server may be destroyed: removed from the list, without connections and attempts.
     bool isUnused() const {
         return state_ == EndpointState::removed && connections_.empty() && waiting_.empty();
     }
 
-    // Writes the attempt's request on an idle connection, or lets it wait for one.
+    // Writes the attempt's request on an idle connection, or queues the attempt until there is one.
     void send(Attempt& attempt);
-    // Ends the attempt because its time has passed.
+    // Ends the attempt because its timeout has fired.
     void abandon(Attempt& attempt);
-    // Ends the attempt as not sent unless its request was written: no client waits for the response.
+    // No client waits for the response: ends the attempt as not sent unless its request was written.
     void withdraw(Attempt& attempt);
-    // Attempts that it was given since it was first listed.
+    // Attempts queued or written since the server was first listed.
     std::uint64_t attemptCount() const { return attemptCount_; }
 
-    // For the pool.
+    // Called by the pool.
     bool hasWaitingAttempts() const { return !waiting_.empty(); }
     void serveWaiting();
-    // Since when its longest idle connection has been idle; 0 without an idle connection.
+    // When the connection that has been idle longest became idle; 0 without an idle connection.
     Nanos oldestIdleSince() const;
-    // Only with an idle connection.
+    // Requires an idle connection.
     void closeLongestIdle();
 
   private:
@@ -67,8 +69,8 @@
     Attempt* takeNextWaiting() override;
     void remove(UpstreamConnection& connection) override;
 
-    // Why an attempt that has waited for a connection may not be written now; none if it may.
-    std::optional<BlockedAction> blockedBy(Attempt& attempt) const;
+    // Why the request of a waiting attempt must not be written now; none if it may be.
+    std::optional<BlockedAction> reasonToBlock(Attempt& attempt) const;
     void endAttempt(Attempt& attempt, AttemptOutcome outcome);
     void startOn(UpstreamConnection& connection, Attempt& attempt);
     void openConnections();
@@ -83,7 +85,7 @@
     bool isEjected_ = false;
     std::optional<transport::Address> address_;
     std::string host_;
-    Nanos lastActivity_ = 0;  // when a byte last came from there, or a connection was established
+    Nanos lastActivity_ = 0;  // when the server last sent bytes or a connection to it was established
     std::vector<std::unique_ptr<UpstreamConnection>> connections_;  // the newest last
     std::deque<Attempt*> waiting_;                                  // the oldest first
     std::uint64_t attemptCount_ = 0;
