--- a/src/transport/buffer_pool.hpp
+++ b/src/transport/buffer_pool.hpp
@@ -1,5 +1,5 @@
-// Buffers of one size, used again. The pool is bounded, which keeps peers that don't read from filling the
-// memory.
+// A bounded pool of reusable buffers of one size. The bound keeps data for peers that don't read from
+// filling the memory.
 #pragma once
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 constexpr std::size_t kBufferSize = 16 * 1024;  // bytes
 using Buffer = std::array<char, kBufferSize>;
 
-// Not thread-safe: of one event loop.
+// Not thread-safe: a pool belongs to one event loop.
 class BufferPool {
   public:
-    // `capacity`: buffers in use at a time.
+    // `capacity` is the number of buffers that may be in use at a time.
     explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
 
-    // Null when all are in use. A buffer that is given back before the next event may exceed the capacity:
-    // peers that don't read must not keep the others from being read.
+    // Null when `capacity` buffers are in use. With `forThisEvent`, for a buffer that is returned before the
+    // next event, the capacity may be exceeded: peers that don't read must not prevent reads from others.
     std::unique_ptr<Buffer> take(bool forThisEvent = false) {
         if (free_.empty()) {
             if (allocated_ >= capacity_ && !forThisEvent) return nullptr;
@@ -31,13 +31,13 @@
         free_.pop_back();
         return buffer;
     }
-    // Returns a buffer that `take` gave.
+    // Returns a buffer to the pool.
     void give(std::unique_ptr<Buffer> buffer) { free_.push_back(std::move(buffer)); }
 
     // Buffers that may still be taken.
     std::size_t available() const { return capacity_ - std::min(allocated_ - free_.size(), capacity_); }
     std::size_t capacity() const { return capacity_; }
-    // Buffers in use beyond a lower capacity stay in use.
+    // A lower capacity does not affect buffers that are in use.
     void setCapacity(std::size_t capacity) { capacity_ = capacity; }
 
   private:
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -30,8 +30,8 @@
     return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
-// What libuv refers to. It outlives its Connection until libuv has closed the handle; `handler` is null from
-// then on.
+// The state that libuv refers to. It outlives its Connection until libuv has closed the handle;
+// `handler` is null from the Connection's destruction on.
 struct Connection::Handle {
     struct WriteChunk {
         std::unique_ptr<Buffer> buffer;
@@ -48,10 +48,10 @@
     uv_write_t write{};
     Handler* handler;
     std::unique_ptr<Buffer> readBuffer;
-    // What the kernel has not taken yet. libuv has the first chunk; small writes share a buffer.
+    // Chunks that the kernel has not taken yet. The first is passed to libuv; small writes share a buffer.
     std::deque<WriteChunk> queue;
     std::size_t queuedBytes = 0;
-    bool isWriting = false;  // libuv has the first chunk
+    bool isWriting = false;  // libuv is writing the first chunk
     std::uint64_t sentBytes = 0;
     bool hasPeerFinished = false;
 
@@ -67,7 +67,7 @@
     void disableNagle() {
         if (kind == Kind::tcp) uv_tcp_nodelay(&socket.tcp, 1);
     }
-    // libuv reports an end of stream also where bytes and a reset have come together.
+    // libuv also reports an end of stream when bytes and a reset have arrived together.
     bool hasNoSocketError() {
         uv_os_fd_t descriptor{};
         int error = 0;
@@ -104,15 +104,16 @@
                     }) == 0;
         return isWriting;
     }
-    // By libuv's own count, as it calls back one iteration after the kernel took the last byte.
+    // Uses libuv's count for the first chunk: libuv calls back one iteration after the kernel took its
+    // last byte.
     std::size_t unsentBytes() const {
         if (!isWriting) return queuedBytes;
-        const auto* const s = reinterpret_cast<const uv_stream_t*>(&socket);
-        return queuedBytes - queue.front().size + uv_stream_get_write_queue_size(s);
+        const auto* const uvStream = reinterpret_cast<const uv_stream_t*>(&socket);
+        return queuedBytes - queue.front().size + uv_stream_get_write_queue_size(uvStream);
     }
     void onWritten(int status) {
         isWriting = false;
-        // What failed stays counted as unsent: callers must not take it for written.
+        // Bytes whose write failed stay counted as unsent: callers must not take them for written.
         if (status == 0) {
             queuedBytes -= queue.front().size;
             sentBytes += queue.front().size;
@@ -179,7 +180,7 @@
         },
         [](uv_stream_t* s, ssize_t count, const uv_buf_t*) {
             Handle& handle = Handle::of(s->data);
-            // Taken out before the call, since the handler may destroy this connection.
+            // Moved out before the call, since the handler may destroy this connection.
             auto buffer = std::move(handle.readBuffer);
             if (count == UV_EOF) handle.hasPeerFinished = handle.hasNoSocketError();
             if (handle.handler && count > 0)
@@ -211,12 +212,12 @@
     uv_shutdown(&handle_->shutdown, handle_->stream(), [](uv_shutdown_t*, int) {});
 }
 
-// The result of recv: bytes, 0 at the end of the stream, below 0 an error, as also for an open connection
-// without data.
+// The result of recv: above 0 with unread bytes, 0 at the end of the stream or without a descriptor, and
+// below 0 for an error, which includes an open connection without data (EAGAIN).
 long Connection::peek() const {
     char byte = 0;
-    const int from = descriptor();
-    return from < 0 ? 0 : recv(from, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const int socketDescriptor = descriptor();
+    return socketDescriptor < 0 ? 0 : recv(socketDescriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
 
 int Connection::descriptor() const {
@@ -227,8 +228,8 @@
 bool Connection::hasPeerFinished() const { return handle_->hasPeerFinished; }
 
 bool Connection::hasPeerClosed() const {
-    pollfd at{descriptor(), POLLRDHUP, 0};
-    return at.fd < 0 || ::poll(&at, 1, 0) > 0;
+    pollfd polled{descriptor(), POLLRDHUP, 0};
+    return polled.fd < 0 || ::poll(&polled, 1, 0) > 0;
 }
 
 bool Connection::hasUnreadBytes() const { return peek() > 0; }
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -1,4 +1,4 @@
-// A connection that was opened here or accepted: TCP, or a Unix socket.
+// An outgoing or accepted connection over TCP or a Unix socket.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,11 +15,12 @@
 
 using Address = sockaddr_in;
 
-// "10.1.0.18:6379"; nothing when the text is not of that form.
+// Parses an IPv4 address with its port, such as "10.1.0.18:6379"; none if the text is not of that form.
 std::optional<Address> parseAddress(const std::string& text);
 bool sameAddress(const Address& a, const Address& b);
 
-// Reports to its handler until it is destroyed, which closes it and which the handler may do in any callback.
+// Reports to its handler until it is destroyed, which closes the connection. The handler may destroy it
+// in any callback.
 class Connection {
   public:
     class Handler {
@@ -29,7 +30,7 @@
         virtual void onConnected(bool /*isConnected*/) {}
         // `bytes` are valid during the call.
         virtual void onData(std::string_view bytes) = 0;
-        // The peer closed the connection, or it failed.
+        // The peer closed the connection, or the connection failed.
         virtual void onClosed() = 0;
         // The kernel has taken all that was written.
         virtual void onDrained() {}
@@ -41,29 +42,29 @@
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    // `onConnected` follows; false when it does not.
+    // Starts to connect; `onConnected` follows. False when that failed at once: no callback follows.
     bool connect(const Address& address);
-    // Owns a connected descriptor from then on; false when it can't be used, and it is closed.
+    // Takes ownership of a connected descriptor. False when it can't be used; it is closed then.
     bool adopt(int descriptor);
     void setReading(bool on);
-    // False when the peer is gone or the pool is empty; the connection is of no further use then.
+    // False when the write failed or the pool is empty; the connection can't be used any more then.
     bool write(std::string_view bytes);
     // Bytes written that the kernel has not taken yet.
     std::size_t unsentBytes() const;
-    // Bytes that the kernel has taken since the connection was made.
+    // Bytes that the kernel has taken since the connection was established.
     std::uint64_t sentBytes() const;
-    // Ends the sending side after what is written; reading goes on.
+    // Shuts down the sending side once all written bytes are sent; reading continues.
     void shutdownWrite();
-    // The kernel has bytes that were not read.
+    // Whether the kernel has unread bytes.
     bool hasUnreadBytes() const;
-    // The kernel has neither unread bytes nor an end of the stream.
+    // Whether the kernel has neither unread bytes nor the end of the stream.
     bool isIdle() const;
-    // The peer has ended its stream in order, and no reset came with it.
+    // Whether the end of the peer's stream was read, without a reset.
     bool hasPeerFinished() const;
-    // The peer has ended or reset the connection, which is known before what it sent earlier is read.
+    // Whether the peer has ended or reset the connection. Known even while earlier bytes are unread.
     bool hasPeerClosed() const;
 
-    // The system's descriptor; below 0 without one.
+    // The socket's descriptor; below 0 without one.
     int descriptor() const;
 
   private:
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -6,8 +6,8 @@
 namespace poppyscale::transport {
 namespace {
 
-constexpr Nanos kMaxPollDuration =
-    20 * kMillisecond;                           // short, so that being held up within a poll is noticed
+// Short, so that a poll that ends late shows that the process was held up.
+constexpr Nanos kMaxPollDuration = 20 * kMillisecond;
 constexpr Nanos kMinHoldUp = 10 * kMillisecond;  // shorter delays occur on any busy machine
 constexpr Nanos kClockOffset = 1'000'000 * kMillisecond * 1000;
 
@@ -27,7 +27,8 @@
     for (auto* handle : {reinterpret_cast<uv_handle_t*>(&prepare_), reinterpret_cast<uv_handle_t*>(&check_),
                          reinterpret_cast<uv_handle_t*>(&timer_)})
         uv_close(handle, nullptr);
-    // Handles close in an iteration of their own, and a loop that was stopped before it ran would close none.
+    // The handles are closed in a further iteration, and the first call does not run one if `stop` was
+    // called before it.
     while (uv_run(&loop_, UV_RUN_DEFAULT) != 0) {
     }
     uv_loop_close(&loop_);
@@ -45,46 +46,47 @@
 }
 
 void EventLoop::beforePoll() {
-    if (iteration_) iteration_();
-    // libuv's timer only ends the poll and ours fire after it, so that a response that has arrived is read
-    // before its attempt times out. libuv counts whole milliseconds from a time that it caches; one that ends
-    // too early is started again.
+    if (iterationCallback_) iterationCallback_();
+    // libuv's timer only ends the poll, and the timers of this class fire after it, so that a response that
+    // has arrived is read before its attempt times out. libuv counts whole milliseconds from a cached time
+    // and may end the poll too early; the next iteration then polls again.
     uv_update_time(&loop_);
-    const Nanos began = now();
-    Nanos left = kMaxPollDuration;
-    if (!timers_.empty()) left = std::clamp<Nanos>(timers_.begin()->first - began, 0, kMaxPollDuration);
-    const auto wait = static_cast<std::uint64_t>((left + kMillisecond - 1) / kMillisecond);
+    const Nanos pollStart = now();
+    Nanos pollDuration = kMaxPollDuration;
+    if (!timers_.empty())
+        pollDuration = std::clamp<Nanos>(timers_.begin()->first - pollStart, 0, kMaxPollDuration);
+    const auto pollMs = static_cast<std::uint64_t>((pollDuration + kMillisecond - 1) / kMillisecond);
     uv_timer_start(
-        &timer_, [](uv_timer_t*) {}, wait, 0);
-    pollDeadline_ = began + left;
-    // Sockets are read within the poll. After a long iteration what is there may be as old as that iteration;
-    // how late the poll itself returns is only known by then.
-    const bool wasHeldUp = began - lastPollEnd_ > kMinHoldUp && lastPollEnd_ != 0;
+        &timer_, [](uv_timer_t*) {}, pollMs, 0);
+    pollDeadline_ = pollStart + pollDuration;
+    // Sockets are read within the poll. After a long iteration, bytes may have arrived as early as its
+    // start, the end of the last poll. Whether this poll ends late is only known once it does.
+    const bool wasHeldUp = pollStart - lastPollEnd_ > kMinHoldUp && lastPollEnd_ != 0;
     knownArrival_ = wasHeldUp ? lastPollEnd_ : 0;
     isPolling_ = true;
 }
 
 Nanos EventLoop::earliestArrival() const {
-    const Nanos at = now();
-    if (!isPolling_) return at;
+    const Nanos currentTime = now();
+    if (!isPolling_) return currentTime;
     if (knownArrival_ != 0) return knownArrival_;
-    return at - pollDeadline_ > kMinHoldUp ? pollDeadline_ : at;
+    return currentTime - pollDeadline_ > kMinHoldUp ? pollDeadline_ : currentTime;
 }
 
 void EventLoop::afterPoll() {
     isPolling_ = false;
-    // Held up in the poll, libuv may have returned without reading: what has arrived by then is read first,
-    // by an iteration that does not wait.
-    const Nanos at = now();
-    const bool wasHeldUp = at - pollDeadline_ > kMinHoldUp;
-    lastPollEnd_ = wasHeldUp ? pollDeadline_ : at;
+    // If the process was held up in the poll, libuv may have returned without reading. Timers that are due
+    // then fire after one more iteration, which does not wait and reads what has arrived.
+    const Nanos pollEnd = now();
+    const bool wasHeldUp = pollEnd - pollDeadline_ > kMinHoldUp;
+    lastPollEnd_ = wasHeldUp ? pollDeadline_ : pollEnd;
     mayHaveUnread_ = wasHeldUp && !mayHaveUnread_;
     if (!mayHaveUnread_) fireTimers();
-    if (iteration_) iteration_();
+    if (iterationCallback_) iterationCallback_();
 }
 
 void EventLoop::fireTimers() {
-    // Callbacks may start timers: those that are due at once wait for the next iteration.
+    // A callback may start a timer for the current time: that timer fires in the next iteration.
     const Nanos until = now();
     while (!timers_.empty() && timers_.begin()->first <= until) {
         Timer* const timer = timers_.begin()->second;
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -13,8 +13,8 @@
 
 class Timer;
 
-// Runs libuv's loop on the calling thread. Everything in this folder belongs to one loop and is used on its
-// thread only; it has to be destroyed before the loop is.
+// Runs libuv's loop on the calling thread. Each object of this folder belongs to one loop, is used on the
+// loop's thread only, and has to be destroyed before the loop.
 class EventLoop {
   public:
     EventLoop();
@@ -23,23 +23,22 @@
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
-    // The monotonic clock, set forward so that a process on a machine that has just booted can name earlier
-    // times.
+    // The monotonic clock, set forward by a constant so that times before the machine's boot are positive.
     static Nanos now();
-    // The earliest moment at which what is being read may have arrived in the kernel: now, unless the process
-    // was held up (stopped, or short of processor time). A client has been waiting since then, and a server
-    // had answered by then.
+    // The earliest time at which bytes that are being read may have arrived in the kernel: now, unless the
+    // process was held up (stopped, or short of processor time). A client's waiting time counts from then,
+    // and a server's response time ends then.
     Nanos earliestArrival() const;
-    // For libuv's own calls.
+    // For calls of libuv functions.
     uv_loop_t* raw() { return &loop_; }
-    // Sets what is called before and after each poll: libuv runs its timers before polling, and what they
-    // cause must not wait until a socket becomes readable.
-    void onIteration(std::function<void()> callback) { iteration_ = std::move(callback); }
+    // Sets a callback that runs before and after each poll: libuv runs its timers before polling, and what
+    // they cause must not wait until a socket becomes readable.
+    void onIteration(std::function<void()> callback) { iterationCallback_ = std::move(callback); }
     // Returns after `stop`.
     void run();
     void stop() { uv_stop(&loop_); }
 
-    // For Timer alone: `timer` fires once at `at`, unless it is removed before.
+    // Called by Timer only: `timer` fires once at `at`, unless it is removed before.
     void addTimer(Timer& timer, Nanos at) { timers_.emplace(at, &timer); }
     void removeTimer(Timer& timer, Nanos at) { timers_.erase({at, &timer}); }
 
@@ -52,17 +51,17 @@
     uv_prepare_t prepare_{};
     uv_check_t check_{};
     uv_timer_t timer_{};
-    std::function<void()> iteration_;
+    std::function<void()> iterationCallback_;
     std::set<std::pair<Nanos, Timer*>> timers_;
-    Nanos pollDeadline_ = 0;  // when the poll ends at the latest, if nothing holds the process up
+    Nanos pollDeadline_ = 0;  // the poll ends later only if the process is held up
     Nanos lastPollEnd_ = 0;   // 0 before the first poll
-    Nanos knownArrival_ = 0;  // `earliestArrival` where it is known before the poll, else 0
+    Nanos knownArrival_ = 0;  // `earliestArrival` if known before the poll, else 0
     bool isPolling_ = false;
-    bool mayHaveUnread_ =
-        false;  // the last poll was held up and may have read nothing: timers wait for another one
+    // The last poll was held up and may have read nothing: timers wait for another poll.
+    bool mayHaveUnread_ = false;
 };
 
-// Calls back once for each time that it is started. Stops when it is destroyed, which its callback may do.
+// Calls back once for each start. Destroying the timer stops it; its callback may destroy it.
 class Timer {
   public:
     Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
@@ -75,7 +74,7 @@
     void stop();
     bool isActive() const { return at_ != 0; }
 
-    // For the loop alone, which has removed the timer.
+    // Called by the loop only, after it has removed the timer.
     void expire();
 
   private:
@@ -84,7 +83,7 @@
     Nanos at_ = 0;  // 0 while it is not active
 };
 
-// Calls back on the loop's thread for each signal `number` to the process, for as long as this lives.
+// Calls back on the loop's thread for each signal `number` to the process until it is destroyed.
 class Signal {
   public:
     Signal(EventLoop& loop, int number, std::function<void()> callback);
@@ -93,7 +92,7 @@
     Signal& operator=(const Signal&) = delete;
 
   private:
-    uv_signal_t* handle_;  // libuv's until its close callback
+    uv_signal_t* handle_;  // owned; freed by libuv's close callback
     std::function<void()> callback_;
 };
 
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -15,17 +15,21 @@
 constexpr int kBacklog = 4096;
 // Keeps a burst of new clients from delaying the connected ones.
 constexpr int kMaxAcceptsPerIteration = 256;
-// After a failure for lack of descriptors or memory, which others may free at any time.
+// How long accepting pauses when descriptors or memory run out, which may be freed at any time.
 constexpr Nanos kExhaustionPause = 10 * kMillisecond;
-// While the backlog is emptied before the listener closes.
+// Failed accepts after which `acceptBacklog` stops.
 constexpr int kMaxBacklogFailures = 100;
 
 }  // namespace
 
-// libuv's own listener closes every connection in the backlog when the system is out of descriptors for a
-// moment, although their clients have sent requests by then. So the socket is polled, and accepted on here.
+// libuv's own listener closes every connection in the backlog when the system is briefly out of
+// descriptors, although the clients may have sent requests by then. So libuv only polls the socket, and
+// connections are accepted here.
 Listener::Listener(EventLoop& loop, AcceptHandler onAccept, Connection::Kind kind)
-    : loop_(loop), onAccept_(std::move(onAccept)), kind_(kind), retry_(loop, [this] { setPolling(true); }) {}
+    : loop_(loop),
+      onAccept_(std::move(onAccept)),
+      kind_(kind),
+      retryTimer_(loop, [this] { setPolling(true); }) {}
 
 Listener::~Listener() {
     if (poll_)
@@ -67,8 +71,8 @@
 std::string Listener::listen(const Address& address) {
     descriptor_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor_ < 0) return closeAfterError();
-    const int yes = 1;
-    if (::setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) != 0 ||
+    const int enabled = 1;
+    if (::setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) != 0 ||
         ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
         return closeAfterError();
     return startListening();
@@ -81,18 +85,18 @@
 
 std::string Listener::listenAtPath(const std::string& path) {
     const std::string temporaryPath = path + "." + std::to_string(::getpid());
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    if (temporaryPath.size() >= sizeof at.sun_path) return uv_strerror(UV_ENAMETOOLONG);
-    std::memcpy(at.sun_path, temporaryPath.data(), temporaryPath.size());
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    if (temporaryPath.size() >= sizeof address.sun_path) return uv_strerror(UV_ENAMETOOLONG);
+    std::memcpy(address.sun_path, temporaryPath.data(), temporaryPath.size());
     descriptor_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor_ < 0) return closeAfterError();
     ::unlink(temporaryPath.c_str());
-    // By the mask, since between bind and chmod anyone could open it.
+    // The mask restricts access, since between bind and a later chmod anyone could open the socket.
     const mode_t mask = ::umask(0177);
-    const int bound = ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&at), sizeof at);
+    const int bindStatus = ::bind(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address);
     ::umask(mask);
-    if (bound != 0) return closeAfterError();
+    if (bindStatus != 0) return closeAfterError();
     std::string problem = startListening();
     if (problem.empty() && ::rename(temporaryPath.c_str(), path.c_str()) != 0) problem = std::strerror(errno);
     if (!problem.empty()) ::unlink(temporaryPath.c_str());
@@ -103,16 +107,16 @@
     const int accepted = ::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted < 0) {
         if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptStatus::backlogEmpty;
-        const bool isFull = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-        // Other errors concern the connection that waited, which is gone, or this call alone.
-        return isFull ? AcceptStatus::exhausted : AcceptStatus::retry;
+        const bool isExhausted = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+        // Other errors concern only this call or the first connection in the backlog, which is gone.
+        return isExhausted ? AcceptStatus::exhausted : AcceptStatus::retry;
     }
-    bool adopted = false;
+    bool isAdopted = false;
     onAccept_([&](Connection& connection) {
-        adopted = true;
+        isAdopted = true;
         return connection.adopt(accepted);
     });
-    if (!adopted) ::close(accepted);
+    if (!isAdopted) ::close(accepted);
     return AcceptStatus::accepted;
 }
 
@@ -126,8 +130,8 @@
 
 void Listener::pause(int error) {
     setPolling(false);
-    retry_.start(EventLoop::now() + kExhaustionPause);
-    if (exhausted_) exhausted_(std::strerror(error));
+    retryTimer_.start(EventLoop::now() + kExhaustionPause);
+    if (onExhausted_) onExhausted_(std::strerror(error));
 }
 
 void Listener::acceptBacklog() {
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -10,16 +10,15 @@
 
 namespace poppyscale::transport {
 
-// Accepts connections for as long as it lives, and closes its descriptor at the end. Whoever waits while the
-// system has no descriptor or memory left stays in the backlog and is accepted later; nobody is closed
-// unanswered for that.
+// Accepts connections until it is destroyed, which closes its descriptor. While the system has no
+// descriptor or memory left, connections stay in the backlog and are accepted later; none is closed for
+// that reason.
 class Listener {
   public:
-    // Makes the connection and passes it to `finish`, which adopts the accepted descriptor; false when that
-    // fails. Without a call of `finish` the client is closed.
+    // Creates a Connection and passes it to `finish`, which makes it adopt the accepted descriptor and
+    // returns false if that fails. If `finish` is not called, the accepted descriptor is closed.
     using AcceptHandler = std::function<void(const std::function<bool(Connection&)>& finish)>;
-    // Accepting pauses because the system has nothing left for another connection; called for each such
-    // pause.
+    // Called each time that accepting pauses because the system has no descriptor or memory left.
     using ExhaustionHandler = std::function<void(std::string_view reason)>;
 
     Listener(EventLoop& loop, AcceptHandler onAccept, Connection::Kind kind = Connection::Kind::tcp);
@@ -27,20 +26,20 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    void onExhausted(ExhaustionHandler handler) { exhausted_ = std::move(handler); }
+    void onExhausted(ExhaustionHandler handler) { onExhausted_ = std::move(handler); }
 
-    // Each of the three returns an empty string once it listens, else the system's error.
+    // `listen`, `listenAtPath` and `adopt` return an empty string on success, else the system's error.
     std::string listen(const Address& address);
-    // A Unix socket that only its owner may open. A socket that stands at that path already is replaced in
-    // one step, so that nobody finds the path empty in between.
+    // Listens on a Unix socket that only its owner may open. An existing socket at that path is replaced
+    // atomically, so that there is a socket at the path at any time.
     std::string listenAtPath(const std::string& path);
     // Listens on a socket that another process has bound, and owns `descriptor` from then on.
     std::string adopt(int descriptor);
 
-    // Below 0 while it does not listen.
+    // The listening socket's descriptor; below 0 without one.
     int descriptor() const { return descriptor_; }
-    // Accepts all that the backlog holds: the kernel has completed those connections, so their clients expect
-    // a response.
+    // Accepts all connections in the backlog: the kernel has established them, so their clients expect a
+    // response.
     void acceptBacklog();
 
   private:
@@ -55,11 +54,11 @@
 
     EventLoop& loop_;
     AcceptHandler onAccept_;
-    ExhaustionHandler exhausted_;
+    ExhaustionHandler onExhausted_;
     Connection::Kind kind_;
     int descriptor_ = -1;
-    uv_poll_t* poll_ = nullptr;  // libuv's until its close callback
-    Timer retry_;                // ends the pause after an exhaustion
+    uv_poll_t* poll_ = nullptr;  // owned; freed by libuv's close callback
+    Timer retryTimer_;           // ends the pause after descriptors or memory ran out
 };
 
 }  // namespace poppyscale::transport
