--- a/src/logging/logger.cpp
+++ b/src/logging/logger.cpp
@@ -48,12 +48,12 @@
     logger_->set_pattern(format_ == Format::json ? "%v" : "%n: %v");
 }
 
-bool Logger::mayWrite() {
+bool Logger::consumeAllowance() {
     const std::int64_t now = monotonicNowNs();
     const double replenished = maxLinesPerSecond_ * static_cast<double>(now - replenishedAtNs_) / 1e9;
     allowedLines_ = std::min(maxBurstLines_, allowedLines_ + replenished);
     replenishedAtNs_ = now;
-    // A log that nobody reads must not block the process.
+    // Writing to a full pipe whose reader has stopped reading would block the process.
     if (allowedLines_ < 1 || !isErrorOutputWritable()) {
         ++suppressedLines_;
         return false;
@@ -63,7 +63,7 @@
 }
 
 void Logger::write(spdlog::level::level_enum level, std::string_view text, nlohmann::json fields) {
-    if (!mayWrite()) return;
+    if (!consumeAllowance()) return;
     const unsigned long suppressed = suppressedLines_;
     suppressedLines_ = 0;
     if (format_ == Format::json) {
--- a/src/metrics/router_metrics.cpp
+++ b/src/metrics/router_metrics.cpp
@@ -8,7 +8,7 @@
 
 // The counts of a histogram from the first to the last bucket that is not empty.
 struct LatencyBuckets {
-    int first = 0;  // index of the first; -1 is below kMinLatencyMs
+    int first = 0;  // index of the first bucket; bucket -1 has the latencies below kMinLatencyMs
     std::vector<std::uint64_t> counts;
 };
 
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -15,30 +15,32 @@
 
 namespace poppyscale::metrics {
 
-// The version of the form that `json` writes. A reader that does not know it takes all values as unknown.
+// The version of the format that `json` writes. A reader that does not know the version takes all values as
+// unknown.
 constexpr int kFormat = 1;
 
-// Latencies are counted in buckets that grow by an eighth, so that a shift of the median by a tenth shows.
+// Each latency bucket is an eighth wider than the one before, so that a shift of the median by a tenth
+// is visible.
 constexpr int kLatencyBuckets = 118;
 constexpr double kMinLatencyMs = 0.1;
 constexpr double kMaxLatencyMs = 100'000;
 
 // Why a request was rejected.
 enum class Rejection : std::uint8_t {
-    requestLimit,        // the router had as many open requests as it may
+    requestLimit,        // by the router, at its limit of open requests
     beforeFirstAttempt,  // by the policy, before any attempt
     afterAttempt         // by the policy, after an attempt that was not executed or may be repeated
 };
 
-// Counts what a router has done since its start, by request class; staged rollouts are evaluated by it. Made
-// only where an operator's socket can read it. Used by one thread.
+// Counts requests by request class, and attempts, since the router's start. Staged rollouts compare these
+// counts. Created only if an operator's socket can read them. Used by one thread.
 class RouterMetrics {
   public:
     explicit RouterMetrics(const std::vector<RequestClass>& requestClasses);
-    // Adds request classes that are new; those that are removed keep their counters.
+    // Adds new request classes and takes over latency objectives; removed classes keep their counters.
     void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
-    // A request that the router accepted ends in one of the four below.
+    // Each accepted request ends with one of the next four calls.
     void recordAccepted(std::string_view requestClass);
     void recordSucceeded(std::string_view requestClass, Nanos latency);
     void recordRejected(std::string_view requestClass, Rejection reason);
@@ -47,10 +49,10 @@
     void recordAbandoned(std::string_view requestClass);
     void recordAttempt(bool toOrigin);
     void recordAttemptEnded(AttemptOutcome outcome, Nanos duration);
-    // One iteration of the event loop, without its wait for events.
+    // The duration of one iteration of the event loop, without its wait for events.
     void recordIteration(Nanos duration);
 
-    // All counters; the keys are mapped here alone.
+    // All counters. The members' names are mapped to the output keys only here.
     nlohmann::json json() const;
 
   private:
@@ -74,12 +76,12 @@
     std::map<std::string, RequestClassMetrics, std::less<>> requestClasses_;
     std::uint64_t attempts_ = 0;
     std::uint64_t originAttempts_ = 0;
-    std::uint64_t failed_ = 0;  // attempts, as are the four below
+    std::uint64_t failed_ = 0;  // attempts, like the four counters below
     std::uint64_t timedOut_ = 0;
     std::uint64_t connectionsLost_ = 0;
     std::uint64_t overloaded_ = 0;
     std::uint64_t connectFailed_ = 0;
-    double attemptMs_ = 0;  // time of all attempts together
+    double attemptMs_ = 0;  // total duration of the attempts that have ended
     Nanos longestIteration_ = 0;
 };
 
