--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -135,7 +135,8 @@
     if (responseBodyLeft_ == 0) responseSink_ = nullptr;
     extendTimeout();
     if (control == FlowControl::full && responseSink_) {
-        // The client reads slowly. Its own connection limits for how long, so this timeout is stopped.
+        // The client reads slowly. Its own connection limits for how long it may, so the attempt's timeout
+        // is stopped.
         connection_.setReading(false);
         attempt_->stopTimeout();
     }
--- a/src/proxy/upstream_server.cpp
+++ b/src/proxy/upstream_server.cpp
@@ -161,9 +161,9 @@
     if (isStreamStalled) outcome = AttemptOutcome::failed;
     connection->releaseAttempt();
     remove(*connection);
-    // The server sent no byte while the attempt was in flight. If its machine is cut off, its connections
-    // stay open and silent. The idle ones are closed: an attempt that opens a new connection fails as not
-    // executed, while one on an old connection would time out and might have executed.
+    // If the server sent no byte while the attempt was in flight, its machine may be cut off, which leaves
+    // its connections open and silent. The idle ones are closed then: the next attempt on a new connection
+    // fails as not executed, while on an old one it would time out and might have executed.
     while (lastActivity_ < attempt.sentAt()) {
         UpstreamConnection* const silent = mostRecentlyUsedIdle();
         if (!silent) break;
--- a/src/proxy/upstream_server.hpp
+++ b/src/proxy/upstream_server.hpp
@@ -19,7 +19,7 @@
 namespace poppyscale::proxy {
 
 // Guarantees that an attempt is written only while the server is listed as ready and is not ejected, and
-// before the attempt's deadline; each attempt passed to `send` ends with exactly one call of
+// before the attempt's deadline and latest start; each attempt passed to `send` ends with exactly one call of
 // `AttemptHandler::onAttemptEnded`. Opens one connection for each attempt that waits, within the pool's
 // limits. Owns its connections; the attempts belong to their requests.
 class UpstreamServer : private UpstreamConnection::Owner {
--- a/tests/attempt_deadline_test.cpp
+++ b/tests/attempt_deadline_test.cpp
@@ -1,7 +1,7 @@
-// The client's remaining time that an attempt forwards to its server (`d` of the info list) is never more
-// than what is left when the attempt is written. The elapsed times here are lower bounds of those at the
-// router, so that the checks hold however slow the machine is: the router had the request before its first
-// attempt arrived, and wrote the next attempt after that one got its response.
+// The remaining time that an attempt forwards to its server (`d` of the info list) never exceeds what is
+// left of the client's timeout when the attempt is written. The elapsed times that are measured here are
+// lower bounds of those at the router, so the checks hold on a slow machine, too: the router had the request
+// before the first attempt arrived at its server, and wrote the next attempt after the response to the first.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -17,9 +17,9 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr long kClientTimeoutMs = 6'000;
-constexpr int kResponseDelayMs = 300;  // of the servers here
+constexpr int kResponseDelayMs = 300;  // before a server responds or accepts
 
-nlohmann::json patientStart() {
+nlohmann::json startWithLongTimeouts() {
     auto start = smallStart();
     start["settings"]["allowed"]["connectTimeoutUs"] = 5'000'000;
     for (auto& requestClass : start["settings"]["verbs"]) {
@@ -37,7 +37,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - since).count();
 }
 
-// The item `d` of an info list; -1 where there is none.
+// The item `d` of an info list; -1 if there is none.
 long forwardedTimeout(const std::string& info) {
     const auto at = (',' + info).find(",d=");
     return at == std::string::npos ? -1 : std::stol(info.substr(at + 2));
@@ -63,8 +63,8 @@
 
 }  // namespace
 
-TEST_CASE("after a slow cache miss the origin is told the remaining time") {
-    Stage stage(1, patientStart());
+TEST_CASE("Forwards the remaining time to the origin after a slow cache miss") {
+    Stage stage(1, startWithLongTimeouts());
     Socket client = stage.client();
     client.say(get("k", infoOf("read", "k")));
     Socket cache = stage.caches[0].accept();
@@ -83,19 +83,19 @@
     CHECK(client.answer() == "V");
 }
 
-TEST_CASE("a retry after a reset forwards the remaining time, at a cache server and at the origin") {
-    Stage stage(2, patientStart());
+TEST_CASE("Forwards the remaining time to another cache server, and to the origin, after a reset") {
+    Stage stage(2, startWithLongTimeouts());
     Socket client = stage.client();
     client.say(get("k", infoOf("read", "k")));
-    // The router selects which of the two comes first.
-    const bool second = stage.caches[0].quiet(500);
-    Socket cache = stage.caches[second ? 1 : 0].accept();
+    // The router selects which of the two cache servers gets the first attempt.
+    const bool isSecondSelected = stage.caches[0].quiet(500);
+    Socket cache = stage.caches[isSecondSelected ? 1 : 0].accept();
     readTimeoutAtCache(cache);
     const auto arrivedAt = Clock::now();
     usleep(kResponseDelayMs * 1'000);
     long elapsed = elapsedMsSince(arrivedAt);
     cache.reset();
-    Socket other = stage.caches[second ? 0 : 1].accept();
+    Socket other = stage.caches[isSecondSelected ? 0 : 1].accept();
     const long atCache = readTimeoutAtCache(other);
     CHECK(atCache > 0);
     CHECK(atCache <= kClientTimeoutMs - elapsed);
@@ -110,10 +110,10 @@
     CHECK(client.answer() == "V");
 }
 
-TEST_CASE("a write that the origin rejects forwards the remaining time when it is retried") {
+TEST_CASE("Forwards the remaining time when a write is retried after the origin has rejected it") {
     for (const std::string requestClass : {"mark", "pay"}) {
         CAPTURE(requestClass);
-        Stage stage(1, patientStart());
+        Stage stage(1, startWithLongTimeouts());
         Socket client = stage.client();
         client.say(set("k", infoOf(requestClass, "k")));
         Socket origin = stage.origin.accept();
@@ -126,7 +126,7 @@
         const long elapsed = elapsedMsSince(arrivedAt);
         origin.say(http(503, "", "X-Rejected: 1\r\nConnection: close\r\n"));
         origin.hangUp();
-        // The router decides whether it is retried, but not what is forwarded then.
+        // The policy may decide against a retry; a retry must forward the remaining time.
         if (!client.quiet(300)) continue;
         Socket again = stage.origin.accept();
         const long forwarded = readTimeoutAtOrigin(again, "k", requestClass);
@@ -135,12 +135,12 @@
     }
 }
 
-TEST_CASE("on a connection that is established late the remaining time is forwarded") {
-    Stage stage(1, patientStart());
+TEST_CASE("Forwards the remaining time on connections that are established late") {
+    Stage stage(1, startWithLongTimeouts());
     stage.caches[0].hold();
     stage.origin.hold();
     Socket reads = stage.client(), writes = stage.client();
-    // A response shows that the router has read what was sent before it.
+    // The response to PING shows that the router has read the requests that were sent before.
     reads.say(get("r", infoOf("read", "r")));
     writes.say(set("w", infoOf("mark", "w")));
     Socket after = stage.client();
@@ -160,9 +160,9 @@
     CHECK(atOrigin <= kClientTimeoutMs - elapsed);
 }
 
-TEST_CASE("a long value forwards the remaining time, read after a miss and written on a late connection") {
+TEST_CASE("Forwards the remaining time with a long value read after a miss or written on a late connection") {
     const std::string value(200'000, 'x');
-    Stage stage(1, patientStart());
+    Stage stage(1, startWithLongTimeouts());
     stage.origin.hold();
     Socket reads = stage.client(), writes = stage.client();
     writes.say(set("w", infoOf("mark", "w"), value));
@@ -178,22 +178,23 @@
         Socket origin = stage.origin.accept();
         const auto head = origin.head();
         REQUIRE_FALSE(head.empty());
-        const bool write = head[0].starts_with("PUT");
+        const bool isWrite = head[0].starts_with("PUT");
         for (const auto& line : head) {
             if (!line.starts_with("X-Call-Info")) continue;
             const long forwarded = forwardedTimeout(line.substr(line.find(' ') + 1));
             CHECK(forwarded > 0);
-            // The write may have reached the router after the read's miss; it waited for the connection.
-            CHECK(forwarded <= kClientTimeoutMs - (write ? 1 : elapsed));
+            // The router may have received the write only after the read's miss. The write has waited for
+            // the connection, so some of its time must have passed.
+            CHECK(forwarded <= kClientTimeoutMs - (isWrite ? 1 : elapsed));
         }
-        if (write) CHECK(origin.bytes(value.size()).size() == value.size());
-        origin.say(http(200, write ? "stored" : value));
+        if (isWrite) CHECK(origin.bytes(value.size()).size() == value.size());
+        origin.say(http(200, isWrite ? "stored" : value));
     }
     CHECK(reads.answer() == value);
     CHECK(writes.answer() == "stored");
 }
 
-TEST_CASE("a request with less than a millisecond left gets a response and is not forwarded") {
+TEST_CASE("Responds to a request with less than a millisecond left, and does not forward it") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k", "c=read,t=north,d=1"));
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -1,4 +1,5 @@
-// Values over 64 KiB: in chunks cut anywhere, slow on either side, broken off midway, many at once.
+// Values over 64 KiB, which are streamed: with arbitrary chunk boundaries, slow peers on either side, values
+// that are broken off midway, and many values at once.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,9 +15,9 @@
 
 namespace {
 
-constexpr std::size_t kMebi = 1024 * 1024;
+constexpr std::size_t kMebibyte = 1024 * 1024;
 
-// Random, so that a chunk that is lost, repeated or out of order shows.
+// Random bytes, so that a lost, repeated or reordered chunk is detected.
 std::string longValue(std::size_t size, unsigned seed = 1) {
     std::mt19937 random(seed);
     std::string text(size, '\0');
@@ -24,7 +25,7 @@
     return text;
 }
 
-// Prints none of the bytes when they differ.
+// Compares in a function, so that a failing check does not print the bytes.
 bool isSame(const std::string& actual, const std::string& expected) { return actual == expected; }
 
 struct DecodedStream {
@@ -59,76 +60,74 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a long bulk string is complete however it is cut, and its last byte is withheld until its end is "
-    "right") {
+TEST_CASE("Decodes a long bulk string cut anywhere; withholds its last byte until the terminator is valid") {
     using State = protocol::RespDecoder::State;
-    const protocol::RespDecoder::Limits answers{64 * 1024, 16, 3, 128 * 1024, false, 4 * kMebi, 0};
+    const protocol::RespDecoder::Limits responseLimits{64 * 1024, 16, 3, 128 * 1024, false, 4 * kMebibyte, 0};
     const std::string value = longValue(70'001);
     for (const std::size_t size : {1UL, 2UL, 3UL, 17UL, 65'536UL, 1'000'000UL}) {
-        protocol::RespDecoder decoder(answers);
+        protocol::RespDecoder decoder(responseLimits);
         const DecodedStream decoded = decodeInChunks(decoder, hit(value) + hit("short"), size);
         CHECK(decoded.announcedLength == value.size());
         CHECK(isSame(decoded.value, value));
         CHECK(decoded.state == State::complete);
     }
     for (std::size_t cut = hit(value).size() - 30; cut < hit(value).size(); ++cut) {
-        protocol::RespDecoder decoder(answers);
+        protocol::RespDecoder decoder(responseLimits);
         std::string first = hit(value).substr(0, cut);
         CHECK(decodeInChunks(decoder, first, first.size()).state == State::more);
     }
-    std::string spoilt = hit(value);
-    spoilt.replace(spoilt.find("\r\n$3\r\nhit"), 2, "xx");
-    protocol::RespDecoder decoder(answers);
-    const DecodedStream decoded = decodeInChunks(decoder, spoilt, 4'096);
+    std::string malformed = hit(value);
+    malformed.replace(malformed.find("\r\n$3\r\nhit"), 2, "xx");
+    protocol::RespDecoder decoder(responseLimits);
+    const DecodedStream decoded = decodeInChunks(decoder, malformed, 4'096);
     CHECK(decoded.state == State::malformed);
     CHECK(isSame(decoded.value, value.substr(0, value.size() - 1)));
     for (const char* length : {"4194305", "3000000000", "-5", "99999999999999999999", "7x"}) {
-        protocol::RespDecoder other(answers);
+        protocol::RespDecoder other(responseLimits);
         CHECK(decodeInChunks(other, "*3\r\n$" + std::string(length) + "\r\nabc", 64).state ==
               State::malformed);
     }
-    // Only as that item: no long key, no long read-through result.
-    protocol::RespDecoder elsewhere(answers);
+    // Only the item that holds the value may be long; a key or a read-through result may not.
+    protocol::RespDecoder elsewhere(responseLimits);
     CHECK(decodeInChunks(elsewhere, "*3\r\n$1\r\nv\r\n$70001\r\n", 64).state == State::malformed);
 }
 
-TEST_CASE("a long HTTP body is streamed; over 4 MiB, without a length or of an error it is malformed") {
+TEST_CASE("Streams a long HTTP body; malformed if over 4 MiB, without a length or of an error response") {
     using State = protocol::HttpResponse::State;
     const std::string value = longValue(100'000);
     for (const std::size_t size : {1UL, 7UL, 50'000UL, 200'000UL}) {
-        protocol::HttpResponse answer(64 * 1024, 4 * kMebi);
+        protocol::HttpResponse response(64 * 1024, 4 * kMebibyte);
         const std::string text = http(200, value);
-        std::string got;
+        std::string body;
         auto state = State::more;
         for (std::size_t at = 0; at < text.size() && state == State::more; at += size) {
-            state = answer.feed(std::string_view(text).substr(at, size));
-            got += answer.chunk();
+            state = response.feed(std::string_view(text).substr(at, size));
+            body += response.chunk();
         }
         CHECK(state == State::complete);
-        CHECK(isSame(got, value));
-        CHECK(answer.streamedLength() == value.size());
+        CHECK(isSame(body, value));
+        CHECK(response.streamedLength() == value.size());
     }
     for (const std::string& text :
          {http(500, value), "HTTP/1.1 200 x\r\nContent-Length: 4194305\r\n\r\n" + value,
           "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n186A0\r\n" + value + "\r\n0\r\n\r\n"}) {
-        protocol::HttpResponse answer(64 * 1024, 4 * kMebi);
-        CHECK(answer.feed(text) == State::malformed);
+        protocol::HttpResponse response(64 * 1024, 4 * kMebibyte);
+        CHECK(response.feed(text) == State::malformed);
     }
 }
 
-TEST_CASE("4 MiB from a cache server and from the origin reach the client complete, the first bytes early") {
+TEST_CASE("Streams 4 MiB from a cache server and from the origin; the first bytes don't wait for the rest") {
     Stage stage;
-    const std::string value = longValue(4 * kMebi);
+    const std::string value = longValue(4 * kMebibyte);
     Socket client = stage.client();
     client.say(get("k"));
     Socket cache = stage.caches[0].accept();
     cache.command();
-    const std::string answer = hit(value);
-    cache.say(answer.substr(0, 100'000));
+    const std::string response = hit(value);
+    cache.say(response.substr(0, 100'000));
     CHECK(client.line() == "$4194304");
     CHECK(isSame(client.bytes(90'000), value.substr(0, 90'000)));
-    std::jthread sending([&] { cache.say(answer.substr(100'000)); });
+    std::jthread sending([&] { cache.say(response.substr(100'000)); });
     CHECK(isSame(client.bytes(value.size() - 90'000), value.substr(90'000)));
     CHECK(client.line().empty());
     sending.join();
@@ -144,18 +143,18 @@
     CHECK(client.line() == "+PONG");
 }
 
-TEST_CASE("a long response in single bytes and odd chunks, with requests behind it in the same write") {
+TEST_CASE("Delivers a long response in single bytes and odd chunks, with requests pipelined behind it") {
     Stage stage;
     const std::string value = longValue(70'000);
     Socket client = stage.client();
     client.say(get("k") + array({"PING"}) + get("m"));
     Socket cache = stage.caches[0].accept(), second = stage.caches[0].accept();
     if (cache.command().at(1) == "m") std::swap(cache, second);
-    const std::string answer = hit(value);
+    const std::string response = hit(value);
     std::jthread sending([&] {
-        for (std::size_t at = 0; at < 2'000; ++at) cache.say(answer.substr(at, 1));
-        for (std::size_t at = 2'000, step = 1; at < answer.size(); at += step, step = step % 977 + 13)
-            cache.say(answer.substr(at, step));
+        for (std::size_t at = 0; at < 2'000; ++at) cache.say(response.substr(at, 1));
+        for (std::size_t at = 2'000, step = 1; at < response.size(); at += step, step = step % 977 + 13)
+            cache.say(response.substr(at, step));
     });
     CHECK(isSame(client.answer(), value));
     CHECK(client.line() == "+PONG");
@@ -164,18 +163,18 @@
     CHECK(client.answer() == "V");
 }
 
-TEST_CASE("a long response waits for one ahead of it, and buffers little meanwhile") {
+TEST_CASE("Delays a long response until the response ahead of it is sent, and buffers little meanwhile") {
     Stage stage(2);
     Socket client = stage.client();
     client.say(get("k") + get("m"));
-    std::array<Socket, 2> links{stage.caches[0].accept(), stage.caches[0].quiet(300)
-                                                              ? stage.caches[1].accept()
-                                                              : stage.caches[0].accept()};
-    const bool swapped = links[0].command().at(1) == "m";
-    Socket& first = links[swapped];
-    Socket& second = links[!swapped];
-    CHECK(links[1].command().size() == 4);
-    const std::string value = longValue(4 * kMebi);
+    std::array<Socket, 2> connections{stage.caches[0].accept(), stage.caches[0].quiet(300)
+                                                                    ? stage.caches[1].accept()
+                                                                    : stage.caches[0].accept()};
+    const bool isSwapped = connections[0].command().at(1) == "m";
+    Socket& first = connections[isSwapped];
+    Socket& second = connections[!isSwapped];
+    CHECK(connections[1].command().size() == 4);
+    const std::string value = longValue(4 * kMebibyte);
     std::jthread sending([&] { second.say(hit(value)); });
     CHECK(client.quiet(300));
     first.say(hit("V"));
@@ -183,18 +182,18 @@
     CHECK(isSame(client.answer(), value));
 }
 
-TEST_CASE("a long response that is broken off or malformed ends the client's connection, not the router") {
+TEST_CASE("Closes the client's connection, and runs on, when a long response is broken off or malformed") {
     Stage stage;
-    const std::string answer = hit(longValue(200'000));
-    for (const bool spoils : {false, true}) {
+    const std::string response = hit(longValue(200'000));
+    for (const bool isMalformed : {false, true}) {
         Socket client = stage.client();
         client.say(get("k"));
         Socket cache = stage.caches[0].accept();
         cache.command();
-        cache.say(answer.substr(0, 100'000));
+        cache.say(response.substr(0, 100'000));
         CHECK(client.line() == "$200000");
-        if (spoils) {
-            std::string rest = answer.substr(100'000);
+        if (isMalformed) {
+            std::string rest = response.substr(100'000);
             rest.replace(rest.find("\r\n$3\r\nhit"), 2, "??");
             cache.say(rest);
             CHECK(cache.ended());
@@ -207,22 +206,22 @@
     CHECK(client.say(array({"PING"})).line() == "+PONG");
 }
 
-TEST_CASE("a client that disconnects during a long response closes the cache server's connection") {
+TEST_CASE("Closes the cache server's connection when the client disconnects during a long response") {
     Stage stage;
     Socket client = stage.client();
     client.say(get("k"));
     Socket cache = stage.caches[0].accept();
     cache.command();
-    cache.say(hit(longValue(4 * kMebi)).substr(0, 200'000));
+    cache.say(hit(longValue(4 * kMebibyte)).substr(0, 200'000));
     client.line();
     client.reset();
     CHECK(cache.ended());
     CHECK(stage.client().say(array({"PING"})).line() == "+PONG");
 }
 
-TEST_CASE("a write of 4 MiB is streamed to the origin, its last byte only once its end is right") {
+TEST_CASE("Streams a write of 4 MiB to the origin; withholds its last byte until the terminator is valid") {
     Stage stage;
-    const std::string value = longValue(4 * kMebi);
+    const std::string value = longValue(4 * kMebibyte);
     Socket client = stage.client();
     client.say(writeHead(value.size()) + value.substr(0, 100'000));
     Socket origin = stage.origin.accept();
@@ -234,13 +233,13 @@
     CHECK(isSame(origin.bytes(value.size() - 100'001), value.substr(100'000, value.size() - 100'001)));
     sending.join();
     CHECK(origin.quiet(100));
-    client.say("\r\n" + array({"PING"}));  // and what follows it waits for its response
+    client.say("\r\n" + array({"PING"}));  // the PING waits for the response to the write
     CHECK(isSame(origin.bytes(1), value.substr(value.size() - 1)));
     CHECK(client.quiet(100));
     origin.say(http(200, "receipt"));
     CHECK(client.answer() == "receipt");
     CHECK(client.line() == "+PONG");
-    // In odd chunks, and another one right behind it.
+    // A write in odd chunks, with another write right behind it.
     const std::string small = longValue(66'000, 2);
     const std::string both =
         writeHead(small.size()) + small + "\r\n" + writeHead(small.size(), "9b1f-m") + small + "\r\n";
@@ -257,22 +256,23 @@
     CHECK(client.answer() == "second");
 }
 
-TEST_CASE("a long write that stops midway is not executed; one that the origin rejects is rejected") {
+TEST_CASE("Aborts a long write that stops midway; rejects one that the origin rejects or can't be sent") {
     Stage stage;
     const std::string value = longValue(300'000);
-    for (const bool broken : {false, true}) {
+    for (const bool isMalformed : {false, true}) {
         Socket client = stage.client();
         client.say(writeHead(value.size()) + value.substr(0, 200'000));
         Socket origin = stage.origin.accept();
         CHECK(readBody(origin, 200'000).size() == 200'000);
-        if (broken)
+        if (isMalformed)
             client.say(value.substr(200'000) + "??");
         else
             client.hangUp();
         CHECK(origin.ended());
-        if (broken) CHECK(client.line().starts_with("-ERR Protocol error"));
+        if (isMalformed) CHECK(client.line().starts_with("-ERR Protocol error"));
     }
-    {  // The origin rejects it before it has read all: the client gets that once the rest was read.
+    {  // The origin rejects the write before it has read all of it: the client gets the rejection when the
+       // router has read the rest.
         Socket client = stage.client();
         client.say(writeHead(value.size()) + value.substr(0, 100'000));
         Socket origin = stage.origin.accept();
@@ -284,7 +284,7 @@
         CHECK(client.line().starts_with("-BUSY "));
         CHECK(client.say(array({"PING"})).line() == "+PONG");
     }
-    {  // An origin that can't be reached.
+    {  // The origin can't be reached.
         stage.origin.shut();
         Socket client = stage.client();
         client.say(writeHead(value.size()) + value + "\r\n");
@@ -293,16 +293,16 @@
     }
 }
 
-TEST_CASE("a head may take 2 s and a long value longer, while bytes arrive; a stalled one is an error") {
+TEST_CASE("Allows 2 s for a request's head, more for a value that keeps arriving; fails a stalled one") {
     Stage stage;
     const std::string value = longValue(100'000);
-    Socket slow = stage.client(), still = stage.client(), wrong = stage.client();
+    Socket slow = stage.client(), stalled = stage.client(), unknown = stage.client();
     const std::string head = writeHead(value.size());
-    still.say(writeHead(value.size(), "9b1f-m") + value.substr(0, 1'000));
+    stalled.say(writeHead(value.size(), "9b1f-m") + value.substr(0, 1'000));
     const std::string other = array({"OBJ.PUT", "k", "9b1f-k", "c=mark,d=900"});
-    CHECK(wrong.say("*5" + other.substr(2) + "$70000\r\nabc").line() == "-ERR unknown command 'OBJ.PUT'");
-    CHECK(wrong.ended());
-    Socket taken = stage.origin.accept();
+    CHECK(unknown.say("*5" + other.substr(2) + "$70000\r\nabc").line() == "-ERR unknown command 'OBJ.PUT'");
+    CHECK(unknown.ended());
+    Socket accepted = stage.origin.accept();
     for (std::size_t at = 0; at < head.size(); ++at, usleep(20'000)) slow.say(head.substr(at, 1));
     for (std::size_t at = 0; at < 2'000; at += 500, usleep(700'000)) slow.say(value.substr(at, 500));
     slow.say(value.substr(2'000) + "\r\n");
@@ -310,42 +310,42 @@
     CHECK(isSame(readBody(origin, value.size()), value));
     origin.say(http(200, "receipt"));
     CHECK(slow.answer() == "receipt");
-    CHECK(still.line() == "-ERR Protocol error: command not whole in time");
-    CHECK(taken.ended());
+    CHECK(stalled.line() == "-ERR Protocol error: command not whole in time");
+    CHECK(accepted.ended());
 }
 
-TEST_CASE("sixty long responses to slow clients, and long writes besides, don't fill a small memory") {
+TEST_CASE("Bounds the memory of sixty long responses to slow clients, with long writes in flight") {
     auto start = smallStart();
     start["limits"]["memory_mb"] = 32;
-    setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);  // or what is freed would count as resident
+    setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);  // else freed memory would count as resident
     Stage stage(4, start);
     unsetenv("ASAN_OPTIONS");
-    const std::string answer = hit(longValue(4 * kMebi));
+    const std::string response = hit(longValue(4 * kMebibyte));
     std::vector<Socket> clients;
     std::vector<std::jthread> caches;
-    for (auto& door : stage.caches)
+    for (auto& server : stage.caches)
         caches.emplace_back([&](const std::stop_token& stop) {
-            std::vector<std::jthread> links;
+            std::vector<std::jthread> connections;
             while (!stop.stop_requested())
-                if (!door.quiet(20))
-                    links.emplace_back([&answer, made = std::make_shared<Socket>(door.accept())] {
-                        if (made->command().size() == 4) made->say(answer);
+                if (!server.quiet(20))
+                    connections.emplace_back([&response, made = std::make_shared<Socket>(server.accept())] {
+                        if (made->command().size() == 4) made->say(response);
                     });
-            // Threads that still write end with the router's connections.
+            // Killing the router closes its connections, which ends the threads that still write.
             stage.program.signal(SIGKILL);
         });
-    // And an origin that accepts long writes and reads nothing of them: both directions at once fill the
-    // buffers, and the connection with most bytes is removed, also while another one is being served.
-    std::vector<Socket> taken, writers;
+    // The origin accepts long writes and reads nothing of them. Both directions together fill the buffers,
+    // and the connection with the most bytes is removed, even while another connection is being served.
+    std::vector<Socket> accepted, writers;
     const std::string body = longValue(300'000);
     for (int i = 0; i < 24; ++i) {
         writers.push_back(stage.client());
-        writers.back().say(writeHead(4 * kMebi, "9b1f-w" + std::to_string(i)));
+        writers.back().say(writeHead(4 * kMebibyte, "9b1f-w" + std::to_string(i)));
         writers.back().cram(body);
-        // Beyond the concurrency limit of an origin that does not respond they are rejected.
-        if (!stage.origin.quiet(300)) taken.push_back(stage.origin.accept());
+        // Writes beyond the concurrency limit of an origin that does not respond are rejected.
+        if (!stage.origin.quiet(300)) accepted.push_back(stage.origin.accept());
     }
-    CHECK(taken.size() >= 4);
+    CHECK(accepted.size() >= 4);
     const std::size_t before = stage.program.residentKiB();
     for (int i = 0; i < 60; ++i) {
         clients.push_back(stage.client());
@@ -356,7 +356,7 @@
     int ended = 0;
     for (Socket& writer : writers) ended += !writer.quiet(0);
     for (Socket& client : clients) ended += !client.quiet(0) && client.waits() == 0;
-    MESSAGE(ended, " of 84 connections ended or rejected, ", taken.size(), " long writes in flight");
+    MESSAGE(ended, " of 84 connections ended or rejected, ", accepted.size(), " long writes in flight");
     const std::size_t after = stage.program.residentKiB();
     MESSAGE(before, " KiB before, ", after, " KiB with 60 long responses blocked");
     CHECK(after < before + 16'000);
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// System calls of the router that fail for a moment, in the ways that Linux documents: every request has its
-// answer.
+// Every request gets a response while a share of the router's system calls fails in the ways that Linux
+// documents.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-// The plan that a router started while this lives maps.
+// Shares a fault plan with a router that is started during its lifetime: the router maps the plan's file.
 class FaultPlan {
   public:
     FaultPlan() {
@@ -27,12 +27,12 @@
         const int fd = mkstemp(path);
         file_ = path;
         if (fd < 0 || ftruncate(fd, sizeof(fault_injection::FaultPlan)) != 0)
-            throw std::runtime_error("no file for a plan");
-        void* const at =
+            throw std::runtime_error("can't create the file of a fault plan");
+        void* const memory =
             mmap(nullptr, sizeof(fault_injection::FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         close(fd);
-        if (at == MAP_FAILED) throw std::runtime_error("no memory for a plan");
-        plan_ = new (at) fault_injection::FaultPlan;
+        if (memory == MAP_FAILED) throw std::runtime_error("can't map the file of a fault plan");
+        plan_ = new (memory) fault_injection::FaultPlan;
         setenv(fault_injection::kPlanVariable, path, 1);
         setenv("LD_PRELOAD", POPPYSCALE_FAULT_INJECTION, 1);
         setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
@@ -47,12 +47,12 @@
     FaultPlan(const FaultPlan&) = delete;
     FaultPlan& operator=(const FaultPlan&) = delete;
 
-    void fail(fault_injection::SystemCall call, fault_injection::FaultEffect way, double share) {
-        plan_->share[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)] =
+    void setShare(fault_injection::SystemCall call, fault_injection::FaultEffect effect, double share) {
+        plan_->share[static_cast<std::size_t>(call)][static_cast<std::size_t>(effect)] =
             static_cast<std::uint32_t>(share * fault_injection::kOne);
     }
-    std::uint64_t happened(fault_injection::SystemCall call, fault_injection::FaultEffect way) const {
-        return plan_->occurrences[static_cast<std::size_t>(call)][static_cast<std::size_t>(way)];
+    std::uint64_t occurrences(fault_injection::SystemCall call, fault_injection::FaultEffect effect) const {
+        return plan_->occurrences[static_cast<std::size_t>(call)][static_cast<std::size_t>(effect)];
     }
 
   private:
@@ -61,20 +61,20 @@
 };
 
 // A cache server that has every key.
-class FullCache {
+class AlwaysHitCache {
   public:
-    FullCache() : thread_([this] { run(); }) {}
-    ~FullCache() {
+    AlwaysHitCache() : thread_([this] { run(); }) {}
+    ~AlwaysHitCache() {
         stopped_ = true;
         thread_.join();
     }
-    TestServer door;
+    TestServer server;
 
   private:
     void run() {
         std::vector<Socket> peers;
         while (!stopped_) {
-            if (!door.quiet(1)) peers.push_back(door.accept());
+            if (!server.quiet(1)) peers.push_back(server.accept());
             for (Socket& peer : peers)
                 while (peer.open() && !peer.quiet(0)) {
                     if (peer.command().empty()) {
@@ -89,57 +89,58 @@
     std::thread thread_;
 };
 
-struct Counted {
+struct ResponseCounts {
     int answered = 0;
     int rejected = 0;
     int unanswered = 0;
 };
 
-// Requests, each on a connection of its own.
-Counted ask(std::uint16_t port, int requests) {
-    Counted counted;
+// Sends requests, each on its own connection, and counts the responses.
+ResponseCounts sendRequests(std::uint16_t port, int requests) {
+    ResponseCounts counts;
     for (int i = 0; i < requests; ++i) {
         Socket client(port);
         client.say(get("k" + std::to_string(i % 20)));
         const std::string answer = client.answer();
         if (answer == "value")
-            ++counted.answered;
+            ++counts.answered;
         else if (answer.starts_with("-"))
-            ++counted.rejected;
+            ++counts.rejected;
         else
-            ++counted.unanswered;
+            ++counts.unanswered;
     }
-    return counted;
+    return counts;
 }
 
-struct Case {
+struct FaultCase {
     fault_injection::SystemCall call;
-    fault_injection::FaultEffect way;
+    fault_injection::FaultEffect effect;
     double share;
 };
 
-void checkCases(const std::vector<Case>& cases, int requests) {
+void checkResponsesDuringFaults(const std::vector<FaultCase>& cases, int requests) {
     FaultPlan plan;
-    FullCache cache;
-    ReservedPort place;
+    AlwaysHitCache cache;
+    ReservedPort routerPort;
     TestServer discovery;
     auto start = smallStart();
-    start["listen"] = "127.0.0.1:" + std::to_string(place.port);
+    start["listen"] = "127.0.0.1:" + std::to_string(routerPort.port);
     start["discovery"] = discovery.address();
-    start["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("c0", cache.door)}}};
+    start["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("c0", cache.server)}}};
     Program program(start.dump());
-    for (int tries = 0; tries < 100 && Socket(place.port).say(array({"PING"})).line() != "+PONG"; ++tries)
+    for (int tries = 0; tries < 100 && Socket(routerPort.port).say(array({"PING"})).line() != "+PONG";
+         ++tries)
         std::this_thread::sleep_for(50ms);
-    for (const Case& one : cases) plan.fail(one.call, one.way, one.share);
-    const Counted counted = ask(place.port, requests);
+    for (const FaultCase& fault : cases) plan.setShare(fault.call, fault.effect, fault.share);
+    const ResponseCounts counts = sendRequests(routerPort.port, requests);
     CAPTURE(program.log());
-    CHECK(counted.unanswered == 0);
-    CHECK(counted.answered + counted.rejected == requests);
-    CHECK(counted.answered > requests / 2);
-    for (const Case& one : cases) {
-        CAPTURE(fault_injection::kSystemCallNames[static_cast<std::size_t>(one.call)]);
-        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(one.way)]);
-        CHECK(plan.happened(one.call, one.way) > 0);
+    CHECK(counts.unanswered == 0);
+    CHECK(counts.answered + counts.rejected == requests);
+    CHECK(counts.answered > requests / 2);
+    for (const FaultCase& fault : cases) {
+        CAPTURE(fault_injection::kSystemCallNames[static_cast<std::size_t>(fault.call)]);
+        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(fault.effect)]);
+        CHECK(plan.occurrences(fault.call, fault.effect) > 0);
     }
     CHECK(program.running());
     CHECK(program.log().find("invariant violated") == std::string::npos);
@@ -147,51 +148,51 @@
 
 }  // namespace
 
-TEST_CASE("a client that connects while accepting fails for a moment has its answer") {
+TEST_CASE("Responds to every client while accepting connections fails intermittently") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    for (const FaultEffect way : {FaultEffect::noFiles, FaultEffect::noBuffers, FaultEffect::noMemory,
-                                  FaultEffect::aborted, FaultEffect::interrupted}) {
-        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(way)]);
-        checkCases({{SystemCall::accept, way, 0.1}}, 200);
+    for (const FaultEffect effect : {FaultEffect::noFiles, FaultEffect::noBuffers, FaultEffect::noMemory,
+                                     FaultEffect::aborted, FaultEffect::interrupted}) {
+        CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(effect)]);
+        checkResponsesDuringFaults({{SystemCall::accept, effect, 0.1}}, 200);
     }
 }
 
-TEST_CASE("connections to servers that can't be made for a moment cost no request its answer") {
+TEST_CASE("Responds to every request while connections to servers fail intermittently") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    checkCases({{SystemCall::socket, FaultEffect::noFiles, 0.1},
-                {SystemCall::connect, FaultEffect::noAddress, 0.1},
-                {SystemCall::connect, FaultEffect::unreachable, 0.1},
-                {SystemCall::connect, FaultEffect::timedOut, 0.1},
-                {SystemCall::read, FaultEffect::noHost, 0.1}},
-               300);
+    checkResponsesDuringFaults({{SystemCall::socket, FaultEffect::noFiles, 0.1},
+                                {SystemCall::connect, FaultEffect::noAddress, 0.1},
+                                {SystemCall::connect, FaultEffect::unreachable, 0.1},
+                                {SystemCall::connect, FaultEffect::timedOut, 0.1},
+                                {SystemCall::read, FaultEffect::noHost, 0.1}},
+                               300);
 }
 
-TEST_CASE("short and interrupted reads, writes and polls change nothing") {
+TEST_CASE("Responds to every request while reads, writes and polls are partial or interrupted") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    checkCases({{SystemCall::read, FaultEffect::partial, 0.6},
-                {SystemCall::read, FaultEffect::interrupted, 0.1},
-                {SystemCall::read, FaultEffect::tryAgain, 0.1},
-                {SystemCall::write, FaultEffect::partial, 0.6},
-                {SystemCall::write, FaultEffect::interrupted, 0.1},
-                {SystemCall::write, FaultEffect::tryAgain, 0.1},
-                {SystemCall::pollWait, FaultEffect::interrupted, 0.2}},
-               300);
+    checkResponsesDuringFaults({{SystemCall::read, FaultEffect::partial, 0.6},
+                                {SystemCall::read, FaultEffect::interrupted, 0.1},
+                                {SystemCall::read, FaultEffect::tryAgain, 0.1},
+                                {SystemCall::write, FaultEffect::partial, 0.6},
+                                {SystemCall::write, FaultEffect::interrupted, 0.1},
+                                {SystemCall::write, FaultEffect::tryAgain, 0.1},
+                                {SystemCall::pollWait, FaultEffect::interrupted, 0.2}},
+                               300);
 }
 
-TEST_CASE("all of these together") {
+TEST_CASE("Responds to every request while accepts, connections, reads, writes and polls all fail at times") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    checkCases({{SystemCall::accept, FaultEffect::noFiles, 0.05},
-                {SystemCall::accept, FaultEffect::aborted, 0.05},
-                {SystemCall::socket, FaultEffect::noBuffers, 0.5},
-                {SystemCall::connect, FaultEffect::noHost, 0.5},
-                {SystemCall::read, FaultEffect::partial, 0.4},
-                {SystemCall::read, FaultEffect::timedOut, 0.02},
-                {SystemCall::write, FaultEffect::partial, 0.4},
-                {SystemCall::write, FaultEffect::noBuffers, 0.05},
-                {SystemCall::pollWait, FaultEffect::interrupted, 0.1}},
-               300);
+    checkResponsesDuringFaults({{SystemCall::accept, FaultEffect::noFiles, 0.05},
+                                {SystemCall::accept, FaultEffect::aborted, 0.05},
+                                {SystemCall::socket, FaultEffect::noBuffers, 0.5},
+                                {SystemCall::connect, FaultEffect::noHost, 0.5},
+                                {SystemCall::read, FaultEffect::partial, 0.4},
+                                {SystemCall::read, FaultEffect::timedOut, 0.02},
+                                {SystemCall::write, FaultEffect::partial, 0.4},
+                                {SystemCall::write, FaultEffect::noBuffers, 0.05},
+                                {SystemCall::pollWait, FaultEffect::interrupted, 0.1}},
+                               300);
 }
