--- a/src/endpoint_distribution/ahead_versions.cpp
+++ b/src/endpoint_distribution/ahead_versions.cpp
@@ -22,30 +22,31 @@
     return found != versions_.end() ? &found->second : nullptr;
 }
 
-bool AheadVersions::isDoubtful(Nanos now, const AheadVersion& ahead) const {
-    return !ahead.isLost && now - ahead.firstPolledAt >= upstreamWait_ + kAheadPatience;
+bool AheadVersions::isSuspectedLost(Nanos now, const AheadVersion& ahead) const {
+    return !ahead.isLost && now - ahead.firstPolledAt >= upstreamWait_ + kAheadCheckDelay;
 }
 
 void AheadVersions::beginCheck(Nanos now) {
     if (isChecking_ || now < nextCheckAt_) return;
-    // Twice a reader's longest wait without a poll: no reader has the version any more.
+    // Readers poll at least once in kMaxReaderWait, so after twice that time no reader has the
+    // version.
     std::erase_if(versions_,
                   [now](const auto& entry) { return now - entry.second.lastPolledAt > 2 * kMaxReaderWait; });
     isChecking_ = std::any_of(versions_.begin(), versions_.end(),
-                              [&](const auto& entry) { return isDoubtful(now, entry.second); });
+                              [&](const auto& entry) { return isSuspectedLost(now, entry.second); });
     std::fill(isBehind_.begin(), isBehind_.end(), false);
 }
 
 void AheadVersions::endCheck(Nanos now) {
     isChecking_ = false;
-    nextCheckAt_ = now + kAheadPatience;
+    nextCheckAt_ = now + kAheadCheckDelay;
 }
 
 AheadVersions::CheckProgress AheadVersions::recordBehind(Nanos now, std::size_t upstream) {
-    const bool wasAskedBefore = isBehind_[upstream];
+    const bool wasPolledBefore = isBehind_[upstream];
     isBehind_[upstream] = true;
     const bool areAllBehind = std::find(isBehind_.begin(), isBehind_.end(), false) == isBehind_.end();
-    if (!areAllBehind && !wasAskedBefore) return CheckProgress::pollNext;
+    if (!areAllBehind && !wasPolledBefore) return CheckProgress::pollNext;
     endCheck(now);
     return areAllBehind ? CheckProgress::concluded : CheckProgress::abandoned;
 }
@@ -53,7 +54,7 @@
 std::vector<Version> AheadVersions::markLost(Nanos now) {
     std::vector<Version> lost;
     for (auto& [version, ahead] : versions_) {
-        if (!isDoubtful(now, ahead)) continue;
+        if (!isSuspectedLost(now, ahead)) continue;
         ahead.isLost = true;
         lost.push_back(version);
     }
--- a/src/endpoint_distribution/ahead_versions.hpp
+++ b/src/endpoint_distribution/ahead_versions.hpp
@@ -1,10 +1,11 @@
-// Versions that readers have and that are newer than the list here, and the check whether any upstream has
+// Tracks readers' versions that are newer than the list here, and checks whether any upstream has
 // them.
 //
-// A reader may be ahead because another distributor is quicker, or because discovery lost its versions before
-// this distributor was started. A version that readers poll with for longer than the upstreams' wait and
-// kAheadPatience is doubtful: every upstream is polled in turn, and if each has an older version it is lost.
-// Over kMaxAheadVersions versions at once are not tracked.
+// A reader may be ahead because it was served by a faster distributor, or because discovery lost
+// its versions before this distributor was started. A version that readers have polled with for at
+// least `upstreamWait` plus kAheadCheckDelay is suspected lost. Then every upstream is polled in
+// turn; if all have older versions, the version is lost. At most kMaxAheadVersions versions are
+// tracked; further ones are ignored.
 #pragma once
 
 #include <map>
@@ -28,33 +29,35 @@
 
     // A reader polls with a version that is newer than the list here.
     void recordPoll(Nanos now, Version version);
-    // The list here has that version now: nobody with it or an older one is ahead.
+    // The list here has this version now, so this version and older ones are no longer ahead.
     void recordVersion(Version version);
-    // Null for a version that is not tracked.
+    // Null if the version is not tracked.
     const AheadVersion* find(Version version) const;
 
-    // Begins a check if a version is doubtful and the check before is over for long enough.
+    // Begins a check if a version is suspected lost and the last check ended at least
+    // kAheadCheckDelay ago.
     void beginCheck(Nanos now);
     bool isChecking() const { return isChecking_; }
 
     enum class CheckProgress : std::uint8_t {
         pollNext,   // the next upstream is to be polled
-        abandoned,  // an upstream was polled twice, while another one was not reached
+        abandoned,  // an upstream responded twice before all others had responded
         concluded   // all upstreams are behind
     };
-    // That upstream's newest version is the one here. Requires isChecking().
+    // This upstream's newest version is the one here. Requires isChecking().
     CheckProgress recordBehind(Nanos now, std::size_t upstream);
-    // After a concluded check: marks the doubtful versions as lost and gives them.
+    // To be called when a check has concluded: marks the suspected versions as lost and returns
+    // them.
     std::vector<Version> markLost(Nanos now);
 
   private:
-    bool isDoubtful(Nanos now, const AheadVersion& ahead) const;
+    bool isSuspectedLost(Nanos now, const AheadVersion& ahead) const;
     void endCheck(Nanos now);
 
     Nanos upstreamWait_;
     std::map<Version, AheadVersion> versions_;
     bool isChecking_ = false;
-    std::vector<bool> isBehind_;  // by upstream, in this check
+    std::vector<bool> isBehind_;  // in the present check, by upstream
     Nanos nextCheckAt_ = 0;
 };
 
--- a/src/endpoint_distribution/distributor.cpp
+++ b/src/endpoint_distribution/distributor.cpp
@@ -5,16 +5,16 @@
 namespace poppyscale::endpoint_distribution {
 namespace {
 
-const std::string kNoListBody = R"({"error":"there is no list yet"})";
-const std::string kTooManyReadersBody = R"({"error":"there are too many readers"})";
+const std::string kNoListBody = R"({"error":"no endpoint list received from an upstream yet"})";
+const std::string kTooManyReadersBody = R"({"error":"maximum number of readers reached"})";
 
 }  // namespace
 
 Distributor::Distributor(const Options& options, DistributorHost& host, Nanos now)
     : options_(options),
       host_(host),
-      list_(options.has(Safeguard::tombstones) ? options.maxTombstones : 0,
-            {options.has(Safeguard::gaps), options.has(Safeguard::tombstones)}),
+      list_(options.isEnabled(Safeguard::tombstones) ? options.maxTombstones : 0,
+            {options.isEnabled(Safeguard::gaps), options.isEnabled(Safeguard::tombstones)}),
       epochs_(options.upstreams),
       aheadVersions_(options.upstreams, options.upstreamWait),
       poller_(options_, host, now),
@@ -26,13 +26,13 @@
 void Distributor::superviseUpstream(Nanos now) {
     if (schedule_.isShuttingDown() || now < poller_.dueAt()) return;
     if (poller_.isPolling())
-        poller_.fail(now, Failure::unresponsive, "no answer in time");
+        poller_.fail(now, Failure::unresponsive, "no complete response within the timeout");
     else
         pollUpstream(now);
 }
 
 void Distributor::pollUpstream(Nanos now) {
-    if (options_.has(Safeguard::aheadCheck)) aheadVersions_.beginCheck(now);
+    if (options_.isEnabled(Safeguard::aheadCheck)) aheadVersions_.beginCheck(now);
     std::optional<Version> version;
     if (list_.isKnown()) version = list_.version();
     poller_.poll(now, version, !aheadVersions_.isChecking());
@@ -41,12 +41,14 @@
 void Distributor::onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge) {
     if (!poller_.isPolling() || schedule_.isShuttingDown()) return;
     if (!list_.isKnown() && !update.isComplete)
-        return poller_.fail(now, Failure::malformed, "changes where there is no list");
+        return poller_.fail(now, Failure::malformed, "expected a complete list, got changes");
     const bool isOlder = list_.isKnown() && update.version < list_.version();
-    if (isOlder && options_.has(Safeguard::olderList)) return rejectOlder(now, std::move(update));
+    if (isOlder && options_.isEnabled(Safeguard::olderList)) return rejectOlder(now, std::move(update));
     accept(now, std::move(update));
     poller_.recordResponse(now, upstreamAge);
-    if (poller_.isStale()) return poller_.retryNext(now, "its list is out of date");
+    if (poller_.isStale())
+        return poller_.retryNext(
+            now, "its list is stale: " + std::to_string(upstreamAge / kMillisecond) + " ms old");
     poller_.succeed(now);
     continueAheadCheck(now);
 }
@@ -58,7 +60,7 @@
 
 void Distributor::accept(Nanos now, ListUpdate update) {
     epochs_.recordCurrentList();
-    // A version identifies one state: the same version again brings no change.
+    // A version identifies one state of the list, so an equal version means no change.
     const bool hasChanged = !list_.isKnown() || update.version != list_.version();
     if (!hasChanged) return;
     list_.apply(std::move(update));
@@ -67,21 +69,23 @@
 }
 
 void Distributor::rejectOlder(Nanos now, ListUpdate older) {
-    ++counters_.versionFallsRefused;
-    const std::string reason = "it tells version " + std::to_string(older.version) + " after version " +
-                               std::to_string(list_.version());
-    // A late response to an earlier poll, or discovery has lost its versions: the complete list will show.
+    ++counters_.olderListsRejected;
+    const std::string reason = "sent version " + std::to_string(older.version) +
+                               ", older than the present version " + std::to_string(list_.version());
+    // Either the response was outdated or discovery has lost its versions. The complete list
+    // decides it.
     if (!poller_.needsCompleteList()) return poller_.requestCompleteList(now, reason);
     if (!older.isComplete)
-        return poller_.fail(now, Failure::malformed, "changes where the whole list was asked for");
+        return poller_.fail(now, Failure::malformed, "expected the requested complete list, got changes");
     epochs_.recordOlderList(poller_.upstream(), std::move(older));
     if (epochs_.isEpochDue()) beginEpoch(now);
     poller_.retryNext(now, reason);
 }
 
 void Distributor::beginEpoch(Nanos now) {
-    host_.log("every upstream has lost its versions: version " + std::to_string(epochs_.nextEpochVersion()) +
-              " begins a new epoch after version " + std::to_string(list_.version()));
+    host_.log("every upstream sent an older list; a new epoch begins with version " +
+              std::to_string(epochs_.nextEpochVersion()) + " and replaces version " +
+              std::to_string(list_.version()));
     ++counters_.epochs;
     ListUpdate first = epochs_.beginEpoch(now, list_.version());
     list_.restart(std::move(first));
@@ -89,7 +93,8 @@
     onListChanged(now);
 }
 
-// The present upstream has just sent its newest version, which is the one here.
+// Requires that the present upstream has just responded, so that its newest version is the one
+// here.
 void Distributor::continueAheadCheck(Nanos now) {
     if (!aheadVersions_.isChecking()) return;
     switch (aheadVersions_.recordBehind(now, poller_.upstream())) {
@@ -106,7 +111,8 @@
     for (const Version version : aheadVersions_.markLost(now)) {
         ++counters_.lostVersions;
         host_.log("no upstream has version " + std::to_string(version) +
-                  ", which readers have; the newest is " + std::to_string(list_.version()));
+                  ", which readers poll with; answering them with the complete list, version " +
+                  std::to_string(list_.version()));
     }
     readers_.updateDeadlines();
 }
@@ -163,14 +169,14 @@
 ListResponse Distributor::responseFor(Nanos now, const Reader& reader) {
     ListResponse response;
     response.listAgeMs = poller_.listAge(now) / kMillisecond;
-    response.close = schedule_.isShuttingDown() || reader.isRejected();
+    response.closesConnection = schedule_.isShuttingDown() || reader.isRejected();
     if (!reader.isRejected() && list_.isKnown()) {
         response.body = bodyFor(now, reader);
         return response;
     }
     static const auto noList = std::make_shared<const std::string>(kNoListBody);
     static const auto tooManyReaders = std::make_shared<const std::string>(kTooManyReadersBody);
-    if (reader.isRejected()) ++counters_.readersRefused;
+    if (reader.isRejected()) ++counters_.readersRejected;
     response.status = 503;
     response.retryAfterSeconds = kRetryAfterSeconds;
     response.body = reader.isRejected() ? tooManyReaders : noList;
@@ -188,7 +194,7 @@
     return list_.changesSince(after);
 }
 
-// ---- both
+// ---- upstreams and readers
 
 void Distributor::shutDown(Nanos) {
     schedule_.beginShutdown();
--- a/src/endpoint_distribution/distributor.hpp
+++ b/src/endpoint_distribution/distributor.hpp
@@ -1,32 +1,38 @@
-// What an endpoint list distributor decides: it polls upstreams (discovery, or other distributors) for the
-// endpoint list and answers readers (routers, or other distributors) by the same protocol. Free of I/O: a
-// host brings events with their time and carries out the decisions.
+// The endpoint list distributor's logic. A distributor polls upstreams (discovery, or other
+// distributors) for the endpoint list and answers readers (routers, or other distributors) over the
+// same protocol. This class does no I/O: a host passes in events with their time and carries out
+// the decisions.
 //
-// What a distributor guarantees to its readers:
-//  1. Versions that a reader gets never fall. A reader whose version is newer than the one here is parked
-//     until the list is past it; at the end of its wait it is told that nothing has changed, with its own
-//     version.
-//  2. An upstream's list that is older than the one here is rejected, unless every upstream has sent an older
-//     one: then discovery has lost its versions, and a new epoch begins with the newest of those lists
-//     (EpochTracker). In a new epoch, and only until its versions exceed those of the old one, a reader whose
-//     version is newer than the one here gets the complete list with its lower version, after kEpochGrace at
-//     most. A router rejects such a response, polls for the complete list without a version, and takes that.
-//     A reader with a version below the one that the epoch began with gets the complete list. A distributor
-//     that was started after the loss detects it by its readers' versions (AheadVersions).
-//  3. When an upstream fails, the next one is polled, from the version that is here (UpstreamPoller). With up
-//     to four upstreams a change is sent within 5 s of one of them being reachable. An upstream that falls
-//     silent while a poll waits at it is detected within `upstreamWait` and kResponseTimeout.
-//  4. While no upstream is reachable, readers are answered from what is here. Its age, counted from when an
-//     upstream last responded, and the reason are part of the status; the age goes with each response. The
-//     age that an upstream reports of its own list is added. An upstream whose list is older than kStaleAfter
-//     beyond its wait counts as failed, though its list is taken.
-//  5. Before there is a list, and over the bound on readers, a reader gets 503 with a Retry-After.
-//  6. Changes within `batch` are sent together, and no reader gets more than one response in `batch`.
-//  7. A reader that does not take its response costs itself alone (ReaderSessions).
+// A distributor guarantees its readers:
+//  1. The versions that a reader receives never decrease. The request of a reader whose version is
+//     newer than the one here is held until the list here is newer. At the end of its wait such a
+//     reader gets a response without changes that carries its own version.
+//  2. An upstream's list that is older than the one here is rejected, unless every upstream has
+//     sent an older one: then discovery has lost its versions, and a new epoch begins with the
+//     newest of those lists (EpochTracker). In a new epoch, and only until its versions exceed
+//     those of the old one, a reader whose version is newer than the one here gets the complete
+//     list with its lower version, after kEpochGrace at most. A router rejects that response, polls
+//     for the complete list without a version, and accepts the result. A reader whose version is
+//     below the epoch's first version gets the complete list. A distributor started after discovery
+//     lost its versions detects the loss by its readers' versions (AheadVersions).
+//  3. When an upstream fails, the next one is polled for changes since the version here
+//     (UpstreamPoller). With up to four upstreams a change is sent within 5 s after one of them
+//     becomes reachable. An upstream that stops responding during a long poll is detected within
+//     `upstreamWait` plus kResponseTimeout.
+//  4. While no upstream is reachable, readers get the last known list. The list's age is the time
+//     since an upstream last responded plus the age which that upstream reported for its own list.
+//     Each response carries the age; the status has the age and the last failure. An upstream whose
+//     own list is older than `upstreamWait` plus kStaleAfter counts as failed, but its list is
+//     accepted.
+//  5. Before there is a list, and beyond the maximum number of readers, a reader gets 503 with
+//     Retry-After.
+//  6. Changes within `batchInterval` are sent together, and no reader gets more than one response
+//     in that time.
+//  7. A reader that does not receive its response slows down no other reader (ReaderSessions).
 //
-// Versions are the upstream's own, so a reader may go from one distributor to another and on. A discovery
-// that lost its versions and exceeds the old one before anybody polls it can't be distinguished from one that
-// did not.
+// Versions are passed on as the upstream assigned them, so a reader may switch between
+// distributors. If discovery loses its versions and then exceeds the old version before any
+// distributor polls it, the loss can't be detected.
 #pragma once
 
 #include <cstddef>
@@ -47,26 +53,26 @@
 
 namespace poppyscale::endpoint_distribution {
 
-// Counted since the start.
+// Totals since the distributor was started.
 struct DistributorCounters {
     std::uint64_t epochs = 0;
-    std::uint64_t lostVersions = 0;  // of readers, that no upstream has any more
+    std::uint64_t lostVersions = 0;  // readers' versions that no upstream has any more
     std::uint64_t responses = 0;
     std::uint64_t completeResponses = 0;
     std::uint64_t deltaResponses = 0;
     std::uint64_t slowReadersClosed = 0;
-    std::uint64_t versionFallsRefused = 0;
-    std::uint64_t readersRefused = 0;
+    std::uint64_t olderListsRejected = 0;
+    std::uint64_t readersRejected = 0;
 };
 
 struct DistributorStatus : DistributorCounters {
     Version version = 0;
     std::size_t entries = 0;
     std::size_t tombstones = 0;
-    Nanos age = 0;            // of the list; since the start while there is none
-    std::string lastFailure;  // why the list can't be had from the upstream; empty while it can
-    std::size_t upstream = 0;
-    std::size_t readers = 0;  // admitted
+    Nanos age = 0;             // of the list; the time since the start while there is no list
+    std::string lastFailure;   // why the last poll failed; empty after a successful poll
+    std::size_t upstream = 0;  // index of the upstream in use
+    std::size_t readers = 0;   // admitted readers
 };
 
 class Distributor {
@@ -78,25 +84,27 @@
     Distributor(const Distributor&) = delete;
     Distributor& operator=(const Distributor&) = delete;
 
-    // A reader is a connection. It may poll again before it has taken its last response.
+    // A reader is one connection. It may poll again before its last response is sent completely.
     void onReaderConnected(Nanos now, ReaderId reader);
     void onReaderPoll(Nanos now, ReaderId reader, const ReaderRequest& request);
-    // Its kernel has `unsent` bytes left to take.
+    // `unsent` bytes of the reader's responses are still to be sent.
     void onReaderBytesSent(Nanos now, ReaderId reader, std::size_t unsent);
     void onReaderClosed(Nanos now, ReaderId reader);
 
-    // Of the upstream that was polled last. `upstreamAge`: of its list, by its own account.
+    // The result of the last `pollUpstream`. `upstreamAge` is the age that the upstream reports for
+    // its list.
     void onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge);
     void onUpstreamFailed(Nanos now, Failure failure, std::string_view reason);
 
-    // All readers that wait are answered, and each connection ends with its response.
+    // Answers all waiting readers and closes each connection after its response.
     void shutDown(Nanos now);
 
-    // Acts on all events of a moment; also at the time last given to `scheduleWakeup`.
+    // Carries out what is due. To be called after each batch of events, and at the time last passed
+    // to `scheduleWakeup`.
     void reconcile(Nanos now);
 
     DistributorStatus status(Nanos now) const;
-    // Of the list; 0 while there is none.
+    // The list's version; 0 while there is no list.
     Version version() const { return list_.version(); }
 
   private:
--- a/src/endpoint_distribution/list_state.cpp
+++ b/src/endpoint_distribution/list_state.cpp
@@ -8,10 +8,10 @@
 namespace poppyscale::endpoint_distribution {
 namespace {
 
-// Readers are nearly always one or a few versions behind, so few different responses are needed.
+// Readers are nearly always only a few versions behind, so few different responses are needed.
 constexpr std::size_t kMaxCachedResponses = 256;
 constexpr std::size_t kMaxCachedBytes = 16 * 1024 * 1024;
-// Only faults cause complete lists while there is a list already.
+// Gaps are rare: upstreams send a complete list to replace an existing one only after faults.
 constexpr std::size_t kMaxGaps = 64;
 
 std::string responseHead(Version version, bool isComplete) {
@@ -52,7 +52,7 @@
     apply(std::move(list));
 }
 
-// A server whose entry is equal here may have had another one in between, so it counts as changed.
+// An entry that equals the present one counts as changed too: it may have differed in between.
 void ListState::applyChanges(ListUpdate changes) {
     for (ServerEntry& entry : changes.entries) {
         if (entry.isRemoved)
--- a/src/endpoint_distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -1,10 +1,11 @@
-// The newest state of the endpoint list, and the responses made of it.
+// The newest state of the endpoint list, and the responses serialized from it.
 //
-// Each server's entry is retained with the version of its last change; a removed server's entry is retained
-// as a tombstone. So the changes since a version can be given, each changed server once, as long as no
-// tombstone newer than that version has been dropped. A reader with an earlier version gets the complete
-// list. So does a reader whose version lies in a gap: between two consecutive versions here, the newer of
-// which came as a complete list. What was changed and changed back between the two is unknown.
+// Each server's entry is kept with the version of its last change; a removed server's entry is kept
+// as a tombstone. This gives the changes since a version, with each changed server once, as long as
+// no tombstone newer than that version has been dropped. A reader with an earlier version gets the
+// complete list. So does a reader whose version lies in a gap, that is, between two consecutive
+// versions held here of which the newer was received as a complete list: changes that were made and
+// undone between the two are unknown.
 #pragma once
 
 #include <cstddef>
@@ -23,12 +24,12 @@
 
 class ListState {
   public:
-    // Tombstones grow with time, not with the list. These are the removals of an hour at 20 changes a second,
-    // 13 MB at about 200 bytes each. A reader that was away for longer is better served with a complete list.
+    // The number of tombstones grows with time, not with the size of the list. This many are the
+    // removals of about an hour at 20 a second, 13 MB at 200 bytes each. For a reader that was
+    // disconnected for longer, a complete list is cheaper.
     static constexpr std::size_t kDefaultTombstones = 65'536;
 
-    // Which bounds of the given changes are respected. All are, except to prove that a test finds the
-    // absence.
+    // Which limits `hasChangesSince` respects. Only tests disable one, to prove that they notice.
     struct RetainedBounds {
         bool gaps = true;
         bool droppedTombstones = true;
@@ -39,22 +40,23 @@
     // Whether there is a list.
     bool isKnown() const { return isKnown_; }
     Version version() const { return version_; }
-    // Servers in the list.
+    // The number of servers in the list.
     std::size_t entries() const { return live_.size(); }
     std::size_t tombstones() const { return tombstones_.size(); }
 
-    // Takes a newer state. An entry of a complete list that is equal here keeps its version.
+    // Applies a newer state. Entries of a complete list that equal the present ones keep their
+    // version.
     void apply(ListUpdate update);
-    // Forgets everything and begins with this complete list.
+    // Discards the present state, including tombstones, and starts with this complete list.
     void restart(ListUpdate list);
 
-    // Responses, serialized once for all readers with the same request.
+    // Responses. They are serialized once for all readers with the same request.
 
     SharedBytes completeList();
-    // The complete list where the changes since that version are not known.
+    // Returns the complete list if the changes since that version are not known.
     SharedBytes changesSince(Version after);
     bool hasChangesSince(Version after) const;
-    // No changes since that version.
+    // A response with this version and no changes.
     static SharedBytes unchanged(Version version);
 
   private:
@@ -62,11 +64,12 @@
         ServerEntry entry;
         Version changed;
     };
-    using RetainedEntries = std::list<RetainedEntry>;  // in the order of the changes, the newest at the end
+    using RetainedEntries = std::list<RetainedEntry>;  // ordered by change, the newest at the end
 
+    // The versions between these two (exclusive) are unknown.
     struct Gap {
         Version older;
-        Version newer;  // nothing is known of the versions between these
+        Version newer;
     };
 
     void put(ServerEntry entry, Version changed);
@@ -81,15 +84,15 @@
     RetainedBounds retainedBounds_;
     bool isKnown_ = false;
     Version version_ = 0;
-    Version oldestBase_ = 0;  // the oldest version since which the changes are known
+    Version oldestBase_ = 0;  // the changes since older versions are not known
     RetainedEntries live_;
     RetainedEntries tombstones_;
     std::deque<Gap> gaps_;
     std::unordered_map<std::string, RetainedEntries::iterator> liveById_;
     std::unordered_map<std::string, RetainedEntries::iterator> tombstoneById_;
-    // Responses at the newest version.
+    // Cached responses at the newest version.
     SharedBytes completeList_;
-    std::map<Version, SharedBytes> changesCache_;  // by the version since which they are
+    std::map<Version, SharedBytes> changesCache_;  // by the reader's version
     std::size_t changesCacheBytes_ = 0;
 };
 
--- a/src/endpoint_distribution/list_update.cpp
+++ b/src/endpoint_distribution/list_update.cpp
@@ -8,7 +8,8 @@
 namespace poppyscale::endpoint_distribution {
 namespace {
 
-// Finds the texts of the objects in the array `servers` of a JSON object. The JSON has to be well formed.
+// Finds the texts of the objects in the top-level array `servers` of a JSON object. Requires valid
+// JSON.
 class EntryScanner {
   public:
     explicit EntryScanner(std::string_view json) : json_(json) {}
@@ -23,7 +24,7 @@
                 continue;
             }
             if (next == '[' && depth_ == 1 && lastString == "servers") {
-                entries = takeArray();  // the last one counts if the key is repeated, as for the parser
+                entries = takeArray();  // a repeated key overwrites, as in the JSON parser
                 continue;
             }
             if (next == '{' || next == '[') ++depth_;
@@ -34,7 +35,7 @@
     }
 
   private:
-    // Moves from a quotation mark past the closing one. Gives what is between them.
+    // Moves from an opening quotation mark past the closing one. Returns the text between them.
     std::string_view takeString() {
         ++position_;
         const std::size_t begin = position_;
@@ -44,7 +45,8 @@
         return json_.substr(begin, end - begin);
     }
 
-    // Moves from the opening bracket past the closing one. Gives the texts of the objects in the array.
+    // Moves from the opening bracket past the closing one. Returns the texts of the objects in the
+    // array.
     std::vector<std::string_view> takeArray() {
         std::vector<std::string_view> entries;
         int depth = 0;
@@ -75,7 +77,9 @@
     const protocol::EndpointList list = protocol::readEndpointList(json);
     const auto texts = EntryScanner(json).scan();
     if (texts.size() != list.entries.size())
-        throw protocol::ParseError("a list whose entries can't be told apart");
+        throw protocol::ParseError("found " + std::to_string(texts.size()) +
+                                   " objects in the array 'servers', expected " +
+                                   std::to_string(list.entries.size()));
     ListUpdate update;
     update.version = list.version;
     update.isComplete = list.isComplete;
--- a/src/endpoint_distribution/list_update.hpp
+++ b/src/endpoint_distribution/list_update.hpp
@@ -1,5 +1,5 @@
-// A response of the endpoint list protocol, as discovery or a distributor gives it: its version and, for each
-// server named in it, the text of the server's entry, which is passed on unchanged.
+// A response of the endpoint list protocol, as sent by discovery or a distributor: its version and,
+// for each server in it, the JSON text of the server's entry, which is passed on unchanged.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,14 @@
 
 struct ListUpdate {
     Version version = 0;
-    bool isComplete = false;  // all servers; otherwise those that changed since the polled version
+    bool isComplete = false;  // whether all servers are named, or only those changed
     std::vector<ServerEntry> entries;
 };
 
-// Throws protocol::ParseError for whatever a router would reject.
+// Throws protocol::ParseError for each list that a router would reject.
 ListUpdate readListUpdate(std::string_view json);
 
-// The entry of a server that a complete list does not name any more.
+// Returns a server's last entry, marked as removed.
 ServerEntry removedEntry(const ServerEntry& last);
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distribution/options.hpp
+++ b/src/endpoint_distribution/options.hpp
@@ -14,37 +14,47 @@
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 
 // Upstreams.
-constexpr Nanos kResponseTimeout = 1 * kSecond;  // beyond the wait of the poll; for a complete response
+
+// Time for a complete response, in addition to the long poll's wait. It grows up to
+// kMaxResponseTimeout while no upstream responds in time.
+constexpr Nanos kResponseTimeout = 1 * kSecond;
 constexpr Nanos kMaxResponseTimeout = 4 * kSecond;
-constexpr Nanos kResponseTimeoutRetention = 30 * kSecond;  // of a grown timeout, since the last silence
-constexpr int kCompleteListFactor = 2;                     // of the timeout, for a complete list
-constexpr Nanos kStaleAfter = 2 * kSecond;                 // age of an upstream's list, beyond its wait
+// How long a grown timeout is kept after the last poll that timed out.
+constexpr Nanos kResponseTimeoutRetention = 30 * kSecond;
+// The timeout for a complete list is the response timeout times this factor.
+constexpr int kCompleteListFactor = 2;
+// An upstream is stale if its own list is older than `upstreamWait` plus this.
+constexpr Nanos kStaleAfter = 2 * kSecond;
 constexpr Nanos kMinBackoff = 100 * kMillisecond;
 constexpr Nanos kMaxBackoff = 1 * kSecond;
 
-// Epochs and versions that readers are ahead with.
+// Epochs, and readers' versions that are newer than the list here.
+
+// In a new epoch, the time before a reader gets a lower version (see ResponseSchedule).
 constexpr Nanos kEpochGrace = 1 * kSecond;
-constexpr Nanos kAheadPatience = 2 * kSecond;
-constexpr std::size_t kMaxAheadVersions = 64;  // versions
+// A newer version is suspected lost once readers have polled with it for `upstreamWait` plus this.
+// Also the minimum time between two checks of all upstreams.
+constexpr Nanos kAheadCheckDelay = 2 * kSecond;
+constexpr std::size_t kMaxAheadVersions = 64;
 
 // Readers.
-constexpr Nanos kDrainTimeout = 5 * kSecond;      // for a reader to take its response
-constexpr Nanos kMaxUnsentTimeout = 1 * kSecond;  // the same with more than `maxUnsent` bytes to take
+constexpr Nanos kDrainTimeout = 5 * kSecond;      // for a reader to receive its whole response
+constexpr Nanos kMaxUnsentTimeout = 1 * kSecond;  // instead, with more than maxUnsentBytes unsent
 constexpr Nanos kIdleTimeout = 60 * kSecond;      // between a reader's requests
 constexpr Nanos kMaxReaderWait = 60 * kSecond;
 constexpr int kRetryAfterSeconds = 1;
 
 struct Options {
     std::size_t upstreams = 1;
-    Nanos upstreamWait = 10 * kSecond;  // for a change, at an upstream
-    Nanos batch = 50 * kMillisecond;    // changes within it are sent together
+    Nanos upstreamWait = 10 * kSecond;        // longest wait of a long poll at an upstream
+    Nanos batchInterval = 50 * kMillisecond;  // changes received within it are sent together
     std::size_t maxReaders = 4096;
-    std::size_t maxUnsent = 1024 * 1024;  // bytes of a reader's response that its kernel has not taken
+    std::size_t maxUnsentBytes = 1024 * 1024;  // a reader with more unsent bytes is closed sooner
     std::size_t maxTombstones = ListState::kDefaultTombstones;
     std::uint64_t seed = 1;
-    std::set<Safeguard> disabledSafeguards;  // only to prove that a test finds the absence
+    std::set<Safeguard> disabledSafeguards;  // empty except in tests of the safeguards
 
-    bool has(Safeguard safeguard) const { return !disabledSafeguards.contains(safeguard); }
+    bool isEnabled(Safeguard safeguard) const { return !disabledSafeguards.contains(safeguard); }
 };
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distribution/reader.hpp
+++ b/src/endpoint_distribution/reader.hpp
@@ -12,22 +12,22 @@
 enum class ReaderState : std::uint8_t {
     idle,     // no request is open
     waiting,  // its request is not answered yet
-    draining  // its kernel has not taken all of the response
+    draining  // part of its response is still unsent
 };
 
-// Whether it is one of the bounded number of readers. Decided at its first request, and again at each request
-// while it is rejected.
+// Whether the reader counts towards the maximum number of readers. Decided at its first request,
+// and again at each request while the reader is rejected.
 enum class Admission : std::uint8_t { undecided, admitted, rejected };
 
 struct Reader {
     ReaderState state = ReaderState::idle;
     Admission admission = Admission::undecided;
-    Nanos since = 0;  // when it entered its state
-    Nanos mayAnswerAt = 0;
+    Nanos stateSince = 0;                 // when the reader entered its state
+    Nanos earliestResponseAt = 0;         // limits a reader to one response per batch interval
     std::size_t unsent = 0;               // bytes
-    ReaderRequest request;                // while it waits
-    std::optional<ReaderRequest> queued;  // arrived while it drains
-    Nanos deadline = kNever;              // when it is due for the next action
+    ReaderRequest request;                // valid in the state `waiting`
+    std::optional<ReaderRequest> queued;  // received in the state `draining`
+    Nanos deadline = kNever;              // when the reader is answered or closed
 
     bool isRejected() const { return admission == Admission::rejected; }
 };
--- a/src/endpoint_distribution/reader_sessions.cpp
+++ b/src/endpoint_distribution/reader_sessions.cpp
@@ -6,7 +6,7 @@
 
 void ReaderSessions::connect(Nanos now, ReaderId id) {
     Reader& reader = readers_[id];
-    reader.since = now;
+    reader.stateSince = now;
     updateDeadline(id, reader);
 }
 
@@ -15,7 +15,8 @@
     if (found == readers_.end()) return;
     Reader& reader = found->second;
     if (reader.admission != Admission::admitted) admit(reader);
-    const bool mustQueue = reader.state == ReaderState::draining && options_.has(Safeguard::slowReaderBound);
+    const bool mustQueue =
+        reader.state == ReaderState::draining && options_.isEnabled(Safeguard::slowReaderBound);
     if (mustQueue)
         reader.queued = request;
     else
@@ -34,7 +35,7 @@
 
 void ReaderSessions::startRequest(Nanos now, Reader& reader, const ReaderRequest& request) {
     reader.state = ReaderState::waiting;
-    reader.since = now;
+    reader.stateSince = now;
     reader.request = request;
     reader.request.wait = std::clamp<Nanos>(request.wait, 0, kMaxReaderWait);
     schedule_.recordRequest(now, request);
@@ -48,7 +49,7 @@
     if (reader.state != ReaderState::draining) return;
     if (unsent > 0) return updateDeadline(id, reader);
     reader.state = ReaderState::idle;
-    reader.since = now;
+    reader.stateSince = now;
     if (reader.queued) {
         startRequest(now, reader, *reader.queued);
         reader.queued.reset();
@@ -67,8 +68,8 @@
 
 void ReaderSessions::recordResponse(Nanos now, ReaderId id, std::size_t unsent) {
     Reader& reader = readers_.at(id);
-    reader.mayAnswerAt = options_.has(Safeguard::batching) ? now + options_.batch : now;
-    reader.since = now;
+    reader.earliestResponseAt = options_.isEnabled(Safeguard::batching) ? now + options_.batchInterval : now;
+    reader.stateSince = now;
     reader.unsent = unsent;
     reader.state = unsent > 0 ? ReaderState::draining : ReaderState::idle;
     updateDeadline(id, reader);
@@ -90,10 +91,11 @@
 Nanos ReaderSessions::deadlineOf(const Reader& reader) const {
     switch (reader.state) {
         case ReaderState::idle:
-            return reader.since + kIdleTimeout;
+            return reader.stateSince + kIdleTimeout;
         case ReaderState::draining:
-            if (!options_.has(Safeguard::slowReaderBound)) return kNever;
-            return reader.since + (reader.unsent > options_.maxUnsent ? kMaxUnsentTimeout : kDrainTimeout);
+            if (!options_.isEnabled(Safeguard::slowReaderBound)) return kNever;
+            return reader.stateSince +
+                   (reader.unsent > options_.maxUnsentBytes ? kMaxUnsentTimeout : kDrainTimeout);
         case ReaderState::waiting:
             break;
     }
--- a/src/endpoint_distribution/reader_sessions.hpp
+++ b/src/endpoint_distribution/reader_sessions.hpp
@@ -1,8 +1,10 @@
-// The readers' connections: which are admitted, what each waits for, and which are due.
+// The state of each reader's connection: whether the reader is admitted, what it waits for, and
+// when it is due.
 //
-// A reader that does not take its response costs itself alone: it gets no further response before it has, and
-// it is due to be closed after kDrainTimeout, or after kMaxUnsentTimeout with more than `maxUnsent` bytes to
-// take. No reader is due for a response more often than once in `batch`.
+// A reader that does not receive its response slows down no other reader: it gets no further
+// response until all of the last one is sent, and is closed after kDrainTimeout, or after
+// kMaxUnsentTimeout if more than `maxUnsentBytes` are unsent. No reader gets more than one response
+// in `batchInterval`.
 #pragma once
 
 #include <cstddef>
@@ -23,17 +25,17 @@
         : options_(options), schedule_(schedule) {}
 
     void connect(Nanos now, ReaderId id);
-    // An unknown reader is ignored, here and below.
+    // These three functions ignore unknown readers. `unsent` is the number of bytes still to be
+    // sent.
     void request(Nanos now, ReaderId id, const ReaderRequest& request);
-    // Its kernel has `unsent` bytes left to take.
     void recordUnsent(Nanos now, ReaderId id, std::size_t unsent);
     void close(ReaderId id);
-    // It was answered, and its kernel has `unsent` bytes left to take. The reader has to be known.
+    // The reader was answered; `unsent` bytes are still to be sent. The reader has to be known.
     void recordResponse(Nanos now, ReaderId id, std::size_t unsent);
-    // After a change of the schedule.
+    // To be called when the schedule has changed.
     void updateDeadlines();
 
-    // Those whose deadline has come, the earliest first.
+    // The readers whose deadline has passed, the earliest deadline first.
     std::vector<ReaderId> dueReaders(Nanos now) const;
     // kNever if no reader has a deadline.
     Nanos nextDeadline() const { return deadlines_.empty() ? kNever : deadlines_.begin()->at; }
--- a/src/endpoint_distribution/response_schedule.cpp
+++ b/src/endpoint_distribution/response_schedule.cpp
@@ -14,30 +14,31 @@
 }
 
 void ResponseSchedule::recordListChange(Nanos now) {
-    // A change joins the batch that is not sent yet, or begins the next one.
-    if (now >= batchDueAt_) batchDueAt_ = std::max(now, batchDueAt_ + options_.batch);
-    if (!options_.has(Safeguard::batching)) batchDueAt_ = now;
+    // A change joins the batch that is still to be sent, or begins the next one.
+    if (now >= batchDueAt_) batchDueAt_ = std::max(now, batchDueAt_ + options_.batchInterval);
+    if (!options_.isEnabled(Safeguard::batching)) batchDueAt_ = now;
 }
 
 Nanos ResponseSchedule::dueAt(const Reader& reader) const {
     const bool isImmediate = reader.isRejected() || !list_.isKnown() || isShuttingDown_;
-    if (isImmediate) return reader.since;
-    if (!reader.request.after) return std::max(reader.since, reader.mayAnswerAt);
+    if (isImmediate) return reader.stateSince;
+    if (!reader.request.after) return std::max(reader.stateSince, reader.earliestResponseAt);
     const Version after = *reader.request.after;
-    const Nanos waitEndsAt = std::max(reader.since + reader.request.wait, reader.mayAnswerAt);
+    const Nanos waitEndsAt = std::max(reader.stateSince + reader.request.wait, reader.earliestResponseAt);
     if (after < list_.version())
-        return std::min(waitEndsAt, std::max({reader.since, reader.mayAnswerAt, batchDueAt_}));
-    return std::min(waitEndsAt, std::max(lowerVersionDueAt(reader, after), reader.mayAnswerAt));
+        return std::min(waitEndsAt, std::max({reader.stateSince, reader.earliestResponseAt, batchDueAt_}));
+    return std::min(waitEndsAt, std::max(lowerVersionDueAt(reader, after), reader.earliestResponseAt));
 }
 
-// When a reader whose version is not older than the one here gets a lower one; kNever for most.
+// When a reader whose version is not older than the one here gets a lower version. kNever unless
+// its version is lost or from an old epoch.
 Nanos ResponseSchedule::lowerVersionDueAt(const Reader& reader, Version after) const {
     if (after == list_.version()) return kNever;
-    if (!options_.has(Safeguard::versionGuard)) return reader.since;
+    if (!options_.isEnabled(Safeguard::versionGuard)) return reader.stateSince;
     const AheadVersion* const ahead = aheadVersions_.find(after);
-    if (ahead && ahead->isLost) return reader.since;
+    if (ahead && ahead->isLost) return reader.stateSince;
     if (!epochs_.isInTransition()) return kNever;
-    const Nanos firstPolledAt = ahead ? ahead->firstPolledAt : reader.since;
+    const Nanos firstPolledAt = ahead ? ahead->firstPolledAt : reader.stateSince;
     return std::max(firstPolledAt, epochs_.beganAt()) + kEpochGrace;
 }
 
--- a/src/endpoint_distribution/response_schedule.hpp
+++ b/src/endpoint_distribution/response_schedule.hpp
@@ -1,8 +1,9 @@
-// When a waiting reader is answered, and whether it gets the complete list.
+// Decides when a waiting reader is answered, and whether it gets the complete list.
 //
-// A reader whose version is newer than the one here is parked until the list is past it. It gets a lower
-// version only if its own is lost: known to no upstream, or of an old epoch. In a new epoch that happens
-// after kEpochGrace, in which the list here may catch up with a reader that a quicker distributor has served.
+// The request of a reader whose version is newer than the one here is held until the list here is
+// newer. Such a reader gets a lower version only if its own is lost: no upstream has it, or it is
+// from an old epoch. In a new epoch that happens after kEpochGrace: until then the list here may
+// catch up with a reader that was served by a faster distributor.
 #pragma once
 
 #include "endpoint_distribution/ahead_versions.hpp"
@@ -19,17 +20,17 @@
     ResponseSchedule(const Options& options, const ListState& list, const EpochTracker& epochs,
                      AheadVersions& aheadVersions);
 
-    // A reader's request begins to wait.
+    // A reader has started to wait with this request.
     void recordRequest(Nanos now, const ReaderRequest& request);
-    // The list has another version.
+    // The list's version has changed.
     void recordListChange(Nanos now);
     // From now on all readers are answered at once.
     void beginShutdown() { isShuttingDown_ = true; }
     bool isShuttingDown() const { return isShuttingDown_; }
 
-    // When this waiting reader is answered, as things are.
+    // When this waiting reader is to be answered, unless the schedule changes before.
     Nanos dueAt(const Reader& reader) const;
-    // Whether this reader, answered now, gets the complete list and not changes.
+    // Whether this reader, if answered now, gets the complete list instead of changes.
     bool needsCompleteList(Nanos now, const Reader& reader) const;
 
   private:
--- a/src/endpoint_distribution/safeguards.cpp
+++ b/src/endpoint_distribution/safeguards.cpp
@@ -11,19 +11,19 @@
         {"tombstones", Safeguard::tombstones},      {"gaps", Safeguard::gaps},
         {"fail-over", Safeguard::failOver},         {"backoff-jitter", Safeguard::backoffJitter},
         {"batching", Safeguard::batching},          {"slow-reader-bound", Safeguard::slowReaderBound},
-        {"patience", Safeguard::patience},          {"stale-upstream", Safeguard::staleUpstream},
+        {"patience", Safeguard::growingTimeout},    {"stale-upstream", Safeguard::staleUpstream},
         {"ahead-check", Safeguard::aheadCheck}};
     return all;
 }
 
 Safeguard safeguardNamed(std::string_view name) {
-    std::string known;
+    std::string knownNames;
     for (const NamedSafeguard& named : safeguards()) {
         if (named.name == name) return named.safeguard;
-        if (!known.empty()) known += ", ";
-        known += named.name;
+        if (!knownNames.empty()) knownNames += ", ";
+        knownNames += named.name;
     }
-    throw std::runtime_error("'" + std::string(name) + "' is none of " + known);
+    throw std::runtime_error("unknown safeguard '" + std::string(name) + "', expected one of " + knownNames);
 }
 
 }  // namespace poppyscale::endpoint_distribution
--- a/src/endpoint_distribution/upstream_poller.cpp
+++ b/src/endpoint_distribution/upstream_poller.cpp
@@ -9,21 +9,21 @@
 
 void UpstreamPoller::poll(Nanos now, std::optional<Version> version, bool mayWait) {
     state_ = State::polling;
-    if (now - lastSilenceAt_ > kResponseTimeoutRetention) responseTimeout_ = kResponseTimeout;
+    if (now - lastTimeoutAt_ > kResponseTimeoutRetention) responseTimeout_ = kResponseTimeout;
     if (needsCompleteList_ || !version) {
         dueAt_ = now + responseTimeout_ * kCompleteListFactor;
         host_.pollUpstream(upstream_, std::nullopt, 0);
         return;
     }
-    // An upstream that has just failed is not waited for.
+    // The first poll after a failure does not wait for a change.
     Nanos wait = 0;
-    if (mayWait && !isProbing_) wait = drawWait();
+    if (mayWait && !isProbing_) wait = jitteredWait();
     dueAt_ = now + wait + responseTimeout_;
     host_.pollUpstream(upstream_, version, wait);
 }
 
-// With jitter, so that not all distributors' waits end together.
-Nanos UpstreamPoller::drawWait() {
+// Jitter keeps the distributors' long polls from ending at the same time.
+Nanos UpstreamPoller::jitteredWait() {
     std::uniform_int_distribution<Nanos> jitter(0, options_.upstreamWait / 2);
     return options_.upstreamWait - jitter(random_);
 }
@@ -39,18 +39,19 @@
 }
 
 bool UpstreamPoller::isStale() const {
-    return upstreamListAge_ > options_.upstreamWait + kStaleAfter && options_.has(Safeguard::staleUpstream);
+    return upstreamListAge_ > options_.upstreamWait + kStaleAfter &&
+           options_.isEnabled(Safeguard::staleUpstream);
 }
 
 void UpstreamPoller::succeed(Nanos now) {
     if (!lastFailure_.empty())
-        host_.log("the endpoint list is received from upstream " + std::to_string(upstream_));
+        host_.log("receiving the endpoint list from upstream " + std::to_string(upstream_));
     lastFailure_.clear();
     failures_ = 0;
-    silences_ = 0;
+    consecutiveTimeouts_ = 0;
     isProbing_ = false;
     state_ = State::backingOff;
-    dueAt_ = now;  // polled again at once: it parks the poll until there is a change
+    dueAt_ = now;  // without a pause, as the upstream holds the next poll until there is a change
 }
 
 void UpstreamPoller::requestCompleteList(Nanos now, std::string_view reason) {
@@ -58,21 +59,21 @@
     pause(now);
     lastFailure_ = reason;
     host_.log("upstream " + std::to_string(upstream_) + ": " + lastFailure_ +
-              "; its complete list is requested");
+              "; requesting its complete list");
 }
 
 void UpstreamPoller::fail(Nanos now, UpstreamFailure failure, std::string_view reason) {
-    // The same changes would be malformed in the same way again.
+    // A poll for changes would return the same malformed changes again.
     if (failure == UpstreamFailure::malformed) needsCompleteList_ = true;
-    if (failure == UpstreamFailure::unresponsive) recordSilence(now);
+    if (failure == UpstreamFailure::unresponsive) recordTimeout(now);
     retryNext(now, reason);
 }
 
 void UpstreamPoller::retryNext(Nanos now, std::string_view reason) {
     lastFailure_ = reason;
-    host_.log("upstream " + std::to_string(upstream_) + ": " + lastFailure_ + "; last response " +
+    host_.log("upstream " + std::to_string(upstream_) + ": " + lastFailure_ + "; last accepted response " +
               std::to_string((now - lastResponseAt_) / kMillisecond) + " ms ago");
-    if (options_.has(Safeguard::failOver)) moveToNext();
+    if (options_.isEnabled(Safeguard::failOver)) moveToNext();
     isProbing_ = true;
     pause(now);
 }
@@ -85,19 +86,19 @@
 }
 
 Nanos UpstreamPoller::nextPause() {
-    constexpr int kMaxDoublings = 4;  // enough for kMaxBackoff
+    constexpr int kMaxDoublings = 4;  // enough to reach kMaxBackoff
     const Nanos backoff = std::min(kMinBackoff << std::min(failures_, kMaxDoublings), kMaxBackoff);
     ++failures_;
     const Nanos pause = backoff / static_cast<Nanos>(options_.upstreams);
-    if (!options_.has(Safeguard::backoffJitter)) return pause;
+    if (!options_.isEnabled(Safeguard::backoffJitter)) return pause;
     return pause - std::uniform_int_distribution<Nanos>(0, pause / 2)(random_);
 }
 
-void UpstreamPoller::recordSilence(Nanos now) {
-    lastSilenceAt_ = now;
-    ++silences_;
-    if (silences_ < options_.upstreams || !options_.has(Safeguard::patience)) return;
-    silences_ = 0;
+void UpstreamPoller::recordTimeout(Nanos now) {
+    lastTimeoutAt_ = now;
+    ++consecutiveTimeouts_;
+    if (consecutiveTimeouts_ < options_.upstreams || !options_.isEnabled(Safeguard::growingTimeout)) return;
+    consecutiveTimeouts_ = 0;
     responseTimeout_ = std::min(2 * responseTimeout_, kMaxResponseTimeout);
 }
 
--- a/src/endpoint_distribution/upstream_poller.hpp
+++ b/src/endpoint_distribution/upstream_poller.hpp
@@ -1,10 +1,12 @@
-// Polls the upstreams, one at a time: which one, when, and for how long a response may take.
+// Decides which upstream is polled, when, and how long its response may take. One upstream is
+// polled at a time.
 //
-// When an upstream fails, the next one is polled. The pauses between attempts grow from kMinBackoff to
-// kMaxBackoff, divided by the number of upstreams and with jitter. The first poll after a failure does not
-// wait for a change, so that an upstream which accepts connections and is silent is detected within the
-// response timeout. Where all upstreams in turn have been silent, that timeout grows, to kMaxResponseTimeout
-// at most, and stays so until kResponseTimeoutRetention after the last silence.
+// When an upstream fails, the next one is polled. The pauses between attempts grow from kMinBackoff
+// to kMaxBackoff; they are divided by the number of upstreams and have jitter. The first poll after
+// a failure does not wait for a change, so that an upstream which accepts connections but never
+// responds is detected within the response timeout. When as many polls in a row have timed out as
+// there are upstreams, that timeout is doubled, up to kMaxResponseTimeout. It is reset
+// kResponseTimeoutRetention after the last poll that timed out.
 #pragma once
 
 #include <cstddef>
@@ -23,44 +25,47 @@
     // `options` and `host` have to outlive the poller.
     UpstreamPoller(const Options& options, DistributorHost& host, Nanos now);
 
-    // Polls the present upstream. `version`: of the list here, nothing without a list. `mayWait`: for a
-    // change.
+    // Polls the present upstream. `version` is the present list's, nullopt while there is no list.
+    // With `mayWait` the upstream may hold the poll until there is a change.
     void poll(Nanos now, std::optional<Version> version, bool mayWait);
 
-    // The upstream's response was taken. `listAge`: of its list, by its own account.
+    // The upstream's response was accepted. `listAge` is the age that the upstream reports for its
+    // list.
     void recordResponse(Nanos now, Nanos listAge);
-    // The list here is the upstream's newest now, so the next poll may request changes.
+    // The list here is now the upstream's newest, so the next poll may request changes.
     void recordCurrentList(Nanos now);
-    // After recordResponse: whether the upstream's own list is too old.
+    // Whether the upstream's own list is too old, by the last recordResponse().
     bool isStale() const;
-    // After recordResponse: the upstream is healthy and may be polled again at once.
+    // Ends a successful poll; the same upstream is polled again at once. Requires recordResponse()
+    // before.
     void succeed(Nanos now);
-    // The same upstream is polled for its complete list after a pause.
+    // Ends the poll; the same upstream is polled for its complete list after a pause.
     void requestCompleteList(Nanos now, std::string_view reason);
-    // The poll failed; the next upstream is polled after a pause.
+    // Ends a failed poll; the next upstream is polled after a pause.
     void fail(Nanos now, UpstreamFailure failure, std::string_view reason);
-    // The next upstream is polled after a pause.
+    // Ends the poll; the next upstream is polled after a pause.
     void retryNext(Nanos now, std::string_view reason);
-    // The next upstream is the present one.
+    // Makes the next upstream the present one.
     void moveToNext();
 
     bool isPolling() const { return state_ == State::polling; }
-    // When the pause is over, or the response is too late.
+    // When the poll times out, or when the pause ends.
     Nanos dueAt() const { return dueAt_; }
     std::size_t upstream() const { return upstream_; }
     bool needsCompleteList() const { return needsCompleteList_; }
-    // Why the list can't be had from the upstream; empty while it can.
+    // Why the last poll failed; empty after a successful poll.
     const std::string& lastFailure() const { return lastFailure_; }
-    // Since an upstream last responded, and the age of its list then; since the start before any response.
+    // The time since an upstream last responded plus the age that it reported for its list. Before
+    // the first response, the time since the start.
     Nanos listAge(Nanos now) const { return now - lastResponseAt_ + upstreamListAge_; }
 
   private:
     enum class State : std::uint8_t { backingOff, polling };
 
-    Nanos drawWait();
+    Nanos jitteredWait();
     Nanos nextPause();
     void pause(Nanos now);
-    void recordSilence(Nanos now);
+    void recordTimeout(Nanos now);
 
     const Options& options_;
     DistributorHost& host_;
@@ -70,13 +75,14 @@
     std::size_t upstream_ = 0;
     Nanos dueAt_;
     bool needsCompleteList_ = true;
-    bool isProbing_ = true;  // no response since the last failure
-    int failures_ = 0;       // in a row
-    std::string lastFailure_ = "nothing has been heard yet";
+    bool isProbing_ = true;  // no successful poll since the last failure
+    int failures_ = 0;       // consecutive
+    std::string lastFailure_ = "no upstream has responded yet";
 
     Nanos responseTimeout_ = kResponseTimeout;
-    std::size_t silences_ = 0;  // in a row, since the timeout last grew
-    Nanos lastSilenceAt_ = 0;
+    // Polls that have timed out since the last successful one, or since responseTimeout_ last grew.
+    std::size_t consecutiveTimeouts_ = 0;
+    Nanos lastTimeoutAt_ = 0;
 
     Nanos lastResponseAt_;
     Nanos upstreamListAge_ = 0;
--- a/src/endpoint_distributor/main.cpp
+++ b/src/endpoint_distributor/main.cpp
@@ -17,9 +17,10 @@
 
 int main(int argc, char** argv) {
     CLI::App app{
-        "poppyscale_endpoint_distributor: passes the list of servers on from discovery to many routers"};
+        "poppyscale_endpoint_distributor: polls discovery for the endpoint list and serves it to many "
+        "routers"};
     std::string path;
-    app.add_option("--config", path, "the settings, a TOML file")->required();
+    app.add_option("--config", path, "settings file (TOML)")->required();
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& problem) {
--- a/src/endpoint_distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::size_t kSpareConnections = 256;  // for rejected readers and for status requests
-constexpr std::size_t kOwnDescriptors = 64;     // standard streams, loop, signals, listener, upstream
+constexpr std::size_t kOwnDescriptors = 64;     // stdio, loop, signals, listener, upstream
 constexpr std::size_t kSpareBuffers = 256;
-constexpr std::size_t kBuffersPerReader = 2;  // a chunk of a response that its kernel has not taken
+constexpr std::size_t kBuffersPerReader = 2;  // hold one chunk that the kernel has not accepted
 constexpr Nanos kShutdownTimeout = 1'000 * kMillisecond;
 
 endpoint_distribution::Options optionsOf(const Settings& settings) {
@@ -30,7 +30,7 @@
     : settings_(settings),
       logger_(settings.name, logging::Format::text),
       pool_((settings.options.maxReaders + kSpareConnections) * kBuffersPerReader + kSpareBuffers),
-      wakeup_(loop_, [] {}),  // the iteration's end acts
+      wakeup_(loop_, [] {}),  // only wakes the loop; runIteration() does the work
       shutdownTimeout_(loop_, [this] { loop_.stop(); }),
       readers_(loop_, pool_, settings.options.maxReaders + kSpareConnections,
                [this] { return statusJson(); }),
@@ -52,17 +52,17 @@
     limit.rlim_cur = std::min(needed, limit.rlim_max);
     setrlimit(RLIMIT_NOFILE, &limit);
     if (limit.rlim_cur < needed)
-        logger_.info(
-            fmt::format("the system allows {} descriptors, max_readers needs {}", limit.rlim_cur, needed));
+        logger_.info(fmt::format("descriptor limit too low for max_readers: limit {}, needed {}",
+                                 limit.rlim_cur, needed));
 }
 
 void DistributorProcess::run() {
-    log(fmt::format("listens on {}", settings_.listen));
+    log(fmt::format("listening on {}", settings_.listen));
     loop_.run();
 }
 
 void DistributorProcess::runIteration() {
-    readers_.visitConnections();
+    readers_.handlePending();
     distributor_.reconcile(transport::EventLoop::now());
     if (isShuttingDown_ && readers_.isAllSent()) loop_.stop();
 }
@@ -70,7 +70,7 @@
 void DistributorProcess::beginShutdown() {
     if (isShuttingDown_) return;
     isShuttingDown_ = true;
-    log("shuts down: waiting readers are answered");
+    log("shutting down: answering the waiting readers");
     readers_.stopListening();
     upstreams_.stop();
     distributor_.shutDown(transport::EventLoop::now());
@@ -90,7 +90,7 @@
 void DistributorProcess::closeReader(endpoint_distribution::ReaderId reader,
                                      endpoint_distribution::CloseReason reason) {
     if (reason == endpoint_distribution::CloseReason::slow)
-        log("a reader that does not take its response is closed");
+        log("closed a reader's connection: the reader did not receive its response in time");
     readers_.close(reader);
 }
 
@@ -120,8 +120,8 @@
                               {"whole_answers", status.completeResponses},
                               {"delta_answers", status.deltaResponses},
                               {"slow_readers_closed", status.slowReadersClosed},
-                              {"readers_refused", status.readersRefused},
-                              {"version_falls_refused", status.versionFallsRefused}};
+                              {"readers_refused", status.readersRejected},
+                              {"version_falls_refused", status.olderListsRejected}};
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/endpoint_distributor/program.hpp
+++ b/src/endpoint_distributor/program.hpp
@@ -1,5 +1,5 @@
-// The program `poppyscale_endpoint_distributor`: a distributor on one event loop, between upstreams and
-// readers.
+// The program `poppyscale_endpoint_distributor`: runs a distributor, its upstream client and its
+// reader server on one event loop.
 #pragma once
 
 #include <optional>
@@ -21,9 +21,9 @@
 
 class DistributorProcess : private endpoint_distribution::DistributorHost {
   public:
-    // Listens. Throws StartupError.
+    // Starts to listen. Throws StartupError if that fails.
     explicit DistributorProcess(const Settings& settings);
-    // Until SIGTERM or SIGINT; readers that wait are answered before it ends.
+    // Runs until SIGTERM or SIGINT. Waiting readers are answered before it returns.
     void run();
 
   private:
--- a/src/endpoint_distributor/reader_connection.cpp
+++ b/src/endpoint_distributor/reader_connection.cpp
@@ -14,8 +14,8 @@
 using endpoint_distribution::ReaderId;
 using endpoint_distribution::SharedBytes;
 
-constexpr std::size_t kMaxPendingBytes = 16 * 1024;  // of requests behind the open one
-constexpr std::size_t kChunkBytes = 32 * 1024;       // of a response that the connection gets at once
+constexpr std::size_t kMaxPendingBytes = 16 * 1024;  // received before the open request is answered
+constexpr std::size_t kChunkBytes = 32 * 1024;       // passed to the connection at a time
 
 const char* reasonPhrase(int status) {
     switch (status) {
@@ -42,7 +42,7 @@
     return true;
 }
 
-bool ReaderConnection::visit() { return !isBroken_ && readRequests(); }
+bool ReaderConnection::handlePending() { return !isBroken_ && readRequests(); }
 
 void ReaderConnection::onData(std::string_view bytes) {
     pending_.append(bytes);
@@ -52,13 +52,13 @@
 void ReaderConnection::onClosed() { owner_.onConnectionClosed(id_); }
 
 void ReaderConnection::onDrained() {
-    pump();
+    writeOutgoing();
     owner_.onBytesSent(id_, unsent());
 }
 
 // ---- requests
 
-// False if the connection is of no further use.
+// Returns false if the connection has to be closed.
 bool ReaderConnection::readRequests() {
     while (!pending_.empty() && !isAwaitingResponse_ && !closesWhenSent_) {
         std::string_view rest = pending_;
@@ -85,7 +85,8 @@
     const auto after = request_.query("after");
     if (!after.empty()) {
         listRequest.after = protocol::parse<endpoint_distribution::Version>(after);
-        if (!listRequest.after) return sendError(400, "{\"error\":\"after is not a version\"}");
+        if (!listRequest.after)
+            return sendError(400, "{\"error\":\"query parameter 'after' is not a version\"}");
     }
     constexpr std::int64_t kMaxWaitMs = endpoint_distribution::kMaxReaderWait / kMillisecond;
     const auto waitMs = protocol::parse<std::int64_t>(request_.query("wait_ms")).value_or(0);
@@ -98,12 +99,12 @@
 
 std::size_t ReaderConnection::respond(const endpoint_distribution::ListResponse& response) {
     isAwaitingResponse_ = false;
-    closesWhenSent_ = closesWhenSent_ || response.close;
+    closesWhenSent_ = closesWhenSent_ || response.closesConnection;
     std::string headers = fmt::format("X-List-Age-Ms: {}\r\n", response.listAgeMs);
     if (response.retryAfterSeconds > 0)
         headers += fmt::format("Retry-After: {}\r\n", response.retryAfterSeconds);
     send(response.status, headers, response.body);
-    if (!pending_.empty()) owner_.scheduleVisit(id_);
+    if (!pending_.empty()) owner_.schedulePending(id_);
     return unsent();
 }
 
@@ -115,7 +116,7 @@
     std::string head = fmt::format(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{}{}\r\n", status,
         reasonPhrase(status), body->size(), extraHeaders, closesWhenSent_ ? "Connection: close\r\n" : "");
-    // A small body is copied behind the head: that costs less than another system call.
+    // Copying a small body behind the head is cheaper than another system call.
     const bool isSmall = body->size() <= kChunkBytes;
     if (isSmall) head += *body;
     outgoingBytes_ += head.size();
@@ -124,10 +125,10 @@
         outgoingBytes_ += body->size();
         outgoing_.push_back(std::move(body));
     }
-    pump();
+    writeOutgoing();
 }
 
-void ReaderConnection::pump() {
+void ReaderConnection::writeOutgoing() {
     while (!outgoing_.empty() && connection_.unsentBytes() == 0 && !isBroken_) {
         const std::string& first = *outgoing_.front();
         const auto chunk = std::string_view(first).substr(sentOfFirst_, kChunkBytes);
@@ -139,7 +140,7 @@
         outgoing_.pop_front();
         sentOfFirst_ = 0;
     }
-    if (isBroken_) return owner_.scheduleVisit(id_);
+    if (isBroken_) return owner_.schedulePending(id_);
     if (!closesWhenSent_ || isWriteShutDown_ || unsent() > 0) return;
     isWriteShutDown_ = true;
     connection_.shutdownWrite();
--- a/src/endpoint_distributor/reader_server.cpp
+++ b/src/endpoint_distributor/reader_server.cpp
@@ -12,12 +12,14 @@
     : loop_(loop), pool_(pool), maxConnections_(maxConnections), status_(std::move(status)) {}
 
 std::string ReaderServer::listen(const transport::Address& address) {
-    listener_ = std::make_unique<transport::Listener>(loop_, [this](const auto& accept) { admit(accept); });
+    listener_ = std::make_unique<transport::Listener>(
+        loop_, [this](const auto& accept) { acceptConnection(accept); });
     return listener_->listen(address);
 }
 
-// Over the bound a connection is accepted and closed, so that it does not stay in the kernel's queue.
-void ReaderServer::admit(const std::function<bool(transport::Connection&)>& accept) {
+// Beyond `maxConnections_` a connection is accepted and closed, so that it does not stay in the
+// kernel's queue.
+void ReaderServer::acceptConnection(const std::function<bool(transport::Connection&)>& accept) {
     ++lastId_;
     const ReaderId id = lastId_;
     Owner& self = *this;
@@ -36,13 +38,13 @@
 
 void ReaderServer::close(ReaderId id) { connections_.erase(id); }
 
-void ReaderServer::visitConnections() {
-    std::vector<ReaderId> visits;
-    visits.swap(visits_);
-    for (const ReaderId id : visits) {
+void ReaderServer::handlePending() {
+    std::vector<ReaderId> pendingReaders;
+    pendingReaders.swap(pendingReaders_);
+    for (const ReaderId id : pendingReaders) {
         const auto found = connections_.find(id);
         if (found == connections_.end()) continue;
-        const bool isUsable = found->second->visit();
+        const bool isUsable = found->second->handlePending();
         if (!isUsable) onConnectionClosed(id);
     }
 }
@@ -67,7 +69,7 @@
     distributor_->onReaderClosed(transport::EventLoop::now(), id);
 }
 
-void ReaderServer::scheduleVisit(ReaderId id) { visits_.push_back(id); }
+void ReaderServer::schedulePending(ReaderId id) { pendingReaders_.push_back(id); }
 
 void ReaderServer::countSent(std::size_t bytes) { bytesSent_ += bytes; }
 
--- a/src/endpoint_distributor/settings.hpp
+++ b/src/endpoint_distributor/settings.hpp
@@ -1,4 +1,5 @@
-// The settings of the program `poppyscale_endpoint_distributor`: one TOML file with one table.
+// The settings of the program `poppyscale_endpoint_distributor`: a TOML file with the table
+// `distributor`.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +12,14 @@
 
 namespace poppyscale::endpoint_distributor {
 
-// All problems of a file, a line each: "FILE:LINE: KEY: PROBLEM".
+// Lists all problems of a settings file, one per line, as "FILE:LINE: KEY: PROBLEM".
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct Upstream {
     transport::Address address;
-    std::string name;  // as in the file
+    std::string name;  // the address as written in the file
 };
 
 struct Settings {
@@ -26,11 +27,11 @@
     std::string listen;
     transport::Address listenAddress{};
     std::vector<Upstream> upstreams;
-    std::size_t maxListBytes = 0;  // of an upstream's response
+    std::size_t maxListBytes = 0;  // longest body of an upstream's response
     endpoint_distribution::Options options;
 };
 
-// Throws SettingsError with all problems.
+// Throws SettingsError that lists all problems.
 Settings readSettings(const std::string& path);
 
 }  // namespace poppyscale::endpoint_distributor
--- a/src/endpoint_distributor/upstream_client.cpp
+++ b/src/endpoint_distributor/upstream_client.cpp
@@ -13,8 +13,9 @@
 using endpoint_distribution::UpstreamFailure;
 
 constexpr Nanos kMaxConnectTimeout = 1'000 * kMillisecond;
-// All upstreams in turn have to be tried within the time in which a change has to be sent.
-constexpr Nanos kConnectTimeoutOfAll = 3'000 * kMillisecond;
+// Divided among the upstreams, so that all can be tried within the 5 s in which a change has to be
+// sent.
+constexpr Nanos kTotalConnectTimeout = 3'000 * kMillisecond;
 
 std::string targetOf(std::optional<endpoint_distribution::Version> after, Nanos wait) {
     if (!after) return "/api/targets";
@@ -31,7 +32,9 @@
       distributor_(distributor),
       upstreams_(std::move(upstreams)),
       response_(maxListBytes),
-      connectTimeout_(loop, [this] { fail(UpstreamFailure::unreachable, "can't connect in time"); }) {}
+      connectTimeout_(
+          loop, [this] { fail(UpstreamFailure::unreachable, "can't connect or send the request in time"); }) {
+}
 
 void UpstreamClient::poll(std::size_t index, std::optional<endpoint_distribution::Version> after,
                           Nanos wait) {
@@ -54,18 +57,18 @@
 
 void UpstreamClient::connect() {
     state_ = State::connecting;
-    const auto share = kConnectTimeoutOfAll / static_cast<Nanos>(upstreams_.size());
+    const auto share = kTotalConnectTimeout / static_cast<Nanos>(upstreams_.size());
     connectTimeout_.start(transport::EventLoop::now() + std::min(kMaxConnectTimeout, share));
     transport::Connection::Handler& self = *this;
     connection_ = std::make_unique<transport::Connection>(loop_, pool_, self);
-    // The timer reports an immediate failure, as nothing is reported within a poll.
+    // The timer reports an immediate failure, because poll() must not report a result itself.
     const bool isConnecting = connection_->connect(upstreams_[index_].address);
     if (!isConnecting) connectTimeout_.start(transport::EventLoop::now());
 }
 
-void UpstreamClient::onConnected(bool isUp) {
+void UpstreamClient::onConnected(bool isConnected) {
     connectTimeout_.stop();
-    if (!isUp) return fail(UpstreamFailure::unreachable, "can't connect");
+    if (!isConnected) return fail(UpstreamFailure::unreachable, "connection attempt failed");
     connection_->setReading(true);
     sendRequest();
 }
@@ -83,7 +86,8 @@
     const auto state = response_.feed(bytes);
     if (state == protocol::HttpResponse::State::complete) return handleResponse();
     if (state == protocol::HttpResponse::State::malformed)
-        fail(UpstreamFailure::malformed, "an answer that is not HTTP, or is too long");
+        fail(UpstreamFailure::malformed,
+             "response is not valid HTTP, or its body is longer than max_list_kib");
 }
 
 void UpstreamClient::onClosed() {
@@ -91,14 +95,15 @@
     const bool isComplete =
         connection_->hasPeerFinished() && response_.end() == protocol::HttpResponse::State::complete;
     if (isComplete) return handleResponse();
-    fail(UpstreamFailure::unreachable, "the connection ended");
+    fail(UpstreamFailure::unreachable, "connection closed before the response was complete");
 }
 
 void UpstreamClient::handleResponse() {
     state_ = State::idle;
     if (!response_.isKeepAlive()) connection_.reset();
     if (response_.status() != 200)
-        return fail(UpstreamFailure::unreachable, fmt::format("answered {}", response_.status()));
+        return fail(UpstreamFailure::unreachable,
+                    fmt::format("expected HTTP status 200, got {}", response_.status()));
     const Nanos now = transport::EventLoop::now();
     try {
         auto update = endpoint_distribution::readListUpdate(response_.body());
--- a/src/endpoint_distributor/upstream_client.hpp
+++ b/src/endpoint_distributor/upstream_client.hpp
@@ -1,6 +1,6 @@
 // Polls the upstreams over HTTP, one poll at a time, and reports each result to the distributor.
 //
-// The connection is reused while the polls go to the same upstream and it keeps the connection alive.
+// The connection is reused for the next poll of the same upstream if the upstream keeps it open.
 #pragma once
 
 #include <cstdint>
@@ -23,15 +23,16 @@
                    endpoint_distribution::Distributor& distributor, std::vector<Upstream> upstreams,
                    std::size_t maxListBytes);
 
-    // Cancels a poll in flight and begins another. Its result is reported later, never within the call.
+    // Cancels a poll in flight and starts a new one. The result is reported later, never within
+    // this call.
     void poll(std::size_t index, std::optional<endpoint_distribution::Version> after, Nanos wait);
-    // Cancels a poll in flight; nothing is reported of it.
+    // Cancels a poll in flight without reporting a result.
     void stop();
 
   private:
     enum class State : std::uint8_t { idle, connecting, waiting };
 
-    void onConnected(bool isUp) override;
+    void onConnected(bool isConnected) override;
     void onData(std::string_view bytes) override;
     void onClosed() override;
 
@@ -45,8 +46,8 @@
     endpoint_distribution::Distributor& distributor_;
     std::vector<Upstream> upstreams_;
     State state_ = State::idle;
-    std::size_t index_ = 0;  // of the upstream that is polled
-    std::string target_;     // of the request
+    std::size_t index_ = 0;  // of the polled upstream
+    std::string target_;     // the HTTP request target
     protocol::HttpResponse response_;
     transport::Timer connectTimeout_;
     std::unique_ptr<transport::Connection> connection_;
--- a/tests/endpoint_distribution_random_test.cpp
+++ b/tests/endpoint_distribution_random_test.cpp
@@ -54,7 +54,7 @@
     std::size_t behind = 0;       // readers that did not reach the newest version
     std::uint64_t ownFalls = 0;   // of a distributor's own version
     std::uint64_t epochs = 0;
-    std::uint64_t rejectedFalls = 0;
+    std::uint64_t olderListsRejected = 0;
     std::uint64_t responses = 0;
 };
 
@@ -81,7 +81,7 @@
         for (const auto& fixture : fixtures_) {
             const DistributorStatus status = fixture->distributor.status(fixture->now);
             result_.epochs += status.epochs;
-            result_.rejectedFalls += status.versionFallsRefused;
+            result_.olderListsRejected += status.olderListsRejected;
         }
         return result_;
     }
@@ -218,9 +218,9 @@
     "right") {
     const RandomResult result = RandomRun(7, 400, 4'700, {}).run();
     MESSAGE("delivered ", result.delivered, " answers ", result.responses, " refused falls ",
-            result.rejectedFalls);
+            result.olderListsRejected);
     CHECK(result.delivered >= 1'000'000);
-    CHECK(result.rejectedFalls > 100);
+    CHECK(result.olderListsRejected > 100);
     CHECK(result.epochs == 0);
     CHECK(result.falls == 0);
     CHECK(result.ownFalls == 0);
--- a/tests/endpoint_distribution_reader_test.cpp
+++ b/tests/endpoint_distribution_reader_test.cpp
@@ -59,7 +59,7 @@
 TEST_CASE("changes within a batch are sent together, and a reader gets one response in a batch at most") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Options options = optionsOf(1, std::move(disabled));
-        options.batch = 50 * ms;
+        options.batchInterval = 50 * ms;
         Fixture fixture(options);
         fixture.upstreamResponds(update(1, true, {entryText("a")}));
         fixture.advance(1 * kSecond);
@@ -85,7 +85,7 @@
                 fixture.advance(1 * ms);
             }
         }
-        CHECK(worst <= options.batch + 1 * ms);
+        CHECK(worst <= options.batchInterval + 1 * ms);
         return answers <= 201;
     };
     CHECK(isGuaranteed({}));
@@ -112,7 +112,7 @@
 TEST_CASE("a reader that does not take its response gets no further one, and is closed in bounded time") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Options options = optionsOf(1, std::move(disabled));
-        options.maxUnsent = 1'000;
+        options.maxUnsentBytes = 1'000;
         Fixture fixture(options);
         std::vector<std::string> entries;
         for (int i = 0; i < 100; ++i) entries.push_back(entryText("s" + std::to_string(i)));
@@ -166,7 +166,7 @@
     REQUIRE(refused);
     CHECK(refused->status == 503);
     CHECK(refused->retryAfterSeconds == 1);
-    CHECK(refused->close);
+    CHECK(refused->closesConnection);
     CHECK(fixture.distributor.status(fixture.now).readers == 2);
     fixture.distributor.onReaderClosed(fixture.now, 3);
     fixture.distributor.onReaderClosed(fixture.now, 1);
@@ -183,7 +183,7 @@
     fixture.reconcile();
     const auto first = fixture.take(1);
     REQUIRE(first);
-    CHECK(first->close);
+    CHECK(first->closesConnection);
     CHECK(readListUpdate(*first->body).version == 5);
     CHECK(fixture.takeList(2).version == 8);
 }
--- a/tests/endpoint_distribution_upstream_test.cpp
+++ b/tests/endpoint_distribution_upstream_test.cpp
@@ -44,7 +44,7 @@
     }
     CHECK(fixture.distributor.version() == 4);
     CHECK(fixture.distributor.status(fixture.now).epochs == 1);
-    CHECK(fixture.distributor.status(fixture.now).versionFallsRefused == 3);
+    CHECK(fixture.distributor.status(fixture.now).olderListsRejected == 3);
     CHECK_FALSE(fixture.take(1));  // another distributor may be ahead
     fixture.advance(kEpochGrace);
     const auto received = fixture.takeList(1);
@@ -74,7 +74,7 @@
             if (response.isComplete) detectedAt = fixture.now;
             CHECK((response.isComplete || response.version == 100'000));
         }
-        return detectedAt > options.upstreamWait + kAheadPatience;
+        return detectedAt > options.upstreamWait + kAheadCheckDelay;
     };
     CHECK(isGuaranteed({}));
     CHECK_FALSE(isGuaranteed({Safeguard::aheadCheck}));
@@ -128,7 +128,7 @@
     fixture.advance(due - 1);
     CHECK(fixture.distributor.status(fixture.now).lastFailure.empty());
     fixture.advance(1);
-    CHECK(fixture.distributor.status(fixture.now).lastFailure == "no answer in time");
+    CHECK(fixture.distributor.status(fixture.now).lastFailure == "no complete response within the timeout");
     fixture.upstreamResponds(update(6, false, {entryText("a", 2)}));
     CHECK(fixture.distributor.version() == 5);
 }
@@ -158,7 +158,7 @@
         return fixture.now - respondedAt < 10 * kSecond && longest < 12 * kSecond;
     };
     CHECK(isGuaranteed({}));
-    CHECK_FALSE(isGuaranteed({Safeguard::patience}));
+    CHECK_FALSE(isGuaranteed({Safeguard::growingTimeout}));
     Options options = optionsOf(1);
     options.upstreamWait = 1 * kSecond;
     Fixture fixture(options);
