--- a/tests/endpoint_distribution_fixture.hpp
+++ b/tests/endpoint_distribution_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of the endpoint list distributor's decisions: entries and lists as JSON, and a
-// distributor between scripted upstreams and readers.
+// Fixture of the tests of the endpoint list distributor's logic: entries and lists as JSON, and a
+// distributor with scripted upstreams and readers.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -42,7 +42,7 @@
     return readListUpdate(listText(version, isComplete, entries));
 }
 
-// A reader's list, by server id.
+// The entries of a reader's list, by server id.
 using Servers = std::map<std::string, std::string>;
 
 inline void applyTo(Servers& servers, const ListUpdate& update) {
@@ -55,6 +55,7 @@
     }
 }
 
+// The ids of the servers in an update; those of removed servers have the prefix "-".
 inline std::set<std::string> idsOf(const ListUpdate& update) {
     std::set<std::string> ids;
     for (const ServerEntry& entry : update.entries) ids.insert((entry.isRemoved ? "-" : "") + entry.id);
@@ -63,7 +64,8 @@
 
 using Ids = std::set<std::string>;
 
-// Records the distributor's actions. Readers take their responses at once, except the slow ones.
+// Records the distributor's actions. All readers except those in `slow` receive their responses at
+// once.
 struct ScriptedHost : endpoint_distribution::DistributorHost {
     struct Response {
         ReaderId reader;
@@ -106,7 +108,7 @@
         host.now = now;
         distributor.reconcile(now);
     }
-    // Advances to that time, with a reconcile at each wakeup.
+    // Advances to this time and calls reconcile() at each wakeup.
     void advanceTo(Nanos at) {
         while (host.wakeupAt <= at) {
             now = std::max(now, host.wakeupAt);
@@ -131,7 +133,7 @@
         distributor.onReaderPoll(now, reader, {after, wait});
         reconcile();
     }
-    // The last response to that reader since the call before, if there was one.
+    // Returns the last response to this reader since the last call, or nullopt.
     std::optional<ListResponse> take(ReaderId reader) {
         std::optional<ListResponse> last;
         for (const auto& sent : host.responses)
--- a/tests/endpoint_distribution_list_test.cpp
+++ b/tests/endpoint_distribution_list_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the endpoint list's state in a distributor: updates as JSON, changes since a version, tombstones.
+// Tests of ListState and readListUpdate: updates as JSON, changes since a version, tombstones,
+// gaps.
 #include <doctest/doctest.h>
 
 #include "endpoint_distribution_fixture.hpp"
@@ -7,7 +8,9 @@
 using namespace poppyscale;
 using namespace poppyscale::test;
 
-TEST_CASE("an entry's text is passed on unchanged, whatever surrounds it and is in it") {
+// The scanner that cuts entries out of the JSON must not be misled by brackets and quotes in
+// strings, by other keys named "servers" or by unusual white space.
+TEST_CASE("Passes an entry's text on unchanged, whatever it contains and what surrounds it") {
     const std::string odd = R"({ "id" : "a}\"]{[", "state":"Ready",)"
                             "\n"
                             R"("weight":1.50, "zone":"\\", "more":[{"x":1}] })";
@@ -27,7 +30,8 @@
     CHECK(readListUpdate(*state.completeList()).entries.size() == 2);
 }
 
-TEST_CASE("a list that a router would reject is rejected") {
+// A list that is malformed for routers would otherwise be passed on to all of them.
+TEST_CASE("Rejects a list that a router would reject") {
     for (const char* malformed :
          {"", "{", "[]", "{}", R"({"version":1,"full":true})", R"({"version":"1","full":true,"servers":[]})",
           R"({"version":1,"full":true,"servers":[1]})",
@@ -39,7 +43,8 @@
     }
 }
 
-TEST_CASE("changes since a version name each changed server once, and removed ones") {
+// Readers would keep a removed server, or miss a change, if one were left out of the changes.
+TEST_CASE("Changes since a version contain each changed server once, and removed servers") {
     ListState state(10);
     state.apply(update(5, true, {entryText("a"), entryText("b"), entryText("c")}));
     state.apply(update(6, false, {entryText("a", 2)}));
@@ -51,7 +56,7 @@
     CHECK(idsOf(readListUpdate(*state.changesSince(8))).empty());
     CHECK(readListUpdate(*state.changesSince(4)).isComplete);
     CHECK(idsOf(readListUpdate(*state.completeList())) == Ids{"a", "c", "d"});
-    // Removed by a complete list that does not name it, and added again.
+    // A complete list that does not name a server removes it; a later update adds it again.
     state.apply(update(9, true, {entryText("c"), entryText("d")}));
     CHECK(idsOf(readListUpdate(*state.changesSince(8))) == Ids{"-a"});
     state.apply(update(10, false, {entryText("a", 4)}));
@@ -59,7 +64,9 @@
     CHECK(state.tombstones() == 1);
 }
 
-TEST_CASE("the same response is serialized once for all readers") {
+// Serializing the same response for each reader would cost time and memory proportional to the
+// readers. A cached response must not outlive its version.
+TEST_CASE("Serializes the same response once for all readers") {
     ListState state(10);
     state.apply(update(5, true, {entryText("a")}));
     state.apply(update(6, false, {entryText("a", 2)}));
@@ -71,8 +78,9 @@
     CHECK(readListUpdate(*before).version == 6);
 }
 
-TEST_CASE(
-    "tombstones are bounded, and a reader with a version before the dropped ones gets the complete list") {
+// A reader would keep a removed server if its tombstone were dropped and the reader still got
+// changes only.
+TEST_CASE("Bounds tombstones and gives readers older than a dropped one the complete list") {
     ListState state(2);
     state.apply(update(1, true, {entryText("a"), entryText("b"), entryText("c"), entryText("d")}));
     state.apply(update(2, false, {entryText("a", 1, "Gone")}));
@@ -84,16 +92,20 @@
     CHECK(idsOf(readListUpdate(*state.changesSince(2))) == Ids{"-b", "-c"});
 }
 
-TEST_CASE("an equal entry in an update counts as changed, as readers may have seen another one in between") {
+// A reader that got an intermediate version from another distributor would keep an outdated entry
+// if an entry that equals the one held here were left out of the changes.
+TEST_CASE("An entry in an update counts as changed even if it equals the present one") {
     ListState state(10);
     state.apply(update(10, true, {entryText("a", 1), entryText("b", 1)}));
     state.apply(update(11, false, {entryText("b", 1, "Gone")}));
-    // In version 12, a had weight 2 and b was in the list.
+    // In version 12, which is unknown here, a had weight 2 and b was in the list.
     state.apply(update(13, false, {entryText("a", 1), entryText("b", 1, "Gone")}));
     CHECK(idsOf(readListUpdate(*state.changesSince(12))) == Ids{"a", "-b"});
 }
 
-TEST_CASE("no changes are given since a version that a complete list skipped") {
+// Changes made and undone between the versions 10 and 14 are unknown here, so a reader with version
+// 12 would miss them if it got changes.
+TEST_CASE("Gives the complete list to a reader whose version was skipped by a complete list") {
     const auto givesCompleteList = [](bool respectsGaps) {
         ListState state(10, {respectsGaps, true});
         state.apply(update(10, true, {entryText("a")}));
--- a/tests/endpoint_distribution_upstream_test.cpp
+++ b/tests/endpoint_distribution_upstream_test.cpp
@@ -1,4 +1,4 @@
-// Tests of a distributor's guarantees about its upstreams: older lists, epochs, lost versions, failures,
+// Tests of how a distributor handles its upstreams: older lists, epochs, lost versions, failures,
 // pauses.
 #include <doctest/doctest.h>
 
@@ -7,29 +7,33 @@
 using namespace poppyscale;
 using namespace poppyscale::test;
 
-TEST_CASE("an older list is rejected while any upstream has not sent an older one") {
+// An upstream that lags behind would otherwise take readers back to an outdated list.
+TEST_CASE("Rejects an older list until every upstream has sent an older one") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Fixture fixture(optionsOf(2, std::move(disabled)));
         fixture.upstreamResponds(update(9, true, {entryText("a")}));
         fixture.poll(1, 9);
         fixture.upstreamResponds(update(4, false, {}));
         fixture.advance(200 * ms);
-        // The complete list shows whether the upstream has lost its versions.
-        const bool requestedComplete = !fixture.lastPoll().after && fixture.lastPoll().index == 0;
+        // The distributor requests the complete list, to find out whether the upstream has lost its
+        // versions.
+        const bool hasRequestedCompleteList = !fixture.lastPoll().after && fixture.lastPoll().index == 0;
         fixture.upstreamResponds(update(4, true, {}));
         fixture.advance(200 * ms);
-        const bool polledNext = !fixture.lastPoll().after && fixture.lastPoll().index == 1;
+        const bool hasPolledNext = !fixture.lastPoll().after && fixture.lastPoll().index == 1;
         const bool isUnchanged = fixture.distributor.version() == 9;
         fixture.upstreamResponds(update(9, true, {entryText("a")}));
         fixture.advance(2 * kSecond);
-        return requestedComplete && polledNext && isUnchanged && !fixture.take(1) &&
+        return hasRequestedCompleteList && hasPolledNext && isUnchanged && !fixture.take(1) &&
                fixture.distributor.status(fixture.now).epochs == 0;
     };
     CHECK(isGuaranteed({}));
     CHECK_FALSE(isGuaranteed({Safeguard::olderList}));
 }
 
-TEST_CASE("when every upstream has lost its versions a new epoch begins, and readers get the complete list") {
+// Readers would keep an outdated list for ever if older lists were rejected after discovery has
+// lost its versions.
+TEST_CASE("Begins a new epoch with the complete list when every upstream has lost its versions") {
     Fixture fixture(optionsOf(2));
     fixture.upstreamResponds(update(9, true, {entryText("a"), entryText("b")}));
     fixture.poll(1, 9, 20 * kSecond);
@@ -45,18 +49,20 @@
     CHECK(fixture.distributor.version() == 4);
     CHECK(fixture.distributor.status(fixture.now).epochs == 1);
     CHECK(fixture.distributor.status(fixture.now).olderListsRejected == 3);
-    CHECK_FALSE(fixture.take(1));  // another distributor may be ahead
+    CHECK_FALSE(fixture.take(1));  // held for kEpochGrace: a faster distributor may have served it
     fixture.advance(kEpochGrace);
     const auto received = fixture.takeList(1);
     CHECK(received.version == 4);
     CHECK(received.isComplete);
     CHECK(idsOf(received) == Ids{"c"});
-    // A reader of the old epoch, whatever its version, gets the complete list.
+    // A reader of the old epoch gets the complete list also if its version is below the new one.
     fixture.poll(2, 3);
     CHECK(fixture.takeList(2).isComplete);
 }
 
-TEST_CASE("a version that no upstream has any more is detected, though the distributor never had it") {
+// A distributor started after discovery lost its versions sees no decrease of them at its
+// upstreams. Readers that kept the old version would be held for ever.
+TEST_CASE("Detects readers' versions that no upstream has any more, even if it never had them itself") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Options options = optionsOf(2, std::move(disabled));
         options.upstreamWait = 1 * kSecond;
@@ -67,8 +73,8 @@
             fixture.poll(1, 100'000, 1 * kSecond);
             for (int step = 0; step < 10; ++step) {
                 fixture.advance(100 * ms);
-                const bool callIsOver = fixture.now - fixture.lastPoll().at >= fixture.lastPoll().wait;
-                if (callIsOver) fixture.upstreamResponds(update(5, false, {}));
+                const bool isPollOver = fixture.now - fixture.lastPoll().at >= fixture.lastPoll().wait;
+                if (isPollOver) fixture.upstreamResponds(update(5, false, {}));
             }
             const auto response = fixture.takeList(1);
             if (response.isComplete) detectedAt = fixture.now;
@@ -80,9 +86,9 @@
     CHECK_FALSE(isGuaranteed({Safeguard::aheadCheck}));
 }
 
-TEST_CASE(
-    "while one upstream is unreachable, no version counts as lost, and the others are not polled without "
-    "end") {
+// The unreachable upstream may have the version. The check that waits for it must not poll the
+// reachable one in a busy loop.
+TEST_CASE("Treats no version as lost and limits the polls while one upstream is unreachable") {
     Options options = optionsOf(2);
     options.upstreamWait = 1 * kSecond;
     Fixture fixture(options);
@@ -90,19 +96,21 @@
     const std::size_t pollsBefore = fixture.host.polls.size();
     for (int step = 0; step < 300; ++step) {
         if (step % 10 == 0) fixture.poll(1, 100'000, 900 * ms);
-        const bool callIsOver = fixture.now - fixture.lastPoll().at >= fixture.lastPoll().wait;
+        const bool isPollOver = fixture.now - fixture.lastPoll().at >= fixture.lastPoll().wait;
         if (fixture.lastPoll().index == 1)
             fixture.upstreamFails();
-        else if (callIsOver)
+        else if (isPollOver)
             fixture.upstreamResponds(update(5, false, {}));
         fixture.advance(100 * ms);
         if (const auto response = fixture.take(1)) CHECK(readListUpdate(*response->body).version == 100'000);
     }
-    CHECK(fixture.host.polls.size() - pollsBefore <
-          120);  // over 30 s: a wait of half a second to one, and a check each two
+    // In 30 s: one long poll every 0.5 to 1 s, and one check of the upstreams every 2 s.
+    CHECK(fixture.host.polls.size() - pollsBefore < 120);
 }
 
-TEST_CASE("after a failure the next upstream is polled, from the version that is here") {
+// Readers would get no changes while the present upstream is down, or would get a complete list
+// each time.
+TEST_CASE("Polls the next upstream after a failure, for changes since the present version") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Fixture fixture(optionsOf(2, std::move(disabled)));
         fixture.upstreamResponds(update(5, true, {entryText("a")}));
@@ -121,7 +129,8 @@
     CHECK_FALSE(isGuaranteed({Safeguard::failOver}));
 }
 
-TEST_CASE("a silent upstream is left in time; a response after that is ignored") {
+// An upstream that stops responding without closing the connection would block all changes.
+TEST_CASE("Gives up a poll that times out and ignores a late response") {
     Fixture fixture(optionsOf(2));
     fixture.upstreamResponds(update(5, true, {entryText("a")}));
     const Nanos due = fixture.lastPoll().wait + kResponseTimeout;
@@ -133,7 +142,8 @@
     CHECK(fixture.distributor.version() == 5);
 }
 
-TEST_CASE("a slow discovery gets a longer timeout, and a quick one the short timeout again") {
+// With a fixed timeout no response of a discovery that is always slower would ever be accepted.
+TEST_CASE("Grows the response timeout while discovery is slow and resets it later") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Options options = optionsOf(1, std::move(disabled));
         options.upstreamWait = 1 * kSecond;
@@ -142,14 +152,14 @@
         Version version = 1;
         Nanos respondedAt = 0;
         Nanos longest = 0;
-        std::size_t answered = 0;
+        std::size_t answeredPolls = 0;
         for (int step = 0; step < 1'200; ++step) {
             fixture.advance(50 * ms);
-            // Each response comes 2.5 s late.
+            // Each response arrives 2.5 s after the poll's wait.
             const auto lastPoll = fixture.lastPoll();
             const bool isDue = fixture.now - lastPoll.at >= lastPoll.wait + 2'500 * ms;
-            if (!isDue || answered == fixture.host.polls.size()) continue;
-            answered = fixture.host.polls.size();
+            if (!isDue || answeredPolls == fixture.host.polls.size()) continue;
+            answeredPolls = fixture.host.polls.size();
             ++version;
             fixture.upstreamResponds(update(version, false, {entryText("a", static_cast<int>(version))}));
             longest = std::max(longest, fixture.now - respondedAt);
@@ -163,44 +173,46 @@
     options.upstreamWait = 1 * kSecond;
     Fixture fixture(options);
     fixture.upstreamResponds(update(1, true, {entryText("a")}));
-    fixture.advance(10 * kSecond);  // more than one silence
-    const auto answerInTime = [&](Nanos duration) {
+    fixture.advance(10 * kSecond);  // several polls time out
+    const auto respondInTime = [&](Nanos duration) {
         for (const Nanos until = fixture.now + duration; fixture.now < until; fixture.advance(100 * ms))
             if (fixture.now - fixture.lastPoll().at >= fixture.lastPoll().wait)
                 fixture.upstreamResponds(update(1, false, {}));
     };
-    const auto isLeftAfter = [&](Nanos time) {
+    const auto timesOutAfter = [&](Nanos time) {
         fixture.upstreamResponds(update(1, false, {}));
         fixture.advance(fixture.lastPoll().wait + time);
         return !fixture.distributor.status(fixture.now).lastFailure.empty();
     };
-    answerInTime(kResponseTimeoutRetention / 2);
-    CHECK_FALSE(isLeftAfter(kMaxResponseTimeout - 1));
-    answerInTime(2 * kResponseTimeoutRetention);
-    CHECK(isLeftAfter(kResponseTimeout));
+    respondInTime(kResponseTimeoutRetention / 2);
+    CHECK_FALSE(timesOutAfter(kMaxResponseTimeout - 1));
+    respondInTime(2 * kResponseTimeoutRetention);
+    CHECK(timesOutAfter(kResponseTimeout));
 }
 
-TEST_CASE("after malformed changes the complete list is requested") {
+// A poll for changes would get the same malformed response again and again.
+TEST_CASE("Requests the complete list after malformed changes") {
     Fixture fixture(optionsOf(1));
     fixture.upstreamResponds(update(5, true, {entryText("a")}));
     fixture.upstreamFails(Distributor::Failure::malformed);
     fixture.advance(kMinBackoff);
     CHECK_FALSE(fixture.lastPoll().after);
-    // Where there is no list, changes are malformed too.
+    // Changes are malformed too while there is no list to apply them to.
     Fixture fresh(optionsOf(1));
     fresh.upstreamResponds(update(5, false, {entryText("a")}));
     CHECK_FALSE(fresh.distributor.status(fresh.now).lastFailure.empty());
     CHECK(fresh.distributor.version() == 0);
 }
 
-TEST_CASE(
-    "pauses grow from 100 ms to a second, are divided by the upstreams, and differ between distributors") {
+// Many distributors that retry at the same moments would overload an upstream that has just come
+// back.
+TEST_CASE("Grows the pauses from 100 ms to 1 s, with jitter and divided by the number of upstreams") {
     const auto pausesOf = [](std::size_t upstreams, std::uint64_t seed, std::set<Safeguard> disabled) {
         Options options = optionsOf(upstreams, std::move(disabled));
         options.seed = seed;
         Fixture fixture(options);
         std::vector<Nanos> pauses;
-        for (int failed = 0; failed < 8; ++failed) {
+        for (int failure = 0; failure < 8; ++failure) {
             const Nanos from = fixture.now;
             const auto count = fixture.host.polls.size();
             fixture.upstreamFails();
@@ -210,23 +222,25 @@
         }
         return pauses;
     };
-    const auto one = pausesOf(1, 1, {});
-    for (std::size_t i = 0; i < one.size(); ++i) {
-        const Nanos most = std::min(kMinBackoff << i, kMaxBackoff);
-        CHECK(one[i] <= most);
-        CHECK(one[i] >= most / 2);
+    const auto pauses = pausesOf(1, 1, {});
+    for (std::size_t i = 0; i < pauses.size(); ++i) {
+        const Nanos maxPause = std::min(kMinBackoff << i, kMaxBackoff);
+        CHECK(pauses[i] <= maxPause);
+        CHECK(pauses[i] >= maxPause / 2);
     }
     CHECK(pausesOf(4, 1, {}).back() <= kMaxBackoff / 4);
     CHECK(pausesOf(1, 1, {}) != pausesOf(1, 2, {}));
-    // Without jitter all distributors return at the same moments.
+    // Without jitter all distributors retry at the same moments.
     CHECK(pausesOf(1, 1, {Safeguard::backoffJitter}) == pausesOf(1, 2, {Safeguard::backoffJitter}));
 }
 
-TEST_CASE("readers are answered while no upstream is reachable, and the list's age is reported") {
+// Routers have to work with the last known list during an outage of discovery, and need to see its
+// age.
+TEST_CASE("Answers readers and reports the list's age while no upstream is reachable") {
     Fixture fixture(optionsOf(1));
     fixture.upstreamResponds(update(5, true, {entryText("a")}), 300 * ms);
     fixture.upstreamFails();
-    for (int failed = 0; failed < 40; ++failed) {
+    for (int failure = 0; failure < 40; ++failure) {
         fixture.advance(1 * kSecond);
         fixture.upstreamFails();
     }
@@ -238,7 +252,9 @@
     CHECK(fixture.distributor.status(fixture.now).age == 40'300 * ms);
 }
 
-TEST_CASE("an upstream whose own list is stale is left, and its list is taken") {
+// An upstream distributor that has lost its connection to discovery still responds. Without this
+// check its readers would stay with it although another upstream has newer lists.
+TEST_CASE("Accepts the list of an upstream whose list is stale, then polls the next upstream") {
     const auto isGuaranteed = [](std::set<Safeguard> disabled) {
         Fixture fixture(optionsOf(2, std::move(disabled)));
         fixture.upstreamResponds(update(5, true, {entryText("a")}));
--- a/tests/endpoint_distributor_fixture.hpp
+++ b/tests/endpoint_distributor_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of the endpoint list distributor as a program: an emulated discovery, the distributor's
-// process, and HTTP responses.
+// Fixture of the tests of the endpoint distributor program: an emulated discovery, the
+// distributor's process, and HTTP requests and responses.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -26,12 +26,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-// The guarantee to routers: a change is sent within this.
+// The time within which routers are guaranteed to get a change.
 constexpr auto kMaxPropagation = std::chrono::milliseconds(5'000);
 
 inline std::string addressOf(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Discovery by its protocol, on a thread of its own.
+// An emulated discovery that runs on its own thread.
 class Discovery {
   public:
     enum class Mode { healthy, malformed, older, endless, silent, notHttp };
@@ -51,7 +51,7 @@
         ++version_;
         servers_[entry.at("id")] = {entry, version_};
     }
-    // Its versions begin again, with one server.
+    // Discards all servers and starts again at version 1 with this server.
     void restart(const json& entry) {
         const std::lock_guard lock(mutex_);
         servers_.clear();
@@ -87,9 +87,9 @@
             if (descriptors[0].revents)
                 readers_.push_back(
                     {::accept(listener_->descriptor(), nullptr, nullptr), {}, false, false, {}, {}});
-            std::size_t at = 1;
-            for (auto it = readers_.begin(); it != readers_.end() && at < descriptors.size(); ++at) {
-                const bool isReadable = descriptors[at].revents != 0;
+            std::size_t index = 1;
+            for (auto it = readers_.begin(); it != readers_.end() && index < descriptors.size(); ++index) {
+                const bool isReadable = descriptors[index].revents != 0;
                 const bool isOpen = (!isReadable || read(*it)) && serve(*it);
                 if (isOpen) {
                     ++it;
@@ -204,7 +204,7 @@
     return "/api/targets?after=" + std::to_string(after) + "&wait_ms=" + std::to_string(waitMs);
 }
 
-// The program, killed at the end of the test.
+// A process of the program. It is killed at the end of the test.
 class DistributorProcess {
   public:
     DistributorProcess(const std::string& name, const std::vector<std::string>& upstreams,
@@ -283,10 +283,11 @@
     std::uint16_t port;
 };
 
-// Whether readers get that version there within the guaranteed time. A fall of the versions meanwhile fails.
-inline bool isPropagated(const DistributorProcess& distributor, std::int64_t version, Clock::time_point from,
-                         std::int64_t known = 0) {
-    while (Clock::now() - from < kMaxPropagation) {
+// Whether readers of this distributor get this version within kMaxPropagation after `changedAt`.
+// Checks that no response lowers the version.
+inline bool isPropagated(const DistributorProcess& distributor, std::int64_t version,
+                         Clock::time_point changedAt, std::int64_t known = 0) {
+    while (Clock::now() - changedAt < kMaxPropagation) {
         const auto response = distributor.get(known ? afterTarget(known, 500) : "/api/targets");
         if (response.status == 200) {
             CHECK(response.version() >= known);
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the endpoint list distributor as a program: an emulated discovery, distributors on one and on two
-// levels, real routers and scripted readers, while processes are killed and stopped and upstreams send
-// malformed responses.
+// Tests of the endpoint distributor program with an emulated discovery, one or two levels of
+// distributors, real routers and scripted readers, while processes are killed or stopped and
+// upstreams send malformed responses.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -13,7 +13,8 @@
 using namespace poppyscale::test;
 using nlohmann::json;
 
-TEST_CASE("changes reach readers through two levels of distributors, as discovery sent them") {
+// Guards against entries that are altered, delayed or lost on the way through two levels.
+TEST_CASE("Passes changes unaltered through two levels of distributors") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess first("d1", {discovery.address()});
@@ -37,7 +38,7 @@
         CHECK(response.list()["full"] == false);
         CHECK(response.list()["servers"] == json::array({serverEntry("s" + std::to_string(change))}));
     }
-    // At the end of the wait.
+    // At the end of the wait the response has no changes.
     reader.say(request(afterTarget(response.version(), 300)));
     const auto unchanged = readResponse(reader);
     CHECK(unchanged.version() == response.version());
@@ -49,7 +50,8 @@
     CHECK(status["trouble"] == "");
 }
 
-TEST_CASE("a router behind a distributor follows discovery's changes, also when the distributor is killed") {
+// The router has to reconnect to the restarted distributor and accept its list.
+TEST_CASE("A router follows discovery through a distributor, also after the distributor is killed") {
     Discovery discovery;
     auto start = smallStart();
     std::vector<TestServer> caches(2);
@@ -75,7 +77,8 @@
         for (int n = 0; Clock::now() - from < kMaxPropagation; ++n) {
             Socket client(reservedPort.port);
             client.say(get("k" + std::to_string(n)));
-            // A connection that the router opened for a client that has disconnected carries nothing.
+            // The router may open a connection for a client that has disconnected, and send nothing
+            // on it.
             if (!caches[to].quiet(50) && caches[to].accept().command().size() == 4) return true;
             while (!caches[1 - to].quiet(0)) caches[1 - to].accept();
         }
@@ -89,7 +92,9 @@
     CHECK(migrateTo(0));
 }
 
-TEST_CASE("a killed distributor is left for another one, and serves again when it is back") {
+// Guards against changes that are lost or late when the upstream in use dies, and against a
+// restarted distributor that does not serve again.
+TEST_CASE("Fails over from a killed upstream distributor, which serves again after its restart") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     DistributorProcess first("d1", {discovery.address()});
@@ -106,7 +111,9 @@
     CHECK(leaf.status()["upstream"] == second.address());
 }
 
-TEST_CASE("a stopped distributor is left in time, and once continued it sends no lower version") {
+// A stopped process keeps its connections open without responding. After SIGCONT its list is
+// outdated.
+TEST_CASE("Fails over from a stopped upstream distributor, which sends no lower version once resumed") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess first("d1", {discovery.address()});
@@ -126,7 +133,9 @@
     CHECK(isPropagated(first, newest, Clock::now(), newest));
 }
 
-TEST_CASE("an upstream with malformed, older, endless or no responses costs its connection alone") {
+// A faulty upstream must not stop the distributor, corrupt its list, use up its memory or delay
+// changes.
+TEST_CASE("Uses the next upstream when one sends malformed, older, endless or no responses") {
     using Mode = Discovery::Mode;
     for (const Mode mode : {Mode::malformed, Mode::notHttp, Mode::older, Mode::endless, Mode::silent}) {
         CAPTURE(static_cast<int>(mode));
@@ -138,7 +147,7 @@
         const auto known = distributor.get("/api/targets").version();
         const auto before = distributor.residentKiB();
         faulty.setMode(mode);
-        faulty.set(serverEntry("s0", 2));  // a parked poll is answered
+        faulty.set(serverEntry("s0", 2));  // ends a long poll that is open at the faulty upstream
         discovery.set(serverEntry("s1", 2));
         CHECK(isPropagated(distributor, discovery.version(), Clock::now(), known));
         CHECK(distributor.status()["version"] == discovery.version());
@@ -147,9 +156,8 @@
     }
 }
 
-TEST_CASE(
-    "with every upstream failing readers are answered from what is here, and its age and failure are "
-    "reported") {
+// Routers have to get the last known list during an outage, and operators have to see the outage.
+TEST_CASE("Serves the last known list and reports its age and the failure while every upstream fails") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess distributor("d1", {discovery.address()});
@@ -168,7 +176,8 @@
     CHECK(distributor.status()["trouble"] == "");
 }
 
-TEST_CASE("when discovery has lost its versions, readers reach its new list") {
+// Readers would keep the old list until discovery's versions exceed the old ones.
+TEST_CASE("Readers get discovery's new list after it has lost its versions") {
     Discovery discovery;
     for (int i = 0; i < 20; ++i) discovery.set(serverEntry("s" + std::to_string(i)));
     const DistributorProcess distributor("d1", {discovery.address()}, "wait_ms = 1000\n");
@@ -182,7 +191,9 @@
     CHECK(distributor.status()["epochs"] == 1);
 }
 
-TEST_CASE("a slow reader costs itself alone") {
+// Readers that do not read their responses must not delay other readers or use memory for copies of
+// the list.
+TEST_CASE("Closes slow readers without delaying other readers") {
     Discovery discovery;
     const std::string filler(3'000, 'x');
     for (int i = 0; i < 3'000; ++i) {
@@ -213,11 +224,12 @@
     for (int tries = 0; tries < 200 && distributor.status()["slow_readers_closed"] < 20; ++tries)
         usleep(50'000);
     CHECK(distributor.status()["slow_readers_closed"] == 20);
-    // Each list is 9 MB; it was not copied for each reader.
+    // The list has 9 MB. A copy for each slow reader would exceed this bound.
     CHECK(distributor.residentKiB() < before + 100 * 1024);
 }
 
-TEST_CASE("many readers get each change, and over the bound they are rejected") {
+// Guards against readers that miss a change, and against an unbounded number of readers.
+TEST_CASE("Sends each change to 500 readers and rejects readers beyond max_readers") {
     constexpr std::size_t kReaders = 500;
     Discovery discovery;
     discovery.set(serverEntry("s0"));
@@ -249,7 +261,8 @@
     CHECK(status["whole_answers"] == 0);
 }
 
-TEST_CASE("SIGTERM: waiting readers are answered, then the program ends") {
+// Readers would otherwise see an aborted request at each restart of a distributor.
+TEST_CASE("Answers waiting readers after SIGTERM, then exits with code 0") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     DistributorProcess distributor("d1", {discovery.address()});
@@ -269,7 +282,9 @@
     CHECK(distributor.exitCode() == 0);
 }
 
-TEST_CASE("a request that is not for the list gets an error or costs its connection") {
+// Guards against a malformed, endless or pipelined request that stops the program or blocks its
+// connection.
+TEST_CASE("Answers invalid requests with an error or closes the connection, and handles pipelining") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess distributor("d1", {discovery.address()});
@@ -283,7 +298,7 @@
     endless.say("GET /api/targets HTTP/1.1\r\n");
     for (int i = 0; i < 1'000; ++i) endless.cram(header);
     CHECK(endless.ended());
-    // Several requests at once, also in pieces, are answered in their order.
+    // Several requests in one segment, the last one split, are answered in order.
     Socket pipelined = distributor.reader();
     pipelined.say(request("/api/targets") + request(afterTarget(discovery.version(), 100)) + "GET /sta");
     usleep(50'000);
@@ -297,7 +312,7 @@
 
 struct CommandResult {
     int exitCode = -1;
-    std::string output;  // of both streams
+    std::string output;  // stdout and stderr
 };
 
 CommandResult run(const std::string& command) {
@@ -311,7 +326,7 @@
 
 }  // namespace
 
-TEST_CASE("all problems of a settings file are reported at once, with file, line and key") {
+TEST_CASE("Reports all problems of a settings file at once, with file, line and key") {
     char path[] = "/tmp/poppyscale-settings-XXXXXX";
     close(mkstemp(path));
     const std::string file = path;
@@ -332,7 +347,7 @@
     CHECK(run(command).exitCode == 1);
 }
 
-TEST_CASE("poppyctl distributor prints the status as a table and as JSON") {
+TEST_CASE("`poppyctl distributor` prints the status as a table or as JSON") {
     Discovery discovery;
     discovery.set(serverEntry("s0"));
     const DistributorProcess distributor("d1", {discovery.address()});
