--- a/src/ctl/agent_codec.cpp
+++ b/src/ctl/agent_codec.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 using rollout::Version;
 
-constexpr std::size_t kMaxEchoedName = 40;  // bytes of a request's name that an answer repeats
+constexpr std::size_t kMaxEchoedName = 40;  // bytes of an unknown request's name quoted in the answer
 
 json encodeVersion(const Version& version) { return json::array({version.program, version.templateDigest}); }
 
@@ -59,10 +59,10 @@
 json errorAnswer(std::string_view problem) { return {{"error", problem}}; }
 
 json unknownRequestAnswer(std::string_view name) {
-    return errorAnswer(fmt::format("'{}' is not known here", name.substr(0, kMaxEchoedName)));
+    return errorAnswer(fmt::format("unknown request '{}'", name.substr(0, kMaxEchoedName)));
 }
 
-json busyAnswer() { return {{"error", "busy with an order before"}, {"busy", true}}; }
+json busyAnswer() { return {{"error", "another order is still being prepared"}, {"busy", true}}; }
 
 json rejectedOrderAnswer(std::string_view reason) {
     return {{"error", reason}, {"overtaken", reason.starts_with("overtaken")}};
@@ -106,7 +106,7 @@
 StoredAgentState decodeAgentState(std::string_view text, const std::string& path) {
     const json encoded = json::parse(text);
     if (encoded.at("format") != rollout::kFormat)
-        throw std::runtime_error(fmt::format("{} is of format {}", path, encoded["format"].dump()));
+        throw std::runtime_error(fmt::format("{}: unsupported format {}", path, encoded["format"].dump()));
     StoredAgentState stored;
     rollout::AgentState& state = stored.state;
     state.number = encoded.at("number");
--- a/src/ctl/agent_codec.hpp
+++ b/src/ctl/agent_codec.hpp
@@ -1,5 +1,6 @@
-// The JSON of a machine's agent, for both sides: the requests to its socket, its answers, and its state on
-// disk. No other file of this folder knows these keys; the codec of orders and reports is rollout's.
+// The JSON of a machine's agent, for agent and coordinator: the requests to the agent's socket, its answers
+// and its state on disk. No other file of this folder uses these keys. Orders and reports are encoded and
+// decoded by rollout/messages_codec.hpp.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +19,16 @@
 // ---- requests
 
 struct ReportRequest {};
-// Events with a number above `after`.
+// Requests the events whose number is greater than `after`.
 struct EventsRequest {
     std::uint64_t after = 0;
 };
-// By which means each instance would get a change; nothing is begun.
+// Asks by which means (reload, upgrade or restart) each instance would get a change. Nothing is changed.
 struct PreviewRequest {
-    std::string templateText;   // empty: stays as it is
-    std::string programDigest;  // empty: stays as it is
+    std::string templateText;   // empty: the template is not changed
+    std::string programDigest;  // empty: the program is not changed
 };
-// An order of a coordinator; read by rollout::readOrder, whose errors are answered.
+// An order of a coordinator, to be decoded by rollout::readOrder. The agent answers with its errors.
 struct OrderRequest {
     nlohmann::json order;
 };
@@ -38,7 +39,7 @@
 
 nlohmann::json encodeReportRequest();
 nlohmann::json encodePreviewRequest(const PreviewRequest& request);
-// Throws nlohmann::json::exception where a field is not of its type.
+// Throws nlohmann::json::exception if a field has the wrong type.
 AgentRequest readAgentRequest(const nlohmann::json& request);
 
 // ---- answers
@@ -47,39 +48,40 @@
 struct InstancePreview {
     std::string name;
     std::string zone;
-    std::string means;  // as it is printed by `poppyctl roll --dry`
+    std::string means;  // printed by `poppyctl roll --dry`; starts with "can't" if the change is impossible
 };
 
 // An answer that states why a request was not carried out.
 struct AgentError {
     std::string problem;
-    bool isSuperseded = false;  // a coordinator with a higher number acts there, or a later order was first
+    bool isSuperseded = false;  // the agent has seen a higher rollout number or a later order of this rollout
     bool isBusy = false;        // the request may be repeated
 };
-// Nothing where the answer states no error.
+// Returns nullopt if the answer states no error.
 std::optional<AgentError> readAgentError(const nlohmann::json& answer);
-// Throws nlohmann::json::exception where the answer is of another form.
+// Throws nlohmann::json::exception if a field is missing or has the wrong type.
 std::vector<InstancePreview> readPreviewAnswer(const nlohmann::json& answer);
 
 nlohmann::json errorAnswer(std::string_view problem);
 nlohmann::json unknownRequestAnswer(std::string_view name);
-// The agent still prepares another order: the coordinator sends this one again.
+// The agent is still preparing another order. The coordinator sends its order again later.
 nlohmann::json busyAnswer();
-// The agent rejects an order.
+// The agent rejects an order, for a reason given by RolloutAgent::onOrder.
 nlohmann::json rejectedOrderAnswer(std::string_view reason);
 nlohmann::json eventsAnswer(const std::vector<FleetEvent>& events);
 nlohmann::json previewAnswer(const std::vector<InstancePreview>& previews);
 
 // ---- state on disk
 
-// What an agent's process leaves to the next one.
+// The agent's state that the next process of the agent restores.
 struct StoredAgentState {
     rollout::AgentState state;
-    rollout::Version described;  // by the fleet's description when it was written
+    rollout::Version described;  // the version that the fleet description named when the state was written
 };
 
 std::string encodeAgentState(const StoredAgentState& stored);
-// Throws std::exception where the text is of another format, or a field is missing or not of its type.
+// `path` is named in errors. Throws std::exception if the format is not supported, or if a field is missing
+// or has the wrong type.
 StoredAgentState decodeAgentState(std::string_view text, const std::string& path);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/agent_endpoint.cpp
+++ b/src/ctl/agent_endpoint.cpp
@@ -64,7 +64,7 @@
     try {
         const rollout::Order order = rollout::readOrder(request);
         const rollout::AgentState& state = agent_.state();
-        // The content of a repeated order is stored already.
+        // The program and the template of a repeated order are stored already.
         if (order.digest == state.digest && !state.change.none()) {
             applyOrder({client, order, state.change, ""});
             return;
@@ -87,11 +87,12 @@
                                                          const rollout::Version& before) {
     PreparedOrder prepared{client, order, before, ""};
     try {
-        if (before.none()) throw std::runtime_error("what runs now could not be kept");
+        if (before.none())
+            throw std::runtime_error("the current version could not be stored, so no rollback is possible");
         if (!order.program.empty()) prepared.version.program = versions.storeProgram(order.program);
         if (!order.form.empty()) prepared.version.templateDigest = versions.storeTemplate(order.form);
         if (!order.programDigest.empty() && order.programDigest != prepared.version.program)
-            throw std::runtime_error(order.program + " is another program here");
+            throw std::runtime_error(order.program + " differs from the coordinator's program of that path");
     } catch (const std::exception& problem) {
         prepared.problem = problem.what();
     }
@@ -135,7 +136,7 @@
     if (!reportClients_.empty()) status_.startReport();
 }
 
-// The next report is for all requests that may be answered now.
+// Assigns all requests that may be answered now to the next report.
 void AgentEndpoint::takeDurableReports() {
     std::vector<PendingReport> remaining;
     for (const PendingReport& pending : pendingReports_) {
--- a/src/ctl/agent_endpoint.hpp
+++ b/src/ctl/agent_endpoint.hpp
@@ -1,4 +1,4 @@
-// The socket of a machine's agent, where a coordinator sends its orders.
+// The Unix socket of a machine's agent, at which it receives a coordinator's orders.
 #pragma once
 
 #include <poll.h>
@@ -18,38 +18,38 @@
 
 namespace poppyscale::ctl {
 
-// Takes requests at the agent's socket, hands orders to the RolloutAgent and answers.
+// Receives requests at the agent's socket, passes orders to the RolloutAgent and sends the answers.
 //
-// Guarantees: an order is answered only once what the agent makes of it is durable; the content that an order
-// brings is stored before the agent sees the order; one order is prepared at a time, and another one is
-// answered as busy; never blocks on the disk or on an instance.
+// Guarantees: an accepted order is answered only once the agent's new state is durable. The program and the
+// template of an order are stored before the agent receives the order. One order is prepared at a time; an
+// order that arrives meanwhile gets the answer "busy". Never blocks on the disk or on an instance.
 //
-// Owns the socket, the order in preparation and the requests that wait for an answer. All that is passed to
-// the constructor must outlive it; it is used from the loop's thread alone.
+// Owns the socket, the order in preparation and the requests that wait for an answer. All constructor
+// arguments must outlive it. Used only on the loop's thread.
 class AgentEndpoint {
   public:
-    // Throws std::runtime_error when it can't listen at the agent's socket.
+    // Throws std::runtime_error if it can't listen at the agent's socket.
     AgentEndpoint(const FleetDescription& description, const VersionStore& versions,
                   rollout::RolloutAgent& agent, AgentStateStore& store, FleetStatus& status);
 
-    // Adds what the loop has to wait for.
+    // Adds the descriptors that the loop has to poll.
     void addPollDescriptors(std::vector<pollfd>& descriptors) const;
-    // Takes what has come of work on other threads: an order that is prepared, the agent's state on disk.
+    // Handles the results of work on other threads: a prepared order, and a write of the agent's state.
     void collectResults();
     // Reads requests and sends answers.
     void runIteration();
 
   private:
-    // A request for a report, or an order, which is answered by a report too.
+    // A request for a report, or an order, which is answered with a report too.
     struct PendingReport {
         std::uint64_t client = 0;
-        bool isDurable = false;  // what the agent makes of its order
+        bool isDurable = false;  // the agent's state after the order is on disk; true for a report request
     };
     struct PreparedOrder {
         std::uint64_t client = 0;
         rollout::Order order;
-        rollout::Version version;  // to which it changes the instances
-        std::string problem;
+        rollout::Version version;  // the version to which the order changes instances
+        std::string problem;       // why the order can't be carried out; empty: it can
     };
 
     void onRequest(std::uint64_t client, const nlohmann::json& request);
@@ -67,8 +67,8 @@
     FleetStatus& status_;
     std::future<PreparedOrder> preparation_;
     std::vector<PendingReport> pendingReports_;  // in the order of their requests
-    std::vector<std::uint64_t> reportClients_;   // who gets the report in progress
-    ControlListener listener_;                   // last: it calls back
+    std::vector<std::uint64_t> reportClients_;   // the clients that get the report in progress
+    ControlListener listener_;                   // last, as its handler uses the other members
 };
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/agent_state_store.hpp
+++ b/src/ctl/agent_state_store.hpp
@@ -9,26 +9,26 @@
 
 namespace poppyscale::ctl {
 
-// Writes the agent's state to a file on a thread of its own, and reads it back at the start of the next
-// process.
+// Writes the agent's state to a file on a separate thread, and loads it when the next process starts.
 //
-// Guarantees: after a crash the file holds the state before or the new one, never a part; a save is reported
-// as done only once it is synced. Owns the write in progress, and waits for it at its own end. Used from the
-// loop's thread alone.
+// Guarantees: after a crash the file holds the previous or the new state, never a part of one. A save is
+// reported as done only once it is synced. Owns the write in progress and waits for it in the destructor.
+// Used only on the loop's thread.
 class AgentStateStore {
   public:
     explicit AgentStateStore(std::string path) : path_(std::move(path)) {}
 
-    // The version that the fleet's description names, written beside the state from the next save on.
+    // The version that the fleet description names. The next save writes it beside the state.
     const rollout::Version& describedVersion() const { return described_; }
     void setDescribedVersion(const rollout::Version& version) { described_ = version; }
 
     // Begins to write the state. To be called only while no write is in progress.
     void save(const rollout::AgentState& state);
-    // Takes the result of the write, if it has ended: empty where the state is durable, else the problem.
+    // Takes the result of a write that has ended: an empty string if the state is durable, otherwise the
+    // problem. Returns nullopt if no write has ended since the last call.
     std::optional<std::string> takeResult();
-    // What the last process left; nothing where it left nothing. Throws std::exception where the file can't
-    // be read, is damaged, or is of another format.
+    // The state that the last process saved; nullopt if there is no file. Throws std::exception if the file
+    // can't be read, is damaged, or has another format.
     std::optional<StoredAgentState> load() const;
 
   private:
--- a/src/ctl/async_result.hpp
+++ b/src/ctl/async_result.hpp
@@ -1,4 +1,4 @@
-// The result of work that runs on a thread of its own, for a loop that must not wait.
+// A poll loop's access to the result of work on another thread, without waiting.
 #pragma once
 
 #include <chrono>
@@ -6,7 +6,7 @@
 
 namespace poppyscale::ctl {
 
-// Whether the work has ended, so that get() does not wait. The future must be valid.
+// True if the work has ended, so that get() does not wait. The future must be valid.
 template <typename Result>
 bool isDone(const std::future<Result>& future) {
     return future.wait_for(std::chrono::seconds(0)) == std::future_status::ready;
--- a/src/ctl/change_preview.cpp
+++ b/src/ctl/change_preview.cpp
@@ -11,14 +11,14 @@
 
 protocol::StartupConfig readInstanceConfig(const FleetDescription& description,
                                            const std::string& templateText, int instance) {
-    config::ConfigProblems problems("the form");
+    config::ConfigProblems problems("configuration template");
     const auto plan = config::readOperatorConfig(makeConfigText(description, templateText, instance),
-                                                 "the form", false, problems);
+                                                 "configuration template", false, problems);
     if (!problems.none() || !plan.startup) throw std::runtime_error(problems.text());
     return *plan.startup;
 }
 
-// "reload", "restart", or empty where the configuration stays the same in effect.
+// "reload", "restart", or empty if both templates have the same effect on the instance.
 std::string meansForConfig(const FleetDescription& description, const std::string& currentTemplate,
                            const std::string& changedTemplate, int instance) {
     const auto current = readInstanceConfig(description, currentTemplate, instance);
--- a/src/ctl/change_preview.hpp
+++ b/src/ctl/change_preview.hpp
@@ -1,4 +1,4 @@
-// By which means the instances of a fleet would get a change.
+// Previews by which means (reload, upgrade or restart) the instances of a fleet would get a change.
 #pragma once
 
 #include <vector>
@@ -10,8 +10,9 @@
 
 namespace poppyscale::ctl {
 
-// Compares the change with what each instance is to run now. Begins nothing; reads configuration templates
-// from disk. A problem with an instance's part of the change stands in place of its means.
+// Compares the change with the version that each instance is to run now. Changes nothing, but reads
+// configuration templates from disk. If an instance can't get the change, its `means` is "can't: " followed
+// by the problem.
 std::vector<InstancePreview> previewChange(const FleetDescription& description, const VersionStore& versions,
                                            const rollout::RolloutAgent& agent, const PreviewRequest& change);
 
--- a/src/ctl/control_client.cpp
+++ b/src/ctl/control_client.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kReadSize = 65'536;  // bytes
 
-// Nothing where the path is too long for a socket.
+// Returns nullopt if the path is too long for a Unix socket.
 std::optional<sockaddr_un> socketAddress(const std::string& path) {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
@@ -36,7 +36,7 @@
     return ::send(socket.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
 }
 
-// Milliseconds until the deadline, negative after it.
+// Milliseconds until the deadline; negative once it has passed.
 long remainingMs(Clock::time_point deadline) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
 }
@@ -55,14 +55,14 @@
     pollfd pollDescriptor() const {
         return {socket_.get(), static_cast<short>(unsent_.empty() ? POLLIN : POLLOUT), 0};
     }
-    // Goes on with sending or receiving after a poll that reported an event.
+    // Continues to send or receive after poll() has reported an event.
     void advance() {
         if (unsent_.empty())
             receive();
         else
             send();
     }
-    // Null until the answer is complete, and where it is not a JSON object.
+    // Null until the answer is complete, or if it is not a JSON object.
     const nlohmann::json& answer() const { return answer_; }
 
   private:
@@ -94,25 +94,25 @@
 
 nlohmann::json sendRequest(const std::string& path, const nlohmann::json& request, int timeoutMs) {
     const std::optional<sockaddr_un> address = socketAddress(path);
-    if (!address) throw Unreachable("the socket's path is too long: " + path);
+    if (!address) throw Unreachable("path too long for a Unix socket: " + path);
     const FileDescriptor socket(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const std::string line = request.dump() + "\n";
     if (!connectTo(socket, *address) || !sendAll(socket, line))
-        throw Unreachable(fmt::format("no instance at {}: {}", path, std::strerror(errno)));
+        throw Unreachable(fmt::format("connection to {} failed: {}", path, std::strerror(errno)));
     const auto deadline = Clock::now() + std::chrono::milliseconds(timeoutMs);
     std::string received;
     while (!received.ends_with('\n')) {
         const auto remaining = remainingMs(deadline);
         pollfd descriptor{socket.get(), POLLIN, 0};
         if (remaining <= 0 || ::poll(&descriptor, 1, static_cast<int>(remaining)) != 1)
-            throw Unreachable("no answer in time from " + path);
+            throw Unreachable(fmt::format("no answer from {} within {} ms", path, timeoutMs));
         char buffer[kReadSize];
         const ssize_t size = ::recv(socket.get(), buffer, sizeof buffer, 0);
-        if (size <= 0) throw Unreachable("no whole answer from " + path);
+        if (size <= 0) throw Unreachable("connection closed before the answer was complete: " + path);
         received.append(buffer, static_cast<std::size_t>(size));
     }
     auto answer = nlohmann::json::parse(received, nullptr, false);
-    if (!answer.is_object()) throw Unreachable("no answer in form from " + path);
+    if (!answer.is_object()) throw Unreachable("expected a JSON object as the answer from " + path);
     return answer;
 }
 
--- a/src/ctl/control_listener.cpp
+++ b/src/ctl/control_listener.cpp
@@ -14,9 +14,9 @@
 namespace poppyscale::ctl {
 namespace {
 
-constexpr int kBacklog = 64;               // connections that wait to be accepted
+constexpr int kBacklog = 64;               // connections not yet accepted
 constexpr std::size_t kReadSize = 65'536;  // bytes
-constexpr mode_t kOwnerOnly = 0177;        // permissions that the socket's file does not get
+constexpr mode_t kOwnerOnlyUmask = 0177;   // leaves read and write permission for the owner
 
 }  // namespace
 
@@ -35,11 +35,12 @@
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     if (path_.size() >= sizeof address.sun_path)
-        throw std::runtime_error("the socket's path is too long: " + path_);
+        throw std::runtime_error("path too long for a Unix socket: " + path_);
     std::memcpy(address.sun_path, path_.data(), path_.size());
-    ::unlink(path_.c_str());  // left by a process that was killed: the owner of this folder holds its lock
+    // An existing file was left by a killed process: the FolderLock excludes a second running one.
+    ::unlink(path_.c_str());
     socket_ = FileDescriptor(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const mode_t previousMask = ::umask(kOwnerOnly);
+    const mode_t previousMask = ::umask(kOwnerOnlyUmask);
     const bool isBound =
         ::bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
     const int error = errno;
@@ -70,7 +71,7 @@
     for (;;) {
         FileDescriptor accepted(::accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
         if (!accepted.isOpen()) return;
-        if (clients_.size() >= kMaxClients) continue;  // closed
+        if (clients_.size() >= kMaxClients) continue;  // closes the accepted connection
         ++lastClientId_;
         clients_.push_back({lastClientId_, std::move(accepted), {}, {}, false});
     }
--- a/src/ctl/control_listener.hpp
+++ b/src/ctl/control_listener.hpp
@@ -1,4 +1,4 @@
-// The server's side of a Unix socket that takes requests as lines of JSON.
+// Server for requests over a Unix socket, one line of JSON each.
 #pragma once
 
 #include <poll.h>
@@ -14,31 +14,31 @@
 
 namespace poppyscale::ctl {
 
-// Listens at a Unix socket that only its owner may open, for a program with a poll loop: each line from a
-// client is a request, answered by one line, at once or later. Who may open the socket may run programs
-// through it; between machines, a tunnel of the operator's carries it.
+// Listens at a Unix socket, for a program with a poll loop. Each line from a client is a request and is
+// answered by one line, at once or later. Only the file's owner may connect, because a client can run
+// programs through the socket. Clients on other machines connect through a tunnel that the operator sets up.
 //
-// Guarantees: never blocks; at most kMaxClients clients and kMaxLine bytes of a request or its client is
-// disconnected. Owns the socket's file, which it replaces and removes, and its clients' connections. Used
-// from the loop's thread alone.
+// Guarantees: never blocks. Serves up to kMaxClients clients and closes further connections. Disconnects a
+// client of which it has read more than kMaxLine bytes that are not handled yet. Owns the socket's file,
+// which it replaces and removes, and the clients' connections. Used only on the loop's thread.
 class ControlListener {
   public:
-    static constexpr std::size_t kMaxLine = 4 << 20;  // bytes; an order carries a configuration template
+    static constexpr std::size_t kMaxLine = 4 << 20;  // bytes; an order contains a configuration template
     static constexpr std::size_t kMaxClients = 16;
 
-    // Called with each request, a JSON object; `client` is for answer().
+    // Called with each request, a JSON object. `client` identifies the recipient in answer().
     using RequestHandler = std::function<void(std::uint64_t client, const nlohmann::json& request)>;
-    // Throws std::runtime_error when it can't listen at that path.
+    // Throws std::runtime_error if it can't listen at `path`.
     ControlListener(std::string path, RequestHandler onRequest);
     ~ControlListener();
     ControlListener(const ControlListener&) = delete;
     ControlListener& operator=(const ControlListener&) = delete;
 
-    // Adds what the loop has to wait for.
+    // Adds the descriptors that the loop has to poll.
     void addPollDescriptors(std::vector<pollfd>& descriptors) const;
     // Accepts clients, reads requests and sends answers, as far as that is possible without waiting.
     void runIteration();
-    // Sends an answer; dropped where the client has disconnected.
+    // Sends an answer. It is dropped if the client has disconnected.
     void answer(std::uint64_t client, const nlohmann::json& answer);
 
   private:
--- a/src/ctl/distributor_status.cpp
+++ b/src/ctl/distributor_status.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t kMaxStatusSize = 1024 * 1024;  // bytes
 constexpr std::size_t kReadSize = 16 * 1024;         // bytes
 
-// Nothing where the text is not an IPv4 address and a port.
+// Returns nullopt if the text is not an IPv4 address and a port.
 std::optional<sockaddr_in> parseAddress(const std::string& text) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) return std::nullopt;
@@ -36,7 +36,7 @@
     return isValid ? std::optional(address) : std::nullopt;
 }
 
-// False where the events have not come by the deadline.
+// Returns false if none of the events occurs before the deadline.
 bool waitFor(const FileDescriptor& socket, short events, Clock::time_point deadline) {
     const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
@@ -57,25 +57,26 @@
 
 nlohmann::json distributorStatus(const std::string& address, int timeoutMs) {
     const auto parsedAddress = parseAddress(address);
-    if (!parsedAddress) throw Unreachable(fmt::format("'{}' is not an address and port", address));
+    if (!parsedAddress) throw Unreachable(fmt::format("'{}' is not an IPv4 address and port", address));
     const auto deadline = Clock::now() + std::chrono::milliseconds(timeoutMs);
     const FileDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const std::string request =
         fmt::format("GET /status HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n", address);
     if (!sendHttpRequest(socket, *parsedAddress, request, deadline))
-        throw Unreachable(fmt::format("no distributor at {}", address));
+        throw Unreachable(fmt::format("connection to the distributor at {} failed", address));
     protocol::HttpResponse response(kMaxStatusSize);
     auto state = protocol::HttpResponse::State::more;
     while (state == protocol::HttpResponse::State::more) {
-        if (!waitFor(socket, POLLIN, deadline)) throw Unreachable("no answer in time from " + address);
+        if (!waitFor(socket, POLLIN, deadline))
+            throw Unreachable(fmt::format("no answer from {} within {} ms", address, timeoutMs));
         char buffer[kReadSize];
         const ssize_t size = ::recv(socket.get(), buffer, sizeof buffer, 0);
-        if (size <= 0) throw Unreachable("no whole answer from " + address);
+        if (size <= 0) throw Unreachable("connection closed before the answer was complete: " + address);
         state = response.feed({buffer, static_cast<std::size_t>(size)});
     }
     const bool isSuccess = state == protocol::HttpResponse::State::complete && response.status() == 200;
     auto status = nlohmann::json::parse(isSuccess ? response.body() : "", nullptr, false);
-    if (!status.is_object()) throw Unreachable("no answer in form from " + address);
+    if (!status.is_object()) throw Unreachable("expected HTTP status 200 with a JSON object from " + address);
     return status;
 }
 
@@ -86,7 +87,7 @@
           "readers_refused", "slow_readers_closed", "answers", "whole_answers", "delta_answers", "bytes_sent",
           "version_falls_refused", "epochs", "lost_versions"}) {
         const auto found = status.find(key);
-        if (found == status.end()) continue;  // a distributor of another version
+        if (found == status.end()) continue;  // a distributor of another version may lack the key
         const std::string value = found->is_string() ? found->get<std::string>() : found->dump();
         table += fmt::format("{:<22} {}\n", key, value.empty() ? "-" : value);
     }
--- a/src/ctl/distributor_status.hpp
+++ b/src/ctl/distributor_status.hpp
@@ -1,4 +1,4 @@
-// The status of an endpoint distributor, read by HTTP from the address where it listens for readers.
+// Reads the status of an endpoint distributor by HTTP, from the address at which it listens for readers.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,10 +6,11 @@
 
 namespace poppyscale::ctl {
 
-// The status as the distributor answers it, within `timeoutMs`. Throws Unreachable.
+// Requests the status and waits up to `timeoutMs` for the answer, which is returned unchanged. Throws
+// Unreachable.
 nlohmann::json distributorStatus(const std::string& address, int timeoutMs);
 
-// The status as a table of two columns, a line for each key that the distributor knows.
+// Formats the status as a table of two columns, with a line for each known key that the status contains.
 std::string distributorTable(const nlohmann::json& status);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -23,8 +23,8 @@
 using nlohmann::json;
 using rollout::RolloutOutcome;
 
-constexpr Nanos kOrderIntervalMs = 400;  // from one round of orders to the next, at least
-constexpr int kAnswerTimeoutMs = 900;    // of all agents together
+constexpr Nanos kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
+constexpr int kAnswerTimeoutMs = 900;    // for all agents together
 constexpr int kPreviewTimeoutMs = 3 * kAnswerTimeoutMs;
 
 std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
@@ -33,21 +33,22 @@
     return sockets;
 }
 
-// The same request to all agents. The answers by agent, null where there is none.
+// Sends the same request to all agents. Returns the answers by agent; null for an agent without an answer.
 std::vector<json> requestFromAll(const rollout::RolloutPlan& plan, const json& request, int timeoutMs) {
     return sendRequests(socketsOf(plan), std::vector<json>(plan.agents.size(), request), timeoutMs);
 }
 
-// Carries a RolloutController's orders to the agents and their answers back, round by round.
+// Sends the orders of a RolloutController to the agents and passes the answers back to it, round by round.
 class RolloutCoordinator : private rollout::RolloutHost {
   public:
-    // `plan` and `options` must outlive it. `programDigest`: of the plan's program; empty: none.
+    // `plan` and `options` must outlive it. `programDigest` is the digest of the plan's program; empty if the
+    // plan does not change the program.
     RolloutCoordinator(const rollout::RolloutPlan& plan, const std::string& programDigest,
                        const RolloutOptions& options)
         : plan_(plan),
           options_(options),
           programDigest_(programDigest),
-          log_("poppyctl roll", options.json ? logging::Format::json : logging::Format::text),
+          log_("poppyctl roll", options.asJson ? logging::Format::json : logging::Format::text),
           controller_(plan, digestOf(programDigest + "\n" + plan.templateText),
                       static_cast<rollout::RolloutHost&>(*this)) {}
 
@@ -61,7 +62,7 @@
             controller_.reconcile(monotonicNow());
             waitForSignal(signals, startedAt);
             while (signals.next()) {
-                // A second signal: the agents roll back by themselves what is not held.
+                // On a second signal the agents roll back on their own the changes that are not held.
                 if (isAbandoned) return kExitNotPossible;
                 isAbandoned = true;
                 controller_.abandon(monotonicNow());
@@ -100,7 +101,7 @@
         try {
             controller_.onReport(now, agent, rollout::readReport(answer));
         } catch (const std::exception& problem) {
-            log_.info("not understood", {{"agent", name}, {"why", problem.what()}});
+            log_.info("invalid answer", {{"agent", name}, {"why", problem.what()}});
             controller_.onRefused(now, agent, problem.what());
         }
     }
@@ -119,7 +120,7 @@
     void report(std::string_view what, const json& fields) override { log_.info(what, fields); }
 
     void printOutcome() const {
-        if (options_.json) {
+        if (options_.asJson) {
             fmt::print("{}\n", controller_.status(monotonicNow()).dump(2));
             return;
         }
@@ -129,7 +130,7 @@
         for (const auto& instance : controller_.unrestoredInstances()) fmt::print("  {}\n", instance);
         if (outcome != RolloutOutcome::completed) return;
         const bool changesBoth = !plan_.program.empty() && !plan_.templatePath.empty();
-        fmt::print("the machines' descriptions still name what ran before: write {}{}{} into them\n",
+        fmt::print("the machines' fleet descriptions still name the previous version: enter {}{}{} there\n",
                    plan_.program, changesBoth ? " and " : "", plan_.templatePath);
     }
 
@@ -153,7 +154,7 @@
     rollout::RolloutController controller_;
 };
 
-// ---- what the options --dry and --status show
+// ---- the options --dry and --status
 
 struct AgentPreview {
     std::string agent;
@@ -186,7 +187,7 @@
     bool isPossible = true;
     for (std::size_t i = 0; i < answers.size(); ++i) {
         const auto& agent = plan.agents[i];
-        const auto error = answers[i].is_null() ? AgentError{"not there"} : readAgentError(answers[i]);
+        const auto error = answers[i].is_null() ? AgentError{"no answer"} : readAgentError(answers[i]);
         if (error) {
             isPossible = false;
             fmt::print(stderr, "poppyctl: {}: agents.{}: {} ({})\n", options.plan, agent.name, error->problem,
@@ -199,22 +200,22 @@
         }
     }
     const auto stages = rollout::stagesOf(plan, static_cast<int>(previews.size()));
-    printPreviews(previews, stages, options.json);
+    printPreviews(previews, stages, options.asJson);
     return isPossible ? kExitCompleted : kExitNotPossible;
 }
 
 std::string describeProgress(const rollout::Report& report) {
-    if (report.digest.empty()) return ", none under way";
-    return report.isFinished ? ", over" : ", under way";
+    if (report.digest.empty()) return ", no change in progress";
+    return report.isFinished ? ", finished" : ", in progress";
 }
 
 void printReport(const std::string& agent, const rollout::Report& report) {
-    fmt::print("{:<16} roll {}{}{}\n", agent, report.number, describeProgress(report),
-               report.hasRolledBack ? ", went back by itself" : "");
+    fmt::print("{:<16} rollout {}{}{}\n", agent, report.number, describeProgress(report),
+               report.hasRolledBack ? ", rolled back on its own" : "");
     for (const auto& instance : report.instances)
         fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", instance.name, instance.zone,
                    rollout::nameOf(instance.state), static_cast<double>(instance.since) / 1e9,
-                   instance.ready ? "ready" : "not ready", instance.metrics ? "" : ", tells no figures",
+                   instance.ready ? "ready" : "not ready", instance.metrics ? "" : ", no metrics",
                    instance.problem.empty() ? "" : ", " + instance.problem);
 }
 
@@ -226,13 +227,13 @@
         const auto& agent = plan.agents[i].name;
         if (answers[i].is_null()) allAnswered = false;
         byAgent[agent] = answers[i];
-        if (options.json) continue;
+        if (options.asJson) continue;
         if (answers[i].is_null() || answers[i].contains("error"))
-            fmt::print("{:<16} unknown\n", agent);
+            fmt::print("{:<16} no report received\n", agent);
         else
             printReport(agent, rollout::readReport(answers[i]));
     }
-    if (options.json) fmt::print("{}\n", byAgent.dump(2));
+    if (options.asJson) fmt::print("{}\n", byAgent.dump(2));
     return allAnswered ? kExitCompleted : kExitNotPossible;
 }
 
@@ -248,8 +249,8 @@
         fmt::print(stderr, "poppyctl: {}\n", problem.what());
         return kExitNotPossible;
     }
-    if (options.status) return showStatus(*plan, options);
-    if (options.dry) return showPreview(*plan, programDigest, options);
+    if (options.showsStatus) return showStatus(*plan, options);
+    if (options.isDryRun) return showPreview(*plan, programDigest, options);
     RolloutCoordinator coordinator(*plan, programDigest, options);
     return coordinator.run();
 }
--- a/tests/agent_codec_test.cpp
+++ b/tests/agent_codec_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the agent's JSON: keys and forms that other versions read and write.
+// Tests of the agent's JSON. Other versions of poppyctl read and write the same keys.
 #include "ctl/agent_codec.hpp"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,8 @@
 using namespace poppyscale;
 using nlohmann::json;
 
-TEST_CASE("the agent's state on disk keeps its keys and is read back as it was written") {
+// The next version of the agent must find the state of a rollout that is in progress during its own restart.
+TEST_CASE("Agent state on disk keeps its keys, is decoded unchanged, and other formats are rejected") {
     ctl::StoredAgentState stored;
     stored.state.number = 7;
     stored.state.digest = "change";
@@ -27,12 +28,12 @@
     const ctl::StoredAgentState decoded = ctl::decodeAgentState(text, "roll");
     CHECK(decoded.state == stored.state);
     CHECK(decoded.described == stored.described);
-    CHECK_THROWS_WITH(ctl::decodeAgentState(R"({"format": 2})", "roll"), "roll is of format 2");
+    CHECK_THROWS_WITH(ctl::decodeAgentState(R"({"format": 2})", "roll"), "roll: unsupported format 2");
     CHECK_THROWS_AS(ctl::decodeAgentState(R"({"format": 1, "number": 7})", "roll"), json::exception);
     CHECK_THROWS_AS(ctl::decodeAgentState("{", "roll"), json::exception);
 }
 
-TEST_CASE("requests to the agent are known by their names") {
+TEST_CASE("Agent requests are decoded by their names") {
     const auto read = [](const char* text) { return ctl::readAgentRequest(json::parse(text)); };
     CHECK(std::holds_alternative<ctl::ReportRequest>(ctl::readAgentRequest(ctl::encodeReportRequest())));
     CHECK(std::get<ctl::EventsRequest>(read(R"({"do": "events", "after": 12})")).after == 12);
@@ -46,10 +47,11 @@
     CHECK(std::get<ctl::UnknownRequest>(read("{}")).name.empty());
 }
 
-TEST_CASE("the agent's answers keep their keys") {
+TEST_CASE("Agent answers keep their keys") {
     CHECK(ctl::unknownRequestAnswer(std::string(50, 'x')) ==
-          json{{"error", "'" + std::string(40, 'x') + "' is not known here"}});
-    CHECK(ctl::busyAnswer() == json::parse(R"({"error": "busy with an order before", "busy": true})"));
+          json{{"error", "unknown request '" + std::string(40, 'x') + "'"}});
+    CHECK(ctl::busyAnswer() ==
+          json::parse(R"({"error": "another order is still being prepared", "busy": true})"));
     CHECK(ctl::rejectedOrderAnswer("overtaken by 3") ==
           json::parse(R"({"error": "overtaken by 3", "overtaken": true})"));
     CHECK(ctl::rejectedOrderAnswer("there is no instance 9").at("overtaken") == false);
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -429,9 +429,9 @@
     CHECK(list.at("age_ms") > 5'000);
     CHECK(list.at("trouble") != "");
     const std::string shown = pair.router.status();
-    CHECK(shown.find("the list is asked of ") != std::string::npos);
-    CHECK(shown.find(", one of 2; last heard of ") != std::string::npos);
-    CHECK(shown.find("it can't be had: ") != std::string::npos);
+    CHECK(shown.find("endpoint list polled from ") != std::string::npos);
+    CHECK(shown.find(", one of 2 sources; last answer ") != std::string::npos);
+    CHECK(shown.find("; last failure: ") != std::string::npos);
     // Bounded, however long it lasts.
     const std::string log = pair.router.program.log();
     std::size_t moves = 0;
--- a/tests/rollout_agent_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -1,4 +1,4 @@
-// Tests of `poppyctl roll` as a program, against emulated agents of this and other versions.
+// Tests of the program `poppyctl roll` against emulated agents of this and of other versions.
 #include <doctest/doctest.h>
 #include <sys/wait.h>
 
@@ -19,17 +19,18 @@
 
 namespace {
 
-using Answer = std::function<json(const json& request, const json& defaultAnswer)>;
+// Makes an answer from the request and from the answer that an agent of the current version gives.
+using MakeAnswer = std::function<json(const json& request, const json& defaultAnswer)>;
 
-// An agent with one instance, whose answers a function makes from the request and the present version's
-// answer.
+// An agent with one instance that answers what `makeAnswer` returns.
 class EmulatedAgent {
   public:
-    EmulatedAgent(const std::string& path, Answer answer)
-        : listener_(path, [this, answer = std::move(answer)](std::uint64_t client, const json& request) {
-              requests += request.value("do", "") + ";";
-              listener_.answer(client, answer(request, defaultAnswer()));
-          }) {
+    EmulatedAgent(const std::string& path, MakeAnswer makeAnswer)
+        : listener_(path,
+                    [this, makeAnswer = std::move(makeAnswer)](std::uint64_t client, const json& request) {
+                        requests += request.value("do", "") + ";";
+                        listener_.answer(client, makeAnswer(request, defaultAnswer()));
+                    }) {
         thread_ = std::jthread([this](const std::stop_token& stop) {
             while (!stop.stop_requested()) {
                 listener_.runIteration();
@@ -47,7 +48,7 @@
             {"r0", "north", rollout::InstanceState::original, true, 60'000 * kMillisecond, 0, "", {}});
         return rollout::toJson(report, {json{{"format", 1}}});
     }
-    std::string requests;  // the names of all, each with a semicolon
+    std::string requests;  // the names of all requests received, each followed by a semicolon
 
   private:
     ctl::ControlListener listener_;
@@ -60,7 +61,7 @@
     bool hasSentOrders = false;
 };
 
-// A rollout over one agent of the present version and another one.
+// Runs `poppyctl roll` with two emulated agents: "present", of the current version, and "other".
 class RolloutRun {
   public:
     RolloutRun() {
@@ -68,7 +69,7 @@
         folder_ = mkdtemp(name);
     }
     ~RolloutRun() { std::filesystem::remove_all(folder_); }
-    RolloutResult run(const Answer& otherAnswer, const std::string& options = "") const {
+    RolloutResult run(const MakeAnswer& otherAnswer, const std::string& options = "") const {
         EmulatedAgent present(folder_ + "/a.sock",
                               [](const json&, const json& defaultAnswer) { return defaultAnswer; });
         EmulatedAgent other(folder_ + "/b.sock", otherAnswer);
@@ -93,7 +94,8 @@
 
 }  // namespace
 
-TEST_CASE("agents of an older version are rejected by name, and no order is sent") {
+// Guards against a rollout that has changed some machines before it meets an agent that can't take part.
+TEST_CASE("Rejects agents of an older version by name and sends no order") {
     const RolloutRun formatRun;
     const RolloutRun unknownRun;
     auto pendingFormat = std::async(std::launch::async, [&] {
@@ -103,7 +105,7 @@
         });
     });
     const RolloutResult unknown = unknownRun.run([](const json& request, const json&) {
-        return json{{"error", "'" + request.value("do", "") + "' is not known here"}};
+        return json{{"error", "unknown request '" + request.value("do", "") + "'"}};
     });
     const RolloutResult format = pendingFormat.get();
     CHECK(format.exitCode == 1);
@@ -111,12 +113,13 @@
                   format.output);
     CHECK_FALSE(format.hasSentOrders);
     CHECK(unknown.exitCode == 1);
-    CHECK_MESSAGE(unknown.output.find("other ('look' is not known here)") != std::string::npos,
-                  unknown.output);
+    CHECK_MESSAGE(unknown.output.find("other (unknown request 'look')") != std::string::npos, unknown.output);
     CHECK_FALSE(unknown.hasSentOrders);
 }
 
-TEST_CASE("unknown fields of a newer agent are ignored; instances without metrics don't pass a stage") {
+// Guards against a coordinator that fails on the report of a newer agent, and against a stage that passes
+// without evidence.
+TEST_CASE("Ignores unknown fields of a newer agent, and passes no stage without the instances' metrics") {
     const RolloutRun rollout;
     const auto newerAnswer = [](const json&, json answer) {
         answer["mood"] = "well";
@@ -125,9 +128,9 @@
     };
     const RolloutResult status = rollout.run(newerAnswer, "--status ");
     CHECK(status.exitCode == 0);
-    CHECK_MESSAGE(status.output.find("tells no figures") != std::string::npos, status.output);
-    // The rollout begins, but as these agents change nothing and their instances have no metrics, no stage
-    // passes.
+    CHECK_MESSAGE(status.output.find(", no metrics") != std::string::npos, status.output);
+    // The rollout begins, but no stage passes: these agents change nothing, and their instances have no
+    // metrics.
     const RolloutResult result = rollout.run(newerAnswer);
     CHECK(result.hasSentOrders);
     CHECK_MESSAGE((result.exitCode == 1 || result.exitCode == 3), result.output);
--- a/tests/rollout_evidence_test.cpp
+++ b/tests/rollout_evidence_test.cpp
@@ -121,7 +121,7 @@
     CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), s));
     next["format"] = 2;
     CHECK_FALSE(readInstanceMetrics(next));
-    CHECK_FALSE(readInstanceMetrics({{"error", "'figures' is not known here"}}));
+    CHECK_FALSE(readInstanceMetrics({{"error", "unknown request 'figures'"}}));
     json["memory_kb"] = -1;
     CHECK_FALSE(readInstanceMetrics(json));
 }
