--- a/src/ctl/version_installer.cpp
+++ b/src/ctl/version_installer.cpp
@@ -11,7 +11,7 @@
 namespace poppyscale::ctl {
 namespace {
 
-// How version_store states that a file can't be read, written or run.
+// Begins the errors of version_store.cpp about files that can't be read, written or run.
 constexpr std::string_view kFileProblemPrefix = "can't ";
 
 }  // namespace
@@ -27,7 +27,7 @@
       status_(status),
       instances_(static_cast<std::size_t>(description.supervisor.instanceCount)) {}
 
-// ---- work on threads of its own
+// ---- work on separate threads
 
 void VersionInstaller::startUpgrade(int instance, std::string program) {
     at(instance).upgrade = std::async(
@@ -67,7 +67,7 @@
     try {
         return applyToProcess(versions, version, socketOf(description, instance));
     } catch (const std::exception&) {
-        // It does not run, or is of a version that does not know these requests.
+        // The instance does not run, or its version does not support these requests.
         return {"", true, 0};
     }
 }
@@ -91,7 +91,7 @@
         const UpgradeResult result = current.upgrade.get();
         if (result.problem.empty()) processes_.adopt(instance, result.successorPid);
         supervisor_.onUpgraded(monotonicNow(), instance, result.problem);
-        return Progress::busy;  // the new process is examined in the next iteration
+        return Progress::busy;  // the new process is checked in the next iteration
     }
     if (current.install && current.install->state == Install::State::applying) {
         if (!isDone(current.install->result)) return Progress::busy;
@@ -117,8 +117,8 @@
     const std::string program = versions_.programPath(at(instance).install->version.program);
     const bool isProgramMissing = !result.problem.empty() && ::access(program.c_str(), X_OK) != 0;
     if (result.needsRestart) return true;
-    // A failed upgrade on the way back is repeated as a restart: a short outage is better than a bad version
-    // that stays. Where the files could not be written, a restart would run the bad version again.
+    // A failed upgrade during a rollback is repeated as a restart: a short outage is better than keeping a
+    // bad version. If the files could not be written, a restart would run the bad version again.
     const bool isFileProblem = result.problem.starts_with(kFileProblemPrefix);
     return isRollingBack && !result.problem.empty() && !isProgramMissing && processes_.hasProcess(instance) &&
            !isFileProblem;
@@ -138,11 +138,11 @@
     if (!install || install->state != Install::State::restarting) return;
     if (processes_.isReady(instance) && supervisor_.isReady(instance)) {
         const bool isRight = runsProgram(instance, install->version.program);
-        finishInstall(instance, isRight ? "" : "it runs another program than it is to");
+        finishInstall(instance, isRight ? "" : "the restarted process runs another program than installed");
     } else if (supervisor_.restarts(instance) > install->restartsBefore) {
-        finishInstall(instance, "it ends at its start");
+        finishInstall(instance, "the restarted process exited before it was ready");
     } else if (monotonicNow() >= install->deadline) {
-        finishInstall(instance, "it is not ready in time");
+        finishInstall(instance, "the restarted process was not ready in time");
     }
 }
 
--- a/src/ctl/version_installer.hpp
+++ b/src/ctl/version_installer.hpp
@@ -1,4 +1,4 @@
-// Brings the instances of a fleet to another version.
+// Installs another version on the instances of a fleet.
 #pragma once
 
 #include <future>
@@ -16,57 +16,57 @@
 
 namespace poppyscale::ctl {
 
-// Installs versions on running instances, each by the mildest means that will do: a reload of the
-// configuration, an upgrade that hands the sockets to a new process, or a restart. There are two kinds: an
-// upgrade within a rolling operation of the supervisor, and an install that the rollout's agent asked for.
+// Installs versions on running instances, by the least disruptive means that suffices: a reload of the
+// configuration, an upgrade (a hot restart with a given program), or a restart. Does two kinds of work: an
+// upgrade within a rolling operation of the supervisor, and an install that the rollout's agent requests.
 //
-// Guarantees: never blocks on an instance or on the disk, as that work runs on threads of its own; each
-// install ends with one RolloutAgent::onInstalled, each upgrade with one InstanceSupervisor::onUpgraded; an
-// instance whose files could not be written is not restarted.
+// Guarantees: never blocks on an instance or on the disk, as that work runs on separate threads; each install
+// ends with one RolloutAgent::onInstalled, each upgrade with one InstanceSupervisor::onUpgraded; an instance
+// whose files could not be written is not restarted.
 //
-// Owns the work in progress, and waits for it at its own end. All that is passed to the constructor must
-// outlive it; it is used from the loop's thread alone.
+// Owns the work in progress and waits for it in the destructor. All constructor arguments must outlive it.
+// Used only on the loop's thread.
 class VersionInstaller {
   public:
     VersionInstaller(const FleetDescription& description, const VersionStore& versions,
                      supervisor::InstanceSupervisor& supervisor, rollout::RolloutAgent& agent,
                      InstanceProcesses& processes, FleetStatus& status);
 
-    // Begins an upgrade of the instance to that program (a path).
+    // Begins an upgrade of the instance to `program`, a path.
     void startUpgrade(int instance, std::string program);
-    // Begins to install a version on the instance, whatever it runs now.
+    // Begins to install a version on the instance, whichever version it runs now.
     void startInstall(int instance, const rollout::Version& version);
-    // An install that the agent asked for is in progress.
+    // True while an install that the agent requested is in progress.
     bool isInstalling(int instance) const { return at(instance).install.has_value(); }
 
-    // What the work on an instance means for its process in this iteration of the loop.
+    // Whether the caller may check the instance's process in this iteration of the loop.
     enum class Progress : std::uint8_t {
-        busy,  // the process may be replaced at any moment: it is not to be examined
-        idle   // no work runs on a thread
+        busy,  // no: the process may be replaced at any moment
+        idle   // yes: no work on the instance runs on another thread
     };
-    // Takes the result of the work, if it has ended.
+    // Takes the result of the work on the instance, if the work has ended.
     Progress collectResult(int instance);
-    // Ends the install whose instance was restarted, once that is ready with the right program or has failed.
-    // To be called after the instance's process has been examined.
+    // Ends an install that restarts its instance, once the instance is ready or the restart has failed. To be
+    // called after the instance's process has been checked.
     void checkRestart(int instance);
 
   private:
     struct ApplyResult {
-        std::string problem;
-        bool needsRestart = false;
-        pid_t successorPid = 0;  // the process that has taken over; 0: none
+        std::string problem;        // why the version could not be applied; empty: no failure
+        bool needsRestart = false;  // the files are written, but only a restart applies them
+        pid_t successorPid = 0;     // the process that has taken over; 0: none
     };
     struct Install {
         enum class State : std::uint8_t { applying, restarting };
         rollout::Version version;
         State state = State::applying;
-        std::future<ApplyResult> result;  // while applying
-        int restartsBefore = 0;           // while restarting: unexpected exits until then
-        Nanos deadline = 0;               // while restarting
+        std::future<ApplyResult> result;  // valid while applying
+        int restartsBefore = 0;           // while restarting: unexpected exits before the restart
+        Nanos deadline = 0;               // while restarting: when the restart counts as failed
     };
     struct Instance {
-        std::future<UpgradeResult> upgrade;  // within a rolling operation
-        std::optional<Install> install;      // for the rollout's agent
+        std::future<UpgradeResult> upgrade;  // of a rolling operation; valid while in progress
+        std::optional<Install> install;      // requested by the rollout's agent; set while in progress
     };
     Instance& at(int instance) { return instances_[static_cast<std::size_t>(instance)]; }
     const Instance& at(int instance) const { return instances_[static_cast<std::size_t>(instance)]; }
--- a/src/ctl/version_store.cpp
+++ b/src/ctl/version_store.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::string_view kFormatLine = "poppyscale-1 ";  // followed by the digest
-constexpr std::string_view kTemporarySuffix = ".new-";     // followed by the thread
+constexpr std::string_view kTemporarySuffix = ".new-";     // followed by the thread's id
 
 [[noreturn]] void fail(const char* action, const std::string& path, int error) {
     throw std::runtime_error(fmt::format("can't {} {}: {}", action, path, std::strerror(error)));
@@ -39,7 +39,7 @@
     return content;
 }
 
-// 0, or the system's error number.
+// Returns 0, or errno of the failure.
 int writeFully(const FileDescriptor& file, std::string_view content) {
     while (!content.empty()) {
         const ssize_t written = ::write(file.get(), content.data(), content.size());
@@ -51,10 +51,11 @@
     return 0;
 }
 
-// 0, or the system's error number. The file is closed in either case.
+// Returns 0, or errno of the failure. Closes the file in either case.
 int writeAndSync(FileDescriptor file, std::string_view content) {
     int error = writeFully(file, content);
-    // After a sync that failed, a second one may succeed without the data: the file is written anew instead.
+    // A failed fsync is not repeated: the second one may succeed although the data was lost. The caller
+    // discards the file.
     if (error == 0 && ::fsync(file.get()) != 0) error = errno;
     if (!file.close() && error == 0) error = errno;
     return error;
@@ -67,7 +68,7 @@
 }
 
 void makeFolder(const std::string& path) {
-    if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST) fail("make", path, errno);
+    if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST) fail("create folder", path, errno);
 }
 
 }  // namespace
@@ -80,11 +81,12 @@
 std::string digestOfFile(const std::string& path) { return digestOf(readFile(path)); }
 
 void writeAtomically(const std::string& path, std::string_view content, int mode) {
-    // A name for each thread: two may write the same file, and neither may rename the other's partial one.
+    // Each thread uses its own name, so that of two threads that write the same file neither renames the
+    // other's partial one.
     const std::string temporary = fmt::format("{}{}{}", path, kTemporarySuffix, ::gettid());
     FileDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
     if (!file.isOpen()) fail("write", path, errno);
-    // Whatever the mask of this moment is: a program that can't be executed is of no use.
+    // open() may have dropped permissions, such as a program's execute permission, because of the umask.
     ::fchmod(file.get(), static_cast<mode_t>(mode));
     int error = writeAndSync(std::move(file), content);
     if (error == 0 && ::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
@@ -111,10 +113,10 @@
     const std::string text = readFile(path);
     const auto lineEnd = text.find('\n');
     if (!text.starts_with(kFormatLine) || lineEnd == std::string::npos)
-        throw std::runtime_error(path + " is of another format than poppyscale-1");
+        throw std::runtime_error(path + ": unsupported format, expected poppyscale-1");
     std::string content = text.substr(lineEnd + 1);
     if (text.substr(kFormatLine.size(), lineEnd - kFormatLine.size()) != digestOf(content))
-        throw std::runtime_error(path + " is not as it was written");
+        throw std::runtime_error(path + ": damaged, its content does not match the digest in its first line");
     return content;
 }
 
@@ -142,13 +144,15 @@
 void VersionStore::checkProgram(const std::string& digest) const {
     const std::string path = programPath(digest);
     if (::access(path.c_str(), X_OK) != 0) fail("run", path, errno);
-    if (digestOfFile(path) != digest) throw std::runtime_error(path + " is not the program that it was");
+    if (digestOfFile(path) != digest)
+        throw std::runtime_error(path + ": damaged, the program does not match the digest in its path");
 }
 
 std::string VersionStore::templateText(const std::string& digest) const {
     const std::string path = templatePath(digest);
     std::string text = readFile(path);
-    if (digestOf(text) != digest) throw std::runtime_error(path + " is not the form that it was");
+    if (digestOf(text) != digest)
+        throw std::runtime_error(path + ": damaged, the template does not match the digest in its name");
     return text;
 }
 
