--- a/src/ctl/fleet_command.cpp
+++ b/src/ctl/fleet_command.cpp
@@ -21,12 +21,17 @@
 
 int runFleet(const FleetDescription& description) {
     if (::mkdir(description.folder.c_str(), 0755) != 0 && errno != EEXIST)
-        throw std::runtime_error(fmt::format("can't make {}: {}", description.folder, std::strerror(errno)));
-    // Otherwise a file at its size limit would end the process instead of failing the write.
+        throw std::runtime_error(
+            fmt::format("can't create folder {}: {}", description.folder, std::strerror(errno)));
+    // With the default action a write beyond the file size limit would end the process instead of failing.
     ::signal(SIGXFSZ, SIG_IGN);
     const FolderLock lock(description.folder);
     if (!lock.isHeld()) {
-        fmt::print(stderr, "poppyctl fleet: another process supervises {}\n", description.folder);
+        fmt::print(
+            stderr,
+            "poppyctl fleet: can't lock {}: another process supervises it, or its file 'lock' can't be "
+            "opened\n",
+            description.folder);
         return kExitAlreadySupervised;
     }
     removeTemporaryFiles(description.folder);
--- a/src/ctl/fleet_description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int kMaxPort = 65'535;
-constexpr int kMaxInstances = 65'535;  // as many as ports
+constexpr int kMaxInstances = 65'535;  // one for each port
 
 std::string substitute(std::string text, const std::map<std::string, std::string>& values) {
     for (const auto& [placeholder, value] : values) {
@@ -28,7 +28,7 @@
     return text;
 }
 
-// The IPv4 address so many after the first.
+// The IPv4 address `offset` after `first`.
 std::string addressAt(const std::string& first, int offset) {
     in_addr address{};
     ::inet_pton(AF_INET, first.c_str(), &address);
@@ -48,7 +48,8 @@
     settings.backoffResetAfter = table.millis("steady_ms", 60'000.0);
     settings.stopTimeout = table.millis("stop_ms", 10'000.0);
     if (settings.batchSize >= settings.instanceCount && settings.instanceCount > 1)
-        table.problem("batch", "is not less than count: all would be away at once");
+        table.problem("batch",
+                      "is not less than count: a rolling operation would take all instances out of service");
 }
 
 void readAddresses(config::TomlTable& table, FleetDescription& description) {
@@ -56,11 +57,12 @@
     in_addr ignored{};
     if (::inet_pton(AF_INET, description.address.c_str(), &ignored) != 1)
         table.problem("address", "is not an IPv4 address");
-    description.ownAddresses = table.boolean("own_addresses", false);
+    description.hasOwnAddresses = table.boolean("own_addresses", false);
     description.firstPort = table.integer("first_port", std::nullopt, 1, kMaxPort);
-    if (!description.ownAddresses &&
+    if (!description.hasOwnAddresses &&
         description.firstPort + description.supervisor.instanceCount > kMaxPort + 1)
-        table.problem("first_port", "leaves no port for the last instance");
+        table.problem("first_port",
+                      "leaves no port for the last instance: first_port + count - 1 is above 65535");
 }
 
 void readTemplate(config::TomlTable& table, FleetDescription& description) {
@@ -73,7 +75,7 @@
     }
     for (const char* placeholder : {"{name}", "{listen}", "{socket}"})
         if (description.templateText.find(placeholder) == std::string::npos)
-            table.problem("operator", fmt::format("{} has no {}", path, placeholder));
+            table.problem("operator", fmt::format("{} lacks the placeholder {}", path, placeholder));
 }
 
 }  // namespace
@@ -104,7 +106,7 @@
 bool describesSameInstances(const FleetDescription& one, const FleetDescription& other) {
     return one.supervisor.instanceCount == other.supervisor.instanceCount && one.folder == other.folder &&
            one.name == other.name && one.address == other.address && one.firstPort == other.firstPort &&
-           one.ownAddresses == other.ownAddresses;
+           one.hasOwnAddresses == other.hasOwnAddresses;
 }
 
 std::string nameOf(const FleetDescription& description, int instance) {
@@ -128,8 +130,8 @@
 std::string makeConfigText(const FleetDescription& description, const std::string& templateText,
                            int instance) {
     const std::string address =
-        description.ownAddresses ? addressAt(description.address, instance) : description.address;
-    const int port = description.ownAddresses ? description.firstPort : description.firstPort + instance;
+        description.hasOwnAddresses ? addressAt(description.address, instance) : description.address;
+    const int port = description.hasOwnAddresses ? description.firstPort : description.firstPort + instance;
     return substitute(templateText, {{"{name}", nameOf(description, instance)},
                                      {"{listen}", fmt::format("{}:{}", address, port)},
                                      {"{address}", address},
--- a/src/ctl/fleet_host.cpp
+++ b/src/ctl/fleet_host.cpp
@@ -17,7 +17,7 @@
 
 using rollout::Version;
 
-constexpr int kPollIntervalMs = 50;  // between two examinations of the instances, at most
+constexpr int kPollIntervalMs = 50;  // maximum time between two checks of the instances
 
 }  // namespace
 
@@ -65,7 +65,7 @@
 FleetHost::LoopState FleetHost::handleSignals(SignalSource& signals) {
     while (const std::optional<int> number = signals.next()) {
         switch (*number) {
-            case SIGQUIT:  // the instances go on, and the next supervisor finds them
+            case SIGQUIT:  // the instances keep running, and the next supervisor finds them
                 return LoopState::leaving;
             case SIGTERM:
             case SIGINT:
@@ -86,27 +86,31 @@
 
 // ---- the description and the agent's state
 
-// By what the files say now: what was read at the start may have been changed because of this operation.
+// Reads the description again first, as operators edit it and then request a rolling operation to apply it.
 void FleetHost::startRolling(RollingOperation operation) {
     const char* const name = operation == RollingOperation::restart ? "restart" : "upgrade";
     try {
         reloadDescription();
     } catch (const std::exception& problem) {
-        log(fmt::format("rejects a rolling {}: {}", name, problem.what()));
+        log(fmt::format("rolling {} rejected: {}", name, problem.what()));
         return;
     }
     const bool isStarted = supervisor_.startRolling(monotonicNow(), operation);
     if (isStarted)
-        log(fmt::format("starts a rolling {}", name));
+        log(fmt::format("rolling {} started", name));
     else
-        log(fmt::format("rejects a rolling {}: not all instances are ready, or one is in progress", name));
+        log(
+            fmt::format("rolling {} rejected: not all instances are ready, a rolling operation is in "
+                        "progress, or all instances are being stopped",
+                        name));
 }
 
 void FleetHost::reloadDescription() {
     const FleetDescription reloaded = readFleetDescription(description_.file);
     if (!describesSameInstances(reloaded, description_))
         throw std::runtime_error(
-            "the description is of other instances than those that run: stop this supervisor first");
+            "the description names other instances than the running ones (its count, folder, name, address, "
+            "first_port or own_addresses has changed); stop this supervisor first");
     description_.program = reloaded.program;
     description_.templateText = reloaded.templateText;
     description_.zone = reloaded.zone;
@@ -115,13 +119,14 @@
     agentStore_.setDescribedVersion(agent_.state().before);
 }
 
-// Stored by content, so that a rollout can go back to it. None where it can't be stored.
+// Stores the program and template that the description names, so that a rollout can be rolled back to them.
+// Returns the version none() if they can't be stored.
 Version FleetHost::storeDescribedVersion() {
     try {
         return {versions_.storeProgram(description_.program),
                 versions_.storeTemplate(description_.templateText)};
     } catch (const std::exception& problem) {
-        log_.info(fmt::format("can't store the present version for a rollback: {}", problem.what()));
+        log_.info(fmt::format("can't store the described version for a rollback: {}", problem.what()));
         return {};
     }
 }
@@ -134,15 +139,15 @@
         rollout::AgentState state = stored->state;
         const bool isSameDescription = stored->described == agentStore_.describedVersion();
         if (!isSameDescription && state.changed.empty()) {
-            // The operator has changed the description since the last rollout, and it takes precedence.
+            // The operator has edited the description since the last rollout.
             log_.info("the description has changed since the last rollout and takes precedence");
             state.before = agentStore_.describedVersion();
             state.digest.clear();
             state.isFinished = false;
         }
         agent_.restore(monotonicNow(), state);
-        log_.info(
-            fmt::format("resumes rollout {}, {} instances changed", state.number, state.changed.size()));
+        log_.info(fmt::format("restored the state of rollout {}: {} instances are to run its change",
+                              state.number, state.changed.size()));
     } catch (const std::exception& problem) {
         log_.info(fmt::format("can't restore the state of the last rollout: {}", problem.what()));
     }
@@ -150,8 +155,8 @@
 
 // ---- instances
 
-// A process that an earlier supervisor has left is taken over, but upgraded where it runs another program
-// than it is to.
+// Attaches the instance's process if an earlier supervisor has left it running. A process of another program
+// than the instance is to run gets the right version installed.
 void FleetHost::findRunningInstance(int instance) {
     try {
         const InstanceStatus status = requestStatus(socketOf(description_, instance));
@@ -170,8 +175,9 @@
     agent_.onReadyChanged(instance, processes_.isReady(instance));
 }
 
-// Whether a process unknown to this supervisor serves as the instance, which is attached then: a new process
-// whose predecessor died before it could report the upgrade, say. Another one would find the address in use.
+// Attaches a process that serves as the instance without this supervisor's knowledge, and returns true if
+// there is one. For example, the old process of a hot restart may have died before it could report the new
+// process. A second process could not be started, as the address is in use.
 bool FleetHost::attachServingInstance(int instance) {
     InstanceStatus status;
     try {
@@ -207,7 +213,8 @@
     if (!isExpected) agent_.onExited(monotonicNow(), instance);
 }
 
-// The process has to answer for itself: just after an upgrade the old one may still be at the socket.
+// Accepts only an answer from the instance's own process: just after a hot restart the old process may still
+// listen at the socket.
 void FleetHost::checkReady(int instance) {
     InstanceStatus status;
     try {
@@ -249,15 +256,15 @@
             program = versions_.programPath(version.program);
         }
     } catch (const std::exception& problem) {
-        log(fmt::format("{} is started with the version of the description: {}",
+        log(fmt::format("{} is started with the described version, as the wanted one can't be used: {}",
                         nameOf(description_, instance), problem.what()));
     }
     try {
         writeAtomically(configFileOf(description_, instance),
                         makeConfigText(description_, templateText, instance));
     } catch (const std::exception& problem) {
-        // With a full disk the file of the last start is complete, and will do.
-        log(fmt::format("{}; the instance starts with its present configuration file", problem.what()));
+        // On a full disk the file of the last start is still complete and can be used.
+        log(fmt::format("{}; the instance starts with its existing configuration file", problem.what()));
     }
     return program;
 }
--- a/src/ctl/fleet_host.hpp
+++ b/src/ctl/fleet_host.hpp
@@ -1,4 +1,4 @@
-// Joins what supervises the fleet of one machine.
+// The process that supervises the fleet of one machine.
 #pragma once
 
 #include <string>
@@ -19,17 +19,18 @@
 namespace poppyscale::ctl {
 
 // The loop of `poppyctl fleet`. Passes the events of processes, signals and requests to the two controllers,
-// InstanceSupervisor and RolloutAgent, and carries out the actions that they ask for. Decides nothing itself.
+// InstanceSupervisor and RolloutAgent, and carries out the actions that they request. All decisions are the
+// controllers'.
 //
-// Owns the controllers and all that they act through; processes of instances outlive it. The folder's lock
-// must be held for as long as it lives.
+// Owns the controllers and everything through which they act. The instances' processes outlive it. The caller
+// must hold the folder's lock during its lifetime.
 class FleetHost : private supervisor::SupervisorHost, private rollout::AgentHost {
   public:
-    // Stores the version that the description names, listens at the agent's socket, and resumes a rollout of
-    // the process before. Throws std::runtime_error when it can't listen.
+    // Stores the version that the description names, listens at the agent's socket, and resumes a rollout in
+    // which the previous process took part. Throws std::runtime_error if it can't listen.
     explicit FleetHost(const FleetDescription& description);
 
-    // Runs until a signal ends it (see runFleet) and returns the exit code.
+    // Runs until it is ended by a signal (see runFleet) and returns the exit code.
     int run();
 
   private:
--- a/src/ctl/folder_lock.hpp
+++ b/src/ctl/folder_lock.hpp
@@ -7,13 +7,14 @@
 
 namespace poppyscale::ctl {
 
-// Ensures that one process at a time supervises the fleet of a folder: an exclusive lock on the file `lock`
-// in it, held until the end of this object or of the process, however it ends.
+// Ensures that only one process at a time supervises the fleet of a folder, by an exclusive lock on the file
+// `lock` in the folder. The lock is released when this object is destroyed or the process ends, even if it
+// crashes.
 class FolderLock {
   public:
-    // Tries once and never waits.
+    // Tries once to take the lock and never waits.
     explicit FolderLock(const std::string& folder);
-    // False where another process holds the lock, or the file can't be opened.
+    // False if another process holds the lock, or the file can't be opened.
     bool isHeld() const { return isHeld_; }
 
   private:
--- a/src/ctl/instance_client.cpp
+++ b/src/ctl/instance_client.cpp
@@ -10,8 +10,8 @@
 constexpr int kStatusTimeoutMs = 200;
 constexpr int kProcessIdTimeoutMs = 800;
 constexpr int kReloadTimeoutMs = 4'000;
-constexpr int kUpgradeTimeoutMs = 15'000;  // the instance gives its new process up before that
-constexpr int kMetricsTimeoutMs = 350;     // of all instances together
+constexpr int kUpgradeTimeoutMs = 15'000;  // above the instance's own timeout for its new process
+constexpr int kMetricsTimeoutMs = 350;     // for all instances together
 
 }  // namespace
 
--- a/src/ctl/instance_client.hpp
+++ b/src/ctl/instance_client.hpp
@@ -1,4 +1,4 @@
-// Typed requests of a fleet to an instance through its operators' socket, with their JSON keys.
+// Typed requests to an instance through its operators' socket. Their JSON keys are used only here.
 #pragma once
 
 #include <sys/types.h>
@@ -9,31 +9,33 @@
 
 namespace poppyscale::ctl {
 
-// What an instance says of itself.
+// An instance's process and whether it serves requests, according to its own status.
 struct InstanceStatus {
     pid_t pid = -1;
     bool isServing = false;
 };
 
-// How an upgrade went.
+// Result of an upgrade: a hot restart of an instance with a given program.
 struct UpgradeResult {
     std::string problem;     // empty: the new process serves
-    pid_t successorPid = 0;  // the new process; 0 where the instance did not name it
+    pid_t successorPid = 0;  // the new process; 0 if the instance's answer did not name it
 };
 
-// All of these wait for the answer and throw std::exception (Unreachable, or an error of the JSON) where it
-// does not come in time or not in the expected form. `socket` is the path of the instance's socket.
+// Except for requestMetrics, these functions wait for the answer and throw std::exception (Unreachable or a
+// JSON error) if it does not arrive in time or is not as expected. `socket` is the path of the instance's
+// socket.
 
 InstanceStatus requestStatus(const std::string& socket);
-// The process id alone, from an instance that may be slow.
+// Requests only the process id, with a longer timeout than requestStatus.
 pid_t requestProcessId(const std::string& socket);
-// Makes the instance read its configuration anew. False where it refuses, or where some of the changes need a
-// restart.
+// Makes the instance reload its configuration. Returns false if it rejects the configuration or if some of
+// the changes need a restart.
 bool requestReload(const std::string& socket);
-// Replaces the instance's process by a new one of that program, which takes its sockets over. Waits for
-// longer than the instance waits for the new process.
+// Makes the instance start a new process of `program`, which takes over its sockets. The timeout is longer
+// than the instance's own timeout for the new process.
 UpgradeResult requestUpgrade(const std::string& socket, const std::string& program);
-// The metrics of all instances at once, null for each that does not answer in time. Throws nothing.
+// Requests the metrics of all instances at once. Null stands for each instance that does not answer in time.
+// Throws nothing.
 std::vector<nlohmann::json> requestMetrics(const std::vector<std::string>& sockets);
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/instance_processes.cpp
+++ b/src/ctl/instance_processes.cpp
@@ -12,7 +12,7 @@
 namespace poppyscale::ctl {
 namespace {
 
-// The files of a process to be spawned.
+// RAII wrapper of posix_spawn_file_actions_t.
 class SpawnFileActions {
   public:
     SpawnFileActions() { posix_spawn_file_actions_init(&actions_); }
@@ -29,7 +29,7 @@
     posix_spawn_file_actions_t actions_{};
 };
 
-// The attributes of a process to be spawned.
+// RAII wrapper of posix_spawnattr_t.
 class SpawnAttributes {
   public:
     SpawnAttributes() { posix_spawnattr_init(&attributes_); }
@@ -49,7 +49,7 @@
     posix_spawnattr_t attributes_{};
 };
 
-// A process that has ended, but whose parent has not reaped it, still has its process id.
+// True if the process has ended but its parent has not reaped it. Its process id is still in use then.
 bool isZombie(pid_t pid) {
     std::ifstream file(fmt::format("/proc/{}/stat", pid));
     std::string text;
@@ -79,7 +79,7 @@
     arguments.push_back(nullptr);
     SpawnFileActions files;
     files.appendStandardErrorTo(logFile);
-    // A group of its own: a signal from the terminal is for the supervisor, not for the instances.
+    // In their own process groups the instances don't get the terminal's signals to the supervisor.
     SpawnAttributes attributes;
     attributes.unblockSignalsInOwnGroup();
     pid_t pid = -1;
--- a/src/ctl/monotonic_clock.hpp
+++ b/src/ctl/monotonic_clock.hpp
@@ -1,4 +1,4 @@
-// The clock by which poppyctl's controllers are driven.
+// The clock that poppyctl passes to its controllers.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace poppyscale::ctl {
 
-// Nanoseconds of the machine's monotonic clock.
+// Time of the machine's monotonic clock in nanoseconds.
 inline Nanos monotonicNow() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
--- a/src/ctl/signal_source.hpp
+++ b/src/ctl/signal_source.hpp
@@ -1,4 +1,4 @@
-// Signals of this process as events of a poll loop.
+// Delivers the signals of this process as events of a poll loop.
 #pragma once
 
 #include <initializer_list>
@@ -8,14 +8,15 @@
 
 namespace poppyscale::ctl {
 
-// Blocks a set of signals for this thread, and for threads started later, and hands them out one by one.
-// Owns the descriptor that becomes readable with a signal. The signals stay blocked after its end.
+// Blocks a set of signals for this thread and the threads that it starts later, and returns them one by one.
+// Owns the descriptor, which is readable while a signal is pending. The signals stay blocked after this
+// object is destroyed.
 class SignalSource {
   public:
     explicit SignalSource(std::initializer_list<int> signals);
     // Readable (POLLIN) while a signal is pending.
     int descriptor() const { return descriptor_.get(); }
-    // The number of the next pending signal; nothing where none is pending. Never waits.
+    // The number of the next pending signal, or nullopt if none is pending. Never waits.
     std::optional<int> next();
 
   private:
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -736,7 +736,7 @@
     // Repeated until all are ready to begin; a rollout in progress is not begun a second time.
     CHECK(soon(
         [&] {
-            if (!fleet.logged("starts a rolling upgrade")) kill(fleet.pid, SIGUSR2);
+            if (!fleet.logged("rolling upgrade started")) kill(fleet.pid, SIGUSR2);
             return fleet.logged("rolling upgrade completed");
         },
         kRolloutTimeoutMs, 500));
@@ -780,7 +780,7 @@
     CHECK(origin.head().size() >= 4);
     REQUIRE(soon(
         [&] {
-            if (!fleet.logged("starts a rolling upgrade")) kill(fleet.pid, SIGUSR2);
+            if (!fleet.logged("rolling upgrade started")) kill(fleet.pid, SIGUSR2);
             const pid_t now = fleet.pidOf(0);
             return now > 0 && now != old;
         },
