--- a/src/control/console_command.cpp
+++ b/src/control/console_command.cpp
@@ -28,7 +28,7 @@
 
 std::string withKnownCommands(std::string_view problem) {
     std::string text(problem);
-    std::string_view separator = "; known are ";
+    std::string_view separator = "; known commands: ";
     for (const CommandEntry& command : kCommands) {
         text.append(separator).append(command.word);
         separator = ", ";
@@ -57,15 +57,17 @@
 
 ConsoleLine readConsoleLine(std::string_view line) {
     if (line.ends_with('\r')) line.remove_suffix(1);
-    if (!isPrintable(line)) return {std::nullopt, "a call is a line of visible characters"};
+    if (!isPrintable(line))
+        return {std::nullopt, "a line must consist of printable ASCII characters and tabs"};
     const auto words = splitWords(line);
-    if (words.empty()) return {std::nullopt, withKnownCommands("an empty line")};
+    if (words.empty()) return {std::nullopt, withKnownCommands("the line has no command")};
     const auto command = std::find_if(kCommands.begin(), kCommands.end(),
                                       [&](const CommandEntry& entry) { return entry.word == words[0]; });
-    if (command == kCommands.end()) return {std::nullopt, withKnownCommands("unknown call")};
+    if (command == kCommands.end())
+        return {std::nullopt, withKnownCommands("unknown command '" + std::string(words[0]) + "'")};
     if (words.size() != (command->takesServer ? 2U : 1U))
-        return {std::nullopt,
-                std::string(words[0]) + (command->takesServer ? " takes one id" : " takes nothing more")};
+        return {std::nullopt, std::string(words[0]) + (command->takesServer ? " takes exactly one server id"
+                                                                            : " takes no arguments")};
     return {ConsoleCommand{command->kind, command->takesServer ? std::string(words[1]) : ""}, ""};
 }
 
--- a/src/control/console_command.hpp
+++ b/src/control/console_command.hpp
@@ -1,4 +1,4 @@
-// The commands of the operators' console, and what a line says; no sockets here.
+// The commands of the operators' console and their parsing, without sockets.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 struct ConsoleCommand {
     enum class Kind : std::uint8_t { status, eject, restore, standby, active };
     Kind kind = Kind::status;
-    std::string server;  // the id that `eject` and `restore` name, else empty
+    std::string server;  // the id of the server for `eject` and `restore`, otherwise empty
 };
 
-// The reply to a line: whether it is accepted, and the status or the reason.
+// The reply to a line: whether it is accepted, and the status or the reason of the rejection.
 struct ConsoleReply {
     bool isAccepted = false;
     std::string text;
-    // The reply as it is sent, with its end of line.
+    // The reply as it is sent, including the end of line.
     std::string line() const;
 };
 
-constexpr std::size_t kMaxConsoleLineBytes = 256;  // with its end
+constexpr std::size_t kMaxConsoleLineBytes = 256;  // including the end of line
 
-// A line that was read: a command, or the problem with it for the operator.
+// A parsed line: a command, or else the problem for the operator.
 struct ConsoleLine {
     std::optional<ConsoleCommand> command;
     std::string problem;
--- a/src/control/console_connection.cpp
+++ b/src/control/console_connection.cpp
@@ -19,11 +19,11 @@
 }
 
 void ConsoleConnection::onData(std::string_view bytes) {
-    if (isAnswered_) return;  // read on only to notice the end of the connection
+    if (isAnswered_) return;  // further bytes are read only to notice when the operator closes
     const auto end = bytes.find('\n');
     line_ += bytes.substr(0, std::min(end, kMaxConsoleLineBytes));
     if (line_.size() >= kMaxConsoleLineBytes) {
-        reply({false, "a line of over 256 bytes"});
+        reply({false, "the line is longer than 256 bytes"});
         return;
     }
     if (end == std::string_view::npos) return;
--- a/src/control/console_connection.hpp
+++ b/src/control/console_connection.hpp
@@ -10,7 +10,8 @@
 
 namespace poppyscale::control {
 
-// Reads one line, sends one reply, and closes once the operator has closed, or after a time limit.
+// Reads one line, sends one reply, and closes when the operator has closed or a time limit has
+// expired.
 class ConsoleConnection : private transport::Connection::Handler {
   public:
     class Owner {
@@ -23,9 +24,9 @@
 
     ConsoleConnection(transport::EventLoop& loop, transport::BufferPool& pool, Owner& owner);
 
-    // For the listener to accept into.
+    // The connection that the listener accepts into.
     transport::Connection& connection() { return connection_; }
-    // Reads from now on; the time limit for the line begins.
+    // Starts to read, and starts the time limit for the line.
     void start();
 
   private:
--- a/src/control/console_listener.cpp
+++ b/src/control/console_listener.cpp
@@ -24,7 +24,8 @@
 }
 
 void ConsoleListener::onAccept(const std::function<bool(transport::Connection&)>& finish) {
-    // The connection that has been silent for longest is the least likely to be an operator's.
+    // The oldest connection has sent no line for longest, and is the least likely to be an
+    // operator's.
     if (connections_.size() >= maxConnections_) connections_.removeOldest();
     ConsoleConnection::Owner& owner = *this;
     auto connection = std::make_unique<ConsoleConnection>(loop_, pool_, owner);
--- a/src/control/console_listener.hpp
+++ b/src/control/console_listener.hpp
@@ -1,4 +1,4 @@
-// Where operators connect to the console.
+// The listening side of the operators' console.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +14,20 @@
 
 namespace poppyscale::control {
 
-// Owns the console's listening socket and its connections; one line and one reply on each. The number of
-// connections is bounded: a further one replaces the oldest. Runs on the event loop, which outlives it.
+// Owns the console's listening socket and its connections, each for one line and one reply. The
+// number of connections is bounded: a further one replaces the oldest. Runs on the event loop,
+// which must outlive it.
 class ConsoleListener : private ConsoleConnection::Owner {
   public:
     using CommandHandler = std::function<ConsoleReply(const ConsoleCommand&)>;
     ConsoleListener(transport::EventLoop& loop, transport::BufferPool& pool, std::size_t maxConnections,
                     CommandHandler handler);
 
-    // Listens on `address`; returns the system's error, or nothing when it listens.
+    // Listens on `address`; returns the system's error, or nothing on success.
     std::optional<std::string> listen(const transport::Address& address);
-    // The same on a listening socket of another process.
+    // Listens on a socket that another process has passed on, which already listens.
     std::optional<std::string> listenOn(FileDescriptor socket);
-    // The listening socket, which stays this object's.
+    // The listening socket, which this object still owns.
     int descriptor() const { return listener_.descriptor(); }
 
   private:
--- a/src/control/listen_error.hpp
+++ b/src/control/listen_error.hpp
@@ -1,4 +1,4 @@
-// The result of transport::Listener, which says success by an empty text.
+// Conversion of the results of transport::Listener, for which an empty text means success.
 #pragma once
 
 #include <optional>
@@ -6,7 +6,7 @@
 
 namespace poppyscale::control {
 
-// The error in `listenerResult`, or nothing.
+// The error in `listenerResult`, or nothing on success.
 inline std::optional<std::string> listenError(std::string listenerResult) {
     if (listenerResult.empty()) return std::nullopt;
     return listenerResult;
--- a/src/control/operator_session.cpp
+++ b/src/control/operator_session.cpp
@@ -85,7 +85,7 @@
 void OperatorSession::onClosed() {
     const std::function<void()> notifyClosed = std::move(onPeerClosed);
     owner_.remove(*this);
-    // This object is destroyed from here on.
+    // The owner has destroyed this object.
     if (notifyClosed) notifyClosed();
 }
 
--- a/src/control/operator_session.hpp
+++ b/src/control/operator_session.hpp
@@ -12,14 +12,15 @@
 
 namespace poppyscale::control {
 
-// Reads requests, a line of JSON each, and sends the owner's answers in the same form. Its owner destroys it
-// once the other side has closed, or has sent too long a line.
+// Reads requests, a line of JSON each, and sends the owner's answers in the same form. The owner
+// destroys the session when the peer has closed, or has sent a line longer than the limit.
 class OperatorSession : private transport::Connection::Handler {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // The answer; null for none, or for one that is sent later. May throw nlohmann::json::exception.
+        // Returns the answer, or null if there is none or it is sent later. May throw
+        // nlohmann::json::exception.
         virtual nlohmann::json handle(OperatorSession& session, const nlohmann::json& message) = 0;
         // Destroys `session`.
         virtual void remove(OperatorSession& session) = 0;
@@ -27,17 +28,19 @@
 
     OperatorSession(transport::EventLoop& loop, transport::BufferPool& pool, Owner& owner);
 
-    // For the listener to accept into.
+    // The connection that the listener accepts into.
     transport::Connection& connection() { return connection_; }
-    // Reads from now on.
+    // Starts to read.
     void start() { connection_.setReading(true); }
     void send(const nlohmann::json& message);
-    // Sends a copy of `descriptor`, which stays the caller's and open until then, beside one byte after all
-    // that was sent before. False when the system refuses it now; a later failure closes the connection.
+    // Sends a copy of `descriptor` with one byte, after all that was sent before. The caller owns
+    // `descriptor` and must keep it open until then. Returns false if the system refuses to send it
+    // now; a later failure closes the connection.
     bool passDescriptor(int descriptor);
-    // The other side has closed, though what it sent before may not have been read yet.
+    // Whether the peer has closed, though bytes that it sent before may not have been read yet.
     bool hasPeerClosed() const { return connection_.hasPeerClosed(); }
-    // Called once when the other side has closed; not when the owner destroys the session by itself.
+    // Called once when the session ends on its side: the peer has closed, or the session is closed
+    // for an error. Not called when the owner destroys the session on its own.
     std::function<void()> onPeerClosed;
 
   private:
@@ -50,7 +53,7 @@
     Owner& owner_;
     transport::Connection connection_;
     std::string line_;
-    std::vector<int> pendingDescriptors_;  // wait until all that was sent before is with the kernel
+    std::vector<int> pendingDescriptors_;  // sent once the kernel has taken all bytes written before them
 };
 
 }  // namespace poppyscale::control
--- a/src/control/operator_socket.cpp
+++ b/src/control/operator_socket.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxSessions = 8;
 
-// Whether something that is no socket stands at `path`, which must not be replaced.
+// Whether `path` exists and is not a socket; such a file must not be replaced.
 bool isOtherFile(const std::string& path) {
     struct stat file {};
     return ::lstat(path.c_str(), &file) == 0 && file.st_ino && !S_ISSOCK(file.st_mode);
@@ -31,7 +31,7 @@
 std::optional<std::string> OperatorSocket::listen(const std::string& path) {
     listener_ = std::make_unique<transport::Listener>(
         loop_, [this](const auto& finish) { onAccept(finish); }, transport::Connection::Kind::local);
-    if (isOtherFile(path)) return "there is a file that is no socket";
+    if (isOtherFile(path)) return "'" + path + "' exists and is not a socket";
     auto error = listenError(listener_->listenAtPath(path));
     if (error) return error;
     path_ = path;
--- a/src/control/operator_socket.hpp
+++ b/src/control/operator_socket.hpp
@@ -1,4 +1,4 @@
-// The operator's socket: a Unix socket that only its owner may open.
+// The operator's socket: a Unix socket that only the user who owns it may open.
 #pragma once
 
 #include <cstddef>
@@ -15,22 +15,25 @@
 
 namespace poppyscale::control {
 
-// Owns the listening socket, its file while the path is this process's, and a bounded number of sessions; a
-// connection beyond these is closed at once. Runs on the event loop, which outlives it.
+// Owns the listening socket, its file as long as the path belongs to this process, and a bounded
+// number of sessions; a further connection is closed at once. Runs on the event loop, which must
+// outlive it.
 class OperatorSocket : private OperatorSession::Owner {
   public:
-    // Answers a request; see OperatorSession::Owner::handle. `session` is for answers that are sent later.
+    // Answers a request as OperatorSession::Owner::handle does. `session` is for answers that are
+    // sent later.
     using RequestHandler =
         std::function<nlohmann::json(OperatorSession& session, const nlohmann::json& message)>;
     OperatorSocket(transport::EventLoop& loop, transport::BufferPool& pool, RequestHandler handler);
     ~OperatorSocket() override;
 
-    // Listens at `path`, in place of any process that listens there; returns what is wrong, or nothing when
-    // it listens.
+    // Listens at `path`, in place of any process that listens there; returns the error, or nothing
+    // on success.
     std::optional<std::string> listen(const std::string& path);
-    // Adds a session on a connection that this process has made itself.
+    // Adds a session on a connection that this process has opened itself.
     OperatorSession& adopt(FileDescriptor connection);
-    // Another process has its own socket at the path by now, or will: the file is not removed.
+    // Leaves the file in place at destruction, for a process that has or will have its own socket
+    // at the path.
     void releasePath() { ownsPath_ = false; }
 
   private:
--- a/src/control/session_list.hpp
+++ b/src/control/session_list.hpp
@@ -1,4 +1,4 @@
-// The connections that a listener of operators has accepted.
+// The sessions of a listener for operators.
 #pragma once
 
 #include <list>
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -131,8 +131,8 @@
     std::vector<Socket> crowd;  // and as many clients as are accepted
     for (int i = 0; i < 300; ++i) crowd.push_back(deployment.client());
     CHECK(consoleReply(router->console, "status").starts_with("ACK serving"));
-    CHECK(consoleReply(router->console, "dance").starts_with("NAK unknown call"));
-    CHECK(consoleReply(router->console, std::string(300, 'x')).starts_with("NAK a line of over"));
+    CHECK(consoleReply(router->console, "dance").starts_with("NAK unknown command 'dance'"));
+    CHECK(consoleReply(router->console, std::string(300, 'x')).starts_with("NAK the line is longer than"));
     CHECK(consoleReply(router->console, std::string("\0\x01\x02", 3)).starts_with("NAK"));
     CHECK(silent[1].say("us\n").line("\n").starts_with("ACK serving"));
     CHECK(silent[1].ended());
