--- a/src/config/address_setting.cpp
+++ b/src/config/address_setting.cpp
@@ -18,7 +18,8 @@
 
 std::string readAddress(TomlTable& table, std::string_view key, bool isRequired) {
     const std::string text = table.string(key, isRequired ? std::nullopt : std::optional<std::string>(""));
-    if (table.has(key) && !isAddress(text)) table.problem(key, "is not an IPv4 address and port");
+    if (table.has(key) && !isAddress(text))
+        table.problem(key, "is not an IPv4 address and port above 0: found '" + text + "'");
     return text;
 }
 
--- a/src/config/address_setting.hpp
+++ b/src/config/address_setting.hpp
@@ -1,4 +1,4 @@
-// Settings that hold an address.
+// Settings whose value is an address and port.
 #pragma once
 
 #include <optional>
@@ -9,10 +9,10 @@
 
 namespace poppyscale::config {
 
-// Whether `text` is an IPv4 address and a port above 0, "10.1.0.18:6379".
+// Whether `text` is an IPv4 address and a port above 0, as in "10.1.0.18:6379".
 bool isAddress(const std::string& text);
 
-// Reads an address; an optional one that is missing is empty.
+// Reads an address; the result is empty if an optional address is missing.
 std::string readAddress(TomlTable& table, std::string_view key, bool isRequired);
 
 }  // namespace poppyscale::config
--- a/src/config/config_difference.cpp
+++ b/src/config/config_difference.cpp
@@ -7,7 +7,7 @@
 namespace poppyscale::config {
 namespace {
 
-// Adds what differs between two lists of named items.
+// Adds a line for each item that differs between two lists of named items.
 template <class Items, class NameOf>
 void compareNamed(const char* kind, const Items& current, const Items& fresh, NameOf nameOf,
                   std::vector<std::string>& differences) {
@@ -17,13 +17,13 @@
     };
     for (const auto& item : current)
         if (find(fresh, item) == fresh.end())
-            differences.push_back(fmt::format("{} {} is no more", kind, nameOf(item)));
+            differences.push_back(fmt::format("{} {} is removed", kind, nameOf(item)));
     for (const auto& item : fresh) {
         const auto before = find(current, item);
         if (before == current.end())
-            differences.push_back(fmt::format("{} {} is new", kind, nameOf(item)));
+            differences.push_back(fmt::format("{} {} is added", kind, nameOf(item)));
         else if (!(*before == item))
-            differences.push_back(fmt::format("{} {} is another", kind, nameOf(item)));
+            differences.push_back(fmt::format("{} {} is changed", kind, nameOf(item)));
     }
 }
 
@@ -47,38 +47,40 @@
     const auto needsRestart = [&](const char* setting, const auto& before, const auto& after) {
         if (!(before == after))
             difference.needsRestart.push_back(
-                fmt::format("{}: {} stays, {} waits for a start", setting, before, after));
+                fmt::format("{}: {} stays in effect, {} takes effect after a restart of the process", setting,
+                            before, after));
     };
     appliesNow("discovery", current.discovery, fresh.discovery);
     appliesNow("routers", currentPolicy.routerCount, freshPolicy.routerCount);
-    appliesNow("relays of a command", currentPolicy.maxAttempts, freshPolicy.maxAttempts);
+    appliesNow("most attempts per request", currentPolicy.maxAttempts, freshPolicy.maxAttempts);
     appliesNow("own zone", currentPolicy.zone, freshPolicy.zone);
-    appliesNow("price of crossing zones", currentPolicy.crossZoneCost, freshPolicy.crossZoneCost);
-    appliesNow("longest pause told, ms", currentPolicy.maxRetryAfter / kMillisecond,
+    appliesNow("cross-zone cost", currentPolicy.crossZoneCost, freshPolicy.crossZoneCost);
+    appliesNow("longest Retry-After, ms", currentPolicy.maxRetryAfter / kMillisecond,
                freshPolicy.maxRetryAfter / kMillisecond);
-    appliesNow("pauses are told", currentPolicy.retryAfterAllowed, freshPolicy.retryAfterAllowed);
-    appliesNow("a cold cache's share", currentPolicy.initialFraction, freshPolicy.initialFraction);
-    appliesNow("its ramp, ms", currentPolicy.rampDuration / kMillisecond,
+    appliesNow("Retry-After allowed", currentPolicy.retryAfterAllowed, freshPolicy.retryAfterAllowed);
+    appliesNow("slow start, initial fraction", currentPolicy.initialFraction, freshPolicy.initialFraction);
+    appliesNow("slow start, ramp in ms", currentPolicy.rampDuration / kMillisecond,
                freshPolicy.rampDuration / kMillisecond);
-    appliesNow("its tip", currentPolicy.overloadMultiple, freshPolicy.overloadMultiple);
-    appliesNow("commands open", current.maxOpenRequests, fresh.maxOpenRequests);
-    appliesNow("connections idle, ms", current.serverIdleTimeout / kMillisecond,
+    appliesNow("slow start, overload multiple", currentPolicy.overloadMultiple, freshPolicy.overloadMultiple);
+    appliesNow("most open requests", current.maxOpenRequests, fresh.maxOpenRequests);
+    appliesNow("idle timeout of cache servers, ms", current.serverIdleTimeout / kMillisecond,
                fresh.serverIdleTimeout / kMillisecond);
-    appliesNow("connecting, ms", current.connectTimeout / kMillisecond, fresh.connectTimeout / kMillisecond);
-    appliesNow("longest patience, ms", current.maxRequestTimeout / kMillisecond,
+    appliesNow("connect timeout, ms", current.connectTimeout / kMillisecond,
+               fresh.connectTimeout / kMillisecond);
+    appliesNow("longest request timeout, ms", current.maxRequestTimeout / kMillisecond,
                fresh.maxRequestTimeout / kMillisecond);
     needsRestart("name", current.name, fresh.name);
     needsRestart("listen", current.listen, fresh.listen);
     needsRestart("console", current.console, fresh.console);
     needsRestart("memory, MB", current.memoryLimitBytes / 1'000'000, fresh.memoryLimitBytes / 1'000'000);
     needsRestart("descriptors", current.maxDescriptors, fresh.maxDescriptors);
-    needsRestart("asking within, ms", current.pollWait / kMillisecond, fresh.pollWait / kMillisecond);
-    needsRestart("a cold cache's span, ms", currentPolicy.overloadWindow / kMillisecond,
+    needsRestart("longest poll wait, ms", current.pollWait / kMillisecond, fresh.pollWait / kMillisecond);
+    needsRestart("slow start, overload window in ms", currentPolicy.overloadWindow / kMillisecond,
                  freshPolicy.overloadWindow / kMillisecond);
-    needsRestart("aside", currentPolicy.cacheAside, freshPolicy.cacheAside);
-    needsRestart("weights move with load", currentPolicy.weightsFollowLoad, freshPolicy.weightsFollowLoad);
-    needsRestart("the origin's shape", currentPolicy.originShape, freshPolicy.originShape);
-    needsRestart("a list is asked for", currentPolicy.pollsEndpoints, freshPolicy.pollsEndpoints);
+    needsRestart("cache-aside", currentPolicy.cacheAside, freshPolicy.cacheAside);
+    needsRestart("weights follow load", currentPolicy.weightsFollowLoad, freshPolicy.weightsFollowLoad);
+    needsRestart("shape of the origin", currentPolicy.originShape, freshPolicy.originShape);
+    needsRestart("endpoint lists are polled", currentPolicy.pollsEndpoints, freshPolicy.pollsEndpoints);
     return difference;
 }
 
--- a/src/config/deployment_config.cpp
+++ b/src/config/deployment_config.cpp
@@ -12,7 +12,7 @@
 namespace poppyscale::config {
 namespace {
 
-// Every default of the part; durations in milliseconds, as in the file.
+// The defaults of the deployment's settings; durations in milliseconds, as in the file.
 constexpr int kDefaultMemoryMb = 64;
 constexpr int kDefaultDescriptors = 1024;
 constexpr int kDefaultRouters = 1;
@@ -35,7 +35,7 @@
 constexpr double kDefaultLateWeight = 0;
 constexpr int kDefaultCell = 0;
 constexpr double kDefaultServerWeight = 1;
-constexpr double kDefaultStartedMs = 0;  // Unix time; long ago
+constexpr double kDefaultStartedMs = 0;  // Unix time; 0 means long ago
 
 constexpr std::size_t kBytesPerMb = 1'000'000;
 
@@ -60,7 +60,8 @@
     startup.policy.zone = table.string("zone", "");
     const std::string seedText = table.string("seed", kDefaultSeed);
     const auto seed = protocol::parse<std::uint64_t>(seedText, 16);
-    if (!seed) table.problem("seed", "is not a hexadecimal number");
+    if (!seed)
+        table.problem("seed", "is not a hexadecimal number of up to 64 bits: found '" + seedText + "'");
     startup.policy.seed = seed.value_or(0);
 }
 
@@ -110,7 +111,8 @@
         table.problem("goal_ms", "is not from 1 to limit_ms");
     startup.maxRequestTimeout = std::max(startup.maxRequestTimeout, requestClass.timeout);
     for (const RequestClass& other : startup.policy.requestClasses)
-        if (other.name == requestClass.name) table.problem("name", "is another verb's too");
+        if (other.name == requestClass.name)
+            table.problem("name", "is also the name of another verb: '" + requestClass.name + "'");
     startup.policy.requestClasses.push_back(std::move(requestClass));
 }
 
@@ -119,7 +121,8 @@
     tenant.name = table.string("name", std::nullopt);
     tenant.quotaPerSecond = table.number("quota", std::nullopt);
     for (const Tenant& other : policy.tenants)
-        if (other.name == tenant.name) table.problem("name", "is another customer's too");
+        if (other.name == tenant.name)
+            table.problem("name", "is also the name of another customer: '" + tenant.name + "'");
     policy.tenants.push_back(std::move(tenant));
 }
 
@@ -135,20 +138,24 @@
     entry.endpoint.state = table.word<EndpointState>("state", kEndpointStateNames, EndpointState::ready);
     entry.startedMs = static_cast<std::int64_t>(table.number("started_ms", kDefaultStartedMs, 0, 8e12));
     for (const auto& other : list.entries)
-        if (other.endpoint.name == entry.endpoint.name) table.problem("name", "is another server's too");
+        if (other.endpoint.name == entry.endpoint.name)
+            table.problem("name", "is also the name of another server: '" + entry.endpoint.name + "'");
     list.entries.push_back(std::move(entry));
 }
 
-// The origin has to be named exactly where this router fills the caches from it.
+// In cache-aside mode this router requests the origin itself, so a configured server list must name
+// exactly one. In read-through mode only the caches do, and the list must name none.
 void checkOrigins(TomlTable& root, const protocol::StartupConfig& startup) {
     const auto& entries = startup.knownEndpoints.entries;
     const auto origins = std::count_if(entries.begin(), entries.end(),
                                        [](const auto& entry) { return entry.endpoint.shape == "origin"; });
     const PolicySettings& policy = startup.policy;
     if (!policy.pollsEndpoints && policy.cacheAside && origins != 1)
-        root.problem("servers", "exactly one of them must have origin = true");
+        root.problem("servers",
+                     "exactly one of them must have origin = true: found " + std::to_string(origins));
     if (!policy.cacheAside && origins > 0)
-        root.problem("servers", "one has origin = true, but in mode 'through' the caches ask the origin");
+        root.problem("servers", "none may have origin = true with caches.mode = 'through': found " +
+                                    std::to_string(origins));
 }
 
 }  // namespace
--- a/src/config/deployment_config.hpp
+++ b/src/config/deployment_config.hpp
@@ -1,4 +1,5 @@
-// The part of the operator's file that describes the deployment, where the platform does not.
+// The part of the operator's file that describes the deployment, used without a platform
+// configuration.
 #pragma once
 
 #include "config/toml_table.hpp"
@@ -6,12 +7,12 @@
 
 namespace poppyscale::config {
 
-// The tables of the part, by their keys in the file.
+// The keys of this part's tables in the file.
 inline constexpr const char* kDeploymentTables[] = {"instance", "limits",    "caches", "cold",
                                                     "verbs",    "customers", "servers"};
 
-// Reads the part from the file's root table. Where `hasDistributors`, endpoint lists come from these, and the
-// file need not name the servers.
+// Reads this part from the file's root table. If `hasDistributors`, endpoint lists come from the
+// distributors, and the file need not name the servers.
 protocol::StartupConfig readDeploymentConfig(TomlTable& root, bool hasDistributors);
 
 }  // namespace poppyscale::config
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -35,8 +35,10 @@
 std::string readOperatorSocket(TomlTable& table) {
     std::string path = table.string("socket", "");
     if (path.size() > kMaxSocketPathBytes)
-        table.problem("socket", "is longer than the 100 characters of a socket's path");
-    if (table.has("socket") && !path.starts_with('/')) table.problem("socket", "is not an absolute path");
+        table.problem("socket", fmt::format("is {} bytes long, the path of a socket may have at most {}",
+                                            path.size(), kMaxSocketPathBytes));
+    if (table.has("socket") && !path.starts_with('/'))
+        table.problem("socket", fmt::format("is not an absolute path: found '{}'", path));
     return path;
 }
 
@@ -56,9 +58,10 @@
 
 std::vector<std::string> readDistributors(TomlTable& table) {
     const auto addresses = table.strings("addresses");
-    if (addresses.empty() && table.has("addresses")) table.problem("addresses", "names none");
+    if (addresses.empty() && table.has("addresses")) table.problem("addresses", "names no distributor");
     if (addresses.size() > discovery::kMaxSources)
-        table.problem("addresses", fmt::format("names more than {}", discovery::kMaxSources));
+        table.problem("addresses", fmt::format("names {} distributors, at most {} are allowed",
+                                               addresses.size(), discovery::kMaxSources));
     std::set<std::string> seen;
     for (const std::string& address : addresses) {
         if (!isAddress(address)) {
@@ -71,11 +74,12 @@
     return addresses;
 }
 
-// Two places that describe one deployment would in time contradict each other.
+// Rejects the deployment's tables: if it were described in two places, these would contradict each
+// other in time.
 void rejectDeploymentConfig(TomlTable& root) {
     for (const char* const key : kDeploymentTables) {
         if (root.has(key))
-            root.problem(key, "is the platform's to say: its configuration is there and holds");
+            root.problem(key, "must not be set here: the platform's configuration describes the deployment");
         root.skip(key);
     }
 }
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -1,4 +1,5 @@
-// The operator's file: what the platform's configuration does not say, and, where there is none, all of it.
+// The operator's file: settings that the platform's configuration lacks, and the whole
+// configuration if there is no platform.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 struct LogConfig {
     bool isJson = false;
     LogLevel level = LogLevel::info;
-    std::map<std::string, LogLevel> partLevels;  // of the parts in logParts() that have a level of their own
+    std::map<std::string, LogLevel> partLevels;  // those of logParts() that have a level of their own
     double maxLinesPerSecond = 10;
     bool operator==(const LogConfig&) const = default;
 };
@@ -31,24 +32,25 @@
     // Addresses that endpoint lists are polled from in place of discovery; discovery itself if empty.
     std::vector<std::string> distributors;
     Nanos drainTimeout = 0;  // 0: as long as the longest request timeout
-    // Set where the file describes the deployment. Without discovery its endpoint list is in
+    // Set if the file describes the deployment. Without discovery the endpoint list is in
     // `knownEndpoints`.
     std::optional<protocol::StartupConfig> startup;
 };
 
-// What is wrong with a file; its text has a line for each problem.
+// The problems of a file; the text has a line for each of them.
 struct ConfigError : protocol::ParseError {
     explicit ConfigError(std::vector<ConfigProblem> problemsFound);
 
     std::vector<ConfigProblem> problems;
 };
 
-// Reads the text of the file named `file`. All that can't be used is recorded in `problems`; the result is of
-// no use if there are any. Where `hasPlatformConfig`, the file may not describe the deployment a second time.
+// Reads the text of the file named `file`. Records everything invalid in `problems`; if there are
+// any, the result must not be used. If `hasPlatformConfig`, the file must not describe the
+// deployment.
 OperatorConfig readOperatorConfig(std::string_view text, const std::string& file, bool hasPlatformConfig,
                                   ConfigProblems& problems);
 
-// The same from the file itself; throws ConfigError.
+// Reads the file itself in the same way; throws ConfigError.
 OperatorConfig loadOperatorConfig(const std::string& file, bool hasPlatformConfig);
 
 // The level's name in the file.
@@ -56,7 +58,7 @@
 // The parts of the log that may have a level of their own, by their keys in `[log.parts]`.
 const std::vector<std::string>& logParts();
 
-// What differs between two configurations, a line of text for each setting.
+// The differences between two configurations, a line of text for each setting.
 struct ConfigDifference {
     std::vector<std::string> appliesNow;
     std::vector<std::string> needsRestart;
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -6,6 +6,19 @@
 #include <cmath>
 
 namespace poppyscale::config {
+namespace {
+
+// The value of a scalar, or the type of any other node, for an error.
+std::string textOf(const toml::node& node) {
+    if (const auto* const string = node.as_string()) return fmt::format("'{}'", string->get());
+    if (const auto* const integer = node.as_integer()) return fmt::format("{}", integer->get());
+    if (const auto* const number = node.as_floating_point()) return fmt::format("{}", number->get());
+    if (const auto* const boolean = node.as_boolean()) return fmt::format("{}", boolean->get());
+    if (node.is_table()) return "a table";
+    return node.is_array() ? "a list" : "a date or time";
+}
+
+}  // namespace
 
 std::string ConfigProblem::text() const {
     return fmt::format("{}:{}: {}{}{}", file, std::max<std::uint32_t>(line, 1), key, key.empty() ? "" : ": ",
@@ -51,11 +64,11 @@
     if (!node) return defaultValue.value_or(min);
     const auto value = node->value<double>();
     if (!node->is_number() || !value || !std::isfinite(*value)) {
-        problem(key, "is not a number");
+        problem(key, fmt::format("is not a number: found {}", textOf(*node)));
         return defaultValue.value_or(min);
     }
     if (*value < min || *value > max) {
-        problem(key, fmt::format("is not from {} to {}", min, max));
+        problem(key, fmt::format("is not from {} to {}: found {}", min, max, *value));
         return min;
     }
     return *value;
@@ -65,12 +78,12 @@
     const toml::node* const node = find(key, !defaultValue);
     if (!node) return defaultValue.value_or(min);
     if (!node->is_integer()) {
-        problem(key, "is not a whole number");
+        problem(key, fmt::format("is not a whole number: found {}", textOf(*node)));
         return defaultValue.value_or(min);
     }
     const std::int64_t value = node->as_integer()->get();
     if (value < min || value > max) {
-        problem(key, fmt::format("is not from {} to {}", min, max));
+        problem(key, fmt::format("is not from {} to {}: found {}", min, max, value));
         return min;
     }
     return static_cast<int>(value);
@@ -88,7 +101,7 @@
     const toml::node* const node = find(key, false);
     if (!node) return defaultValue;
     if (!node->is_boolean()) {
-        problem(key, "is neither true nor false");
+        problem(key, fmt::format("is neither true nor false: found {}", textOf(*node)));
         return defaultValue;
     }
     return node->as_boolean()->get();
@@ -96,7 +109,7 @@
 
 std::string TomlTable::stringOf(std::string_view key, const toml::node& node) {
     if (node.is_string()) return node.as_string()->get();
-    problem(key, "is not a text");
+    problem(key, fmt::format("is not a string: found {}", textOf(node)));
     return "";
 }
 
@@ -110,12 +123,12 @@
     const toml::node* const node = find(key, true);
     if (!node) return items;
     if (!node->is_array()) {
-        problem(key, "is not a list");
+        problem(key, fmt::format("is not a list: found {}", textOf(*node)));
         return items;
     }
     for (const toml::node& item : *node->as_array()) {
         if (!item.is_string() || item.as_string()->get().empty()) {
-            problem(key, "holds what is not a name");
+            problem(key, fmt::format("has an item that is not a non-empty string: found {}", textOf(item)));
             return items;
         }
         items.push_back(item.as_string()->get());
@@ -128,13 +141,14 @@
     const toml::node* const node = find(key, false);
     if (!node) return items;
     if (!node->is_array()) {
-        problem(key, "is not a list");
+        problem(key, fmt::format("is not a list: found {}", textOf(*node)));
         return items;
     }
     for (const toml::node& item : *node->as_array()) {
         const std::int64_t value = item.is_integer() ? item.as_integer()->get() : min - 1;
         if (value < min || value > max) {
-            problem(key, fmt::format("holds what is not a whole number from {} to {}", min, max));
+            problem(key, fmt::format("has an item that is not a whole number from {} to {}: found {}", min,
+                                     max, textOf(item)));
             return items;
         }
         items.push_back(static_cast<int>(value));
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -1,5 +1,6 @@
-// TOML files read strictly: what is missing, misspelt, of another type or out of its range is a problem with
-// its file, line and key, and all problems of a file are reported, not only the first.
+// Strict reading of TOML files: a key that is missing, unknown, of the wrong type or out of range
+// is a problem with its file, line and key. All problems of a file are reported, not only the
+// first.
 #pragma once
 
 #include <toml++/toml.h>
@@ -19,24 +20,24 @@
 // One problem with a file.
 struct ConfigProblem {
     std::string file;
-    std::uint32_t line = 0;  // from 1; 0 for the file as such, shown as its first line
-    std::string key;         // its path, "verbs[0].name"; empty where no key is concerned
+    std::uint32_t line = 0;  // from 1; 0 for the whole file, shown as line 1
+    std::string key;         // the key's path, as in "verbs[0].name"; empty if no key is concerned
     std::string reason;
 
-    // "FILE:LINE: KEY: what is wrong".
+    // "FILE:LINE: KEY: REASON".
     std::string text() const;
 };
 
-// The problems of one file, as they are found.
+// The problems of one file, in the order in which they were found.
 class ConfigProblems {
   public:
     explicit ConfigProblems(std::string file) : file_(std::move(file)) {}
     void add(std::uint32_t line, std::string_view key, std::string_view reason);
     bool none() const { return problems_.empty(); }
     std::size_t count() const { return problems_.size(); }
-    // All problems by their lines.
+    // All problems, sorted by line.
     std::vector<ConfigProblem> sorted() const;
-    // The same, one a line of text.
+    // The sorted problems, one per line of text.
     std::string text() const;
 
   private:
@@ -48,8 +49,9 @@
 template <class T>
 using NamedValues = std::vector<std::pair<std::string_view, T>>;
 
-// Reads one table of a file. Where a key can't be read its problem is recorded and a value within the bounds
-// is returned. A key without a default must be there. The table and `problems` outlive this.
+// Reads one table of a file. If a key can't be read, a problem is recorded and a value within the
+// bounds is returned. A key without a default is required. The table and `problems` must outlive
+// this object.
 class TomlTable {
   public:
     TomlTable(const toml::table& table, ConfigProblems& problems, std::string path = "")
@@ -65,9 +67,9 @@
         return number(key, defaultValue, 0, 1);
     }
     int integer(std::string_view key, std::optional<int> defaultValue, int min = 0, int max = 10'000'000);
-    // A duration that the file states in milliseconds, as is its default.
+    // A duration that the file and `defaultValue` state in milliseconds.
     Nanos millis(std::string_view key, std::optional<double> defaultValue);
-    // The same in microseconds.
+    // A duration that the file and `defaultValue` state in microseconds.
     Nanos micros(std::string_view key, std::optional<double> defaultValue);
     bool boolean(std::string_view key, bool defaultValue);
     std::string string(std::string_view key, std::optional<std::string> defaultValue);
@@ -76,7 +78,7 @@
     // An optional list.
     std::vector<int> integers(std::string_view key, int min, int max);
     bool has(std::string_view key) const { return table_.contains(key); }
-    // The key is known, but read elsewhere.
+    // Marks the key as known, though it is not read here.
     void skip(std::string_view key) { knownKeys_.emplace(key); }
 
     // One of the values that `words` names.
@@ -100,7 +102,8 @@
         const toml::table emptyTable;
         if (node && !node->is_table()) problem(key, "is not a table");
         const bool isThere = node && node->is_table();
-        // What a missing table lacks has been reported by the problem of the table itself.
+        // For a required table only the table itself is reported as missing, not also each of its
+        // keys.
         ConfigProblems ignored("");
         TomlTable inner(isThere ? *node->as_table() : emptyTable,
                         isThere || !isRequired ? problems_ : ignored, childPath(key));
@@ -138,7 +141,7 @@
     std::set<std::string, std::less<>> knownKeys_;  // read or skipped
 };
 
-// Nothing, with the problem recorded, when `text` is not TOML.
+// Parses `text`. If it is not TOML, records the problem and returns nothing.
 std::optional<toml::table> parseToml(std::string_view text, const std::string& file,
                                      ConfigProblems& problems);
 
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -320,10 +320,11 @@
         CHECK_MESSAGE(text.find(line) != std::string::npos, line, "\n", text);
     CHECK(problemsOf("[distributors]\n", true) == "op.toml:1: distributors.addresses: is missing");
     CHECK(problemsOf("[distributors]\naddresses = []\n", true) ==
-          "op.toml:2: distributors.addresses: names none");
+          "op.toml:2: distributors.addresses: names no distributor");
     std::vector<std::string> nine;
     for (int i = 1; i <= 9; ++i) nine.push_back("127.0.0.1:" + std::to_string(i));
-    CHECK(problemsOf(sectionOf(nine), true) == "op.toml:2: distributors.addresses: names more than 8");
+    CHECK(problemsOf(sectionOf(nine), true) ==
+          "op.toml:2: distributors.addresses: names 9 distributors, at most 8 are allowed");
     // In a file that says all, they stand for discovery: no list of servers is asked for.
     const std::string whole =
         "[instance]\nname = \"n0\"\nlisten = \"127.0.0.1:1\"\n"
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -179,14 +179,14 @@
                              "op.toml:4: log.level: 'loud' is none of debug, info, warning, error, off",
                              "op.toml:5: log.shape: is not a key that is known here",
                              "op.toml:9: verbs[0].goal_ms: is not from 1 to limit_ms",
-                             "op.toml:13: servers[0].address: is not a text",
+                             "op.toml:13: servers[0].address: is not a string: found 7",
                              "op.toml:15: caches.mode: 'round' is none of aside, through",
-                             "op.toml:16: caches.weights: is not a text",
+                             "op.toml:16: caches.weights: is not a string: found 7",
                              "servers: exactly one of them must have origin = true"})
         CHECK_MESSAGE(text.find(line) != std::string::npos, line, "\n", text);
     // What the platform configures may not be configured twice.
     CHECK(problemsOf("[[verbs]]\nname = \"read\"\n", true) ==
-          "op.toml:1: verbs: is the platform's to say: its configuration is there and holds");
+          "op.toml:1: verbs: must not be set here: the platform's configuration describes the deployment");
     CHECK(problemsOf("[log]\nform = \"json\"\n[log.parts]\ndecisions = \"debug\"\n", true) == "");
 }
 
@@ -221,7 +221,7 @@
     start["settings"]["verbs"].erase(2);
     router.program.configure(start.dump());
     const auto reply = router.request({{"do", "reload"}});
-    CHECK(reply.at("changed").dump().find("verb pay is no more") != std::string::npos);
+    CHECK(reply.at("changed").dump().find("verb pay is removed") != std::string::npos);
     // Open under the settings by which it was accepted; for a new one the request class is unknown.
     const auto open = router.request({{"do", "commands"}});
     CHECK(open.at("commands").at(0).at("verb") == "pay");
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -160,7 +160,7 @@
     CHECK(complaint("cores = 5", "cores = 5\nspede = 1") ==
           "day.toml:15: caches[0].spede: is not a key that is known here");
     CHECK(complaint("count = 12", "count = \"twelve\"") ==
-          "day.toml:13: caches[0].count: is not a whole number");
+          "day.toml:13: caches[0].count: is not a whole number: found 'twelve'");
     CHECK(complaint("count = 12", "count = 500")
               .starts_with("day.toml:13: caches[0].count: is not from 1 to 200"));
     CHECK(
