--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -1,5 +1,6 @@
-// Golden samples of what leaves the process: whatever is renamed or moved inside, these bytes stay. A sample
-// that differs is written to golden-actual/ in the working directory, to be compared with tests/golden/.
+// Golden samples of the bytes that leave the process, which must not change when code is renamed or
+// moved. A sample that differs is written to golden-actual/ in the working directory, to be compared
+// with tests/golden/.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -150,7 +151,7 @@
     checkGolden("requests.txt", requestSamples());
 }
 
-TEST_CASE("Rollout orders and reports keep their bytes and are read back to the same values") {
+TEST_CASE("Rollout orders and reports keep their bytes, and reading them back loses nothing") {
     const auto order = rollout::toJson(sampleOrder());
     checkGolden("rollout-order.json", order.dump(1));
     CHECK(rollout::toJson(rollout::readOrder(order)) == order);
@@ -160,7 +161,7 @@
     CHECK(rollout::toJson(readBack, {nlohmann::json{{"format", 1}}}) == report);
 }
 
-TEST_CASE("Operator state keeps its file form and is read back") {
+TEST_CASE("The operator state file keeps its format and is read back to the same state") {
     process::OperatorState state;
     CHECK(state.applyLine("out cache-a"));
     CHECK(state.applyLine("out 10.0.0.7:6379"));
@@ -171,7 +172,7 @@
     CHECK(readBack == state);
 }
 
-TEST_CASE("Console replies keep their words") {
+TEST_CASE("The console's commands and replies keep their text") {
     std::string text;
     for (const char* line : {"status", "maint-on cache-a", "maint-off cache-a\r", "standby", "active", "",
                              "maint-on", "status now", "reboot", "\x01"}) {
@@ -184,7 +185,7 @@
     checkGolden("console.txt", text);
 }
 
-TEST_CASE("Metrics on the operators' socket keep their keys and values") {
+TEST_CASE("Metrics on the operator's socket keep their keys and values") {
     checkGolden("metrics.json", metricsSample());
     proxy::InvariantGuard guard([](std::string_view) {});
     for (int action = 0; action < static_cast<int>(proxy::BlockedAction::count); ++action)
@@ -193,7 +194,7 @@
     checkGolden("guard.json", guard.json().dump(1));
 }
 
-TEST_CASE("Lists of a distributor keep their bytes") {
+TEST_CASE("Endpoint lists of a distributor keep their bytes") {
     endpoint_distribution::ListState list(10);
     list.apply({5, true, {{"a", false, R"({"id":"a","n":1})"}, {"b", false, R"({"id":"b"})"}}});
     list.apply({6, false, {{"a", true, R"({"id":"a","state":"gone"})"}}});
@@ -203,7 +204,7 @@
                                 *endpoint_distribution::ListState::unchanged(8) + "\n");
 }
 
-TEST_CASE("Actions on the simulator's wire keep their bytes") {
+TEST_CASE("Actions in the simulator's protocol keep their bytes") {
     checkGolden("simulator.txt", simulatorSamples());
 }
 
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -17,8 +17,8 @@
     return Socket(console).say(line + "\n").line("\n");
 }
 
-// A deployment of a router with a console. Where the platform holds the clients' socket, a second router can
-// be started beside it.
+// A router with a console, and its discovery, origin and cache servers. If the platform passes the
+// clients' listening socket, a second router process can be started beside the first.
 struct Deployment {
     explicit Deployment(bool isSocketPassed = false, nlohmann::json start = smallStart())
         : isSocketPassed(isSocketPassed),
@@ -72,7 +72,7 @@
     nlohmann::json config;
 };
 
-// Serves the caches, each connection on a thread of its own; the response is the request's id.
+// Serves the cache servers, each connection on a thread of its own. The response is the request's id.
 class RespondingCaches {
   public:
     explicit RespondingCaches(Deployment& deployment) {
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-TEST_CASE("console: a line is a command or has a problem") {
+TEST_CASE("Console: every line is either a command or has a problem that is described") {
     using Kind = control::ConsoleCommand::Kind;
     const auto commandOf = [](const char* text) {
         const control::ConsoleLine line = control::readConsoleLine(text);
@@ -123,12 +123,13 @@
     }
 }
 
-TEST_CASE("console: it replies beside idle and partial connections, and rejects unknown commands") {
+// An operator must reach the console even when others hold connections open and send nothing.
+TEST_CASE("Console: replies despite idle and partial connections, and rejects unknown commands") {
     Deployment deployment;
     const auto router = deployment.start();
     std::vector<Socket> silent;
     for (int i = 0; i < 12; ++i) silent.emplace_back(router->console).say(i % 2 ? "stat" : "");
-    std::vector<Socket> crowd;  // and as many clients as are accepted
+    std::vector<Socket> crowd;  // as many clients as the router accepts
     for (int i = 0; i < 300; ++i) crowd.push_back(deployment.client());
     CHECK(consoleReply(router->console, "status").starts_with("ACK serving"));
     CHECK(consoleReply(router->console, "dance").starts_with("NAK unknown command 'dance'"));
@@ -139,7 +140,7 @@
 }
 
 TEST_CASE(
-    "standby: health checks fail, open requests are completed, connections are closed; active ends it") {
+    "Standby: health checks fail, open requests complete and connections are closed, until active ends it") {
     Deployment deployment;
     const auto router = deployment.start();
     Socket idle = deployment.client(), busy = deployment.client();
@@ -156,16 +157,17 @@
     at.say(hit("V"));
     CHECK(busy.answer() == "V");
     CHECK(busy.ended());
-    CHECK(idle.quiet(200));  // not at once: a request may be on its way
+    CHECK(idle.quiet(200));  // not closed at once, since a request may be on its way
     CHECK(idle.ended());
-    usleep(1'300'000);  // it was closed after 0.8 s at the earliest, and requests are accepted up to 1.9 s
-    // A new connection is idle and may be closed before its request has arrived, without a response. A
-    // request that gets a response is rejected.
+    // The connection was closed after 0.8 s at the earliest, and requests are accepted for up to 1.9 s.
+    usleep(1'300'000);
+    // The router may close a new, idle connection before the request has arrived, without a response.
+    // If a request gets a response, it is a rejection.
     std::string late;
     for (int tries = 0; tries < 200 && late.empty(); ++tries)
         late = deployment.client().say(get("late")).line();
     CHECK(late.starts_with("-BUSY"));
-    // A reload does not change the operators' state.
+    // A reload does not change the operator state.
     router->program.signal(SIGHUP);
     for (int tries = 0;
          tries < 250 && router->program.log().find("reloaded the configuration") == std::string::npos;
@@ -184,7 +186,7 @@
 }
 
 TEST_CASE(
-    "eject: the server gets no request on any connection, after a reload too; unknown ids are rejected") {
+    "Eject: the server gets no requests on any connection, even after a reload; unknown ids are rejected") {
     Deployment deployment;
     const auto router = deployment.start();
     RespondingCaches caches(deployment);
@@ -212,7 +214,7 @@
     CHECK(consoleReply(router->console, "maint-off c0").starts_with("ACK"));
 }
 
-TEST_CASE("passed socket: a new router accepts on it, and the old one drains without losing a request") {
+TEST_CASE("Passed socket: a new process accepts on it while the old one drains without losing a request") {
     Deployment deployment(true);
     auto old = deployment.start();
     Socket idle = deployment.client(), busy = deployment.client();
@@ -232,7 +234,7 @@
     CHECK(deployment.client().say(array({"PING"})).line() == "+PONG");
 }
 
-TEST_CASE("passed socket: an invalid one is an error that names it") {
+TEST_CASE("Passed socket: an invalid descriptor, or a console port in use, is an error that names it") {
     for (const char* said : {"four", "-1", "99", "1", ""}) {
         setenv("ROUTER_PASSED_SOCKET", said, 1);
         Deployment deployment;
@@ -250,8 +252,8 @@
     CHECK(program.log().find("can't listen on console") != std::string::npos);
 }
 
-TEST_CASE("operator state file: the readable lines apply, whatever is wrong with the others") {
-    // An empty `problem` means none.
+TEST_CASE("Operator state file: valid lines apply even if other lines are invalid") {
+    // An empty `problem` means that no problem is expected.
     const auto read = [](const std::string& text, const std::string& problem) {
         process::OperatorState state;
         const auto found = state.parse(text);
@@ -278,11 +280,11 @@
     CHECK(!state.applyLine("out"));
 }
 
-TEST_CASE("operator state: a change that can't be written is rejected and not applied; earlier ones stay") {
+TEST_CASE("Operator state: a change that can't be written is rejected, and earlier changes stay in effect") {
     Deployment deployment(true);
     const auto router = deployment.start();
     CHECK(consoleReply(router->console, "maint-on c1").starts_with("ACK"));
-    // Its temporary file is first on a full disk, and then can't be written.
+    // The store's temporary file is first on a full disk, and then can't be opened.
     const std::string temporaryFile =
         deployment.tmp.path + "/poppyscale-n0.words." + std::to_string(router->program.pid());
     std::filesystem::create_symlink("/dev/full", temporaryFile);
@@ -297,14 +299,14 @@
 }
 
 TEST_CASE(
-    "operator state: it passes between processes in both directions, and survives a killed and a suspended "
-    "one") {
+    "Operator state: passes between processes in both directions, and survives a killed and a suspended "
+    "process") {
     Deployment deployment(true);
     auto old = deployment.start();
     CHECK(consoleReply(old->console, "maint-on c0").starts_with("ACK"));
     auto next = deployment.start();
     CHECK(consoleReply(next->console, "status").find("out: c0") != std::string::npos);
-    // While both run, at either console.
+    // While both processes run, either console accepts changes.
     CHECK(consoleReply(old->console, "maint-on c1").starts_with("ACK"));
     CHECK(consoleReply(next->console, "maint-off c0").starts_with("ACK"));
     CHECK(consoleReply(next->console, "standby").starts_with("ACK"));
@@ -321,7 +323,7 @@
     CHECK(bothShow("out: c1"));
     CHECK(consoleReply(old->console, "active").starts_with("ACK"));
     CHECK(bothShow("open; out: c1"));
-    // After a new process that exits early another one can join the old one.
+    // After a new process has exited early, another one can join the old process.
     next.reset();
     next = deployment.start();
     CHECK(consoleReply(old->console, "maint-off c1").starts_with("ACK"));
@@ -335,7 +337,8 @@
     next->program.exitCode();
     auto third = deployment.start();
     CHECK(consoleReply(third->console, "status").find("out: c0 c1") != std::string::npos);
-    // A suspended process is not waited for long, and applies by its end what was changed meanwhile.
+    // A new process does not wait long for a suspended one. The suspended process applies the changes
+    // that it missed before it exits.
     third->program.signal(SIGSTOP);
     auto fourth = deployment.start();
     CHECK(consoleReply(fourth->console, "status").find("out: c0 c1") != std::string::npos);
@@ -347,7 +350,9 @@
     CHECK(third->program.log().find("c0 is restored by the operator") != std::string::npos);
 }
 
-TEST_CASE("hot restarts under load, one after the other: every request is answered, none is lost") {
+// Requests would be lost if the old process closed a connection whose request is on its way without
+// a chance to retry, or if for a moment neither process accepted connections.
+TEST_CASE("Hot restarts under load, one after the other: every request is answered, none is lost") {
     Deployment deployment(true);
     RespondingCaches caches(deployment);
     auto current = deployment.start();
@@ -362,7 +367,7 @@
                     const std::string key = std::to_string(c) + "-" + std::to_string(i);
                     if (!client.quiet(0)) client = deployment.client();  // closed meanwhile
                     std::string response = client.say(get(key)).answer();
-                    // The close crossed the request, which may be retried once.
+                    // The router closed while the request was on its way, so that it may be retried once.
                     if (response.empty()) {
                         ++retried;
                         client = deployment.client();
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-TEST_CASE("a request that arrives byte by byte is the same request") {
+TEST_CASE("A request that arrives byte by byte is read like one that arrives at once") {
     const std::string text = test::set("k", "c=pay,t=north,d=480,k=5c", "a\r\nb");
     RespDecoder decoder(kCommands);
     for (std::size_t i = 0; i + 1 < text.size(); ++i)
@@ -47,7 +47,8 @@
     CHECK(request.value == "a\r\nb");
 }
 
-TEST_CASE("excessive lengths are rejected by their header alone") {
+// A decoder that waits for the announced bytes would buffer as much as a client announces.
+TEST_CASE("Excessive lengths and other malformed commands are rejected by their header alone") {
     for (const char* text : {"*1000000\r\n", "*1\r\n$1000000\r\n", "*-1\r\n", "*1\r\n$-1\r\n", "*1\r\n*1\r\n",
                              "*99999999999999999999\r\n", "PING\r\n", "*1\r\n:1\r\n", "*1\r\n$1\r\nab\r\n"}) {
         RespDecoder decoder(kCommands);
@@ -57,7 +58,7 @@
     CHECK(feedAll(endless, "*" + std::string(5000, '1')) == State::malformed);
 }
 
-TEST_CASE("mutated bytes end in a value or a problem, never in more than the limits allow") {
+TEST_CASE("Random changes to valid bytes never make the decoder buffer more than its limits allow") {
     std::mt19937 random(5);
     const std::string good = test::get("k") + test::hit("value") + "-BUSY\r\n" + test::set("k", "c=pay,d=5");
     for (int i = 0; i < 20'000; ++i) {
@@ -74,7 +75,7 @@
     }
 }
 
-TEST_CASE("an attempt forwards the info list unchanged except for the remaining time") {
+TEST_CASE("An attempt forwards the info list unchanged except for the remaining time") {
     const Request request = requestOf(test::set("k", "c=mark,t=north,d=480,k=5c,size=9"));
     CHECK(cacheRequest(request, 120 * test::ms) ==
           test::array({"OBJ.SET", "k", "9b1f-k", "c=mark,t=north,d=120,k=5c,size=9", "V"}));
@@ -83,14 +84,15 @@
           "X-Call-Info: c=mark,t=north,d=120,k=5c,size=9\r\nContent-Length: 1\r\n\r\nV");
 }
 
-TEST_CASE("a key is encoded in a path so that it can't end it, and arguments with line breaks are errors") {
+// Otherwise a client could add headers or another request to what the origin receives.
+TEST_CASE("A key is percent-encoded in the origin's path, and arguments with line breaks are errors") {
     CHECK(originRequest(requestOf(test::get("u:k/a?b%#")), "h", 5 * test::ms)
               .starts_with("GET /u:k%2Fa%3Fb%25%23 HTTP/1.1\r\n"));
     CHECK(errorOf(test::get("k\r\nX-Evil: 1")).starts_with("-ERR"));
     CHECK(errorOf(test::get("k", "c=read,d=5\r\nX: 1")).starts_with("-ERR"));
 }
 
-TEST_CASE("invalid requests are errors and never a rejection that may be retried") {
+TEST_CASE("Invalid requests get an error and not a rejection that may be retried") {
     for (const auto& text :
          {test::array({"FLUSHALL"}), test::array({"OBJ.GET", "k"}), test::get("k", "c=read"),
           test::get("k", "c=read,d=soon"), test::get("k", "d=5"), test::get("", "c=read,d=5"),
@@ -99,7 +101,7 @@
     CHECK(errorOf(test::array({"ping"})) == "+PONG\r\n");
 }
 
-TEST_CASE("a cache response is accepted only in its exact form") {
+TEST_CASE("A cache server's response is accepted only in its exact form") {
     const auto outcomeOf = [](const std::string& text) {
         RespDecoder decoder({});
         return feedAll(decoder, text) == State::complete ? readCacheResponse(decoder.takeValue()).outcome
@@ -120,7 +122,7 @@
     CHECK(outcomeOf("*3\r\n$1\r\nv\r\n$-1\r\n:7\r\n") == AttemptOutcome::succeeded);
 }
 
-TEST_CASE("HTTP responses: by length, in chunks, up to the end, and too long") {
+TEST_CASE("HTTP responses end by length, chunks or end of connection, and are malformed if too long") {
     HttpResponse answer(16);
     CHECK(answer.feed("HTTP/1.1 200 OK\r\nContent-Le") == HttpResponse::State::more);
     CHECK(answer.feed("ngth: 2\r\n\r\nv") == HttpResponse::State::more);
@@ -163,7 +165,7 @@
     }
 }
 
-TEST_CASE("a client's retry flag and a cache's read-through result are read, other values ignored") {
+TEST_CASE("A client's retry flag and a cache server's read-through result are read, other values ignored") {
     CHECK(requestOf(test::get("k", "c=read,d=480,r=1")).isRetry);
     CHECK_FALSE(requestOf(test::get("k", "c=read,d=480,r=x")).isRetry);
     const auto readThrough = [](const char* how, const char* report) {
@@ -180,7 +182,7 @@
     CHECK(readThrough("perhaps", ":7\r\n") == ReadThroughResult::unknown);
 }
 
-TEST_CASE("an invalid endpoint list is an error") {
+TEST_CASE("An invalid endpoint list is an error, but an invalid weight from discovery counts as 0") {
     const std::string entry = R"({"id":"s","addr":"1.2.3.4:5","state":"Ready","weight":2,"started_ms":5})";
     const auto listOf = [](const std::string& e) {
         return R"({"version":3,"full":true,"servers":[)" + e + "]}";
@@ -189,7 +191,7 @@
     REQUIRE(list.entries.size() == 1);
     CHECK(list.entries[0].endpoint.weight == 2);
     CHECK(list.entries[0].startedMs == 5);
-    // From discovery an invalid weight costs that value alone.
+    // The rest of the list stays valid.
     for (const char* weight : {"-1", "\"much\"", "null"}) {
         const EndpointList odd = readEndpointList(
             listOf(R"({"id":"s","state":"Ready","weight":)" + std::string(weight) + "}," + entry));
@@ -204,7 +206,9 @@
         CHECK_THROWS_AS(readEndpointList(bad), ParseError);
 }
 
-TEST_CASE("a process that starts with an old list polls within half of the drain grace period") {
+// If the process polled later, it would still send requests to a draining server that may close at the
+// end of its grace period.
+TEST_CASE("A process that starts with an old list polls within half of the drain grace period") {
     auto start = test::smallStart();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
     CHECK(readStartupConfig(start.dump()).policy.maxFirstPollDelay == 5'000 * test::ms);
@@ -218,7 +222,7 @@
     CHECK(readStartupConfig(start.dump()).policy.maxFirstPollDelay == 50 * test::ms);
 }
 
-TEST_CASE("settings from JSON are the same as from the simulator's protocol") {
+TEST_CASE("The platform's JSON configuration is read to settings, and invalid values are named") {
     auto start = test::smallStart();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
     const StartupConfig config = readStartupConfig(start.dump());
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-TEST_CASE("malformed lines are rejected with an error that names the problem") {
+TEST_CASE("Malformed lines are rejected with an error that names the problem") {
     CHECK_THROWS_AS(messageOf("HELLO\twho=1"), ParseError);
     CHECK_THROWS_AS(messageOf("VERDICT\twho"), ParseError);
     CHECK_THROWS_AS(readIncomingRequest(messageOf("ACCEPT\tref=12\tprofile=p\tnotAfterUs=1")), ParseError);
@@ -30,14 +30,14 @@
                          "CONFIGURE: missing setting replicasOfMe", ParseError);
 }
 
-TEST_CASE("times that could overflow or are negative are rejected") {
+TEST_CASE("Rejects times that are negative or could overflow in nanoseconds") {
     CHECK_THROWS_AS(readAttemptResult(messageOf("VERDICT\tref=0123456789abcdef\tverdict=pass\tspentUs=-1")),
                     ParseError);
     CHECK_THROWS_AS(readEndpoint(messageOf("ENTRY\tserver=a\tavailability=1\tcameUpUs=4611686018427387904")),
                     ParseError);
 }
 
-TEST_CASE("unknown fields are ignored and bits are read as bits") {
+TEST_CASE("Unknown fields are ignored, and the flags in the field bits are read separately") {
     const Message message =
         messageOf("ACCEPT\twho=3\tnew=x\tref=00000000000000ff\tprofile=p\tnotAfterUs=7\tbits=5");
     const IncomingRequest incoming = readIncomingRequest(message);
@@ -46,7 +46,7 @@
     CHECK(incoming.deadline == 7000);
 }
 
-TEST_CASE("actions are written in the form of the protocol") {
+TEST_CASE("Actions are written as lines of the simulator's protocol") {
     std::string reply;
     ActionWriter writer(reply, 3);
     writer.startAttempt(255, "10.0.0.1:9000", 5000, kNever);
@@ -58,7 +58,7 @@
           "WAKE_AT\twho=3\tfireAtUs=2\ttag=0\n");
 }
 
-TEST_CASE("all fields are read, however short they are beside the message's type") {
+TEST_CASE("All fields are read, even if they are shorter than the message's type") {
     const Message message = messageOf("VERDICT\ta=1\tb=2");
     CHECK(message.fields().size() == 2);
     CHECK(message.text("b") == "2");
