--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -328,11 +328,11 @@
         CHECK_MESSAGE(text.find(line) != std::string::npos, line, "\n", text);
     CHECK(problemsOf("[distributors]\n", true) == "op.toml:1: distributors.addresses: is missing");
     CHECK(problemsOf("[distributors]\naddresses = []\n", true) ==
-          "op.toml:2: distributors.addresses: names none");
+          "op.toml:2: distributors.addresses: names no distributor");
     std::vector<std::string> nine;
     for (int i = 1; i <= 9; ++i) nine.push_back("127.0.0.1:" + std::to_string(i));
     CHECK(problemsOf(distributorsSection(nine), true) ==
-          "op.toml:2: distributors.addresses: names more than 8");
+          "op.toml:2: distributors.addresses: names 9 distributors, at most 8 are allowed");
     // Without a platform configuration, distributors replace discovery: no [[servers]] are
     // required.
     const std::string fileWithoutSection =
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -310,7 +310,7 @@
     CHECK(isSame(readBody(origin, value.size()), value));
     origin.say(http(200, "receipt"));
     CHECK(slow.answer() == "receipt");
-    CHECK(stalled.line() == "-ERR Protocol error: command not whole in time");
+    CHECK(stalled.line() == "-ERR Protocol error: the command was not complete within the time limit");
     CHECK(accepted.ended());
 }
 
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -190,14 +190,14 @@
                              "op.toml:4: log.level: 'loud' is none of debug, info, warning, error, off",
                              "op.toml:5: log.shape: is not a key that is known here",
                              "op.toml:9: verbs[0].goal_ms: is not from 1 to limit_ms",
-                             "op.toml:13: servers[0].address: is not a text",
+                             "op.toml:13: servers[0].address: is not a string: found 7",
                              "op.toml:15: caches.mode: 'round' is none of aside, through",
-                             "op.toml:16: caches.weights: is not a text",
+                             "op.toml:16: caches.weights: is not a string: found 7",
                              "servers: exactly one of them must have origin = true"})
         CHECK_MESSAGE(text.find(line) != std::string::npos, line, "\n", text);
     // Settings of the platform's configuration may not be set in the operator's file as well.
     CHECK(problemsOf("[[verbs]]\nname = \"read\"\n", true) ==
-          "op.toml:1: verbs: is the platform's to say: its configuration is there and holds");
+          "op.toml:1: verbs: must not be set here: the platform's configuration describes the deployment");
     CHECK(problemsOf("[log]\nform = \"json\"\n[log.parts]\ndecisions = \"debug\"\n", true) == "");
 }
 
@@ -233,7 +233,7 @@
     start["settings"]["verbs"].erase(2);
     router.program.configure(start.dump());
     const auto reply = router.request({{"do", "reload"}});
-    CHECK(reply.at("changed").dump().find("verb pay is no more") != std::string::npos);
+    CHECK(reply.at("changed").dump().find("verb pay is removed") != std::string::npos);
     // The open request keeps the settings by which it was accepted; for a new request the class is
     // unknown.
     const auto open = router.request({{"do", "commands"}});
@@ -241,7 +241,7 @@
     CHECK(open.at("commands").at(0).at("at") == "origin");
     Socket second = router.client();
     second.say(set("bill2", "c=pay,t=north,d=900"));
-    CHECK(second.answer() == "-ERR unknown verb");
+    CHECK(second.answer() == "-ERR unknown request class in item c of the info list");
     origin.reset();  // the request may have been executed: no retry, no rejection
     CHECK(client.answer() == "-ERR failed");
     CHECK(client.quiet(200));
@@ -294,7 +294,8 @@
     again.reset();
     CHECK(client.answer() == "-ERR failed");
     CHECK(router.cache.quiet(200));
-    CHECK(client.say(set("x", "c=mark,t=nord,d=900")).answer() == "-ERR unknown verb");
+    CHECK(client.say(set("x", "c=mark,t=nord,d=900")).answer() ==
+          "-ERR unknown request class in item c of the info list");
 }
 
 // A drain lasts for the longest request timeout. If it were computed from a reloaded configuration
