--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -8,10 +8,11 @@
 namespace poppyscale::lease {
 namespace {
 
-constexpr std::size_t kMaxWaiting = 16;   // members of one lease; others retry after their backoff
-constexpr int kReservedDurationPart = 4;  // a reservation lasts for this part of a grant's duration
+constexpr std::size_t kMaxWaiting = 16;      // members per lease; others retry after their backoff
+constexpr int kReservedDurationDivisor = 4;  // of a grant's duration; gives a reservation's
 
-// The request is from who was granted the lease last, by the same fencing token.
+// Whether the request is from the member that was granted the lease last, with the same fencing
+// token.
 bool isLatestHolder(const LeaseRequest& request, const GrantRecord& record) {
     return request.fence == record.highest && request.incarnation == record.incarnation;
 }
@@ -22,13 +23,14 @@
                    const std::optional<GrantRecords>& records)
     : settings_(settings), self_(self), state_(records ? State::voting : State::recovering) {
     if (!records) {
-        // What it may have granted before lasts no longer than a grant of now would.
+        // Grants that this acceptor may have made before expire no later than a grant made now
+        // would.
         quarantinedUntil_ = now + settings_.duration;
         nextRecallAt_ = now;
         if (!settings_.has(Safeguard::quarantine)) state_ = State::voting;
         return;
     }
-    // When these were granted is not known: as if it had been just now.
+    // The time of these grants is unknown, so they count as made just now.
     for (const auto& [lease, record] : *records)
         grants_[lease] = {record, record.isReleased ? 0 : now + settings_.duration, 0, 0, {}};
 }
@@ -43,8 +45,8 @@
     }
     const std::uint64_t ticketBefore = lastTicket_;
     const LeaseAnswer answer = answerAcquire(now, from, request);
-    // An answer that needs no write waits for earlier writes all the same: it must not overtake the grant
-    // that it renews.
+    // An answer that needs no write still waits for earlier writes: the answer to a renewal must
+    // not be sent before the grant that it renews is durable.
     const bool isDurable = lastTicket_ == persistedTicket_ && ticketBefore == lastTicket_;
     if (isDurable)
         actions_.answers.push_back({from, answer});
@@ -69,8 +71,9 @@
     return answer;
 }
 
-// Where it may not: sets when the lease is free in the answer, and adds the member to those that wait for
-// that.
+// If the lease is held by or reserved for another member, sets in `answer` when it becomes free. A
+// member that is rejected because another one holds the lease is added to those that wait for its
+// release.
 bool Acceptor::mayGrant(Nanos now, MemberId from, const LeaseRequest& request, Grant& grant,
                         LeaseAnswer& answer) {
     const GrantRecord& record = grant.record;
@@ -86,17 +89,19 @@
         answer.freeIn = grant.reservedUntil - now;
         return false;
     }
-    // The latest holder may renew even an expired grant, as nobody was granted the lease since.
+    // The latest holder may renew even an expired grant, as no other member was granted the lease
+    // since.
     const bool isFenceGreater = request.fence > record.highest || !settings_.has(Safeguard::fence);
     return isRenewal || isFenceGreater;
 }
 
-// A release or a transfer. Also of a request that has not arrived here: should it arrive later, it is over.
+// Handles a release or a transfer, also of a fencing token whose acquire request has not arrived
+// here: if that request arrives later, it is rejected.
 void Acceptor::endGrant(Nanos now, MemberId from, const LeaseRequest& request) {
     Grant& grant = grants_[request.lease];
     const GrantRecord recordBefore = grant.record;
-    // A member that asked in vain releases by a fencing token greater than the holder's, which must not end
-    // the holder's grant.
+    // A member whose request was rejected releases with a fencing token greater than the holder's,
+    // which must not end the holder's grant.
     const bool isHeldByOther =
         !recordBefore.isReleased && now < grant.validUntil && !isLatestHolder(request, recordBefore);
     if (memberOf(request.fence) != from || request.fence < recordBefore.highest || isHeldByOther) return;
@@ -104,7 +109,7 @@
     grant.validUntil = 0;
     grant.reservedFor = request.kind == LeaseRequest::Kind::transfer ? request.to : MemberId{0};
     if (grant.reservedFor != 0) {
-        grant.reservedUntil = now + settings_.duration / kReservedDurationPart;
+        grant.reservedUntil = now + settings_.duration / kReservedDurationDivisor;
     } else {
         grant.reservedUntil = 0;
         notifyWaiting(request.lease, grant, from);
@@ -150,16 +155,18 @@
     hasStateBy_[acceptor] = answer.hasState;
     for (const auto& [lease, record] : answer.records) {
         Grant& grant = grants_[lease];
-        // Only the greatest fencing token counts. Whether this acceptor granted anything by it is not known,
-        // and covered by the quarantine.
+        // Only the greatest fencing token matters. It is unknown whether this acceptor granted the
+        // lease with that token; the quarantine covers this case.
         if (record.highest > grant.record.highest) grant.record = {record.highest, record.incarnation, true};
     }
     finishRecovery(now);
 }
 
-// Votes again once every grant that it may have made is over, and it knows a fencing token at least as great
-// as that of each. It does where so many others have state that they meet every majority that it may have
-// been part of, or where all others have answered, whatever they have.
+// Votes again once every grant that this acceptor may have made has expired and it knows a fencing
+// token at least as great as that of each of these grants. It knows one if enough others have state
+// to intersect every majority that this acceptor may have been part of. It also votes again if all
+// others have answered, with or without state: mayHaveLostState() then says whether a token may be
+// missing.
 void Acceptor::finishRecovery(Nanos now) {
     if (state_ != State::recovering || now < quarantinedUntil_) return;
     const auto withState =
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -1,4 +1,4 @@
-// The side of leases that grants them.
+// The acceptor, which grants leases.
 #pragma once
 
 #include <map>
@@ -11,16 +11,17 @@
 
 namespace poppyscale::lease {
 
-// Grants leases to one member each at a time. Several acceptors, of which a majority has to grant, make a
-// lease (see LeaseHolder).
+// Grants each lease to one member at a time. A member holds a lease if a majority of several
+// acceptors has granted it (see LeaseHolder).
 //
-// Guarantees: a grant lasts for the settings' duration on this acceptor's clock from when it was requested,
-// and until then no other member is granted that lease; a new grant has a greater fencing token than all
-// grants and releases before it; and no answer is sent before what it says is durable. An acceptor that has
-// lost its state answers no request until it can give these guarantees again.
+// Guarantees: a grant lasts for the settings' duration on this acceptor's clock from when the
+// request arrived, and until then no other member is granted that lease; a new grant has a greater
+// fencing token than all grants and releases before it; and no answer is sent before what it says
+// is durable. An acceptor that has lost its state answers no lease request until it can give these
+// guarantees again.
 //
-// Free of I/O and of any clock: messages and time come in, answers and records to persist go out. Owns the
-// grants and the answers that wait for the disk. Not thread-safe.
+// Free of I/O and of any clock: messages and time come in, answers and records to persist go out.
+// Owns the grants and the answers that wait for the disk. Not thread-safe.
 class Acceptor {
   public:
     // What the caller has to carry out after an event.
@@ -40,50 +41,52 @@
         std::vector<Answer> answers;
         std::vector<Recall> recalls;
         std::vector<Recalled> recallAnswers;
-        GrantRecords recordsToPersist;  // to be written to disk and synced; then onPersisted with `ticket`
-        std::uint64_t ticket = 0;       // of the records; 0: there are none
+        GrantRecords recordsToPersist;  // to be written and synced, then reported to onPersisted
+        std::uint64_t ticket = 0;       // identifies the records for onPersisted; 0: there are none
     };
 
     enum class State : std::uint8_t {
-        recovering,  // does not know what it has granted, and stays silent
+        recovering,  // does not know what it has granted, and answers no lease request
         voting
     };
 
-    // `self`: its number among the acceptors, from 0. `records`: what was on its disk, also where that is
-    // empty because it never granted anything; nothing where it is new, or has lost its disk.
+    // `self`: this acceptor's number, from 0. `records`: the records on its disk, empty if it never
+    // granted a lease; std::nullopt if the acceptor is new or has lost its disk.
     Acceptor(const LeaseSettings& settings, int self, Nanos now, const std::optional<GrantRecords>& records);
 
     void onRequest(Nanos now, MemberId from, const LeaseRequest& request);
     void onRequest(Nanos now, int acceptor, const RecallRequest& request);
     void onRequest(Nanos now, int acceptor, const RecallAnswer& answer);
-    // The records with this ticket, and all before, are durable.
+    // The records with this ticket, and all earlier ones, are durable.
     void onPersisted(Nanos now, std::uint64_t ticket);
-    // The actions that are due. To be called once after the events of a moment, and at nextDeadline().
+    // Returns the actions that are due. To be called once after events were delivered, and at
+    // nextDeadline().
     Actions reconcile(Nanos now);
     Nanos nextDeadline() const;
 
     State state() const { return state_; }
-    // It votes again although too few acceptors had state to tell the greatest fencing token: a later token
-    // may be less than an earlier one.
+    // Whether this acceptor votes again although too few acceptors had state to know the greatest
+    // fencing token. A later token may then be less than an earlier one.
     bool mayHaveLostState() const { return mayHaveLostState_; }
-    // A grant that has not expired, for people.
+    // A grant that has not expired, for display.
     struct ActiveGrant {
         Fence fence;
         Nanos left;  // until it expires
     };
     std::map<LeaseId, ActiveGrant> activeGrants(Nanos now) const;
-    // All state that matters, with times relative to `now`, for the model checker to compare states by.
+    // Encodes the state, with times relative to `now`, as text by which the model checker compares
+    // states.
     std::string image(Nanos now) const;
 
   private:
     struct Grant {
         GrantRecord record;
         Nanos validUntil = 0;        // in the past: the lease is free
-        MemberId reservedFor = 0;    // to whom it was transferred; 0: nobody
-        Nanos reservedUntil = 0;     // of the reservation
-        std::set<MemberId> waiting;  // were rejected, and are notified of its release
+        MemberId reservedFor = 0;    // member to which the lease was transferred; 0: none
+        Nanos reservedUntil = 0;     // end of that reservation
+        std::set<MemberId> waiting;  // rejected members that are notified of the release
     };
-    // An answer that waits for the disk, until the records with that ticket are durable.
+    // An answer that waits until the records with that ticket are durable.
     struct PendingAnswer {
         std::uint64_t ticket;
         MemberId to;
--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -12,8 +12,8 @@
 
 constexpr Nanos kNotGranted = std::numeric_limits<Nanos>::min();
 constexpr int kMaxDoublings = 16;                    // of the backoff
-constexpr std::uint32_t kIncarnationFactor = 7919U;  // separates the random samples of incarnations
-constexpr int kEarlyRenewalPart = 4;                 // of the renewal interval
+constexpr std::uint32_t kIncarnationFactor = 7919U;  // separates the random seeds of incarnations
+constexpr int kEarlyRenewalDivisor = 4;              // of the renewal interval
 
 }  // namespace
 
@@ -37,7 +37,8 @@
     if (it == leases_.end()) return;
     LeaseState& state = it->second;
     state.isWanted = false;
-    if (state.state == State::requesting || state.state == State::holding) giveUp(now, lease, state);
+    if (state.state == State::requesting || state.state == State::holding)
+        releaseAndBackOff(now, lease, state);
     state.state = State::idle;
 }
 
@@ -64,7 +65,7 @@
     const auto it = leases_.find(lease);
     if (it == leases_.end() || it->second.state != State::holding) return std::nullopt;
     const LeaseState& state = it->second;
-    // On a clock that runs fast the critical section takes longer.
+    // On a clock that runs fast, the critical section takes longer.
     const Nanos needed =
         static_cast<Nanos>(static_cast<double>(duration) * (1 + settings_.rate)) + settings_.margin;
     const bool isLongEnough =
@@ -93,7 +94,8 @@
         onRejected(now, state, answer);
 }
 
-// The lease has become free. With jitter, as all who wait are notified at once.
+// The lease has become free. The next request is sent with jitter, as all waiting members are
+// notified at the same time.
 void LeaseHolder::onReleaseNotified(Nanos now, LeaseState& state) {
     if (state.state != State::backingOff) return;
     state.failedAttempts = 0;
@@ -140,14 +142,15 @@
     sendAcquire(now, lease, state);
 }
 
-// Nothing is done by this fencing token any more, so that who granted it may grant the lease to others.
-void LeaseHolder::giveUp(Nanos now, LeaseId lease, LeaseState& state) {
+// Releases the fencing token, so that acceptors that granted the lease with it may grant it to
+// others, and backs off before the next request.
+void LeaseHolder::releaseAndBackOff(Nanos now, LeaseId lease, LeaseState& state) {
     sendToAll({LeaseRequest::Kind::release, lease, state.fence, incarnation_, 0, 0});
     state.validUntil = 0;
     state.state = State::backingOff;
     state.nextStepAt = now + nextBackoff(state);
-    // Where a majority rejected it, no request can succeed before the first of these is free; an acceptor
-    // notifies this member of an earlier release.
+    // If a majority of acceptors rejected the request, also waits until the lease is free at as
+    // many of them as make a majority: an acceptor notifies this member of an earlier release.
     const std::size_t index = majorityIndex();
     if (state.rejectionFreeIn.size() <= index) return;
     const auto nth = state.rejectionFreeIn.begin() + static_cast<std::ptrdiff_t>(index);
@@ -155,8 +158,8 @@
     state.nextStepAt += *nth;
 }
 
-// Doubled with each failed attempt, and with jitter, so that members that compete don't meet again. Each
-// sample has a generator of its own, which keeps copies of this object small.
+// Doubles with each failed attempt, with jitter so that competing members don't collide again. Each
+// sample uses a new generator, which keeps copies of this object small.
 Nanos LeaseHolder::nextBackoff(LeaseState& state) {
     const int doublings = std::min(state.failedAttempts, kMaxDoublings);
     ++state.failedAttempts;
@@ -170,20 +173,20 @@
 // ---- time
 
 LeaseHolder::Actions LeaseHolder::reconcile(Nanos now) {
-    // Renewals that are due soon go along with one that is due now: messages are counted between processes,
-    // not between leases.
+    // Renewals that are due soon are sent together with one that is due now: messages are counted
+    // per pair of processes, not per lease.
     const bool isRenewalDue = std::any_of(leases_.begin(), leases_.end(), [now](const auto& entry) {
         return entry.second.state == State::holding && now >= entry.second.nextStepAt;
     });
-    const Nanos renewEarlyBy = isRenewalDue ? settings_.renewInterval / kEarlyRenewalPart : 0;
+    const Nanos renewEarlyBy = isRenewalDue ? settings_.renewInterval / kEarlyRenewalDivisor : 0;
     for (auto& [lease, state] : leases_) {
         const bool hasExpired = state.state == State::holding && now >= state.validUntil;
-        if (hasExpired) giveUp(now, lease, state);
+        if (hasExpired) releaseAndBackOff(now, lease, state);
         const Nanos earlyBy = state.state == State::holding ? renewEarlyBy : 0;
         if (now < state.nextStepAt - earlyBy) continue;
         switch (state.state) {
             case State::requesting:
-                giveUp(now, lease, state);
+                releaseAndBackOff(now, lease, state);
                 break;
             case State::backingOff:
                 beginRequest(now, lease, state);
@@ -211,7 +214,8 @@
     return earliest;
 }
 
-// Until when a majority's grants last, on this member's clock; kNotGranted where no majority has granted.
+// When the grants of a majority expire, on this member's clock; kNotGranted if no majority has
+// granted.
 Nanos LeaseHolder::grantedUntil(const LeaseState& state) const {
     std::vector<Nanos> latestFirst = state.sentTimes;
     const auto nth = latestFirst.begin() + static_cast<std::ptrdiff_t>(majorityIndex());
@@ -219,7 +223,7 @@
     return *nth == kNotGranted ? kNotGranted : *nth + settings_.holdDuration();
 }
 
-// The index of the last one that a majority needs, of acceptors in some order.
+// The index of the acceptor that completes a majority, in an ordered list of acceptors.
 std::size_t LeaseHolder::majorityIndex() const {
     return static_cast<std::size_t>(std::max(settings_.majority(), 1)) - 1;
 }
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -29,26 +29,29 @@
         if (knownName == name) return safeguard;
         knownNames.append(knownNames.empty() ? "" : ", ").append(knownName);
     }
-    throw std::runtime_error(fmt::format("'{}' is none of {}", name, knownNames));
+    throw std::runtime_error(fmt::format("unknown safeguard '{}', expected one of {}", name, knownNames));
 }
 
 std::vector<SettingsProblem> findProblems(const LeaseSettings& settings, Nanos maxCriticalSection) {
     std::vector<SettingsProblem> problems;
     if (settings.acceptorCount < kMinAcceptors || settings.acceptorCount % 2 == 0)
-        problems.push_back({"voters", "are not an odd number of 3 or more"});
-    if (settings.rate < 0 || settings.rate > kMaxRate) problems.push_back({"rate", "is not from 0 to 0.1"});
-    if (settings.duration <= 0 || settings.margin < 0) problems.push_back({"length_ms", "is not over 0"});
-    // On a clock that runs fast it takes longer.
+        problems.push_back(
+            {"voters", fmt::format("is {}, expected an odd number of 3 or more", settings.acceptorCount)});
+    if (settings.rate < 0 || settings.rate > kMaxRate)
+        problems.push_back({"rate", fmt::format("is {}, expected 0 to {}", settings.rate, kMaxRate)});
+    if (settings.duration <= 0 || settings.margin < 0)
+        problems.push_back({"length_ms", "is not greater than 0, or the margin is negative"});
+    // On a clock that runs fast, the critical section takes longer.
     const auto criticalSection =
         static_cast<Nanos>(static_cast<double>(maxCriticalSection) * (1 + settings.rate));
     const Nanos needed = settings.margin + criticalSection + settings.renewInterval;
     if (settings.holdDuration() <= needed)
         problems.push_back(
             {"length_ms",
-             fmt::format("is shorter than margin, act and renewal need: {} ms are held, {} needed",
+             fmt::format("is too short for margin, critical section and renewal: held for {} ms, {} needed",
                          settings.holdDuration() / kMillisecond, needed / kMillisecond)});
     if (settings.answerTimeout <= 0 || settings.renewInterval <= 0)
-        problems.push_back({"answer_ms", "is not over 0"});
+        problems.push_back({"answer_ms", "is not greater than 0, or the renewal interval is not"});
     return problems;
 }
 
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -1,4 +1,4 @@
-// What acceptors and holders of leases agree on beforehand.
+// Settings that acceptors and holders of leases have in common.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace poppyscale::lease {
 
-// What the guarantee of leases (lease_holder.hpp) rests on. One can be disabled to prove that a check detects
-// its absence.
+// Mechanisms on which the guarantee of leases (lease_holder.hpp) depends. One can be disabled to
+// prove that a check detects its absence.
 enum class Safeguard : std::uint8_t {
-    quarantine,  // an acceptor without its state rejects all until every grant that it may have made is over
+    quarantine,  // an acceptor without its state stays silent until its possible grants expire
     rate,        // holders allow for clocks that run fast or slow
-    sentTime,    // holders count from when the request was sent, not from the answer
+    sentTime,    // holders count a grant from when the request was sent, not from the answer
     majority,    // more than half of the acceptors have to grant
     fence,       // each new holder's fencing token is greater than all before
     margin,      // a critical section begins only if the lease outlasts it
-    sync         // an acceptor answers what is on its disk, not what will be
+    sync         // an acceptor answers only after its records are durable
 };
 struct NamedSafeguard {
-    std::string_view name;  // by which the testbed's command line disables it
+    std::string_view name;  // for the testbed's command line, which disables the safeguard
     Safeguard safeguard;
 };
 const std::vector<NamedSafeguard>& safeguards();
@@ -40,12 +40,12 @@
     Nanos renewInterval = 1'200 * kMillisecond;  // while a lease is held
     Nanos minBackoff = 50 * kMillisecond;        // before the next round; doubled with each failed one
     Nanos maxBackoff = 1'000 * kMillisecond;
-    std::set<Safeguard> disabledSafeguards;  // empty but in proofs
+    std::set<Safeguard> disabledSafeguards;  // empty except in tests of the checks
 
     bool has(Safeguard safeguard) const { return !disabledSafeguards.contains(safeguard); }
     // Acceptors that have to grant a lease to its holder.
     int majority() const { return has(Safeguard::majority) ? acceptorCount / 2 + 1 : acceptorCount / 2; }
-    // For how long a holder may rely on a grant, on its own clock, from when it sent the request.
+    // How long a holder may rely on a grant, on its own clock, from when it sent the request.
     Nanos holdDuration() const {
         return has(Safeguard::rate)
                    ? static_cast<Nanos>(static_cast<double>(duration) * (1 - rate) / (1 + rate))
@@ -53,12 +53,12 @@
     }
 };
 
-// One setting that can't be used.
+// A setting that can't be used.
 struct SettingsProblem {
     std::string key;  // as in a configuration file
     std::string problem;
 };
-// The problems of settings for critical sections of at most that duration; empty where they can be used.
+// Checks the settings for critical sections of at most that duration; empty if they can be used.
 std::vector<SettingsProblem> findProblems(const LeaseSettings& settings, Nanos maxCriticalSection);
 
 }  // namespace poppyscale::lease
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -1,4 +1,4 @@
-// What names a lease, who may hold it, and in which order its holders followed each other.
+// Identifiers of leases and members, and the fencing tokens that order the holders of a lease.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,9 @@
 using LeaseId = std::uint32_t;
 using MemberId = std::uint16_t;  // from 1; 0: none
 
-// The fencing token of a lease: greater for each new holder than for all holders before, over all members;
-// renewals keep it. The lower bits name the member that holds by it. 0: none.
+// The fencing token of a lease: greater for each new holder than for all earlier holders, whichever
+// member they are; renewals keep it. The lowest kMemberBits bits are the id of the member that
+// holds with it. 0: none.
 using Fence = std::uint64_t;
 constexpr int kMemberBits = 16;
 constexpr MemberId memberOf(Fence fence) { return static_cast<MemberId>(fence); }
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,5 +1,5 @@
-// Tests of leases: acceptors and holders that exchange messages directly, the model checker over all orders
-// of events, and a fleet in virtual time.
+// Tests of leases: with acceptors and holders that exchange messages directly, with the model
+// checker over orders of events, and with a fleet in virtual time.
 #include <doctest/doctest.h>
 
 #include "lease/acceptor.hpp"
@@ -16,7 +16,8 @@
 
 constexpr Nanos ms = poppyscale::kMillisecond;
 
-// Acceptors and some holders whose messages arrive at once, but for those of acceptors that are cut off.
+// Acceptors and holders whose messages arrive at once, except those to and from acceptors that are
+// cut off.
 struct LeaseGroup {
     explicit LeaseGroup(int holderCount, const LeaseSettings& leaseSettings = {}) : settings(leaseSettings) {
         for (int a = 0; a < settings.acceptorCount; ++a)
@@ -31,20 +32,20 @@
                 for (int repeat = 0; repeat < 2; ++repeat) reconcileAcceptor(a);
         }
     }
-    void reconcileHolder(std::size_t h) {
-        const auto actions = holders[h].reconcile(now);
-        for (const auto& [a, request] : actions.requests)
-            if (!cutOff.contains(a)) acceptor(a).onRequest(now, static_cast<MemberId>(h + 1), request);
+    void reconcileHolder(std::size_t index) {
+        const auto actions = holders[index].reconcile(now);
+        for (const auto& [to, request] : actions.requests)
+            if (!cutOff.contains(to)) acceptor(to).onRequest(now, static_cast<MemberId>(index + 1), request);
         for (const auto& [to, lease] : actions.offers) holder(to).onTransferOffered(now, lease);
     }
-    void reconcileAcceptor(int a) {
-        const auto actions = acceptor(a).reconcile(now);
+    void reconcileAcceptor(int index) {
+        const auto actions = acceptor(index).reconcile(now);
         for (const auto& [to, answer] : actions.answers)
-            if (!cutOff.contains(a)) holder(to).onAnswer(now, a, answer);
+            if (!cutOff.contains(index)) holder(to).onAnswer(now, index, answer);
         for (const auto& [to, recall] : actions.recalls)
-            if (!cutOff.contains(to)) acceptor(to).onRequest(now, a, recall);
-        for (const auto& [to, recalled] : actions.recallAnswers) acceptor(to).onRequest(now, a, recalled);
-        if (actions.ticket) acceptor(a).onPersisted(now, actions.ticket);
+            if (!cutOff.contains(to)) acceptor(to).onRequest(now, index, recall);
+        for (const auto& [to, recalled] : actions.recallAnswers) acceptor(to).onRequest(now, index, recalled);
+        if (actions.ticket) acceptor(index).onPersisted(now, actions.ticket);
     }
     void advance(Nanos time) {
         for (const Nanos until = now + time; now < until;) {
@@ -52,20 +53,21 @@
             exchangeMessages();
         }
     }
-    Acceptor& acceptor(int a) { return acceptors[static_cast<std::size_t>(a)]; }
+    Acceptor& acceptor(int index) { return acceptors[static_cast<std::size_t>(index)]; }
     LeaseHolder& holder(MemberId member) { return holders[static_cast<std::size_t>(member - 1)]; }
 
     LeaseSettings settings;
     Nanos now = 1'000 * ms;
     std::vector<Acceptor> acceptors;
     std::vector<LeaseHolder> holders;
-    std::set<int> cutOff;  // acceptors
+    std::set<int> cutOff;  // acceptors, by number
 };
 
 }  // namespace
 
-TEST_CASE(
-    "a majority suffices to hold a lease, and another member acquires it within its duration and a second") {
+// A lost acceptor must not cost the lease, a member without a majority must not act on it, and a
+// lease whose holder is gone must become available.
+TEST_CASE("A majority suffices to hold a lease, and another member acquires it once its holder is gone") {
     LeaseGroup group(2);
     group.cutOff = {2};
     group.holders[0].acquire(group.now, 1);
@@ -74,21 +76,22 @@
     const auto first = group.holders[0].enterCriticalSection(group.now, 1, 200 * ms);
     REQUIRE(first);
     CHECK_FALSE(group.holders[0].enterCriticalSection(
-        group.now, 1, group.settings.holdDuration()));  // the lease would not outlast that
+        group.now, 1, group.settings.holdDuration()));  // the lease would expire before its end
     group.holders[1].acquire(group.now, 1);
     group.advance(20'000 * ms);
-    CHECK(group.holders[0].isHolding(group.now, 1));  // it renews
+    CHECK(group.holders[0].isHolding(group.now, 1));  // by renewals
     CHECK(group.holders[0].fence(1) == first->fence);
     CHECK_FALSE(group.holders[1].enterCriticalSection(group.now, 1, 1));
     CHECK(group.holders[0].acquisitionCount() == 1);
-    // Without a majority: unknown counts as no.
+    // Without a majority, the lease is not known to be held and counts as not held.
     group.cutOff = {1, 2};
     group.advance(group.settings.duration);
     CHECK_FALSE(group.holders[0].enterCriticalSection(group.now, 1, 1));
     group.cutOff = {};
     group.advance(5'000 * ms);
     CHECK(group.holders[0].isHolding(group.now, 1) != group.holders[1].isHolding(group.now, 1));
-    // A holder that ends without a release.
+    // A holder's process ends without a release: the next member holds within the lease's duration
+    // and a second.
     LeaseGroup other(2);
     other.holders[0].acquire(other.now, 1);
     other.exchangeMessages();
@@ -101,7 +104,9 @@
     CHECK(other.holders[1].enterCriticalSection(other.now, 1, 100 * ms)->fence > before);
 }
 
-TEST_CASE("a released lease is acquired at once, and a transferred one by the member it was transferred to") {
+// If waiting members were not notified of a release, or could take a transferred lease first, each
+// planned change of the holder would cost the lease's duration or go to the wrong member.
+TEST_CASE("A released lease is acquired at once, a transferred one by the member it was transferred to") {
     LeaseGroup group(3);
     for (auto& holder : group.holders)
         holder.acquire(group.now, 1, static_cast<int>(&holder - group.holders.data()));
@@ -117,9 +122,9 @@
     CHECK(group.holders[0].isHolding(group.now, 1) != group.holders[1].isHolding(group.now, 1));
 }
 
-TEST_CASE(
-    "an acceptor answers nothing that is not durable, and nothing without its state until its grants are "
-    "over") {
+// An acceptor that forgets a grant in a crash, or votes without its state, could grant the same
+// lease to two members.
+TEST_CASE("An acceptor answers only durable grants, and votes without its state only after quarantine") {
     const LeaseSettings settings;
     Nanos now = 1;
     Acceptor acceptor(settings, 0, now, GrantRecords{});
@@ -132,14 +137,14 @@
     actions = acceptor.reconcile(now);
     REQUIRE(actions.answers.size() == 1);
     CHECK(actions.answers[0].answer.granted);
-    // With its records it knows of the grant, but not since when: nobody else is granted it for a whole
-    // duration.
+    // With its records, the acceptor knows of the grant but not of its time: no other member is
+    // granted the lease for a whole duration.
     Acceptor restarted(settings, 0, now, GrantRecords{{1, {request.fence, 1, false}}});
     const LeaseRequest otherRequest{LeaseRequest::Kind::acquire, 1, fenceAfter(request.fence, 6), 1, 7, 0};
     restarted.onRequest(now + settings.duration - 1, 6, otherRequest);
     CHECK_FALSE(restarted.reconcile(now).answers.at(0).answer.granted);
-    // Without its records it stays silent and asks the others: two that have state are enough, after the
-    // quarantine.
+    // Without its records, the acceptor answers no lease request and asks the others. Two that have
+    // state are enough, after the quarantine.
     Acceptor recovering(settings, 0, now, std::nullopt);
     CHECK(recovering.reconcile(now).recalls.size() == 2);
     recovering.onRequest(now, 1, RecallAnswer{true, {{1, {request.fence, 1, false}}}});
@@ -152,14 +157,16 @@
     CHECK_FALSE(recovering.mayHaveLostState());
     recovering.onRequest(
         now + settings.duration, 6,
-        LeaseRequest{LeaseRequest::Kind::acquire, 1, request.fence, 1, 7, 0});  // not greater than before
+        LeaseRequest{LeaseRequest::Kind::acquire, 1, request.fence, 1, 7, 0});  // not greater
     actions = recovering.reconcile(now + settings.duration);
     recovering.onPersisted(now + settings.duration, actions.ticket ? actions.ticket : 1);
     for (const auto& [to, answer] : recovering.reconcile(now + settings.duration).answers)
         CHECK_FALSE(answer.granted);
 }
 
-TEST_CASE("settings that break the guarantee are reported, each by its key") {
+// With settings such as an even number of acceptors or too short a lease, the guarantee of leases
+// fails or no critical section can begin.
+TEST_CASE("Reports settings that break the guarantee of leases, each by its key") {
     const auto keys = [](const LeaseSettings& settings, Nanos criticalSection) {
         std::string all;
         for (const auto& [key, problem] : findProblems(settings, criticalSection)) all += key + ";";
@@ -174,18 +181,20 @@
     CHECK(keys(settings, 200 * ms) == "rate;");
     settings.rate = 0.01;
     CHECK(keys(settings, 3'000 * ms) == "length_ms;");
-    CHECK_THROWS_WITH(parseSafeguard("luck"), doctest::Contains("'luck' is none of quarantine, rate"));
+    CHECK_THROWS_WITH(parseSafeguard("luck"),
+                      doctest::Contains("unknown safeguard 'luck', expected one of quarantine, rate"));
 }
 
-TEST_CASE(
-    "no order of events that is explored breaks the guarantee, and each disabled safeguard is detected") {
+// The model checker looks for orders of events in which two members hold a lease. To show that it
+// would find one, each safeguard is disabled in turn: the guarantee must then break, reproducibly.
+TEST_CASE("No explored order of events breaks the guarantee, and each disabled safeguard is detected") {
     const auto explore = [](std::set<Safeguard> without, double seconds) {
         testbed::LeaseModelOptions options;
         options.without = std::move(without);
         options.clocks = 0b00111;
         testbed::ExplorationOptions exploration;
         exploration.seconds = seconds;
-        exploration.mostStates = 2'000;  // long runs find them soonest
+        exploration.mostStates = 2'000;  // long runs find violations soonest
         return testbed::StateExplorer(testbed::LeaseModel(options), exploration).explore();
     };
     const auto complete = explore({}, 3);
@@ -195,7 +204,7 @@
         CAPTURE(name);
         const auto result = explore({safeguard}, 20);
         CHECK(!result.broken.empty());
-        // The run that it prints breaks the guarantee again.
+        // Repeating the run that was found breaks the guarantee again.
         testbed::LeaseModelOptions options;
         options.without = {safeguard};
         options.clocks = 0b00111;
@@ -206,9 +215,9 @@
     }
 }
 
-TEST_CASE(
-    "a fleet in virtual time with all faults: no overlap, no lower fence, and the same run for the same "
-    "seed") {
+// Faults of clocks, networks, disks and processes at the scale of a fleet must not let two holders
+// overlap or a fencing token fall. A run that differs for the same seed could not be investigated.
+TEST_CASE("A fleet in virtual time with all faults keeps the guarantee and repeats for the same seed") {
     testbed::LeaseRunOptions options;
     options.seconds = 40;
     options.seed = 5;
@@ -221,10 +230,10 @@
     CHECK(first.digest == second.digest);
     options.faults = "none";
     const auto faultless = testbed::runSimulatedLeases(options);
-    CHECK(faultless.changes == 300);  // each is acquired once and stays
+    CHECK(faultless.changes == 300);  // each lease is acquired once and stays with its holder
     options.disabledSafeguard = {Safeguard::fence};
-    CHECK(testbed::runSimulatedLeases(options).violations ==
-          0);  // no lease changes its holder, so no fence is lower
+    // No lease changes its holder, so no fencing token can fall.
+    CHECK(testbed::runSimulatedLeases(options).violations == 0);
     options.faults = "all";
     CHECK(testbed::runSimulatedLeases(options).violations > 0);
 }
