--- a/src/supervisor/instance_supervisor.cpp
+++ b/src/supervisor/instance_supervisor.cpp
@@ -6,7 +6,7 @@
 namespace poppyscale::supervisor {
 namespace {
 
-// For the log.
+// The operation's name in log lines.
 std::string nameOf(InstanceSupervisor::RollingOperation operation) {
     return operation == InstanceSupervisor::RollingOperation::restart ? "restart" : "upgrade";
 }
@@ -43,7 +43,7 @@
         return;
     }
     scheduleRestart(now, instance);
-    // An instance that was already restarted or upgraded is taken to have failed because of that.
+    // If the instance was already restarted or upgraded, that is taken to be the cause of its exit.
     if (isRolling() && instance < processedCount_)
         stopRolling("instance " + std::to_string(instance) + " exited after its " + nameOf(operation_));
 }
@@ -118,7 +118,7 @@
             return;
         case InstanceState::stopping:
             if (!isDue) return;
-            host_.log("instance " + std::to_string(instance) + " does not stop in time");
+            host_.log("instance " + std::to_string(instance) + " did not stop in time and was killed");
             current.deadline = kNever;
             host_.kill(instance);
             return;
@@ -126,7 +126,8 @@
 }
 
 void InstanceSupervisor::onReadyTimeout(int instance) {
-    const std::string problem = "instance " + std::to_string(instance) + " is not ready in time";
+    const std::string problem =
+        "instance " + std::to_string(instance) + " was not ready in time and was killed";
     host_.log(problem);
     if (isRolling() && instance < processedCount_) stopRolling(problem);
     at(instance).deadline = kNever;  // onExited follows
@@ -141,7 +142,8 @@
         exited.backoff = settings_.minBackoff;
     else
         exited.backoff = std::min(2 * exited.backoff, settings_.maxBackoff);
-    // With jitter, or instances that one cause has ended would be restarted, and might fail, in step.
+    // Without jitter, instances that exited for one common cause would be restarted, and might
+    // fail, in step.
     const double jitter = 0.5 + 0.5 * std::generate_canonical<double, 32>(random_);
     ++exited.unexpectedExits;
     enterState(exited, InstanceState::backingOff,
@@ -159,7 +161,8 @@
 // ---- rolling operation
 
 void InstanceSupervisor::reconcileRolling(Nanos now) {
-    // A batch that began while an instance is out of service for another reason might take the last one out.
+    // A batch that begins while an instance is out of service for another reason might take the
+    // last ready instance out of service.
     if (!allReady()) return;
     if (processedCount_ > batchStart_ && !isBatchObserved(now)) return;
     if (processedCount_ == settings_.instanceCount) {
--- a/tests/instance_supervisor_test.cpp
+++ b/tests/instance_supervisor_test.cpp
@@ -31,7 +31,7 @@
         reconcileAfter();
         host.actions.clear();
     }
-    // The actions of a reconcile so much later.
+    // Lets the time pass, reconciles and returns the actions.
     std::string reconcileAfter(Nanos elapsed = 0) {
         host.actions.clear();
         now += elapsed;
@@ -45,9 +45,9 @@
 
 }  // namespace
 
-TEST_CASE(
-    "an instance that exits is restarted after a growing, jittered backoff that is reset once it was "
-    "stable") {
+// A constant backoff would restart a broken instance forever at a high rate, and without jitter
+// instances that exit together would start together.
+TEST_CASE("Restarts an exited instance after a growing, jittered backoff, which a stable time resets") {
     Fleet fleet(1);
     for (const Nanos backoff : {100, 200, 400, 800, 1'600, 1'600}) {
         fleet.supervisor.onExited(fleet.now, 0);
@@ -66,10 +66,12 @@
     CHECK(many.reconcileAfter(50 * ms) == "");
     const std::string started = many.reconcileAfter(25 * ms);
     CHECK(started.size() > 0);
-    CHECK(started.size() < 16);  // not all in step
+    CHECK(started.size() < 16);  // not all at once
 }
 
-TEST_CASE("an instance that is not ready in time is killed, and so is one that does not stop in time") {
+// A process that hangs while it starts or stops would otherwise keep its instance out of service
+// forever.
+TEST_CASE("Kills an instance that is not ready in time, and one that does not stop in time") {
     Fleet fleet(1);
     fleet.supervisor.onExited(fleet.now, 0);
     CHECK(fleet.reconcileAfter(100 * ms) == "+0");
@@ -86,14 +88,16 @@
     CHECK(fleet.reconcileAfter(10'000 * ms) == "");
 }
 
-TEST_CASE("a rolling operation takes one batch at a time, each ready and observed before the next") {
+// If a batch began before the previous one is ready and observed, a defective version could take
+// all instances out of service.
+TEST_CASE("A rolling operation begins a batch only after the previous one is ready and observed") {
     Fleet fleet(3, 2);
     REQUIRE(fleet.supervisor.startRolling(fleet.now, RollingOperation::restart));
     CHECK_FALSE(fleet.supervisor.startRolling(fleet.now, RollingOperation::upgrade));
     CHECK(fleet.reconcileAfter() == "-0-1");
     fleet.supervisor.onExited(fleet.now, 0);
     fleet.supervisor.onExited(fleet.now, 1);
-    CHECK(fleet.reconcileAfter() == "+0+1");  // without a backoff: they were asked to stop
+    CHECK(fleet.reconcileAfter() == "+0+1");  // without a backoff, as these exits were requested
     fleet.supervisor.onReady(fleet.now, 0);
     CHECK(fleet.reconcileAfter(900 * ms) == "");
     fleet.supervisor.onReady(fleet.now, 1);
@@ -110,7 +114,9 @@
     CHECK(fleet.supervisor.restarts(0) == 0);
 }
 
-TEST_CASE("a rolling operation stops at the first instance that fails and states the problem") {
+// An instance can fail after its restart by exiting, by not becoming ready, or by a rejected
+// upgrade. If the operation went on, the same failure would reach all instances.
+TEST_CASE("A rolling operation stops at the first instance that fails and states the problem") {
     Fleet fleet(3);
     fleet.supervisor.startRolling(fleet.now, RollingOperation::restart);
     fleet.reconcileAfter();
@@ -129,16 +135,18 @@
     hangs.supervisor.onExited(hangs.now, 0);
     hangs.reconcileAfter();
     CHECK(hangs.reconcileAfter(1'000 * ms) == "!0");
-    CHECK(hangs.supervisor.rollingProblem() == "instance 0 is not ready in time");
+    CHECK(hangs.supervisor.rollingProblem() == "instance 0 was not ready in time and was killed");
     Fleet refused(2);
     refused.supervisor.startRolling(refused.now, RollingOperation::upgrade);
     CHECK(refused.reconcileAfter() == "^0");
     refused.supervisor.onUpgraded(refused.now, 0, "the new process ended");
     CHECK(refused.reconcileAfter(5'000 * ms) == "");
-    CHECK(refused.supervisor.allReady());  // it goes on serving
+    CHECK(refused.supervisor.allReady());  // the old process goes on serving
 }
 
-TEST_CASE("a rolling operation begins no batch while another instance is out of service") {
+// Instance 2 exits while instance 0 is observed. The next batch together with it could leave no
+// instance in service.
+TEST_CASE("A rolling operation begins no batch while another instance is out of service") {
     Fleet fleet(3);
     fleet.supervisor.startRolling(fleet.now, RollingOperation::upgrade);
     CHECK(fleet.reconcileAfter() == "^0");
@@ -151,7 +159,8 @@
     CHECK(fleet.reconcileAfter(500 * ms) == "^1");
 }
 
-TEST_CASE("a new supervisor takes over running instances and starts only those that are missing") {
+// A restarted supervisor must not start a second process of an instance that survived it.
+TEST_CASE("A new supervisor takes over running instances and starts only the missing ones") {
     RecordingHost host;
     InstanceSupervisor supervisor({3, 1, 1'000 * ms, 0, 100 * ms, 1'000 * ms, 1'000 * ms, 1'000 * ms}, 1,
                                   host);
