--- a/src/rollout/decaying_statistics.cpp
+++ b/src/rollout/decaying_statistics.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kMinExpected = 0.5;  // events; the chi-square approximation fails below it
-// Degrees of freedom added with a chi-square of their own size, so that few instances do not give extremes.
+// Prior: added to both the chi-square and the degrees of freedom, so that few instances do not give
+// extreme values.
 constexpr double kPriorDegreesOfFreedom = 3;
 
 double decayFactor(Nanos elapsed, Nanos halfLife) {
--- a/src/rollout/decaying_statistics.hpp
+++ b/src/rollout/decaying_statistics.hpp
@@ -1,4 +1,4 @@
-// Statistics over recent events, in which older events count less: their contribution halves once per
+// Statistics over recent events. Older events count less: their contribution halves once per
 // half-life.
 #pragma once
 
@@ -13,7 +13,7 @@
   public:
     explicit DecayingRatio(Nanos halfLife) : halfLife_(halfLife) {}
 
-    // `numerator` and `denominator` are what was counted since the call before.
+    // `numerator` and `denominator` are the counts since the previous call.
     void add(Nanos now, double numerator, double denominator);
     double numerator() const { return numerator_; }
     double denominator() const { return denominator_; }
@@ -33,7 +33,8 @@
   public:
     explicit Overdispersion(Nanos halfLife) : halfLife_(halfLife) {}
 
-    // `bad` events of one instance, and how many its traffic would have at the rate of its zone.
+    // Adds `bad` events of one instance. `expected`: how many its traffic would have at its zone's
+    // rate.
     void add(Nanos now, int instance, double bad, double expected);
     // Drops an instance that no longer serves as a reference.
     void forget(int instance) { sums_.erase(instance); }
--- a/src/rollout/draining_caches.cpp
+++ b/src/rollout/draining_caches.cpp
@@ -5,7 +5,7 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr int kMaxNotificationWindows = 2;
+constexpr int kMaxNotificationWindows = 2;  // until every instance is notified of a drain
 
 }  // namespace
 
--- a/src/rollout/draining_caches.hpp
+++ b/src/rollout/draining_caches.hpp
@@ -1,5 +1,5 @@
-// Which caches are draining, by what unchanged instances report. The changed side does not count: a version
-// that ignores drains does not know of them.
+// Tracks which caches are draining according to the unchanged instances. Changed instances are not
+// consulted: a version that ignores drains would not report them.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
   public:
     // Reads the last window of the unchanged instances.
     void observe(const FleetView& fleet);
-    // Whether the cache has been draining for so long that every instance should have been notified.
+    // Whether the cache has been draining long enough for every instance to have been notified.
     bool isKnownToAll(const std::string& cache) const;
 
   private:
--- a/src/rollout/evidence.cpp
+++ b/src/rollout/evidence.cpp
@@ -18,7 +18,8 @@
     unchangedTotal_ += counts.unchangedTotal;
     const double events = counts.changedBad + counts.unchangedBad;
     if (counts.changedTotal <= 0 || counts.unchangedTotal <= 0) return;
-    // The baseline and not this window's ratio: what is known only with the events must not weigh them.
+    // Uses the baseline instead of this window's ratio: the probability must not depend on the
+    // events that it is applied to.
     const double ratio = std::max(baseline, kMinBaseline);
     const double expectedChanged = counts.changedTotal * (margin_ * ratio + allowance_);
     const double changedProbability = expectedChanged / (expectedChanged + counts.unchangedTotal * ratio);
@@ -35,7 +36,7 @@
 }
 
 double Evidence::logValue() const {
-    // The largest term is factored out, so that the exponentials stay in range.
+    // Factors out the largest term, so that the exponentials stay in range.
     const double largest = std::max(*std::max_element(logBinomial_.begin(), logBinomial_.end()),
                                     *std::max_element(logPoisson_.begin(), logPoisson_.end()));
     double sum = 0;
--- a/src/rollout/evidence.hpp
+++ b/src/rollout/evidence.hpp
@@ -1,22 +1,24 @@
-// Sequential evidence that the changed side does worse than the unchanged side. It may be read after any
-// window and at any time without inflating the rate of false alarms.
+// Sequential evidence that the changed side does worse than the unchanged side. It may be read
+// after any window and at any time without inflating the rate of false alarms.
 //
-// Of `k` bad events in a window, each falls to the changed side with probability q, the changed side's part
-// of what would be expected if both sides did alike. At a ratio r between the sides it would be
-// qr / (1 - q + qr). The product over windows of the likelihood ratios, mixed over a few r, is a martingale
-// that starts at 1 if nothing is worse, so by Ville's inequality it ever reaches 1/a with probability a at
-// most (Wald 1945; Robbins 1970; the form used for A/B tests: Johari, Pekelis and Walsh, "Always valid
-// inference", 2015). Each window and zone is a comparison of its own, so what hits both sides alike is no
-// evidence.
+// If both sides do alike, up to margin and allowance, each bad event of a window falls to the
+// changed side with probability q, which is the changed side's part of all expected bad events. If
+// the changed side's rate is r times as high, the probability is qr / (1 - q + qr). If nothing is
+// worse, the product over windows of the likelihood ratios, mixed over a few r, is a martingale
+// that starts at 1. By Ville's inequality it then ever reaches 1/a with probability a at most (Wald
+// 1945; Robbins 1970; the form used for A/B tests: Johari, Pekelis and Walsh, "Always valid
+// inference", 2015). Each window and zone is compared separately, so a fault that hits both sides
+// alike is no evidence.
 //
-// Where the unchanged side has next to no bad events, that says little: all events fall to the changed side
-// then, harmful or not. There the count itself is compared with a Poisson distribution at the tolerated rate:
-// the baseline or, if that is more, this window's ratio of the unchanged side, with margin and allowance.
-// The mean of both martingales is taken, which is a martingale too.
+// This comparison says little where the unchanged side has almost no bad events: all bad events
+// then fall to the changed side, whether the change is harmful or not. Therefore the changed side's
+// count is also compared with a Poisson distribution at the tolerated rate: the baseline or, if
+// greater, the unchanged side's ratio in this window, with margin and allowance. The evidence is
+// the mean of both martingales, which is a martingale too.
 //
-// Events come in bursts, and instances differ: both make chance look like evidence. Overdispersion says how
-// much, and the evidence of a window is raised to the power of its inverse: a martingale's power below one is
-// a supermartingale, so the bound still applies.
+// Events come in bursts and instances differ, so chance may look like evidence. Overdispersion
+// measures by how much; the evidence of a window is raised to the power 1 / overdispersion. A
+// martingale raised to a power below one is a supermartingale, so the bound still applies.
 #pragma once
 
 #include <array>
@@ -24,7 +26,7 @@
 
 namespace poppyscale::rollout {
 
-// Both sides' counts of one zone in one window.
+// The counts of both sides in one zone and window.
 struct PairedCounts {
     double changedBad = 0;
     double changedTotal = 0;
@@ -34,7 +36,8 @@
 
 class Evidence {
   public:
-    // `margin`: tolerated ratio of the sides. `allowance`: tolerated on top of it, as a ratio of the total.
+    // `margin`: tolerated ratio of the changed side's rate to the unchanged side's. `allowance`:
+    // tolerated on top of that, as a fraction of the total.
     Evidence(double margin, double allowance) : margin_(margin), allowance_(allowance) {}
 
     // `baseline`: ratio of bad events on the unchanged side before this window. `overdispersion`: at least 1.
@@ -51,7 +54,7 @@
     double unchangedRatio() const { return unchangedTotal_ > 0 ? unchangedBad_ / unchangedTotal_ : 0; }
 
   private:
-    // The alternatives that are mixed: how many times worse the changed side may be.
+    // Alternative hypotheses that are mixed: by which factor the changed side is worse.
     static constexpr std::array<double, 6> kRatios{1.15, 1.4, 2, 4, 10, 40};
 
     double margin_;
--- a/src/rollout/fault_detector.cpp
+++ b/src/rollout/fault_detector.cpp
@@ -28,8 +28,8 @@
     const std::string unreachable = fleet.unreachableAgents(now);
     if (!unreachable.empty()) excuses_.noteInterruption(now);
     const std::string excuse = excuses_.find(now, unreachable);
-    // What explained a fault's beginning explains its end too: by then servers are avoided that caused it,
-    // while requests are still late.
+    // Keeps the excuse until the fault ends: towards its end, the servers that caused it are
+    // already avoided, so that nothing shows the cause any more, while requests are still late.
     if (!isActive_ || !excuse.empty()) excuse_ = excuse;
     if (!isActive_) {
         baseline_.add(now, window.referenceBad, window.referenceRequests);
--- a/src/rollout/fault_detector.hpp
+++ b/src/rollout/fault_detector.hpp
@@ -1,8 +1,8 @@
-// Detects faults: times in which the unchanged instances do worse than they used to. No stage begins or
-// completes in one.
+// Detects faults: periods in which the unchanged instances do worse than before. No stage begins or
+// completes during a fault.
 //
-// A fault with an excuse is not the change's. One without an excuse that begins during a stage is taken to be
-// the change's.
+// A fault with an excuse is not attributed to the change. A fault without an excuse that begins
+// during a stage is.
 #pragma once
 
 #include <optional>
@@ -27,15 +27,16 @@
 
     // Reads the fleet's last window.
     std::optional<FaultTransition> observe(Nanos now, const FleetView& fleet);
-    // Machines were interrupted.
+    // Records that machines were interrupted.
     void noteInterruption(Nanos now) { excuses_.noteInterruption(now); }
 
     bool isActive() const { return isActive_; }
-    // Of the present or the last fault.
+    // When the current fault began, or the last one if there is none.
     Nanos beganAt() const { return beganAt_; }
     // What explains the fault, in words for the log; empty if nothing does.
     const std::string& excuse() const { return excuse_; }
-    // Unsuccessful or late requests of the reference instances, as a ratio: in the last seconds, and before.
+    // Fraction of requests of the reference instances that are unsuccessful or late: in the last
+    // seconds, and before.
     double recentRatio() const { return recent_.value(); }
     double baselineRatio() const { return baseline_.value(); }
 
--- a/src/rollout/fault_excuses.cpp
+++ b/src/rollout/fault_excuses.cpp
@@ -38,17 +38,18 @@
 }
 
 std::string FaultExcuses::find(Nanos now, const std::string& unreachableAgents) const {
-    if (!unreachableAgents.empty()) return "not heard: " + unreachableAgents;
-    if (interruptedAt_ && now - interruptedAt_ < kInterruptionAftermath) return "machines were held up";
+    if (!unreachableAgents.empty()) return "no recent report from " + unreachableAgents;
+    if (interruptedAt_ && now - interruptedAt_ < kInterruptionAftermath)
+        return "machines or agents were interrupted recently";
     if (lostAttempts_.recent.value() >
         kMinLostAttemptFactor * lostAttempts_.baseline.value() + kLostAttemptAllowance)
-        return "relays of unchanged instances are lost";
+        return "more attempts of unchanged instances are lost than before";
     if (attemptTime_.baseline.denominator() > 0 &&
         attemptTime_.recent.value() > kMinSlowAttemptFactor * attemptTime_.baseline.value())
-        return "caches or the origin take longer";
+        return "caches or the origin respond more slowly than before";
     if (load_.baseline.denominator() > 0 && load_.recent.value() > kMinBurstFactor * load_.baseline.value())
-        return "a burst";
-    if (baselineCaches_ > 0 && cachesReady_ < baselineCaches_) return "fewer caches are there";
+        return "the request rate is higher than before";
+    if (baselineCaches_ > 0 && cachesReady_ < baselineCaches_) return "fewer caches are ready than before";
     return "";
 }
 
--- a/src/rollout/fault_excuses.hpp
+++ b/src/rollout/fault_excuses.hpp
@@ -1,6 +1,8 @@
-// What may not be blamed on the change: conditions of the fleet that explain why requests fail on both sides.
+// Finds conditions of the fleet that explain why requests fail on both sides, so that these
+// failures are not attributed to the change.
 //
-// Each condition compares the last seconds with a baseline, which is learned only while there is no fault.
+// Each condition compares the last seconds with a baseline, which is learned only while there is no
+// fault.
 #pragma once
 
 #include <string>
@@ -14,19 +16,19 @@
   public:
     FaultExcuses();
 
-    // Adds a window to the present conditions.
+    // Adds a window to the recent conditions.
     void observe(Nanos now, const FleetWindow& window);
-    // Adds a window to the baseline. Only of windows without a fault.
+    // Adds a window to the baseline. To be called only for windows without a fault.
     void learn(Nanos now, const FleetWindow& window);
-    // Machines were interrupted, or agents are unreachable. The consequences for clients show only later, so
-    // this remains an excuse for some seconds.
+    // Records that machines were interrupted or agents are unreachable. The consequences for
+    // clients show only later, so this remains an excuse for some seconds.
     void noteInterruption(Nanos now) { interruptedAt_ = now; }
     // The condition that explains a fault now, in words for the log; empty if there is none.
     // `unreachableAgents`: their names, empty if there are none.
     std::string find(Nanos now, const std::string& unreachableAgents) const;
 
   private:
-    // A ratio over the last seconds beside the same over the last minute or so.
+    // A ratio over the last seconds, and the same ratio over about the last minute.
     struct Condition {
         DecayingRatio recent;
         DecayingRatio baseline;
@@ -34,9 +36,9 @@
 
     Condition load_;           // requests per second
     Condition attemptTime_;    // ms per attempt
-    Condition lostAttempts_;   // of the attempts of reference instances
+    Condition lostAttempts_;   // lost per attempt, of the reference instances
     int cachesReady_ = 0;      // in the last window
-    int baselineCaches_ = 0;   // the most that were ready
+    int baselineCaches_ = 0;   // the most that were ready at once
     Nanos interruptedAt_ = 0;  // 0: never
 };
 
--- a/src/rollout/fleet_view.cpp
+++ b/src/rollout/fleet_view.cpp
@@ -94,7 +94,7 @@
         if (hasRecentReport(now, static_cast<int>(a))) continue;
         if (!names.empty()) names += ", ";
         names += plan_.agents[a].name;
-        // An agent that answers with an error is a different problem from one that is silent.
+        // Distinguishes an agent that answers with an error from one that does not answer.
         if (!agents_[a].rejection.empty()) names += " (" + agents_[a].rejection + ")";
     }
     return names;
--- a/src/rollout/fleet_view.hpp
+++ b/src/rollout/fleet_view.hpp
@@ -1,8 +1,8 @@
-// What the coordinator knows of the fleet: each agent's last report, and what each instance did in the last
-// window between two samples.
+// What the coordinator knows of the fleet: each agent's last report, and what each instance did in
+// the last window between two samples.
 //
-// Unknown is never taken for good: an instance without recent metrics, or whose metrics contradict those
-// before, has no window and counts for neither side of a comparison.
+// Missing data never counts as good: an instance without recent metrics, or whose metrics
+// contradict the previous ones, has no window and counts for neither side of a comparison.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +21,14 @@
 struct AgentView {
     std::optional<Report> report;  // the last one
     Nanos lastReportAt = 0;
-    std::string rejection;    // why it can't do what it was ordered; empty: it can
-    Nanos rejectedSince = 0;  // without an interruption; 0: it does not reject orders
+    std::string rejection;    // why the agent can't carry out its orders; empty: it can
+    Nanos rejectedSince = 0;  // when it began to reject its orders; 0: it does not
 };
 
 // The coordinator's view of one instance.
 struct InstanceView {
     int agent = 0;     // index in the plan
-    int position = 0;  // in its agent's report
+    int position = 0;  // index in its agent's report
     std::string name;  // "AGENT/INSTANCE"
     std::string zone;
     std::optional<InstanceMetrics> lastSample;
@@ -43,17 +43,17 @@
 
     // Ignores a report whose number of instances changed after buildInstances().
     void recordReport(Nanos now, int agent, const Report& report);
-    // The agent answers, and can't do what it was ordered.
+    // Records that the agent answers but can't carry out its orders.
     void recordRejection(Nanos now, int agent, std::string_view reason);
     // Enumerates the instances. Requires a report of every agent.
     void buildInstances();
-    // Takes a sample of each instance and so ends its window. True if some samples are so far apart that
-    // their machine was interrupted.
+    // Takes a sample of each instance, which ends its window. Returns true if the last two samples
+    // of an instance are so far apart that its machine was interrupted.
     bool sampleWindows(Nanos now);
 
     const std::vector<AgentView>& agents() const { return agents_; }
     const std::vector<InstanceView>& instances() const { return instances_; }
-    const InstanceView& instance(int i) const { return instances_.at(static_cast<std::size_t>(i)); }
+    const InstanceView& instance(int index) const { return instances_.at(static_cast<std::size_t>(index)); }
     int instanceCount() const { return static_cast<int>(instances_.size()); }
     const AgentView& agentOf(const InstanceView& instance) const;
     const std::string& agentName(int agent) const;
@@ -61,22 +61,23 @@
     const InstanceReport* reportOf(const InstanceView& instance) const;
 
     bool hasRecentReport(Nanos now, int agent) const;
-    // Names of the agents without a recent report, joined for a message; empty if there are none.
+    // Names of the agents without a recent report, joined for a message, with the reason where an
+    // agent rejects its orders; empty if there are none.
     std::string unreachableAgents(Nanos now) const;
-    // Whether every instance is ready by its last report.
+    // Whether every instance was ready in its last report.
     bool areAllReady() const;
-    // Whether it runs the change, is ready, and has been so for the plan's settle time.
+    // Whether the instance is ready and has run the change for the plan's settle time.
     bool isSettled(const InstanceView& instance) const;
-    // Whether it is on the changed side of a comparison, with a known window.
+    // Whether the instance is on the changed side of a comparison, with a known window.
     bool isChanged(const InstanceView& instance) const;
-    // Whether it is on the unchanged side of a comparison, with a known window.
+    // Whether the instance is on the unchanged side of a comparison, with a known window.
     bool isUnchanged(const InstanceView& instance) const;
     bool hasUnchanged() const;
     // Whether an instance was in that zone when the rollout began.
     bool isKnownZone(const std::string& zone) const { return zones_.contains(zone); }
 
   private:
-    AgentView& agent(int i) { return agents_.at(static_cast<std::size_t>(i)); }
+    AgentView& agent(int index) { return agents_.at(static_cast<std::size_t>(index)); }
 
     const RolloutPlan& plan_;
     std::vector<AgentView> agents_;        // as in the plan
--- a/src/rollout/fleet_window.hpp
+++ b/src/rollout/fleet_window.hpp
@@ -11,8 +11,9 @@
     double requests = 0;
     double attempts = 0;
     double attemptMs = 0;  // sum of the durations of answered attempts
-    int cachesReady = 0;   // the most that an instance sees
-    // Of the reference instances: the unchanged ones, or the changed ones once none is left unchanged.
+    int cachesReady = 0;   // the most that any instance reports
+    // Sums of the reference instances only: the unchanged ones, or the changed ones if none is
+    // unchanged.
     double referenceRequests = 0;
     double referenceBad = 0;  // unsuccessful or late requests
     double referenceAttempts = 0;
--- a/src/rollout/harm_exclusion.cpp
+++ b/src/rollout/harm_exclusion.cpp
@@ -6,13 +6,14 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr double kErrorProbability = 0.02;  // of ruling out a harm that is there
-constexpr double kMinEvents = 60;           // of a side, for it to say anything
+constexpr double kErrorProbability = 0.02;  // of ruling out harm that exists
+constexpr double kMinEvents = 60;           // below which a side proves nothing
 
 bool isRuledOut(const Comparison& comparison, double harm, bool hasUnchangedInstances) {
     const Evidence& evidence = comparison.evidence;
-    // Unchanged instances without metrics prove nothing. Once all are changed, and this coordinator resumed a
-    // rollout and saw none of them before, the changed side's own ratio is all there is.
+    // Unchanged instances without metrics prove nothing. A coordinator that resumed a rollout after
+    // all instances had changed never saw an unchanged one: it has only the changed side's own
+    // ratio.
     const bool hasReference =
         evidence.unchangedTotal() > 0 || comparison.baseline.denominator() >= kMinEvents;
     if (!hasReference && hasUnchangedInstances) return false;
@@ -35,7 +36,8 @@
                                        {event_kind::kSlower, thresholds.slowHarm},
                                        {event_kind::kNeverAnswered, thresholds.silent}}};
     const bool hasUnchangedInstances = schedule.targetCount() < schedule.instanceCount();
-    // The harm of never answered requests is so small that the first stage's traffic seldom rules it out.
+    // The harm to rule out for never answered requests is so small that the first stage's traffic
+    // is seldom enough.
     const bool needsNeverAnswered = schedule.stage() >= std::min(2, schedule.stageCount());
     for (const Limit& limit : limits) {
         if (limit.kind == event_kind::kNeverAnswered && !needsNeverAnswered) continue;
--- a/src/rollout/harm_exclusion.hpp
+++ b/src/rollout/harm_exclusion.hpp
@@ -1,4 +1,5 @@
-// Whether harm of the plan's size is ruled out, which a stage needs to complete.
+// Decides whether harm of the size that the plan names is ruled out, which a stage needs to
+// complete.
 #pragma once
 
 #include "rollout/rollout_plan.hpp"
@@ -7,8 +8,9 @@
 
 namespace poppyscale::rollout {
 
-// True if for unanswered, late, slower and never answered requests the upper confidence bound of the changed
-// side is within the plan's harm of the unchanged side. Too little traffic on either side is no proof.
+// True if, for unanswered, late, slower and never answered requests, the upper confidence bound of
+// the changed side's ratio exceeds the unchanged side's ratio by no more than the plan's harm. Too
+// little traffic on either side is no proof.
 bool isHarmRuledOut(const SideComparison& comparison, const Thresholds& thresholds,
                     const RolloutSchedule& schedule);
 
--- a/src/rollout/instance_metrics.cpp
+++ b/src/rollout/instance_metrics.cpp
@@ -5,7 +5,7 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr Nanos kMaxClockSlack = 1'500 * kMillisecond;  // a response may have been in transit for so long
+constexpr Nanos kMaxClockSlack = 1'500 * kMillisecond;  // a response may be in transit this long
 
 // Subtracts counters and notes whether one of them fell.
 class CounterDifference {
@@ -32,7 +32,8 @@
         after.latencies[i] = difference(after.latencies[i], before.latencies[i]);
 }
 
-// A cache that the instance forgot in between is counted from zero: all it has now belongs to the window.
+// A cache that the instance forgot between the samples counts from zero: all its attempts belong to
+// the window.
 void subtractCaches(InstanceMetrics& window, const InstanceMetrics& before) {
     for (auto& [name, cache] : window.caches) {
         const auto earlier = before.caches.find(name);
@@ -55,7 +56,8 @@
     window.originAttempts = difference(after.originAttempts, before.originAttempts);
     window.attemptsLost = difference(after.attemptsLost, before.attemptsLost);
     window.connectionsOpened = difference(after.connectionsOpened, before.connectionsOpened);
-    // A new process opens connections that it goes on to use: that is no lasting pressure on the caches.
+    // A new process opens connections that it keeps using: these are no lasting pressure on the
+    // caches.
     const auto growth = static_cast<std::uint64_t>(std::max(after.connections - before.connections, 0.0));
     window.churned = window.connectionsOpened - std::min(window.connectionsOpened, growth);
     window.endpointPolls = difference(after.endpointPolls, before.endpointPolls);
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -1,5 +1,5 @@
-// Metrics that an instance reports of itself, as a staged rollout reads them. What is missing or implausible
-// is unknown and never zero.
+// Metrics that an instance reports about itself, as a staged rollout reads them. A missing or
+// implausible value is unknown, never zero.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace poppyscale::rollout {
 
-// Version of the JSON form of metrics, orders and reports; another one is rejected by its number.
+// Version of the JSON encoding of metrics, orders and reports. Other versions are rejected.
 constexpr int kFormat = 1;
 
 // Requests of one class.
@@ -49,7 +49,7 @@
     std::uint64_t attemptsLost = 0;
     std::uint64_t connectionsOpened = 0;
     std::uint64_t endpointPolls = 0;
-    std::uint64_t churned = 0;  // of a window: connections opened beyond the growth of open ones
+    std::uint64_t churned = 0;  // only in a window: connections opened beyond the net growth
     double attemptMs = 0;       // sum of the durations of answered attempts
     // Levels.
     double memoryKb = 0;
@@ -61,8 +61,9 @@
     Nanos longestIteration = 0;  // of its event loop
 };
 
-// What one instance did between two samples. Nothing if the process is another one, if counters fell, or if
-// more of its time passed than of the reader's. `elapsed`: time between the samples on the reader's clock.
+// What one instance did between two samples. Returns nothing if the process was replaced, if a
+// counter fell, or if more time passed on the instance's clock than on the reader's. `elapsed`:
+// time between the samples on the reader's clock.
 std::optional<InstanceMetrics> windowOf(const InstanceMetrics& before, const InstanceMetrics& after,
                                         Nanos elapsed);
 
--- a/src/rollout/resource_levels.cpp
+++ b/src/rollout/resource_levels.cpp
@@ -37,11 +37,14 @@
 
 std::string ResourceLevels::describeExcess(const InstanceMetrics& window) const {
     if (window.connections > growth_ * maxConnections_ + kConnectionAllowance)
-        return fmt::format("connections {:.0f} beside {:.0f}", window.connections, maxConnections_);
+        return fmt::format("{:.0f} connections, at most {:.0f} on unchanged instances", window.connections,
+                           maxConnections_);
     if (window.descriptors > growth_ * maxDescriptors_ + kDescriptorAllowance)
-        return fmt::format("descriptors {:.0f} beside {:.0f}", window.descriptors, maxDescriptors_);
+        return fmt::format("{:.0f} descriptors, at most {:.0f} on unchanged instances", window.descriptors,
+                           maxDescriptors_);
     if (window.memoryKb > growth_ * maxMemoryKb_ + kMemoryAllowanceKb)
-        return fmt::format("memory {:.0f} kB beside {:.0f}", window.memoryKb, maxMemoryKb_);
+        return fmt::format("{:.0f} kB memory, at most {:.0f} on unchanged instances", window.memoryKb,
+                           maxMemoryKb_);
     return "";
 }
 
--- a/src/rollout/resource_levels.hpp
+++ b/src/rollout/resource_levels.hpp
@@ -1,5 +1,5 @@
-// Memory, descriptors and connections of changed instances, compared with the most that an unchanged one has
-// had since the rollout began.
+// Compares memory, descriptors and connections of changed instances with the maximum that an
+// unchanged instance has had since the rollout began.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 class ResourceLevels {
   public:
-    // `growth`: tolerated ratio to the unchanged side's most.
+    // `growth`: tolerated ratio to the unchanged side's maximum.
     explicit ResourceLevels(double growth) : growth_(growth) {}
 
     // Reads the last window of the unchanged instances.
     void observe(const FleetView& fleet);
-    // Checks the last window of the changed instances. Names one that exceeds a level, and the level, once
-    // that has lasted for several checks in a row; empty if there is none.
+    // Checks the last window of the changed instances. Returns the first instance that has exceeded
+    // the tolerated levels in several checks in a row, with the level; empty if there is none.
     std::string findExcess(const FleetView& fleet);
 
   private:
@@ -27,7 +27,7 @@
     double maxMemoryKb_ = 0;
     double maxDescriptors_ = 0;
     double maxConnections_ = 0;
-    std::map<int, int> excessiveChecks_;  // by instance: in a row
+    std::map<int, int> excessiveChecks_;  // by instance: consecutive checks with an excess
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/side_comparison.cpp
+++ b/src/rollout/side_comparison.cpp
@@ -9,7 +9,7 @@
 
 constexpr Nanos kBaselineHalfLife = 60'000 * kMillisecond;
 constexpr Nanos kOverdispersionHalfLife = 30'000 * kMillisecond;
-// Tolerated on top of the ratio, as a part of the total.
+// Tolerated on top of the ratio, as a fraction of the total.
 constexpr double kConnectionAllowance = 0.1;
 constexpr double kPressureAllowance = 0.02;
 constexpr double kSlowerAllowance = 0.01;
@@ -21,7 +21,7 @@
     sum.total += count.total;
 }
 
-// Null without any.
+// Null if there is no traffic of that kind.
 const EventCount* findTraffic(const EventCounts& counts, const std::string& kind) {
     const auto found = counts.find(kind);
     return found != counts.end() && found->second.total > 0 ? &found->second : nullptr;
@@ -36,7 +36,7 @@
 void SideComparison::observe(Nanos now, const FleetView& fleet, const SlowLatencyTracker& slowLatencies,
                              const DrainingCaches& drainingCaches, bool isFaultActive) {
     const WindowCounts counts = countWindow(fleet, slowLatencies, drainingCaches);
-    // A window is weighed by what was known before it, so baselines are updated after the evidence.
+    // A window is weighed by the baselines from before it, so they are updated after the evidence.
     addEvidence(counts);
     updateBaselines(now, counts, isFaultActive);
     updateOverdispersion(now, fleet, counts);
@@ -129,21 +129,23 @@
 }
 
 std::string SideComparison::describeWorst(double boundFactor) const {
-    // Each kind gets its part of the false alarms, so that all together stay within them.
+    // Each kind gets an equal part of the tolerated false alarms, so that all kinds together stay
+    // within them.
     const double bound =
         std::log(static_cast<double>(comparisons_.size()) / thresholds_.falseAlarms) * boundFactor;
     const Comparison* worst = nullptr;
     std::string worstKind;
     for (const auto& [kind, comparison] : comparisons_) {
-        const double least = worst ? worst->evidence.logValue() : bound;
-        if (comparison.evidence.logValue() <= least) continue;
+        const double valueToExceed = worst ? worst->evidence.logValue() : bound;
+        if (comparison.evidence.logValue() <= valueToExceed) continue;
         worst = &comparison;
         worstKind = kind;
     }
     if (!worst) return "";
     const Evidence& evidence = worst->evidence;
-    return fmt::format("{}: {:.4g} of {:.0f} beside {:.4g} of {:.0f}", worstKind, evidence.changedRatio(),
-                       evidence.changedTotal(), worst->referenceRatio(), evidence.unchangedTotal());
+    return fmt::format("{}: changed side {:.4g} of {:.0f}, unchanged side {:.4g} of {:.0f}", worstKind,
+                       evidence.changedRatio(), evidence.changedTotal(), worst->referenceRatio(),
+                       evidence.unchangedTotal());
 }
 
 const Comparison* SideComparison::find(std::string_view kind) const {
--- a/src/rollout/side_comparison.hpp
+++ b/src/rollout/side_comparison.hpp
@@ -1,7 +1,8 @@
 // Compares changed with unchanged instances, window by window, for each kind of event.
 //
-// Within a zone the unchanged instances of that zone are the reference; without any, those of all zones; and
-// without those the baseline from before, at more than twice the overdispersion.
+// The reference of a zone's changed instances is the unchanged instances of that zone; if they have
+// no traffic, those of all zones; if those have none either, the baseline from earlier windows,
+// with more than twice the overdispersion.
 #pragma once
 
 #include <map>
@@ -16,14 +17,14 @@
 
 namespace poppyscale::rollout {
 
-// What is known of one kind of event.
+// The comparison of one kind of event.
 struct Comparison {
     Evidence evidence;              // that the changed side does worse
-    DecayingRatio baseline;         // of the unchanged side, without faults
+    DecayingRatio baseline;         // of the unchanged side, while no fault is active
     Overdispersion overdispersion;  // among the unchanged instances
 
-    // The unchanged side's ratio since the start, or its baseline if it never had any traffic beside the
-    // changed side.
+    // The unchanged side's ratio since the start, or its baseline if it had no traffic at the same
+    // time as the changed side.
     double referenceRatio() const;
 };
 
@@ -35,10 +36,11 @@
     // Reads the fleet's last window. Baselines are not updated during a fault.
     void observe(Nanos now, const FleetView& fleet, const SlowLatencyTracker& slowLatencies,
                  const DrainingCaches& drainingCaches, bool isFaultActive);
-    // The kind with the strongest evidence over the bound, with both sides' figures; empty if none is over
-    // it. `boundFactor`: multiplies the bound on the logarithm of the evidence.
+    // Describes the kind with the strongest evidence above the bound, with both sides' ratios and
+    // totals; empty if there is none. `boundFactor`: multiplies the bound on the logarithm of the
+    // evidence.
     std::string describeWorst(double boundFactor) const;
-    // Null if nothing of that kind was seen.
+    // Null if no event of that kind was counted.
     const Comparison* find(std::string_view kind) const;
     const std::map<std::string, Comparison, std::less<>>& comparisons() const { return comparisons_; }
 
--- a/src/rollout/slow_latency_tracker.cpp
+++ b/src/rollout/slow_latency_tracker.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kSlowFraction = 0.25;
 constexpr double kDecayPerWindow = 0.97;
-constexpr double kMinResponses = 60;  // for a threshold
+constexpr double kMinResponses = 60;  // needed to set a threshold
 
 std::size_t findFirstSlowBucket(const std::vector<double>& buckets, double total) {
     double slower = 0;
--- a/src/rollout/slow_latency_tracker.hpp
+++ b/src/rollout/slow_latency_tracker.hpp
@@ -1,8 +1,8 @@
-// Which responses count as slow: those in the slowest quarter of the unchanged side's responses of their
-// request class.
+// Determines which responses count as slow: those in the slowest quarter of the unchanged side's
+// responses of their request class.
 //
-// The threshold of a class is set once there are enough responses, and never moves afterwards: a moving one
-// would give the responses counted before it another meaning.
+// The threshold of a request class is set once there are enough responses, and never moves
+// afterwards: a moving threshold would change the meaning of the responses counted before.
 #pragma once
 
 #include <cstddef>
--- a/src/rollout/stage_monitor.cpp
+++ b/src/rollout/stage_monitor.cpp
@@ -7,13 +7,15 @@
 namespace poppyscale::rollout {
 namespace {
 
-// A sync that failed once is repaired by the next order.
+// Shorter rejections don't stop the rollout: after a single failed sync, the next order repairs the
+// state.
 constexpr Nanos kMinRejectionDuration = 3'000 * kMillisecond;
 constexpr double kMinExits = 2;
-constexpr double kMinExitFactor = 3;          // exits per instance, beside the unchanged side
-constexpr double kMinExitsPerInstance = 0.1;  // once there is no unchanged side
+constexpr double kMinExitFactor = 3;          // ratio of exits per instance to the unchanged side
+constexpr double kMinExitsPerInstance = 0.1;  // used when no instance is unchanged
 
-// Exits of the changed side that are too many beside the unchanged side; empty if they are not.
+// Describes the exits of the changed side if they are too many compared with the unchanged side;
+// empty otherwise.
 std::string describeExits(const FleetView& fleet, const RolloutSchedule& schedule) {
     double changedExits = 0;
     double changedInstances = 0;
@@ -36,17 +38,17 @@
         unchangedInstances > 0 ? exitsPerInstance > kMinExitFactor * unchangedExits / unchangedInstances
                                : changedExits >= std::max(kMinExits, kMinExitsPerInstance * changedInstances);
     if (!areTooMany) return "";
-    return fmt::format("{:.0f} ends by themselves at {:.0f} changed instances, {:.0f} at {:.0f} others",
+    return fmt::format("{:.0f} unexpected exits on {:.0f} changed instances, {:.0f} on {:.0f} others",
                        changedExits, changedInstances, unchangedExits, unchangedInstances);
 }
 
-// What makes this target a reason to stop; empty if nothing does.
+// Why this target stops the rollout; empty if it does not.
 std::string describeProblem(Nanos now, const FleetView& fleet, const InstanceView& instance,
                             const InstanceReport& report) {
     const bool runsChange = report.state == InstanceState::changed;
     if (runsChange && report.metrics && !fleet.isKnownZone(report.metrics->zone))
-        return fmt::format("{} is in zone '{}', where nobody was before", instance.name,
-                           report.metrics->zone);
+        return fmt::format("{} reports zone '{}', in which there was no instance before the rollout",
+                           instance.name, report.metrics->zone);
     const AgentView& agent = fleet.agentOf(instance);
     const bool isRejecting = !agent.rejection.empty() && now - agent.rejectedSince >= kMinRejectionDuration;
     if (!runsChange && isRejecting)
@@ -85,7 +87,8 @@
     unexplainedFaultTime_ += sampleInterval;
     if (unexplainedFaultTime_ < plan_.minStageDuration) return "";
     return fmt::format(
-        "both sides do worse than before this stage ({:.4g} beside {:.4g}), and nothing explains it",
+        "both sides do worse than before this stage without a known cause ({:.4g} of requests fail or are "
+        "late, {:.4g} before)",
         faults.recentRatio(), faults.baselineRatio());
 }
 
--- a/src/rollout/stage_monitor.hpp
+++ b/src/rollout/stage_monitor.hpp
@@ -1,5 +1,5 @@
-// Watches the present stage: for how long it could be judged, and what stops it apart from the comparison of
-// both sides.
+// Monitors the current stage: for how long it could be judged, and the reasons to stop it other
+// than the comparison of both sides.
 #pragma once
 
 #include <string>
@@ -16,17 +16,18 @@
     // `plan` has to outlive the monitor.
     explicit StageMonitor(const RolloutPlan& plan) : plan_(plan) {}
 
-    // A stage begins: nothing has been judged of it.
+    // Begins a stage, with no time judged.
     void beginStage(Nanos now);
-    // Time in which the stage was complete and nothing disturbed its judgement.
+    // Adds time in which all of the stage's instances ran the change and nothing prevented judging
+    // them.
     void addJudgedTime(Nanos duration) { judgedTime_ += duration; }
     Nanos judgedTime() const { return judgedTime_; }
 
-    // Checks exits, failed changes, rejecting agents and zones. Gives the reason to stop; empty if there is
-    // none. An exit that is not enough to stop begins the judged time again.
+    // Checks exits, failed changes, rejecting agents and zones. Returns the reason to stop; empty
+    // if there is none. An exit that is not enough to stop resets the judged time.
     std::string checkInstances(Nanos now, const FleetView& fleet, const RolloutSchedule& schedule);
-    // Checks for a fault that began in this stage and that nothing explains. `sampleInterval`: time that this
-    // check stands for. Gives the reason to stop; empty if there is none.
+    // Checks for a fault that began in this stage and has no excuse. `sampleInterval`: time that
+    // each check adds to the fault's duration. Returns the reason to stop; empty if there is none.
     std::string checkUnexplainedFault(const FaultDetector& faults, Nanos sampleInterval);
 
   private:
--- a/src/rollout/window_counts.cpp
+++ b/src/rollout/window_counts.cpp
@@ -16,7 +16,7 @@
     slower.total += static_cast<double>(metrics.succeeded());
 }
 
-// Gives the number of requests.
+// Returns the number of requests.
 double countRequestClass(EventCounts& counts, const std::string& name, const RequestClassMetrics& metrics) {
     const auto succeeded = static_cast<double>(metrics.succeeded());
     const auto unsuccessful = static_cast<double>(metrics.unsuccessful());
@@ -26,7 +26,8 @@
     unanswered.bad += unsuccessful;
     unanswered.total += requests;
     counts[ofClass(event_kind::kUnanswered, name)] = {unsuccessful, requests};
-    // Clients that disconnected while they waited: few other faults cause many of these so soon.
+    // Counts clients that disconnected while they waited: few other faults cause many of these so
+    // soon.
     EventCount& neverAnswered = at(counts, event_kind::kNeverAnswered);
     neverAnswered.bad += static_cast<double>(metrics.abandoned);
     neverAnswered.total += requests;
--- a/src/rollout/window_counts.hpp
+++ b/src/rollout/window_counts.hpp
@@ -1,4 +1,5 @@
-// The events of one instance's window by kind: what is compared between the changed and the unchanged side.
+// Counts the events of one instance's window by kind, for the comparison of the changed with the
+// unchanged side.
 #pragma once
 
 #include <map>
@@ -11,7 +12,8 @@
 
 namespace poppyscale::rollout {
 
-// Kinds of events. They appear in reasons for a rollback and in the status, so they are output.
+// Kinds of events. These names appear in reasons for a rollback and in the status, where programs
+// read them.
 namespace event_kind {
 inline constexpr std::string_view kUnanswered = "unanswered";  // also by request class, after a space
 inline constexpr std::string_view kNeverAnswered = "never answered";
@@ -27,7 +29,7 @@
 
 struct EventCount {
     double bad = 0;
-    double total = 0;  // what `bad` is a part of, or a rate's denominator
+    double total = 0;  // of which `bad` is a part, or the denominator of a rate
 };
 
 using EventCounts = std::map<std::string, EventCount, std::less<>>;  // by kind
--- a/tests/rollout_evidence_test.cpp
+++ b/tests/rollout_evidence_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what a staged rollout is judged by: the evidence, and instances' metrics.
+// Tests of the evidence by which a staged rollout is judged, and of reading instances' metrics.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -17,7 +17,10 @@
 
 }  // namespace
 
-TEST_CASE("evidence read after every window is seldom false, and soon true where harm is done") {
+// A test statistic that is read again and again gives false alarms far above its nominal rate,
+// unless it is sequential. Over 400 random runs, the evidence must stay within the bound and still
+// detect harm soon.
+TEST_CASE("Evidence that is read after every window gives few false alarms and detects harm soon") {
     int falseAlarms = 0;
     int detections = 0;
     double windowsUntilDetected = 0;
@@ -45,12 +48,14 @@
         if (isFalseAlarm) ++falseAlarms;
         if (isDetected) ++detections;
     }
-    CHECK(falseAlarms <= 4);  // one in a hundred is what the bound allows
+    CHECK(falseAlarms <= 4);  // the bound allows one in a hundred
     CHECK(detections == 400);
     CHECK(windowsUntilDetected / 400 < 30);
 }
 
-TEST_CASE("a fault that hits both sides is no evidence, and instances that differ weaken it") {
+// A fault of the whole fleet and differences between instances both look like harm if each event is
+// taken to be independent. Either would stop a harmless rollout.
+TEST_CASE("A fault on both sides is no evidence, and differences between instances weaken evidence") {
     std::mt19937 random(3);
     Evidence evidence(1.2, 0.002);
     for (int window = 0; window < 100; ++window) {
@@ -72,11 +77,13 @@
     Overdispersion overdispersion(30 * s);
     for (int i = 0; i < 6; ++i) overdispersion.add(s, i, i == 0 ? 60 : 10, 18);
     CHECK(overdispersion.value() > 5);
-    // Without any events the bound has a closed form.
+    // Without bad events, the confidence bound has a closed form.
     CHECK(upperConfidenceBound(0, 200, 0.02) == doctest::Approx(1 - std::pow(0.02, 1.0 / 200)));
 }
 
-TEST_CASE("metrics that fall, come from the future, or are of another format are unknown") {
+// Counters restart with a new process, and an old program or a corrupt answer may report anything.
+// Taken as numbers, such metrics would count as a window with good results.
+TEST_CASE("Metrics that fall, come from the future or have another format are unknown") {
     nlohmann::json json{{"format", 1},
                         {"pid", 7},
                         {"up_ms", 1000},
