--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -1,4 +1,5 @@
-// The messages between a coordinator and an agent, as plain values. messages_codec.hpp has their JSON form.
+// The messages between a coordinator and an agent, as plain values. messages_codec.hpp encodes them
+// as JSON.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace poppyscale::rollout {
 
-// A program and an operator's configuration template, by content.
+// A program and an operator's configuration template, identified by their contents.
 struct Version {
     std::string program;         // digest
     std::string templateDigest;  // empty: none
@@ -21,20 +22,20 @@
     std::string shown() const { return program.substr(0, 8) + "/" + templateDigest.substr(0, 8); }
 };
 
-// The complete state that a coordinator wants of an agent. An order that is lost or arrives twice does no
-// harm.
+// The complete state that a coordinator wants of an agent. As it is complete, an order that is lost
+// or arrives twice does no harm.
 struct Order {
     std::uint64_t number = 0;   // of the rollout; an agent obeys the highest that it has seen
     std::uint64_t step = 0;     // grows with each order of a rollout, so that an outdated order is recognized
-    std::string digest;         // of what changes; another digest is another change
+    std::string digest;         // identifies the change
     std::string program;        // path; empty where the program stays
     std::string programDigest;  // of the file at that path; empty if it was not read
     std::string form;           // the configuration template's text; empty where it stays
     std::set<int> changed;      // instances that are to have the change; all others are to be as before
     std::set<int> held;         // those of `changed` whose change stays without further orders
-    Nanos holdDuration = 0;     // how long the others' change stays after this order arrived
+    Nanos holdDuration = 0;     // how long the change of the others stays after this order arrived
     int batch = 1;              // instances that may be in transition at once
-    bool isFinished = false;    // the rollout has ended: the change is the new normal
+    bool isFinished = false;    // the rollout has ended: the change replaces the original version
 };
 
 enum class InstanceState : std::uint8_t {
@@ -42,7 +43,7 @@
     changing,     // in transition to the change
     changed,      // runs it
     rollingBack,  // in transition to what ran before
-    failed        // the version that it is to run could not be installed
+    failed        // the version that it should run could not be installed
 };
 
 struct InstanceReport {
@@ -58,10 +59,10 @@
 
 struct Report {
     std::uint64_t number = 0;  // the highest rollout number that the agent has seen
-    std::string digest;        // of the change that it has or rolls back; empty: none
+    std::string digest;        // of the change that the agent has or rolls back; empty: none
     bool isFinished = false;
-    bool hasRolledBack = false;  // on its own, as no order arrived in time
-    std::string problem;         // of the agent itself: it can't persist its orders
+    bool hasRolledBack = false;  // on its own, because no order arrived in time
+    std::string problem;         // why the agent can't persist its orders; empty: it can
     std::vector<InstanceReport> instances;
 };
 
--- a/src/rollout/messages_codec.cpp
+++ b/src/rollout/messages_codec.cpp
@@ -15,21 +15,22 @@
 // By InstanceState.
 constexpr std::array<std::string_view, 5> kStateNames = {"before", "changing", "changed", "back", "stuck"};
 
-// Latency buckets are numbered from -1: one below the first holds what is faster than any.
+// Latency buckets are numbered from -1: bucket -1 holds responses faster than those of all other
+// buckets.
 constexpr int kBucketOffset = 1;
 constexpr int kMaxBuckets = 512;
 
 void checkFormat(const json& input) {
     const int format = input.value("format", 0);
     if (format != kFormat)
-        throw std::runtime_error(fmt::format("format {} is not known here, {} is", format, kFormat));
+        throw std::runtime_error(fmt::format("unsupported format {}, expected {}", format, kFormat));
 }
 
 // Throws std::runtime_error.
 InstanceState readState(const std::string& name) {
     const auto found = std::find(kStateNames.begin(), kStateNames.end(), name);
     if (found == kStateNames.end())
-        throw std::runtime_error(fmt::format("'{}' is no stand that is known here", name));
+        throw std::runtime_error(fmt::format("unknown instance state '{}'", name));
     return static_cast<InstanceState>(std::distance(kStateNames.begin(), found));
 }
 
@@ -48,7 +49,7 @@
 
 std::uint64_t readCount(const json& input, const char* key) { return input.at(key).get<std::uint64_t>(); }
 
-// Nothing if its latency buckets are out of range.
+// Returns nothing if the latency buckets are out of range.
 std::optional<RequestClassMetrics> readRequestClass(const json& input) {
     RequestClassMetrics metrics;
     metrics.accepted = readCount(input, "taken");
@@ -127,10 +128,12 @@
     order.batch = input.at("batch").get<int>();
     order.isFinished = input.at("over").get<bool>();
     const bool isInRange = order.number > 0 && order.holdDuration >= 0 && order.batch >= 1;
-    if (!isInRange) throw std::runtime_error("an order out of range");
+    if (!isInRange)
+        throw std::runtime_error(fmt::format("order out of range: number {}, keep_ms {}, batch {}",
+                                             order.number, order.holdDuration / kMillisecond, order.batch));
     return order;
 } catch (const json::exception& problem) {
-    throw std::runtime_error(fmt::format("an order out of form: {}", problem.what()));
+    throw std::runtime_error(fmt::format("malformed order: {}", problem.what()));
 }
 
 json toJson(const Report& report, const std::vector<json>& metrics) {
@@ -167,7 +170,7 @@
         report.instances.push_back(readInstanceReport(instance));
     return report;
 } catch (const json::exception& problem) {
-    throw std::runtime_error(fmt::format("a report out of form: {}", problem.what()));
+    throw std::runtime_error(fmt::format("malformed report: {}", problem.what()));
 }
 
 std::optional<InstanceMetrics> readInstanceMetrics(const json& input) try {
--- a/src/rollout/messages_codec.hpp
+++ b/src/rollout/messages_codec.hpp
@@ -1,5 +1,5 @@
-// The JSON form of orders, reports and instance metrics: the one place that knows their words. Unknown fields
-// are ignored; another format is rejected by its number.
+// Encodes and decodes orders, reports and instance metrics as JSON. Their keys and state names are
+// defined only here. Unknown fields are ignored; other format versions are rejected.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -21,8 +21,8 @@
 // Throws std::runtime_error that names the format or the field.
 Report readReport(const nlohmann::json& json);
 
-// What an instance answers to the console command `figures`. Nothing if it is from an older program, of
-// another format, or malformed.
+// Reads an instance's answer to the console command `figures`. Returns nothing if the answer comes
+// from an older program, has another format version or is malformed.
 std::optional<InstanceMetrics> readInstanceMetrics(const nlohmann::json& json);
 
 // The state's name in reports and in what poppyctl prints.
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Nanos kRollbackRetryInterval = 2'000 * kMillisecond;
-// After a restart, time for a running coordinator to send an order. With the full hold duration, an agent
-// that restarts again and again would keep a change for good.
+// Leaves a running coordinator time to send an order after a restart. With the full hold duration,
+// an agent that restarts again and again would keep a change forever.
 constexpr Nanos kMaxHoldAfterRestart = 3'000 * kMillisecond;
 
 }  // namespace
@@ -34,7 +34,7 @@
                        [](const Instance& instance) { return instance.state == InstanceState::original; });
 }
 
-// Nothing of a change is in place or ordered.
+// Whether no change is in place or ordered.
 bool RolloutAgent::isUntouched() const { return areAllOriginal() && wanted_.changed.empty(); }
 
 const Version& RolloutAgent::versionOf(int instance) const {
@@ -43,12 +43,12 @@
     return runsChange ? persisted_.change : persisted_.before;
 }
 
-void RolloutAgent::enterState(Nanos now, int i, InstanceState state) {
-    Instance& instance = at(i);
+void RolloutAgent::enterState(Nanos now, int index, InstanceState state) {
+    Instance& instance = at(index);
     instance.state = state;
     instance.since = now;
-    if (state == InstanceState::changing) host_.install(i, persisted_.change);
-    if (state == InstanceState::rollingBack) host_.install(i, persisted_.before);
+    if (state == InstanceState::changing) host_.install(index, persisted_.change);
+    if (state == InstanceState::rollingBack) host_.install(index, persisted_.before);
 }
 
 void RolloutAgent::setWanted(const AgentState& state) {
@@ -64,11 +64,12 @@
 
 // ---- orders
 
-// Empty if the order may be accepted.
+// Why the order is rejected; empty if it may be accepted. Callers recognize a superseded order by
+// the first word, "overtaken".
 std::string RolloutAgent::rejectionOf(const Order& order) const {
-    if (order.number < wanted_.number) return fmt::format("overtaken by {}", wanted_.number);
+    if (order.number < wanted_.number) return fmt::format("overtaken by rollout {}", wanted_.number);
     if (order.number == wanted_.number && order.step <= lastStep_)
-        return fmt::format("overtaken by a later order of {}", order.number);
+        return fmt::format("overtaken by a later order of rollout {}", order.number);
     for (const int i : order.changed)
         if (i < 0 || i >= static_cast<int>(instances_.size()))
             return fmt::format("there is no instance {}", i);
@@ -80,7 +81,7 @@
     if (!rejection.empty()) return rejection;
     lastStep_ = order.step;
     const bool isOtherChange = order.digest != wanted_.digest;
-    // Another change begins only where nothing of the one before is left.
+    // Another change begins only after the previous one is completely rolled back.
     if (isOtherChange && !isUntouched()) {
         abandonChange(order.number);
         return "";
@@ -88,7 +89,8 @@
     if (order.isFinished) return finish(order);
     const bool isNewRollout = order.number > wanted_.number && isUntouched();
     if (isOtherChange || wanted_.isFinished || isNewRollout) {
-        // Exits are counted from the rollout's begin, so that both sides are counted for as long.
+        // Counts exits from the beginning of the rollout, so that both sides are counted over the
+        // same time.
         for (Instance& instance : instances_) {
             instance.exitCount = 0;
             instance.problem.clear();
@@ -109,10 +111,11 @@
     return "";
 }
 
-// The rollout has ended: the change is what runs apart from any rollout.
+// Ends the rollout: the change becomes the version that runs outside of rollouts.
 std::string RolloutAgent::finish(const Order& order) {
     const bool isComplete = wanted_.digest == order.digest && wanted_.changed.size() == instances_.size();
-    if (!isComplete && !wanted_.isFinished) return "not all are changed: it can't be over";
+    if (!isComplete && !wanted_.isFinished)
+        return "not all instances have the change: the rollout can't have ended";
     AgentState state = wanted_;
     state.number = order.number;
     if (!state.isFinished) state.before = state.change;
@@ -143,7 +146,7 @@
     }
     persistence_ = Persistence::idle;
     if (!problem.empty()) {
-        host_.log(fmt::format("can't persist its orders: {}", problem));
+        host_.log(fmt::format("can't persist an order, continuing with the last persisted one: {}", problem));
         return fallBackToPersisted();
     }
     persisted_ = wanted_;
@@ -155,8 +158,8 @@
     }
 }
 
-// Continues with what is on disk, except that instances ordered to roll back still do: that is safe whatever
-// is on disk.
+// Continues with the state on disk, except that instances that were ordered to roll back still do
+// so, which is safe whatever is on disk.
 void RolloutAgent::fallBackToPersisted() {
     std::set<int> changed;
     std::set_intersection(persisted_.changed.begin(), persisted_.changed.end(), wanted_.changed.begin(),
@@ -184,21 +187,21 @@
     if (state == InstanceState::changed) enterState(now, instance, InstanceState::changing);
 }
 
-void RolloutAgent::onInstalled(Nanos now, int i, std::string_view problem) {
-    Instance& instance = at(i);
+void RolloutAgent::onInstalled(Nanos now, int index, std::string_view problem) {
+    Instance& instance = at(index);
     if (instance.state == InstanceState::changing) {
-        if (problem.empty()) return enterState(now, i, InstanceState::changed);
+        if (problem.empty()) return enterState(now, index, InstanceState::changed);
         instance.problem = problem;
-        host_.log(fmt::format("instance {} can't be changed: {}", i, problem));
-        return enterState(now, i, InstanceState::rollingBack);
+        host_.log(fmt::format("instance {} can't be changed, rolling it back: {}", index, problem));
+        return enterState(now, index, InstanceState::rollingBack);
     }
     if (instance.state != InstanceState::rollingBack) return;
-    if (problem.empty()) return enterState(now, i, InstanceState::original);
+    if (problem.empty()) return enterState(now, index, InstanceState::original);
     instance.problem = problem;
     instance.state = InstanceState::failed;
     instance.since = now;
     instance.retryAt = now + kRollbackRetryInterval;
-    host_.log(fmt::format("instance {} can't be rolled back: {}", i, problem));
+    host_.log(fmt::format("instance {} can't be rolled back, will retry: {}", index, problem));
 }
 
 void RolloutAgent::onExited(Nanos, int instance) { ++at(instance).exitCount; }
@@ -210,13 +213,13 @@
     installNext(now);
 }
 
-// No order has arrived in time: what is not held is rolled back.
+// Rolls back the instances that are not held once the hold duration has passed without an order.
 void RolloutAgent::rollBackExpired(Nanos now) {
     if (now < orderValidUntil_ || wanted_.isFinished) return;
     AgentState state = wanted_;
     std::erase_if(state.changed, [&](int instance) { return !state.held.contains(instance); });
     if (state.changed == wanted_.changed) return;
-    host_.log("no order from the coordinator in time: what is not held is rolled back");
+    host_.log("no order from the coordinator in time: rolling back all instances that are not held");
     hasRolledBack_ = true;
     setWanted(state);
 }
@@ -238,20 +241,20 @@
     }
 }
 
-// Rolls back at once, without waiting for the disk. Once the rollout has ended, the change stays, whether
-// that is on disk yet or not.
-bool RolloutAgent::mayRollBack(Nanos now, int i) const {
-    if (wanted_.changed.contains(i) || wanted_.isFinished) return false;
-    const Instance& instance = at(i);
+// A rollback begins at once, without waiting for the disk. Once the rollout has ended, the change
+// stays, even if its end is not on disk yet.
+bool RolloutAgent::mayRollBack(Nanos now, int index) const {
+    if (wanted_.changed.contains(index) || wanted_.isFinished) return false;
+    const Instance& instance = at(index);
     const bool isRetryDue = instance.state == InstanceState::failed && now >= instance.retryAt;
     return instance.state == InstanceState::changed || isRetryDue;
 }
 
-// Changes only what is on disk, and only while all instances are ready: beside another problem, a change may
-// take out the last one.
-bool RolloutAgent::mayChange(int i, bool areAllReady) const {
-    if (!wanted_.changed.contains(i) || !persisted_.changed.contains(i)) return false;
-    const Instance& instance = at(i);
+// An instance changes only after its order is on disk, and only while all instances are ready:
+// otherwise the change might take the last ready instance out of service.
+bool RolloutAgent::mayChange(int index, bool areAllReady) const {
+    if (!wanted_.changed.contains(index) || !persisted_.changed.contains(index)) return false;
+    const Instance& instance = at(index);
     return !isPersisting() && areAllReady && instance.state == InstanceState::original &&
            instance.problem.empty();
 }
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -1,9 +1,9 @@
 // The decisions of one machine's agent in a staged rollout. Free of I/O and of any clock.
 //
 // What it guarantees to coordinators:
-//  - It obeys the orders of the highest number that it has seen, and nobody else's.
-//  - A change that is not held stays for the order's hold duration after the last order, then the agent rolls
-//    it back on its own.
+//  - It obeys only the orders of the highest rollout number that it has seen.
+//  - A change that is not held stays for the order's hold duration after the last order. Then the
+//    agent rolls it back on its own.
 //  - An order is on disk before it is acknowledged.
 #pragma once
 
@@ -17,16 +17,16 @@
 
 namespace poppyscale::rollout {
 
-// What has to outlive the agent's process.
+// The state that has to outlive the agent's process.
 struct AgentState {
     std::uint64_t number = 0;  // of the rollout
     std::string digest;        // of the change in progress; empty: none
-    Version before;            // what runs apart from the change
+    Version before;            // what unchanged instances run
     Version change;            // what changed instances run
     std::set<int> changed;     // instances that are to have the change
     std::set<int> held;        // those of `changed` whose change stays without further orders
-    Nanos holdDuration = 0;    // of the others' change, after an order
-    int batch = 1;             // instances in transition at once
+    Nanos holdDuration = 0;    // how long the change of the others stays after an order
+    int batch = 1;             // instances that may be in transition at once
     bool isFinished = false;   // the rollout has ended
     bool operator==(const AgentState&) const = default;
 };
@@ -34,9 +34,9 @@
 class AgentHost {
   public:
     virtual ~AgentHost() = default;
-    // Writes the state to disk and syncs it; then `onPersisted`.
+    // Writes the state to disk and syncs it: RolloutAgent::onPersisted follows.
     virtual void persist(const AgentState& state) = 0;
-    // Makes the instance run that version, whatever it runs now; then `onInstalled`.
+    // Makes the instance run that version, whatever it runs now: RolloutAgent::onInstalled follows.
     virtual void install(int instance, const Version& version) = 0;
     virtual void log(std::string_view text) = 0;
 };
@@ -45,36 +45,38 @@
   public:
     // `original`: what all instances run. `host` has to outlive the agent.
     RolloutAgent(int instances, const Version& original, AgentHost& host);
-    // Continues from what was on disk; before any other event. Changed instances are installed again, as
-    // nobody knows how far the process before came.
+    // Continues from the state that was on disk. To be called before any other event. The change is
+    // installed again, as it is unknown how far the previous process came.
     void restore(Nanos now, const AgentState& state);
 
-    // `change`: the version that the order changes to; its content is on disk. Gives an empty string, or why
-    // the order is rejected. An accepted order may be acknowledged once nothing is being persisted any more.
+    // `change`: the version that the order changes to; its content is on disk. Returns why the
+    // order is rejected, or an empty string. An accepted order may be acknowledged once
+    // isPersisting() is false.
     std::string onOrder(Nanos now, const Order& order, const Version& change);
     // `problem`: why the state could not be written; empty if it was.
     void onPersisted(Nanos now, std::string_view problem);
     bool isPersisting() const { return persistence_ != Persistence::idle; }
-    // Instances run another version apart from any rollout. False, and without effect, during a rollout.
+    // Sets the version that instances run outside of rollouts. Returns false, without effect,
+    // during a rollout.
     bool setOriginalVersion(const Version& version);
-    // The instance runs something else than it is to run: the right version is installed.
+    // The instance runs another version than it should: the right version is installed.
     void onVersionMismatch(Nanos now, int instance);
     // `problem`: why the installation failed; empty if it did not.
     void onInstalled(Nanos now, int instance, std::string_view problem);
     void onReadyChanged(int instance, bool isReady) { at(instance).ready = isReady; }
-    // The instance's process ended without a request to do so.
+    // The instance's process exited without a request to do so.
     void onExited(Nanos now, int instance);
 
-    // Acts on all events of a moment, and on deadlines.
+    // Acts on the events since the previous call, and on deadlines that have passed.
     void reconcile(Nanos now);
     // When `reconcile` is due without an event; kNever if it is not.
     Nanos nextDeadline() const;
 
-    // The version that a start of this instance is to run.
+    // The version that the instance has to run when it is started.
     const Version& versionOf(int instance) const;
-    // Instances' names, zones and metrics are left to the host.
+    // The report to the coordinator. The host adds the instances' names, zones and metrics.
     Report report(Nanos now) const;
-    // As it is on disk.
+    // The state on disk.
     const AgentState& state() const { return persisted_; }
 
   private:
@@ -84,7 +86,7 @@
         bool ready = true;
         int exitCount = 0;
         std::string problem;
-        Nanos retryAt = 0;  // while it has failed
+        Nanos retryAt = 0;  // of the rollback, in InstanceState::failed
     };
     enum class Persistence : std::uint8_t {
         idle,            // the wanted state is on disk, or could not be written
--- a/tests/rollout_agent_decisions_test.cpp
+++ b/tests/rollout_agent_decisions_test.cpp
@@ -1,4 +1,5 @@
-// Tests of an agent's decisions in a staged rollout, against a host that only records its actions.
+// Tests of an agent's decisions in a staged rollout with a host that only records the agent's
+// actions.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -51,12 +52,14 @@
 
 }  // namespace
 
-TEST_CASE("an agent acts once its order is on disk, one instance at a time, and rolls back without orders") {
+// Guards against a change that an agent forgets in a crash, one that takes several instances out of
+// service at once, and one that stays although its coordinator is gone.
+TEST_CASE("Changes one instance at a time after its order is on disk, and rolls back without orders") {
     RecordingAgentHost host;
     RolloutAgent agent(3, kOld, host);
     CHECK(agent.onOrder(s, orderOf(5, 1, {0, 1}), kNew) == "");
     agent.reconcile(s);
-    CHECK(host.take() == "K");  // and nothing else yet
+    CHECK(host.take() == "K");  // no instance changes yet
     CHECK(agent.isPersisting());
     agent.onPersisted(s, "");
     agent.reconcile(s);
@@ -68,7 +71,7 @@
     CHECK(host.take() == "+1");
     agent.onInstalled(3 * s, 1, "");
     // Rejects another coordinator's order and an outdated one; accepts the next.
-    CHECK(agent.onOrder(3 * s, orderOf(4, 9, {}), kNew) == "overtaken by 5");
+    CHECK(agent.onOrder(3 * s, orderOf(4, 9, {}), kNew) == "overtaken by rollout 5");
     CHECK(agent.onOrder(3 * s, orderOf(5, 1, {}), kNew).starts_with("overtaken"));
     CHECK(agent.onOrder(3 * s, orderOf(5, 2, {0, 1}, {0}), kNew) == "");
     agent.onPersisted(3 * s, "");
@@ -82,10 +85,12 @@
     CHECK(agent.report(8 * s).hasRolledBack);
     CHECK(agent.versionOf(0) == kNew);
     CHECK(agent.versionOf(1) == kOld);
-    CHECK_FALSE(agent.setOriginalVersion(kNew));  // not in the middle of a roll
+    CHECK_FALSE(agent.setOriginalVersion(kNew));  // not during a rollout
 }
 
-TEST_CASE("an agent whose disk is full continues with what is on it, and still rolls back") {
+// An agent that changed instances by an order that is not on disk would forget the change in a
+// crash. A rollback must not depend on the disk.
+TEST_CASE("With a full disk, continues with the state on disk and still rolls back") {
     RecordingAgentHost host;
     RolloutAgent agent(2, kOld, host);
     agent.onOrder(s, orderOf(1, 1, {0}), kNew);
@@ -111,7 +116,9 @@
     CHECK(host.take() == "-0");  // the retry
 }
 
-TEST_CASE("a restarted agent installs what was on disk, and soon rolls it back without orders") {
+// An agent that restarts again and again must not keep a change forever without a coordinator, and
+// an instance whose change failed must not be changed again and again.
+TEST_CASE("After a restart, installs the change on disk and soon rolls it back without orders") {
     RecordingAgentHost firstHost;
     RolloutAgent first(2, kOld, firstHost);
     first.onOrder(s, orderOf(3, 1, {0, 1}, {0}), kNew);
@@ -136,7 +143,9 @@
     CHECK(other.report(s).instances[0].problem == "it ends at its start");
 }
 
-TEST_CASE("after the end the change is what runs, also before that is on disk; another change waits") {
+// A rollback after the end of a rollout would undo a completed change. A second change that began
+// before the first is rolled back would leave no known version to return to.
+TEST_CASE("Keeps the change once the rollout has ended, and starts no other change before a rollback") {
     RecordingAgentHost host;
     RolloutAgent agent(2, kOld, host);
     agent.onOrder(s, orderOf(1, 1, {0, 1}), kNew);
@@ -163,7 +172,8 @@
     partial.reconcile(s);
     partial.onInstalled(s, 0, "");
     finished.step = 5;
-    CHECK(partial.onOrder(2 * s, finished, kNew) == "not all are changed: it can't be over");
+    CHECK(partial.onOrder(2 * s, finished, kNew) ==
+          "not all instances have the change: the rollout can't have ended");
     Order another = orderOf(2, 1, {1});
     another.digest = "e";
     host.take();
--- a/tests/rollout_agent_test.cpp
+++ b/tests/rollout_agent_test.cpp
@@ -107,7 +107,7 @@
     });
     const RolloutResult format = pendingFormat.get();
     CHECK(format.exitCode == 1);
-    CHECK_MESSAGE(format.output.find("other (format 0 is not known here, 1 is)") != std::string::npos,
+    CHECK_MESSAGE(format.output.find("other (unsupported format 0, expected 1)") != std::string::npos,
                   format.output);
     CHECK_FALSE(format.hasSentOrders);
     CHECK(unknown.exitCode == 1);
