--- a/src/rollout/rollback.cpp
+++ b/src/rollout/rollback.cpp
@@ -33,8 +33,8 @@
 void Rollback::findUnrestored(Nanos now, const FleetView& fleet) {
     for (const InstanceView& instance : fleet.instances()) {
         if (!fleet.hasRecentReport(now, instance.agent)) {
-            unrestoredInstances_.push_back(
-                fmt::format("{}: not heard; what was not held goes back by itself", instance.name));
+            unrestoredInstances_.push_back(fmt::format(
+                "{}: no recent report; its agent rolls it back on its own unless it is held", instance.name));
             continue;
         }
         const InstanceReport& report = *fleet.reportOf(instance);
--- a/src/rollout/rollback.hpp
+++ b/src/rollout/rollback.hpp
@@ -1,5 +1,5 @@
-// Rolls all instances back to what they ran before the rollout: the last that changed first, and no more
-// than a batch of the plan's size in transition at once.
+// Rolls all instances back to what they ran before the rollout. Instances that changed last go
+// first, and at most a batch of the plan's size is in transition at once.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +20,14 @@
     explicit Rollback(const RolloutPlan& plan) : plan_(plan) {}
 
     void begin(Nanos now) { beganAt_ = now; }
-    // Withdraws the next targets. Gives the outcome once all instances are as before or the plan's time is
-    // up. `number`: of the rollout; agents that have not seen it are not known to roll back.
+    // Withdraws the next targets. Returns the outcome once all instances run what they ran before
+    // or the plan's timeout has passed. `number`: of the rollout; an agent that has not seen it is
+    // not known to have rolled back.
     std::optional<RolloutOutcome> advance(Nanos now, std::uint64_t number, const FleetView& fleet,
                                           RolloutSchedule& schedule);
 
-    // Those that are not as before, by name and with the reason. Empty until the outcome is known.
+    // Instances that could not be rolled back, by name and with the reason. Empty until the outcome
+    // is known.
     const std::vector<std::string>& unrestoredInstances() const { return unrestoredInstances_; }
 
   private:
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -11,7 +11,7 @@
 
 constexpr Nanos kMinSampleInterval = 900 * kMillisecond;
 constexpr Nanos kDiscoveryTimeout = 5'000 * kMillisecond;  // where no rollout is in progress
-constexpr double kFaultBoundFactor = 1.4;                  // evidence from a fault has to be stronger by this
+constexpr double kFaultBoundFactor = 1.4;                  // raises the bound on evidence during a fault
 
 }  // namespace
 
@@ -35,7 +35,8 @@
 
 void RolloutController::onSuperseded(Nanos, int agent, std::string_view successor) {
     if (outcome_ != RolloutOutcome::none) return;
-    reason_ = fmt::format("overtaken: {} follows roll {}", fleet_.agentName(agent), successor);
+    reason_ =
+        fmt::format("overtaken: agent {} obeys a newer rollout: {}", fleet_.agentName(agent), successor);
     events_.superseded(successor, fleet_.agentName(agent));
     end(RolloutOutcome::notPossible);
 }
@@ -46,10 +47,10 @@
 
 void RolloutController::abandon(Nanos now) {
     if (phase_ == Phase::discovering || phase_ == Phase::observing) {
-        reason_ = "given up before anything had changed";
+        reason_ = "stopped by the operator before any instance changed";
         return end(RolloutOutcome::notPossible);
     }
-    if (phase_ == Phase::changing || phase_ == Phase::judging) beginRollback(now, "told to go back");
+    if (phase_ == Phase::changing || phase_ == Phase::judging) beginRollback(now, "stopped by the operator");
 }
 
 void RolloutController::reconcile(Nanos now) {
@@ -109,8 +110,8 @@
     const bool isInProgress = discovery.hasThisChange || discovery.hasOtherChange;
     const Nanos timeout = isInProgress ? plan_.maxStageDuration : kDiscoveryTimeout;
     if (now - phaseSince_ < timeout) return;
-    reason_ = discovery.hasOtherChange ? "another roll's change is still in place at an agent"
-                                       : fmt::format("not there: {}", unreachable);
+    reason_ = discovery.hasOtherChange ? "the change of another rollout is still in place at an agent"
+                                       : fmt::format("no recent report from {}", unreachable);
     end(RolloutOutcome::notPossible);
 }
 
@@ -123,7 +124,7 @@
     enterPhase(now, schedule_.stage() == 0 ? Phase::observing : Phase::changing);
 }
 
-// Takes a sample of the fleet, and acts on what it shows.
+// Takes a sample of the fleet and acts on it.
 void RolloutController::observeFleet(Nanos now) {
     const Nanos elapsed = lastSampleAt_ ? now - lastSampleAt_ : 0;
     lastSampleAt_ = now;
@@ -142,14 +143,16 @@
 void RolloutController::superviseBaseline(Nanos now) {
     const std::string unreachable = fleet_.unreachableAgents(now);
     const Nanos observed = now - phaseSince_;
-    const bool isFit = unreachable.empty() && !faults_.isActive() && fleet_.areAllReady();
-    if (isFit && observed >= plan_.baselineTime) return beginNextStage(now);
+    const bool isHealthy = unreachable.empty() && !faults_.isActive() && fleet_.areAllReady();
+    if (isHealthy && observed >= plan_.baselineTime) return beginNextStage(now);
     if (observed < std::max(plan_.maxStageDuration, 2 * plan_.baselineTime)) return;
-    reason_ = unreachable.empty() ? "the fleet was not well enough to begin" : "not heard: " + unreachable;
+    reason_ = unreachable.empty()
+                  ? "the fleet was not healthy enough to begin: a fault is active or an instance is not ready"
+                  : "no recent report from " + unreachable;
     end(RolloutOutcome::notPossible);
 }
 
-// `elapsed`: since the sample before.
+// `elapsed`: time since the previous sample.
 void RolloutController::superviseStage(Nanos now, Nanos elapsed) {
     const std::string unreachable = fleet_.unreachableAgents(now);
     const bool isJudgeable = phase_ == Phase::judging && !faults_.isActive() && unreachable.empty();
@@ -163,8 +166,8 @@
         } else if (now - phaseSince_ >= plan_.maxStageDuration) {
             return beginRollback(now,
                                  unreachable.empty()
-                                     ? "not all of the stage's instances came to stand in its longest time"
-                                     : "not heard: " + unreachable);
+                                     ? "not all of the stage's instances settled within its maximum duration"
+                                     : "no recent report from " + unreachable);
         }
     }
     if (phase_ == Phase::judging) concludeStage(now);
@@ -178,7 +181,8 @@
     return reason;
 }
 
-// Completes the stage once harm is ruled out; decides by the plan if that takes too long.
+// Completes the stage once harm is ruled out. If that takes too long, the plan decides whether to
+// go on.
 void RolloutController::concludeStage(Nanos now) {
     const bool isComplete = schedule_.areTargetsSettled(fleet_) && fleet_.unreachableAgents(now).empty();
     const bool isJudgeable = isComplete && !faults_.isActive();
@@ -195,13 +199,13 @@
 }
 
 std::string RolloutController::describeIndecision(Nanos now) const {
-    const std::string prefix = "it could not be told in the longest time of a stage: ";
+    const std::string prefix = "the stage could not be judged within its maximum duration: ";
     const std::string unreachable = fleet_.unreachableAgents(now);
-    if (!unreachable.empty()) return prefix + "not heard: " + unreachable;
+    if (!unreachable.empty()) return prefix + "no recent report from " + unreachable;
     if (faults_.isActive() && faults_.excuse().empty()) return prefix + "both sides do worse than before";
-    if (faults_.isActive()) return prefix + "trouble, " + faults_.excuse();
-    if (!schedule_.areTargetsSettled(fleet_)) return prefix + "not all of the stage's instances stand";
-    return prefix + "too little traffic, or unchanged instances that tell nothing";
+    if (faults_.isActive()) return prefix + "a fault is active: " + faults_.excuse();
+    if (!schedule_.areTargetsSettled(fleet_)) return prefix + "not all of its instances have settled";
+    return prefix + "too little traffic, or unchanged instances that report no metrics";
 }
 
 void RolloutController::beginNextStage(Nanos now) {
@@ -224,7 +228,8 @@
     if (outcome) end(*outcome);
 }
 
-// The change is committed everywhere; agents only have to learn that the rollout has ended.
+// All instances are committed to the change; the agents only have to be notified that the rollout
+// has ended.
 void RolloutController::continueFinishing(Nanos now) {
     const auto& agents = fleet_.agents();
     const bool haveAllFinished = std::all_of(agents.begin(), agents.end(), [this](const AgentView& agent) {
@@ -232,7 +237,8 @@
     });
     if (haveAllFinished) return end(RolloutOutcome::completed);
     if (now - phaseSince_ < plan_.rollbackTimeout) return;
-    reason_ = fmt::format("went through; not told that it is over: {}", fleet_.unreachableAgents(now));
+    reason_ = fmt::format("not every agent has confirmed the end of the rollout; no recent report from: {}",
+                          fleet_.unreachableAgents(now));
     end(RolloutOutcome::completed);
 }
 
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -1,20 +1,22 @@
-// The coordinator of a staged rollout. Free of I/O and of any clock: reports and time in, orders out.
+// The coordinator of a staged rollout. Free of I/O and of any clock: reports and time come in,
+// orders go out.
 //
-// A rollout discovers what the agents have, observes the fleet as it is, and then takes its stages one after
-// the other: a stage's instances change, and once all of them run the change they are judged beside the
-// unchanged ones. The first reason to stop begins the rollback.
+// A rollout discovers what the agents have, observes the fleet before any change, and then goes
+// through its stages one after the other: the instances of a stage change, and once all of them run
+// the change they are compared with the unchanged ones. The first reason to stop begins the
+// rollback.
 //
 // Guarantees:
-//  - No instance is ordered to change in a stage before the stage before it is complete.
-//  - A stage is complete only if harm of the plan's size is ruled out by what was seen without a fault,
-//  unless
-//    the plan lets undecided stages go on.
-//  - After a stop no instance is ordered to change any more. The rollback goes in batches until each
-//  reachable
-//    instance is as before or is named in unrestoredInstances().
-//  - The agents have all of its state. A new coordinator of the same change resumes from there.
+//  - No instance is ordered to change in a stage before the previous stage is complete.
+//  - A stage is complete only if harm of the plan's size is ruled out while no fault is active,
+//    unless the plan lets undecided stages go on.
+//  - After a stop no further instance is ordered to change. The rollback proceeds in batches until
+//    each reachable instance runs what it ran before or is named in unrestoredInstances().
+//  - The agents hold all of the rollout's state. A new coordinator of the same change resumes from
+//    there.
 //
-// One owner, one thread. `reconcile` follows the events of a moment, about twice a second.
+// Not thread-safe. The owner calls `reconcile` about twice a second, after it has delivered the
+// events.
 #pragma once
 
 #include <optional>
@@ -47,37 +49,38 @@
     RolloutController(const RolloutController&) = delete;
     RolloutController& operator=(const RolloutController&) = delete;
 
-    // Events. `agent` is an index in the plan; another one throws std::out_of_range.
+    // Events. `agent` is an index in the plan; an invalid index throws std::out_of_range.
 
     void onReport(Nanos now, int agent, const Report& report);
     // The agent obeys a coordinator with a higher number. `successor`: that number, or the agent's answer.
     void onSuperseded(Nanos now, int agent, std::string_view successor);
-    // The agent answers, and can't do what it was ordered.
+    // The agent answers but can't carry out its orders.
     void onRefused(Nanos now, int agent, std::string_view reason);
     // The operator stops the rollout.
     void abandon(Nanos now);
 
-    // Acts on all events since the call before.
+    // Acts on all events since the previous call.
     void reconcile(Nanos now);
 
-    // What to send to that agent now; nothing while it is only to be asked for its report.
+    // The order to send to that agent now; nothing while the agent is only to be asked for its
+    // report.
     std::optional<Order> orderFor(int agent);
-    // Not `none` once no order is needed any more.
+    // `none` until the rollout has ended and no order is needed any more.
     RolloutOutcome outcome() const { return outcome_; }
-    // Why it stopped, in words; empty while it goes on.
+    // Why the rollout stopped, as text for the operator; empty while it goes on.
     const std::string& reason() const { return reason_; }
-    // Those that could not be rolled back, by name and with the reason.
+    // Instances that could not be rolled back, by name and with the reason.
     const std::vector<std::string>& unrestoredInstances() const { return rollback_.unrestoredInstances(); }
     // Counted from 1; 0 before the first.
     int stage() const { return schedule_.stage(); }
     int stageCount() const { return schedule_.stageCount(); }
-    // Instances that are to have the change now.
+    // Number of instances that are to have the change now.
     int changedCount() const { return schedule_.targetCount(); }
     int maxChangedCount() const { return schedule_.maxTargetCount(); }
     int instanceCount() const { return schedule_.instanceCount(); }
-    // Of the rollout: one more than any agent had seen. 0 until it is known.
+    // Number of the rollout: one more than any agent had seen. 0 until it is known.
     std::uint64_t number() const { return number_; }
-    // For operators and programs.
+    // The status as JSON, for operators and programs.
     nlohmann::json status(Nanos now) const;
 
   private:
--- a/src/rollout/rollout_events.hpp
+++ b/src/rollout/rollout_events.hpp
@@ -1,5 +1,5 @@
-// A rollout's events as its host receives them: the one place that knows their names and fields, which
-// programs read.
+// Reports the events of a rollout to its host. Names and fields of the events are defined only
+// here; programs read them.
 #pragma once
 
 #include <cstdint>
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -27,10 +27,10 @@
 Stage readStage(TomlTable& table) {
     Stage stage;
     if (table.has("instances") == table.has("share"))
-        table.problem("instances", "either instances or share has to be there");
+        table.problem("instances", "exactly one of instances and share must be set");
     if (table.has("instances")) stage.instances = table.integer("instances", 1, 1, kMaxInstances);
     if (table.has("share")) stage.share = table.fraction("share", 1.0);
-    if (table.has("share") && stage.share <= 0) table.problem("share", "is not over 0");
+    if (table.has("share") && stage.share <= 0) table.problem("share", "is not greater than 0");
     return stage;
 }
 
@@ -38,7 +38,7 @@
     plan.each("stages", false, [&](TomlTable& table) {
         const Stage stage = readStage(table);
         if (!stages.empty() && !growsBeyond(stages.back(), stage))
-            table.problem(stage.share > 0 ? "share" : "instances", "does not grow over the stage before");
+            table.problem(stage.share > 0 ? "share" : "instances", "does not grow beyond the previous stage");
         stages.push_back(stage);
     });
     if (stages.empty()) stages = {{1, 0}, {0, 0.05}, {0, 0.25}, {0, 1}};
@@ -54,7 +54,7 @@
     thresholds.slowHarm = table.number("slow_harm", thresholds.slowHarm, 0.005, 0.5);
     thresholds.pressure = table.number("pressure", thresholds.pressure, 1, 100);
     thresholds.growth = table.number("growth", thresholds.growth, 1, 100);
-    if (thresholds.allowance >= thresholds.harm) table.problem("allowance", "is not under harm");
+    if (thresholds.allowance >= thresholds.harm) table.problem("allowance", "is not less than harm");
 }
 
 void readAgents(TomlTable& plan, std::vector<RolloutPlan::Agent>& agents) {
@@ -65,13 +65,14 @@
         agent.name = table.string("name", std::nullopt);
         agent.socket = table.string("socket", std::nullopt);
         const bool isNewName = names.insert(agent.name).second;
-        if (!isNewName) table.problem("name", "is another agent's too");
-        if (!agent.socket.starts_with('/')) table.problem("socket", "is not an absolute path");
+        if (!isNewName) table.problem("name", "is also the name of another agent: " + agent.name);
+        if (!agent.socket.starts_with('/'))
+            table.problem("socket", "is not an absolute path: " + agent.socket);
         const bool isNewSocket = sockets.insert(agent.socket).second;
-        if (!isNewSocket) table.problem("socket", "is another agent's too");
+        if (!isNewSocket) table.problem("socket", "is also the socket of another agent: " + agent.socket);
         agents.push_back(std::move(agent));
     });
-    if (agents.empty()) plan.problem("agents", "there is none");
+    if (agents.empty()) plan.problem("agents", "at least one agent is required");
 }
 
 bool isExecutableFile(const std::string& path) {
@@ -83,9 +84,9 @@
 void checkProgram(TomlTable& change, const std::string& path) {
     if (path.empty()) return;
     if (!path.starts_with('/'))
-        change.problem("program", "is not an absolute path");
+        change.problem("program", "is not an absolute path: " + path);
     else if (!isExecutableFile(path))
-        change.problem("program", "is not a program that can be run: " + path);
+        change.problem("program", "is not an executable file: " + path);
 }
 
 void readTemplate(TomlTable& change, RolloutPlan& plan) {
@@ -95,14 +96,15 @@
     if (!file) return change.problem("operator", "names a file that can't be read: " + plan.templatePath);
     for (const char* placeholder : {"{name}", "{listen}", "{socket}"})
         if (plan.templateText.find(placeholder) == std::string::npos)
-            change.problem("operator", fmt::format("{} has no {}", plan.templatePath, placeholder));
+            change.problem("operator",
+                           fmt::format("{} lacks the placeholder {}", plan.templatePath, placeholder));
 }
 
 void readChange(TomlTable& change, RolloutPlan& plan) {
     plan.program = change.string("program", "");
     plan.templatePath = change.string("operator", "");
     if (plan.program.empty() && plan.templatePath.empty())
-        change.problem("program", "neither program nor operator is there: nothing would change");
+        change.problem("program", "neither program nor operator is set: nothing would change");
     checkProgram(change, plan.program);
     readTemplate(change, plan);
 }
@@ -112,7 +114,7 @@
     plan.maxStageDuration = table.millis("longest_ms", 600'000.0);
     plan.settleTime = table.millis("settle_ms", 5'000.0);
     plan.baselineTime = table.millis("watch_ms", 30'000.0);
-    if (plan.maxStageDuration < plan.minStageDuration) table.problem("longest_ms", "is under least_ms");
+    if (plan.maxStageDuration < plan.minStageDuration) table.problem("longest_ms", "is less than least_ms");
     plan.batchSize = table.integer("batch", 1, 1, kMaxInstances);
     plan.continueUndecided = table.word<bool>("untold", {{"stop", false}, {"go", true}}, false);
 }
@@ -132,7 +134,8 @@
     root.one("stage", false, [&](TomlTable& table) { readStageLimits(table, plan); });
     root.one("keep", false, [&](TomlTable& table) {
         plan.agentHoldDuration = table.millis("without_word_ms", 15'000.0);
-        if (plan.agentHoldDuration < 1'000 * kMillisecond) table.problem("without_word_ms", "is under 1000");
+        if (plan.agentHoldDuration < 1'000 * kMillisecond)
+            table.problem("without_word_ms", "is less than 1000");
     });
     root.one("back", false, [&](TomlTable& table) {
         plan.rollbackBatchSize = table.integer("batch", 2, 1, kMaxInstances);
@@ -156,7 +159,7 @@
 std::vector<int> stagesOf(const RolloutPlan& plan, int instances) {
     std::vector<int> sizes;
     for (const Stage& stage : plan.stages) {
-        // The small term keeps rounding errors from adding an instance.
+        // Subtracting 1e-9 keeps rounding errors from adding an instance.
         const int wanted = stage.instances > 0 ? stage.instances
                                                : static_cast<int>(std::ceil(stage.share * instances - 1e-9));
         const int minSize = sizes.empty() ? 1 : sizes.back() + 1;
--- a/src/rollout/rollout_schedule.cpp
+++ b/src/rollout/rollout_schedule.cpp
@@ -10,7 +10,7 @@
 void RolloutSchedule::build(const RolloutPlan& plan, const FleetView& fleet) {
     std::map<std::string, std::vector<int>> byZone;
     for (int i = 0; i < fleet.instanceCount(); ++i) byZone[fleet.instance(i).zone].push_back(i);
-    // Within a zone, one instance of each machine in turn.
+    // Within a zone, takes one instance of each machine in turn.
     for (auto& [zone, instances] : byZone)
         std::stable_sort(instances.begin(), instances.end(), [&](int a, int b) {
             const InstanceView& first = fleet.instance(a);
--- a/src/rollout/rollout_schedule.hpp
+++ b/src/rollout/rollout_schedule.hpp
@@ -16,16 +16,18 @@
   public:
     // Orders the instances of `fleet` and sizes the stages.
     void build(const RolloutPlan& plan, const FleetView& fleet);
-    // Continues at the first stage that includes every instance that is not as before the rollout. The stages
-    // before it are committed. Stage 0 if there is no such instance.
+    // Continues at the first stage that includes every instance that is not in
+    // InstanceState::original. The stages before it are committed. Continues at stage 0 if there is
+    // no such instance.
     void resumeFrom(const FleetView& fleet);
     // Begins the next stage: its instances become targets. Requires hasNextStage().
     void beginNextStage();
-    // The targets of the present stage keep the change.
+    // Commits the targets of the current stage.
     void commitStage() { committed_ = targets_; }
-    // Rolling back: the latest `count` targets are to be as before, or all of them if there are fewer.
+    // For a rollback: removes the last `count` targets in the order of change, or all if there are
+    // fewer.
     void withdrawTargets(int count);
-    // Rolling back: no change stays without further orders.
+    // For a rollback: no target keeps its change without further orders.
     void withdrawCommitments() { committed_.clear(); }
 
     // Counted from 1; 0 before the first.
@@ -39,7 +41,7 @@
     bool isTarget(int instance) const { return targets_.contains(instance); }
     bool isCommitted(int instance) const { return committed_.contains(instance); }
     int targetCount() const { return static_cast<int>(targets_.size()); }
-    // The most targets that there have been.
+    // The largest number of targets so far.
     int maxTargetCount() const { return maxTargetCount_; }
     int instanceCount() const { return static_cast<int>(order_.size()); }
     // Whether all targets run the change, are ready and have settled.
--- a/src/rollout/rollout_status.hpp
+++ b/src/rollout/rollout_status.hpp
@@ -1,4 +1,4 @@
-// A rollout's status as JSON: the one place that knows its words, which programs read.
+// A rollout's status as JSON. Its keys and phase names are defined only here; programs read them.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 enum class RolloutPhase : std::uint8_t {
     discovering,  // which agents answer, and what they already have
-    observing,    // how the fleet does before the first stage
+    observing,    // the fleet's baseline before the first stage
     changing,     // a stage's instances are in transition
     judging,      // all of the stage's instances run the change
     rollingBack,  // all instances return to what they ran before
@@ -29,7 +29,7 @@
     RolloutPhase phase = RolloutPhase::discovering;
     bool isFaultActive = false;
     std::string faultExcuse;
-    Nanos judgedTime = 0;  // of the present stage
+    Nanos judgedTime = 0;  // of the current stage
     RolloutOutcome outcome = RolloutOutcome::none;
     std::string reason;
     std::vector<std::string> unrestoredInstances;
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -1,4 +1,4 @@
-// Tests of a staged rollout's coordinator, over emulated agents and instances.
+// Tests of a staged rollout's coordinator with emulated agents and instances.
 #include "rollout/rollout_controller.hpp"
 
 #include <doctest/doctest.h>
@@ -126,7 +126,7 @@
         }
         controller->reconcile(now);
     }
-    // Until the rollout has ended or the time has passed.
+    // Runs until the rollout has ended or the time has passed.
     RolloutOutcome run(Nanos duration = 300 * s) {
         const Nanos until = now + duration;
         while (controller->outcome() == RolloutOutcome::none && now < until) tick();
@@ -150,9 +150,9 @@
     std::vector<Agent> agents;
     double baselineHarm = 0.002;  // share of rejected requests
     double addedHarm = 0;         // on changed instances
-    double pressure = 1;          // attempts of changed instances, beside the others'
+    double pressure = 1;          // attempts of a changed instance per unchanged one's
     bool rollbackFails = false;
-    bool changedReportMetrics = false;  // changed instances do, whatever reportsMetrics says
+    bool changedReportMetrics = false;  // overrides reportsMetrics for changed instances
     std::mt19937 random{7};
     std::string events;
     std::unique_ptr<RolloutController> controller;
@@ -160,7 +160,9 @@
 
 }  // namespace
 
-TEST_CASE("a harmless change completes all stages, spread over zones") {
+// Guards against false alarms: noise between the instances must not stop a change that does no
+// harm.
+TEST_CASE("A harmless change completes all stages without a stop") {
     FakeFleet fleet(4, 5);
     fleet.run(14 * s);
     CHECK(fleet.changedCount() == 1);
@@ -170,7 +172,9 @@
     CHECK(fleet.events.find("stops") == std::string::npos);
 }
 
-TEST_CASE("harm of a few percent is stopped before a quarter has it, and rolled back in batches") {
+// Changed instances reject 4 % more requests, or send four times the attempts. Too weak evidence
+// would let such a change reach the whole fleet.
+TEST_CASE("Stops and rolls back a change that harms a few percent, before more than a quarter has it") {
     FakeFleet fleet(4, 5);
     fleet.addedHarm = 0.04;
     fleet.plan.rollbackBatchSize = 1;
@@ -184,7 +188,9 @@
     CHECK(pressing.controller->reason().find("relays a command") != std::string::npos);
 }
 
-TEST_CASE("a fault delays a stage, and a stage that can't be judged stops") {
+// A fault of the whole fleet must neither be attributed to the change nor hide its harm: with an
+// excuse the stage waits; without one, or without metrics of the unchanged side, the rollout stops.
+TEST_CASE("A fault with an excuse delays a stage, and a stage that can't be judged stops the rollout") {
     FakeFleet fleet(4, 5);
     fleet.run(13 * s);
     REQUIRE(fleet.changedCount() == 1);
@@ -199,21 +205,24 @@
     CHECK(fleet.controller->outcome() == RolloutOutcome::none);
     fleet.baselineHarm = 0.002;
     CHECK(fleet.run() == RolloutOutcome::completed);
-    // The same fault without an excuse, begun during a stage.
+    // The same fault without an excuse begins during a stage.
     FakeFleet unexplained(4, 5);
     unexplained.run(14 * s);
     unexplained.baselineHarm = 0.3;
     CHECK(unexplained.run(60 * s) == RolloutOutcome::rolledBack);
     CHECK(unexplained.controller->reason().find("both sides") != std::string::npos);
-    // Beside an old program without metrics nothing can be judged, even if the changed side has them.
+    // If the unchanged instances run an old program without metrics, nothing can be judged, even if
+    // the changed side reports metrics.
     FakeFleet silent(4, 5);
     silent.changedReportMetrics = true;
     silent.forEachInstance([](auto& instance) { instance.reportsMetrics = false; });
     CHECK(silent.run() == RolloutOutcome::rolledBack);
-    CHECK(silent.controller->reason().find("could not be told") != std::string::npos);
+    CHECK(silent.controller->reason().find("could not be judged") != std::string::npos);
 }
 
-TEST_CASE("exits and unreachable agents stop a rollout; instances that fail to roll back are named") {
+// Covers the reasons to stop other than the comparison of both sides. A rollback that does not
+// reach an instance, or fails there, must not be reported as complete.
+TEST_CASE("Exits and unreachable agents stop a rollout, and instances that fail to roll back are named") {
     FakeFleet exiting(4, 5);
     exiting.run(13 * s);
     exiting.agents[0].instances[0].exitCount = 2;
@@ -233,7 +242,7 @@
     FakeFleet missing(4, 5);
     missing.agents[2].isUnreachable = true;
     CHECK(missing.run() == RolloutOutcome::notPossible);
-    CHECK(missing.controller->reason() == "not there: m2");
+    CHECK(missing.controller->reason() == "no recent report from m2");
     CHECK(missing.changedCount() == 0);
     FakeFleet abandoned(4, 5);
     abandoned.run(14 * s);
@@ -241,7 +250,9 @@
     CHECK(abandoned.run() == RolloutOutcome::rolledBack);
 }
 
-TEST_CASE("a new coordinator resumes where the agents are, and the one before is superseded") {
+// A coordinator that is started again must not begin from the first stage, and two coordinators
+// must not both give orders.
+TEST_CASE("A new coordinator resumes from the agents' state and supersedes the previous one") {
     FakeFleet fleet(4, 5);
     fleet.run(13 * s);
     REQUIRE(fleet.changedCount() == 1);
--- a/tests/rollout_plan_test.cpp
+++ b/tests/rollout_plan_test.cpp
@@ -1,4 +1,4 @@
-// Tests of a staged rollout's plan.
+// Tests of reading a staged rollout's plan.
 #include "rollout/rollout_plan.hpp"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,9 @@
 using namespace poppyscale;
 using namespace poppyscale::rollout;
 
-TEST_CASE("a plan's problems are reported all at once, each with its line and key") {
+// A plan that is misread rolls out to the wrong instances, and an operator who sees one error at a
+// time needs several attempts to correct a plan.
+TEST_CASE("Reports all errors of a plan at once, each with its line and key") {
     config::ConfigProblems problems("p.toml");
     readRolloutPlan(
         "[[agents]]\nname = \"a\"\nsocket = \"x\"\n[[agents]]\nname = \"a\"\nsocket = "
@@ -19,10 +21,10 @@
         "p.toml", problems);
     const std::string text = problems.text();
     for (const char* expected : {"p.toml:3: agents[0].socket: is not an absolute path",
-                                 "p.toml:5: agents[1].name: is another agent's too",
-                                 "p.toml:8: change.program: is not a program that can be run",
+                                 "p.toml:5: agents[1].name: is also the name of another agent",
+                                 "p.toml:8: change.program: is not an executable file",
                                  "p.toml:12: stages[1].share: does not grow", "p.toml:14: stages[2].share",
-                                 "p.toml:17: stage.longest_ms: is under least_ms", "wurse: is not a key"})
+                                 "p.toml:17: stage.longest_ms: is less than least_ms", "wurse: is not a key"})
         CHECK_MESSAGE(text.find(expected) != std::string::npos, text);
     RolloutPlan plan;
     plan.stages = {{1, 0}, {0, 0.05}, {0, 0.25}, {0, 1}};
