--- a/src/testbed/emulator/event_log.cpp
+++ b/src/testbed/emulator/event_log.cpp
@@ -12,25 +12,25 @@
 namespace poppyscale::testbed {
 namespace {
 
-constexpr std::size_t kFlushAt = 1 << 16;
+constexpr std::size_t kFlushThresholdBytes = 1 << 16;
 constexpr std::string_view kFormat = "poppylab-log 1 ";
-constexpr std::array<std::string_view, 23> kWords{
+constexpr std::array<std::string_view, 23> kEventNames{
     "server", "asked",    "answered", "declined", "terminated", "unsent", "silent",  "left",
     "sent",   "began",    "ended",    "closed",   "broke",      "listed", "started", "fell",
     "killed", "stopping", "up",       "fault",    "late",       "opened", "claims"};
 
 template <class T>
-T number(std::string_view text, int base, long line) {
+T parseNumber(std::string_view text, int base, long lineNumber) {
     T value{};
-    const auto read = std::from_chars(text.data(), text.data() + text.size(), value, base);
-    if (read.ec != std::errc{} || read.ptr != text.data() + text.size())
-        throw EventLogError(fmt::format("line {}: '{}' is not a number", line, text));
+    const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value, base);
+    if (parsed.ec != std::errc{} || parsed.ptr != text.data() + text.size())
+        throw EventLogError(fmt::format("line {}: '{}' is not a number of base {}", lineNumber, text, base));
     return value;
 }
 
 }  // namespace
 
-std::string_view nameOf(EventKind what) { return kWords.at(static_cast<std::size_t>(what)); }
+std::string_view nameOf(EventKind kind) { return kEventNames.at(static_cast<std::size_t>(kind)); }
 
 std::string_view wordAt(std::string_view text, int at) {
     for (; at > 0; --at) {
@@ -44,7 +44,7 @@
 EventLog::EventLog(const std::string& path) : file_(nullptr, &std::fclose) {
     if (path.empty()) return;
     file_.reset(std::fopen(path.c_str(), "wb"));
-    if (!file_) throw EventLogError("can't write " + path);
+    if (!file_) throw EventLogError("event log " + path + " can't be opened for writing");
 }
 
 EventLog::~EventLog() { flush(); }
@@ -54,12 +54,13 @@
     if (file_) buffer_.append(kFormat).append(head.dump()).append("\n");
 }
 
-void EventLog::add(const LogEvent& e) {
-    if (watch) watch(e);
+void EventLog::add(const LogEvent& event) {
+    if (watch) watch(event);
     if (!file_) return;
-    fmt::format_to(std::back_inserter(buffer_), "{}\t{}\t{:x}\t{}\t{}\t{:x}\t{}\t{}\n", e.at, nameOf(e.kind),
-                   e.command, e.router, e.server, e.run, e.number, e.text);
-    if (buffer_.size() > kFlushAt) flush();
+    fmt::format_to(std::back_inserter(buffer_), "{}\t{}\t{:x}\t{}\t{}\t{:x}\t{}\t{}\n", event.at,
+                   nameOf(event.kind), event.command, event.router, event.server, event.run, event.number,
+                   event.text);
+    if (buffer_.size() > kFlushThresholdBytes) flush();
 }
 
 void EventLog::flush() {
@@ -68,36 +69,39 @@
     buffer_.clear();
 }
 
-void readEventLog(const std::string& path, const std::function<void(const nlohmann::json&)>& begin,
-                  const std::function<void(const LogEvent&)>& visit) {
+void readEventLog(const std::string& path, const std::function<void(const nlohmann::json&)>& visitHead,
+                  const std::function<void(const LogEvent&)>& visitEvent) {
     std::ifstream file(path, std::ios::binary);
     std::string line;
     if (!std::getline(file, line) || !line.starts_with(kFormat))
-        throw EventLogError(path + ": not a log of this version");
+        throw EventLogError(path + ":1: expected an event log that begins with '" + std::string(kFormat) +
+                            "'");
     const auto head = nlohmann::json::parse(line.substr(kFormat.size()), nullptr, false);
-    if (!head.is_object()) throw EventLogError(path + ": its first line can't be read");
-    begin(head);
-    for (long at = 2; std::getline(file, line); ++at) {
-        std::array<std::string_view, 8> part;
+    if (!head.is_object()) throw EventLogError(path + ":1: the head is not a JSON object");
+    visitHead(head);
+    for (long lineNumber = 2; std::getline(file, line); ++lineNumber) {
+        std::array<std::string_view, 8> columns;
         std::string_view rest = line;
-        for (std::size_t i = 0; i < part.size(); ++i) {
-            const auto tab = i + 1 < part.size() ? rest.find('\t') : rest.size();
-            if (tab == std::string_view::npos) throw EventLogError(fmt::format("line {}: too short", at));
-            part[i] = rest.substr(0, tab);
+        for (std::size_t i = 0; i < columns.size(); ++i) {
+            const auto tab = i + 1 < columns.size() ? rest.find('\t') : rest.size();
+            if (tab == std::string_view::npos)
+                throw EventLogError(fmt::format("line {}: expected 8 columns, found {}", lineNumber, i + 1));
+            columns[i] = rest.substr(0, tab);
             rest.remove_prefix(std::min(rest.size(), tab + 1));
         }
-        LogEvent e;
-        const auto word = std::find(kWords.begin(), kWords.end(), part[1]);
-        if (word == kWords.end()) throw EventLogError(fmt::format("line {}: '{}' is unknown", at, part[1]));
-        e.at = number<Nanos>(part[0], 10, at);
-        e.kind = static_cast<EventKind>(word - kWords.begin());
-        e.command = number<std::uint64_t>(part[2], 16, at);
-        e.router = number<int>(part[3], 10, at);
-        e.server = number<int>(part[4], 10, at);
-        e.run = number<std::uint64_t>(part[5], 16, at);
-        e.number = number<std::int64_t>(part[6], 10, at);
-        e.text = part[7];
-        visit(e);
+        LogEvent event;
+        const auto name = std::find(kEventNames.begin(), kEventNames.end(), columns[1]);
+        if (name == kEventNames.end())
+            throw EventLogError(fmt::format("line {}: '{}' is not a kind of event", lineNumber, columns[1]));
+        event.at = parseNumber<Nanos>(columns[0], 10, lineNumber);
+        event.kind = static_cast<EventKind>(name - kEventNames.begin());
+        event.command = parseNumber<std::uint64_t>(columns[2], 16, lineNumber);
+        event.router = parseNumber<int>(columns[3], 10, lineNumber);
+        event.server = parseNumber<int>(columns[4], 10, lineNumber);
+        event.run = parseNumber<std::uint64_t>(columns[5], 16, lineNumber);
+        event.number = parseNumber<std::int64_t>(columns[6], 10, lineNumber);
+        event.text = columns[7];
+        visitEvent(event);
     }
 }
 
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -1,6 +1,6 @@
-// The append-only log of a run: what happened at the clients, on the way and at the servers, and nothing of
-// what a router believes. One line an entry, columns set apart by tabs; the audit and the figures read
-// nothing else.
+// The append-only event log of a run. It records what happened at the clients, on the network and
+// at the servers, and nothing of what a router believes. Each event is one line of tab-separated
+// columns. The audit and the figures read nothing else.
 #pragma once
 
 #include <cstdint>
@@ -21,58 +21,63 @@
 };
 
 enum class EventKind : std::uint8_t {
-    server,    // there is one: text "NAME ZONE CELL origin|cache SPEED", number its start, 0 for long ago
-    asked,     // a client gave a command to a router: text "VERB CUSTOMER KEY FIRST TRY", number its limit's
-               // time, run the time it was due
-    answered,  // text the value's token
-    declined,  // number the pause it was told
-    terminated,
-    unsent,  // the router could not be reached, or went before an answer
-    silent,  // no answer when its time and the slack were over
-    left,    // the client went away
-    sent,   // an attempt was written whole: number its work in core-ns, text "d=MS held=MS": the time that it
-            // told its server, and how long before it was read it may have come; "" if it told none
-    began,  // it took effect there, unless it is pure
-    ended,  // text "value|miss|error|busy|spoilt TOKEN", said to the router
-    closed,  // the router closed the connection while the attempt was out
-    broke,   // the server or the network did
-    listed,  // a router was told of a server: text its state, number its start
-    started,
-    fell,      // a server that was overdriven stops
-    killed,    // a router, for good or for a time
+    // A server exists. Text "NAME ZONE CELL origin|cache CAPACITY", number its start time, 0 for
+    // long ago.
+    server,
+    // A client sent a request to a router. Text "CLASS TENANT KEY FIRST_TRY_ID TRY_NUMBER", number
+    // the request's deadline, run the time at which the request was due.
+    asked,
+    answered,    // text the token of the value
+    declined,    // the router rejected the request; number the Retry-After in nanoseconds
+    terminated,  // the router failed the request
+    unsent,      // the router could not be reached, or went away before it answered
+    silent,      // there was no answer by the deadline plus the slack
+    left,        // the client disconnected
+    // An attempt was written completely. Number its work in core-ns. Text "d=MS held=MS": the
+    // timeout that was forwarded to the server, and for how long the attempt may have waited before
+    // it was read; "" if no timeout was forwarded.
+    sent,
+    began,     // the attempt began to take effect at the server; not logged for pure requests
+    ended,     // text "value|miss|error|busy|spoilt TOKEN", the server's reply to the router
+    closed,    // the router closed the connection while the attempt was in flight
+    broke,     // the server or the network closed the connection while the attempt was in flight
+    listed,    // a router was told of a server; text the server's state, number its start time
+    started,   // a server came up; number its start time
+    fell,      // an overloaded server stopped
+    killed,    // a router's process ended, for good or until its restart
     stopping,  // SIGTERM to a router
-    up,        // a router can be reached: text its zone
+    up,        // a router can be reached; text its zone
     fault,     // text "begins|ends KIND ..."
-    late,      // number: how late the testbed was, at its worst in the last while
-    opened,    // a router opened a connection to a server, which took it
-    claims     // what a process says that it does: text "WHAT begins|ends", or "runs WHAT"; number when
+    late,      // number: the testbed's largest lateness since the last event of this kind
+    opened,    // a router opened a connection to a server, which accepted it
+    claims     // a process's statement about itself; text "WHAT begins|ends" or "runs WHAT", number the time
 };
 
 struct LogEvent {
     Nanos at = 0;
     EventKind kind = EventKind::fault;
-    std::uint64_t command = 0;
+    std::uint64_t command = 0;  // the request's id
     int router = -1;
     int server = -1;
-    std::uint64_t run = 0;  // of an attempt, new for each
+    std::uint64_t run = 0;  // the attempt's id, unique within the log
     std::int64_t number = 0;
     std::string text;
 };
 
-std::string_view nameOf(EventKind what);
-// The word with number `at` of a text, "" past its end.
+std::string_view nameOf(EventKind kind);
+// The word at index `at` of a text of words separated by spaces, "" past the end.
 std::string_view wordAt(std::string_view text, int at);
 
 class EventLog {
   public:
-    // Without a path nothing is written; `watch` hears of each entry all the same.
+    // Without a path no file is written, but `watch` is still called with each event.
     explicit EventLog(const std::string& path = "");
     ~EventLog();
     EventLog(const EventLog&) = delete;
     EventLog& operator=(const EventLog&) = delete;
 
     void head(const nlohmann::json& head);
-    void add(const LogEvent& entry);
+    void add(const LogEvent& event);
     std::function<void(const nlohmann::json&)> watchHead;
     std::function<void(const LogEvent&)> watch;
 
@@ -82,8 +87,8 @@
     void flush();
 };
 
-// Reads a log whole; throws BadLedger with the line that can't be read.
-void readEventLog(const std::string& path, const std::function<void(const nlohmann::json&)>& head,
-                  const std::function<void(const LogEvent&)>& visit);
+// Reads a complete log. Throws EventLogError with the number of the line that can't be read.
+void readEventLog(const std::string& path, const std::function<void(const nlohmann::json&)>& visitHead,
+                  const std::function<void(const LogEvent&)>& visitEvent);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/event_queue.hpp
+++ b/src/testbed/emulator/event_queue.hpp
@@ -1,4 +1,5 @@
-// What is to happen, by time; what is due at one time happens in the order it was put down.
+// Scheduled actions ordered by time. Actions due at the same time run in the order they were
+// scheduled.
 #pragma once
 
 #include <functional>
@@ -13,18 +14,21 @@
 
 class EventQueue {
   public:
-    void schedule(Nanos at, std::function<void(Nanos now)> what) {
-        items_.push({std::max(at, reached_), ++last_, std::move(what)});
+    void schedule(Nanos at, std::function<void(Nanos now)> action) {
+        items_.push({std::max(at, reachedTime_), ++lastOrder_, std::move(action)});
     }
     Nanos next() const { return items_.empty() ? kNever : items_.top().at; }
-    // Plays all that is due at the next time up to `now`, at its own time. False when nothing is.
+    // Runs all actions due at the earliest scheduled time, if that is not after `now`, and passes
+    // that time to them. Returns false if no action is due by `now`.
     bool step(Nanos now) {
         if (next() > now) return false;
-        reached_ = next();
-        while (next() == reached_) {
-            auto what = std::move(const_cast<Item&>(items_.top()).what);  // a queue only shows its top
+        reachedTime_ = next();
+        while (next() == reachedTime_) {
+            // std::priority_queue::top() returns a const reference; the item is popped next, so it
+            // may be moved.
+            auto action = std::move(const_cast<Item&>(items_.top()).action);
             items_.pop();
-            what(reached_);
+            action(reachedTime_);
         }
         return true;
     }
@@ -33,14 +37,14 @@
     struct Item {
         Nanos at;
         std::uint64_t order;
-        std::function<void(Nanos)> what;
+        std::function<void(Nanos)> action;
         bool operator<(const Item& other) const {
             return std::pair(at, order) > std::pair(other.at, other.order);
         }
     };
     std::priority_queue<Item> items_;
-    std::uint64_t last_ = 0;
-    Nanos reached_ = 0;
+    std::uint64_t lastOrder_ = 0;
+    Nanos reachedTime_ = 0;
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/random.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -1,4 +1,4 @@
-// Everything drawn in a scenario, from one seed.
+// Seeded random draws of a scenario. Equal seeds give equal runs.
 #pragma once
 
 #include <algorithm>
@@ -14,54 +14,57 @@
 class Random {
   public:
     explicit Random(std::uint64_t seed)
-        : source_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
+        : engine_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
-    double fraction() { return std::generate_canonical<double, 32>(source_); }
+    double fraction() { return std::generate_canonical<double, 32>(engine_); }
     bool chance(double share) { return share > 0 && fraction() < share; }
     int below(int count) { return std::min(static_cast<int>(fraction() * count), count - 1); }
     std::uint64_t randomWord() {
-        const std::uint64_t high = source_();
-        return high << 32 | source_();
+        const std::uint64_t high = engine_();
+        return high << 32 | engine_();
     }
     Nanos gap(double perSecond) {
-        return static_cast<Nanos>(std::exponential_distribution<double>(perSecond)(source_) * 1e9) + 1;
+        return static_cast<Nanos>(std::exponential_distribution<double>(perSecond)(engine_) * 1e9) + 1;
     }
-    // With mean 1 and standard deviation `spread`.
+    // A log-normal factor with mean 1 and standard deviation `spread`.
     double factor(double spread) {
         if (spread <= 0) return 1;
         const double sigma = std::sqrt(std::log(1 + spread * spread));
-        return std::lognormal_distribution<double>(-sigma * sigma / 2, sigma)(source_);
+        return std::lognormal_distribution<double>(-sigma * sigma / 2, sigma)(engine_);
     }
-    // One of several, each by its weight.
+    // The index of one of `items`, drawn in proportion to its weight.
     template <class Items, class Weight>
-    int among(const Items& items, Weight weight) {
-        double all = 0;
-        for (const auto& item : items) all += weight(item);
-        double at = fraction() * all;
+    int weightedIndex(const Items& items, Weight weight) {
+        double total = 0;
+        for (const auto& item : items) total += weight(item);
+        double remaining = fraction() * total;
         for (std::size_t i = 0; i < items.size(); ++i)
-            if ((at -= weight(items[i])) < 0) return static_cast<int>(i);
+            if ((remaining -= weight(items[i])) < 0) return static_cast<int>(i);
         return static_cast<int>(items.size()) - 1;
     }
-    std::mt19937& source() { return source_; }
+    std::mt19937& engine() { return engine_; }
 
   private:
-    std::mt19937 source_;
+    std::mt19937 engine_;
 };
 
-// Ranks of keys by Zipf's law: rank k is drawn by 1/(k+1)^s. The weights are added up once and searched.
+// Ranks of keys by Zipf's law: rank k is drawn with a weight of 1/(k+1)^exponent. The cumulative
+// weights are computed once and searched for each draw.
 class Zipf {
   public:
-    Zipf(int keys, double s) {
+    Zipf(int keyCount, double exponent) {
         double sum = 0;
-        for (int k = 0; k < keys; ++k) sums_.push_back(sum += std::pow(k + 1, -s));
+        for (int k = 0; k < keyCount; ++k) cumulativeWeights_.push_back(sum += std::pow(k + 1, -exponent));
     }
-    int draw(Random& chance) const {
-        const auto at = std::upper_bound(sums_.begin(), sums_.end(), chance.fraction() * sums_.back());
-        return static_cast<int>(std::min<std::ptrdiff_t>(at - sums_.begin(), std::ssize(sums_) - 1));
+    int draw(Random& random) const {
+        const auto found = std::upper_bound(cumulativeWeights_.begin(), cumulativeWeights_.end(),
+                                            random.fraction() * cumulativeWeights_.back());
+        return static_cast<int>(
+            std::min<std::ptrdiff_t>(found - cumulativeWeights_.begin(), std::ssize(cumulativeWeights_) - 1));
     }
 
   private:
-    std::vector<double> sums_;
+    std::vector<double> cumulativeWeights_;
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -1,5 +1,5 @@
-// A scenario: the deployment, the load, the faults and what must hold, as the TOML files in scenarios/ say
-// it.
+// A scenario, as a TOML file in scenarios/ states it: the deployment, the load, the faults and the
+// bounds that must hold.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -13,214 +13,230 @@
 
 namespace poppyscale::testbed {
 
-// What can't be played; its text is "FILE:LINE: KEY: what is wrong".
+// A scenario that can't be run. The message is "FILE:LINE: KEY: what is wrong", one line per
+// problem.
 struct ScenarioError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct RequestClassPlan {
     RequestClass requestClass;
-    Nanos limit = 0;  // how long a client waits in all
-    double share = 0;
-    Nanos work = 0;  // on one core of speed 1, the mean
-    double spread = 0;
+    Nanos limit = 0;    // how long a client waits for an answer, all tries together
+    double share = 0;   // weight among the request classes
+    Nanos work = 0;     // mean, on one core of speed 1
+    double spread = 0;  // standard deviation of the work, as a share of the mean
     bool write = false;
 };
 
 struct TenantPlan {
     std::string name;
-    double share = 0;
-    double quota = 0;  // commands a second
+    double share = 0;  // weight among the tenants
+    double quota = 0;  // requests per second
 };
 
-// Of one kind: they are dealt to the zones in turn.
+// A type of cache server. The servers of all types are assigned to the zones in turn.
 struct CachePlan {
     std::string name;
     int count = 0;
     double cores = 1;
     double speed = 1;
-    int queue = 0;  // commands that may wait beside those that run
-    int keys = 0;   // kept, the one used longest ago goes first
-    int connections = 0;
-    Nanos handshake = 0;  // work of a new connection
-    double errors = 0;    // share of commands that fail on any day
+    int queueLimit = 0;  // requests that may wait besides those that run
+    int maxKeys = 0;     // beyond this the least recently used key is evicted
+    int maxConnections = 0;
+    Nanos handshakeWork = 0;  // work of accepting a new connection
+    double errorShare = 0;    // share of requests that fail without any fault
 };
 
 struct OriginPlan {
     double cores = 1;
     double speed = 1;
-    int queue = 0;
-    int connections = 0;
-    double thrash = 0;    // added to a command's time for each full queue ahead of it, as a share
-    double tip = 0;       // times its capacity over `fallSpan`, then it stops; 0: never
-    Nanos stopped = 0;    // for this long
-    double readWork = 1;  // of a fetch, times the request class's own work
+    int queueLimit = 0;
+    int maxConnections = 0;
+    double queueSlowdown = 0;     // share added to the duration of a request that starts with a full queue
+    double overloadMultiple = 0;  // work beyond this multiple of its capacity stops the origin; 0: never
+    Nanos outageDuration = 0;     // how long the origin stays down after such a stop
+    double readWorkFactor = 1;    // work of a fetch as a multiple of the request class's work
 };
 
+// Cache servers that have just started are cold: they have a reduced capacity, and too much work
+// stops them.
 struct SlowStartPlan {
-    double share = 1;  // of its capacity that a cache starts with
-    Nanos ramp = 0;
-    double tip = 1;
-    Nanos fallSpan = 0;
-    Nanos down = 0;  // how long it stays down after falling
+    double initialFraction = 1;  // share of its capacity that a cache server starts with
+    Nanos rampDuration = 0;      // until the full capacity is reached
+    // A cold cache server stops when the work that arrives within `overloadWindow` exceeds this
+    // multiple of its present capacity.
+    double overloadMultiple = 1;
+    Nanos overloadWindow = 0;
+    Nanos outageDuration = 0;  // how long it stays down after such a stop
 };
 
 struct DiscoveryPlan {
-    Nanos noticeGone = 0;
-    Nanos noticeBack = 0;
-    double perSecond = 0;  // calls it can answer
-    Nanos limit = 0;       // a call that waits longer for its turn fails
+    Nanos removalDelay = 0;   // from a server's end until discovery lists it as gone
+    Nanos returnDelay = 0;    // from a server's start until discovery lists it as ready
+    double perSecond = 0;     // polls that discovery can answer
+    Nanos maxQueueDelay = 0;  // a poll that would wait longer for its turn fails
     Nanos pollInterval = 0;
-    // One call of a router at a time, the older one ends with 503; a call whose turn would come after `limit`
-    // is answered 503 at once; an answer to a call that waited for a change takes a turn too.
+    // When set, a router has one poll in flight at a time, and an older one is answered 503; a poll
+    // whose turn would come after `maxQueueDelay` is answered 503 at once; the answer to a long
+    // poll takes a turn too.
     bool crowded = false;
-    Nanos toldWithin = 0;  // after which a change counts as told where discovery can be reached; 0: never
-    Nanos weighEvery = 0;  // where sizes move with load: how often they are listed anew
+    // So long after a change, or after discovery became reachable again, the change counts as known
+    // to all running routers; 0: never.
+    Nanos assumedKnownAfter = 0;
+    Nanos weightInterval = 0;  // how often the weights that follow load are updated
 };
 
 struct NetworkPlan {
     std::vector<std::string> zones;
-    Nanos same = 0;   // one way, within a zone
-    Nanos cross = 0;  // between zones
-    double jitter = 0;
-    double crossPrice =
-        0;  // told to routers: of an attempt to another zone, as a part of a command's utility
+    Nanos same = 0;            // one-way delay within a zone
+    Nanos crossZoneDelay = 0;  // one-way delay between zones
+    double jitter = 0;         // standard deviation of both, as a share
+    double crossZoneCost = 0;  // passed to the routers: cost of an attempt to another zone, as a part of a
+                               // request's priority weight
 };
 
 struct LoadPlan {
     enum class Shape : std::uint8_t { steady, bursty, ramp, wave };
-    double perSecond = 0;  // at the mean
+    double meanRate = 0;  // requests per second
     Shape shape = Shape::steady;
-    double swing = 0;  // share of the mean by which it goes up and down
+    double amplitude = 0;  // deviation from the mean rate, as a share of it
     Nanos period = 0;
-    int keys = 1;
-    double zipf = 1;
-    double drift = 0;  // of the keys that change places each second, as a share
-    int tries = 1;
-    Nanos backoff = 0;
-    double impatient = 0;  // share of commands whose client leaves halfway
+    int keyCount = 1;
+    double zipfExponent = 1;
+    double keyDrift = 0;  // pairs of keys that swap their popularity each second, as a share of all keys
+    int maxTries = 1;
+    Nanos initialBackoff = 0;
+    double impatientShare = 0;  // share of requests whose client disconnects halfway to the deadline
 };
 
 struct RouterPlan {
     int count = 1;
-    int moved = 0;  // the last so many take listed sizes to move with load; then discovery's do
+    // The last `moved` routers use cache weights that follow load. If there are any, discovery
+    // updates its weights with the load.
+    int moved = 0;
     std::size_t memoryMb = 64;
     std::size_t descriptors = 512;
-    std::size_t open = 0;
-    int attempts = 1;
+    std::size_t open = 0;  // limit of open requests
+    int maxAttempts = 1;
     Nanos connectWithin = 0;
     Nanos idle = 0;
-    Nanos notice = 0;   // in which the front sees that one has died
-    Nanos restart = 0;  // in which a killed one is back
-    Nanos mostComeBack = 0;
+    Nanos failureDetectionDelay = 0;  // until the load balancer notices that a router has died
+    Nanos restartDelay = 0;           // until a router whose process has ended is started again
+    Nanos maxRetryAfter = 0;
 };
 
 enum class FaultKind : std::uint8_t {
-    crash,               // caches die; connections reset, then refused; back cold under their id
-    hang,                // caches take and never answer
-    slow,                // caches run `by` times slower
-    errors,              // a share `by` of what caches are sent fails at once
-    replace,             // caches go for good, new ones come cold at the old address under new ids
-    drain,               // caches are told to drain, then leave; back after
-    cut,                 // `zone` is silent to the routers of all others
-    refuse,              // caches refuse new connections
-    late,                // new connections to caches come up with the kernel's next try after the fault's end
-    leave,               // a share `by` of the clients that wait go at once
-    reset,               // a share `by` of commands has its connection reset while it is out
-    slowReader,          // commands reach caches later by `by` ms
-    unresponsive,        // one direction only: commands arrive, answers are lost
-    malformedResponses,  // a share `by` of answers is noise
-    originStop,          // the origin dies and comes back
-    originSlow,          // runs `by` times slower
-    discoveryDown,       // calls fail
-    discoverySilent,
-    discoverySlow,    // its answers come `by` ms late, up to a quarter less at random
-    discoveryRefuse,  // a share `by` of calls is answered 503
-    discoveryMove,    // to another address, the routers get SIGHUP
-    hotKey,           // a share `by` of commands asks for one key
-    heavy,            // a share `by` of commands has ten times the work
-    scan,             // a share `by` of commands asks for keys never seen before
-    load,             // the load times `by`
-    routerKill,       // SIGKILL to `count` routers, restarted
-    routerRestart,    // SIGTERM to all, one after the other
-    routerUpgrade,    // each in turn hands its sockets to a new process
-    reload,           // SIGHUP to all
-    // Of the routers' processes, by a preloaded library.
-    callsFail,  // a share `by` of system calls of the kind `call` ends in the way `way`
-    wallStep,   // the one wall clock of all machines is ahead by `by` ms, or behind
-    holdUp,     // a turn in fifty is held up for up to `by` ms
-    // Of machines, named by `machine` or drawn.
-    machineKill,      // SIGKILL to all of its processes; back with its disk
-    machineLost,      // the same, and its disk is empty when it is back
-    machineStop,      // SIGSTOP to all of its processes, then SIGCONT
-    machineCut,       // its ways from and to others are silent: `way` = both, to or from
-    agentKill,        // SIGKILL to its agent alone
-    agentStop,        // SIGSTOP to its agent alone
-    machineSleep,     // as stopped, and of its clocks only those that go on in sleep do
-    diskFull,         // nothing more can be written by its agent
-    diskReadOnly,     // nothing on it can be made, opened for writing or renamed
+    crash,       // cache servers die: connections are reset, then refused; they return cold under the same id
+    hang,        // cache servers accept requests and never answer
+    slow,        // cache servers run slower by the factor `by`
+    errors,      // a share `by` of the requests sent to cache servers fails at once
+    replace,     // cache servers end for good; cold ones with new ids take over their addresses
+    drain,       // cache servers are listed as draining, then leave, and return when the fault ends
+    cut,         // no packets pass between `zone` and all other zones
+    refuse,      // cache servers refuse new connections
+    late,        // new connections to cache servers only open with the first TCP retry after the fault's end
+    leave,       // a share `by` of the waiting clients disconnects at once
+    reset,       // a share `by` of requests has its connection reset while it is in flight
+    slowReader,  // cache servers read requests `by` ms later
+    unresponsive,        // one-way loss: requests arrive, replies are lost
+    malformedResponses,  // a share `by` of replies is malformed
+    originStop,          // the origin dies and returns when the fault ends
+    originSlow,          // the origin runs slower by the factor `by`
+    discoveryDown,       // polls fail
+    discoverySilent,     // polls are never answered
+    discoverySlow,       // polls are answered up to `by` ms later, at random down to three quarters of that
+    discoveryRefuse,     // a share `by` of polls is answered 503
+    discoveryMove,       // discovery moves to another address, and the routers get SIGHUP
+    hotKey,              // a share `by` of requests is for one key
+    heavy,               // a share `by` of requests has ten times the work
+    scan,                // a share `by` of requests is for keys that were never requested before
+    load,                // the load is multiplied by `by`
+    routerKill,          // SIGKILL to `count` routers, which are restarted
+    routerRestart,       // SIGTERM to all routers, one after another
+    routerUpgrade,       // all routers hot restart, one after another
+    reload,              // SIGHUP to all routers
+    // Faults of the routers' processes, injected by a preloaded library.
+    callsFail,  // a share `by` of the system calls `call` fails with the effect `way`
+    wallStep,   // the wall clock that all machines share is `by` ms ahead; behind if negative
+    holdUp,     // one event loop iteration in fifty is delayed by up to `by` ms
+    // Faults of machines. `machine` names the machine, or else it is drawn.
+    machineKill,      // SIGKILL to all processes of the machine; it returns with its disk
+    machineLost,      // as machineKill, but the disk is empty when the machine returns
+    machineStop,      // SIGSTOP to all processes of the machine, SIGCONT when the fault ends
+    machineCut,       // the machine's network paths lose everything: `way` both, to or from
+    agentKill,        // SIGKILL to the machine's agent only
+    agentStop,        // SIGSTOP to the machine's agent only
+    machineSleep,     // as machineStop, and only those clocks go on that do so in suspend
+    diskFull,         // the agent's writes fail
+    diskReadOnly,     // no file on the machine can be created, opened for writing or renamed
     diskSlow,         // each sync takes `by` ms longer
     syncFails,        // the next `count` syncs fail
-    programGone,      // the copies of programs that it keeps are lost
-    clockRate,        // its clocks go `by` times as fast
-    clockJump,        // its wall clock is ahead by `by` ms, or behind
-    wayDelay,         // what goes its ways comes `by` ms later
-    wayStall,         // what goes its ways stops midway, connections stay
-    wayDrop,          // a share `by` of the connections to it is broken as it comes
-    coordinatorKill,  // SIGKILL; another one comes when the fault ends
-    coordinatorTwice  // a second one beside it
+    programGone,      // the stored copies of programs are lost
+    clockRate,        // the machine's clocks run at `by` times the real rate
+    clockJump,        // the machine's wall clock is `by` ms ahead; behind if negative
+    wayDelay,         // data on the machine's network paths arrives `by` ms later
+    wayStall,         // data on the machine's network paths stops midway; connections stay open
+    wayDrop,          // a share `by` of the connections to the machine is broken when they arrive
+    coordinatorKill,  // SIGKILL to the coordinator; another one starts when the fault ends
+    coordinatorTwice  // a second coordinator runs besides the first
 };
 
 struct FaultPlan {
     FaultKind kind = FaultKind::crash;
     Nanos at = 0;
     Nanos length = 0;
-    int count = 1;  // caches or routers, drawn by the seed
+    int count = 1;  // cache servers or routers, drawn with the seed
     double by = 0;
     std::string zone;
-    int times = 1;                // again, spread over `length`
-    int machine = -1;             // drawn
-    bool to = true, from = true;  // of a cut: what goes to the machine, what comes from it
-    std::string call, way;        // of a system call, as in lab/faults/plan.hpp
-    std::vector<int> others;      // from which it is cut; none named: from all, and from the operator's desk
+    int repetitions = 1;          // spread over `length`
+    int machine = -1;             // -1: drawn
+    bool to = true, from = true;  // directions of machineCut: to the machine, from the machine
+    std::string call, way;        // system call and effect, as named in fault_injection/fault_plan.hpp
+    std::vector<int> others;      // machines that it is cut from; empty: all others and the operator's
 };
 
-// Routers live on machines: each has a zone, a folder that is its disk, and an agent that runs them.
+// With machines, routers run on them. A machine has a zone, a folder that is its disk, and an agent
+// that runs its routers.
 struct MachinePlan {
     int count = 0;  // 0: the testbed starts routers itself
     int instances = 0;
-    bool fileList = false;  // the operator's file says the servers, and not discovery
+    bool fileList = false;  // the operator's file lists the servers instead of discovery
 };
 
-// A staged change in the middle of the day.
+// A rollout in the course of the run.
 struct RolloutScenario {
     bool there = false;
     Nanos at = 0;
-    std::string change;  // same, a harm's name, or deaf, halved, misnamed: settings that are valid and bad
-    double size = 0;     // of a harm
+    // "same" for an equal version, the name of a program's defect, or one of deaf, halved and
+    // misnamed: settings that are valid but harmful.
+    std::string change;
+    double size = 0;  // of a program's defect
     Nanos least = 0, longest = 0, settleTime = 0, watch = 0, keep = 0, back = 0;
     double harm = 0.02;
-    double silent = 0.02;             // share never answered that is to be ruled out
+    double silent = 0.02;             // share of requests without an answer that must be ruled out
     std::vector<std::string> stages;  // "1", "5", "0.25"
-    int machine = -1;                 // on which its coordinator runs; -1: at the operator's desk
+    int machine = -1;                 // on which the coordinator runs; -1: on the operator's machine
     bool harmful() const { return there && change != "same"; }
     bool bySettings() const { return change == "deaf" || change == "halved" || change == "misnamed"; }
 };
 
+// What must hold at the end of a run. The defaults are bounds that always hold.
 struct Bounds {
-    double goal = 0;           // share of commands answered within their goal, at least
-    double answered = 0;       // within their limit
-    double attempts = 1e9;     // a command, at most
-    double apart = 1;          // between the goal shares of moved routers and the others, at most
-    double sentOn = 1;         // of commands whose clients left waiting: share forwarded 0.3 s later, at most
-    double connections = 1e9;  // to caches and origin that are opened, a command, at most
-    double crossings = 1e9;    // attempts to another zone, a command, at most
-    double coldLoad = 1e9;     // work that reached a cold cache in a span over what it is allowed, at most
-    double coldExcess = 1e9;   // of what chance may add to that, the part that was used, at most
-    double coldFalls = 1e9;    // cold caches that went down, at most
-    double went = 0, undone = 0;  // of the roll, at least: 1 or not asked for
-    double harmed = 1;        // share of commands that were not answered in goal, from the roll's begin on
-    double originMean = 1e9;  // fetches and writes a second at the origin over its capacity, at most
+    double goal = 0;              // least share of requests answered within their latency objective
+    double answered = 0;          // least share of requests answered by their deadline
+    double attempts = 1e9;        // most attempts per request
+    double apart = 1;             // largest difference of `goal` between moved routers and the others
+    double sentOn = 1;            // of requests whose clients left waiting, largest share that is sent to a
+                                  // server more than 0.3 s later
+    double connections = 1e9;     // most connections opened to caches and the origin, per request
+    double crossings = 1e9;       // most attempts to another zone, per request
+    double coldLoad = 1e9;        // most work at a cold cache server in a window, over the work allowed
+    double coldExcess = 1e9;      // largest used part of the margin for chance above the work allowed
+    double coldFalls = 1e9;       // most stops of overloaded cold cache servers
+    double went = 0, undone = 0;  // 1: the rollout must have been completed, or rolled back; 0: need not
+    double harmed = 1;            // largest share of requests since the rollout's start that are not
+                                  // answered within their latency objective
+    double originMean = 1e9;      // largest mean load of the origin, over its capacity
 };
 
 struct Scenario {
@@ -228,13 +244,13 @@
     std::string about;
     Nanos length = 0;
     Nanos drainGrace = 0;
-    Nanos slack = 0;  // after a client's limit that an answer still counts
+    Nanos slack = 0;  // how long after the deadline an answer still counts
     RouterPlan routers;
     MachinePlan machines;
     RolloutScenario roll;
     NetworkPlan network;
     std::vector<CachePlan> caches;
-    SlowStartPlan cold;
+    SlowStartPlan slowStart;
     OriginPlan origin;
     DiscoveryPlan discovery;
     LoadPlan load;
@@ -245,21 +261,22 @@
 
     int cacheCount() const;
     bool hasProcessFaults() const;
-    const std::string& zoneOf(int router) const {  // dealt in turn, to routers or to machines
-        const int place = machines.count > 0 ? router / machines.instances : router;
-        return network.zones[static_cast<std::size_t>(place) % network.zones.size()];
+    // Zones are assigned in turn to the machines, or to the routers where there are no machines.
+    const std::string& zoneOf(int router) const {
+        const int index = machines.count > 0 ? router / machines.instances : router;
+        return network.zones[static_cast<std::size_t>(index) % network.zones.size()];
     }
-    bool isMoved(int router) const { return router >= routers.count - routers.moved; }
+    bool usesLoadWeights(int router) const { return router >= routers.count - routers.moved; }
     Nanos longestLimit() const;
 };
 
-// Throws BadScenario.
+// Both throw ScenarioError.
 Scenario readScenario(const std::string& path);
 Scenario parseScenario(std::string_view text, const std::string& path);
 
 std::string_view nameOf(FaultKind kind);
 
-// What the module is told of a scenario, and the same as the configuration that the program reads.
+// The settings of a router, as the simulated driver passes them to the policy.
 PolicySettings policySettingsOf(const Scenario& scenario, int router, std::uint64_t seed);
 struct RouterPlace {
     int index = 0;
@@ -267,7 +284,6 @@
     std::string listen;
     std::string discovery;
 };
-// The same as an operator's form, with its parts in braces; `change` of a roll's settings is made in it.
 struct FormServer {
     std::string name, zone;
     int port = 0;
@@ -275,8 +291,11 @@
     double size = 1;
     bool origin = false;
 };
+// The same settings as a template of the operator's file, with placeholders in braces for what
+// differs between instances. `change` is the rollout's change of settings, made in this template.
 std::string operatorFormOf(const Scenario& scenario, const std::vector<FormServer>& servers,
                            int discoveryPort, const std::string& change);
+// The same settings as the platform's configuration of one router's process.
 nlohmann::json configurationOf(const Scenario& scenario, const RouterPlace& place, std::uint64_t seed,
                                const nlohmann::json& known);
 
--- a/src/testbed/emulator/server_model.cpp
+++ b/src/testbed/emulator/server_model.cpp
@@ -5,83 +5,84 @@
 
 namespace poppyscale::testbed {
 
-bool ServerModel::withdraw(std::uint64_t job) {
-    return std::erase_if(waiting_, [&](const Job& j) { return j.id == job; }) > 0;
+bool ServerModel::removeQueued(std::uint64_t job) {
+    return std::erase_if(queue_, [&](const Job& queued) { return queued.id == job; }) > 0;
 }
 
-std::vector<ServerModel::Begun> ServerModel::begin(Nanos now, double pace) {
-    std::vector<Begun> begun;
-    while (running_ < static_cast<int>(shape_.cores) && !waiting_.empty()) {
-        const Job job = waiting_.front();
-        waiting_.pop_front();
+std::vector<ServerModel::StartedJob> ServerModel::startJobs(Nanos now, double pace) {
+    std::vector<StartedJob> started;
+    while (running_ < static_cast<int>(shape_.cores) && !queue_.empty()) {
+        const Job job = queue_.front();
+        queue_.pop_front();
         ++running_;
-        const double ahead = static_cast<double>(waiting_.size()) / std::max(shape_.queue, 1);
-        const double work = (job.work + std::exchange(debt_, 0)) * (1 + shape_.thrash * ahead);
-        begun.push_back({job.id, now + static_cast<Nanos>(work / (shape_.speed * std::max(pace, 1e-6)))});
+        const double queueFill = static_cast<double>(queue_.size()) / std::max(shape_.queueLimit, 1);
+        const double work =
+            (job.work + std::exchange(handshakeWork_, 0)) * (1 + shape_.queueSlowdown * queueFill);
+        started.push_back({job.id, now + static_cast<Nanos>(work / (shape_.speed * std::max(pace, 1e-6)))});
     }
-    return begun;
+    return started;
 }
 
 void ServerModel::clear() {
     running_ = 0;
-    debt_ = 0;
-    waiting_.clear();
+    handshakeWork_ = 0;
+    queue_.clear();
 }
 
 void WorkWindow::add(Nanos now, double work) {
-    pieces_.push_back({now, work});
+    arrivals_.push_back({now, work});
     sum_ += work;
 }
 
 double WorkWindow::sum(Nanos now) {
-    while (!pieces_.empty() && pieces_.front().at <= now - span_) {
-        sum_ -= pieces_.front().work;
-        pieces_.pop_front();
+    while (!arrivals_.empty() && arrivals_.front().at <= now - span_) {
+        sum_ -= arrivals_.front().work;
+        arrivals_.pop_front();
     }
-    return pieces_.empty() ? sum_ = 0 : sum_;
+    return arrivals_.empty() ? sum_ = 0 : sum_;
 }
 
 bool CacheContents::touch(const std::string& key) {
-    const auto it = at_.find(key);
-    if (it == at_.end()) return false;
-    order_.splice(order_.begin(), order_, it->second);
+    const auto it = positions_.find(key);
+    if (it == positions_.end()) return false;
+    recency_.splice(recency_.begin(), recency_, it->second);
     return true;
 }
 
-void CacheContents::put(const std::string& key) {
+void CacheContents::insert(const std::string& key) {
     if (touch(key)) return;
-    order_.push_front(key);
-    at_[key] = order_.begin();
-    if (order_.size() > most_) drop(std::string(order_.back()));
+    recency_.push_front(key);
+    positions_[key] = recency_.begin();
+    if (recency_.size() > maxKeys_) erase(std::string(recency_.back()));
 }
 
-void CacheContents::drop(const std::string& key) {
-    const auto it = at_.find(key);
-    if (it == at_.end()) return;
-    order_.erase(it->second);
-    at_.erase(it);
+void CacheContents::erase(const std::string& key) {
+    const auto it = positions_.find(key);
+    if (it == positions_.end()) return;
+    recency_.erase(it->second);
+    positions_.erase(it);
 }
 
 void CacheContents::clear() {
-    order_.clear();
-    at_.clear();
+    recency_.clear();
+    positions_.clear();
 }
 
-bool IdempotencyRecords::enter(Nanos now, const std::string& mark, Nanos until) {
+bool IdempotencyRecords::recordIfNew(Nanos now, const std::string& key, Nanos until) {
     while (!order_.empty() && order_.front().until <= now) {
-        const auto it = until_.find(order_.front().name);
+        const auto it = until_.find(order_.front().key);
         if (it != until_.end() && it->second <= now) until_.erase(it);
         order_.pop_front();
     }
-    const auto [it, fresh] = until_.try_emplace(mark, until);
-    if (fresh) order_.push_back({until, mark});
-    return fresh;
+    const auto [it, isNew] = until_.try_emplace(key, until);
+    if (isNew) order_.push_back({until, key});
+    return isNew;
 }
 
-double paceOf(Nanos now, Nanos startedAt, double share, Nanos ramp) {
-    if (startedAt == 0 || ramp <= 0) return 1;
-    const double part = static_cast<double>(now - startedAt) / static_cast<double>(ramp);
-    return std::clamp(share + (1 - share) * part, share, 1.0);
+double capacityFractionAt(Nanos now, Nanos startedAt, double initialFraction, Nanos rampDuration) {
+    if (startedAt == 0 || rampDuration <= 0) return 1;
+    const double progress = static_cast<double>(now - startedAt) / static_cast<double>(rampDuration);
+    return std::clamp(initialFraction + (1 - initialFraction) * progress, initialFraction, 1.0);
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/server_model.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -1,5 +1,6 @@
-// What serves commands: so many cores, a bounded waiting room, a pace that changes. And what a cache keeps.
-// Time is told; what ends is asked for. Nothing here knows of sockets or of a clock.
+// The emulated servers: a bounded number of cores, a bounded queue and a speed that varies, and the
+// contents of a cache server. The caller passes the time and asks which jobs start; nothing here
+// uses sockets or a clock.
 #pragma once
 
 #include <cstdint>
@@ -17,32 +18,35 @@
   public:
     struct Shape {
         double cores = 1;
-        double speed = 1;  // work done by one core in a ns
-        int queue = 0;
-        double thrash = 0;  // added to the time of what begins with the room full, as a share
+        double speed = 1;  // core-ns of work done by one core in one nanosecond
+        int queueLimit = 0;
+        double queueSlowdown = 0;  // share added to the duration of a job that starts with a full queue
     };
     explicit ServerModel(const Shape& shape) : shape_(shape) {}
 
-    struct Begun {
+    struct StartedJob {
         std::uint64_t job;
         Nanos until;
     };
-    bool full() const {
+    bool isFull() const {
         return running_ >= static_cast<int>(shape_.cores) &&
-               static_cast<int>(waiting_.size()) >= shape_.queue;
+               static_cast<int>(queue_.size()) >= shape_.queueLimit;
     }
-    // Only if it isn't full. `work` in core-ns at speed 1.
-    void take(std::uint64_t job, double work) { waiting_.push_back({job, work}); }
-    void extra(double work) { debt_ += work; }  // of a handshake: the next command bears it
-    bool withdraw(std::uint64_t job);           // true if it had not begun
-    void ended() { --running_; }
-    // What may begin now; it is counted as running until `ended`.
-    std::vector<Begun> begin(Nanos now, double pace);
+    // Requires !isFull(). `work` is in core-ns at speed 1.
+    void enqueue(std::uint64_t job, double work) { queue_.push_back({job, work}); }
+    // Adds the work of a connection's handshake to the next job that starts.
+    void addHandshakeWork(double work) { handshakeWork_ += work; }
+    // Returns true if the job was still queued.
+    bool removeQueued(std::uint64_t job);
+    void onJobEnded() { --running_; }
+    // Starts as many queued jobs as there are idle cores. Each counts as running until
+    // onJobEnded(). `pace` is the present share of the server's speed.
+    std::vector<StartedJob> startJobs(Nanos now, double pace);
     void clear();
 
-    double capacity() const { return shape_.cores * shape_.speed; }  // core-ns a ns
+    double capacity() const { return shape_.cores * shape_.speed; }  // core-ns per nanosecond
     int running() const { return running_; }
-    std::size_t waiting() const { return waiting_.size(); }
+    std::size_t queued() const { return queue_.size(); }
 
   private:
     struct Job {
@@ -51,11 +55,12 @@
     };
     Shape shape_;
     int running_ = 0;
-    double debt_ = 0;
-    std::deque<Job> waiting_;
+    double handshakeWork_ = 0;
+    std::deque<Job> queue_;
 };
 
-// Work that came within a span: over a multiple of what can be done in it, a machine gives in.
+// The work that arrived within a sliding window. A server stops when this exceeds a multiple of
+// what it can do in that window.
 class WorkWindow {
   public:
     explicit WorkWindow(Nanos span) : span_(span) {}
@@ -64,47 +69,51 @@
     void clear() { *this = WorkWindow(span_); }
 
   private:
-    struct Piece {
+    struct Arrival {
         Nanos at;
         double work;
     };
     Nanos span_;
     double sum_ = 0;
-    std::deque<Piece> pieces_;
+    std::deque<Arrival> arrivals_;
 };
 
-// A bounded number of keys; the one used longest ago goes first.
+// A bounded set of keys that evicts the least recently used one.
 class CacheContents {
   public:
-    explicit CacheContents(std::size_t most) : most_(most) {}
+    explicit CacheContents(std::size_t maxKeys) : maxKeys_(maxKeys) {}
+    // Returns true if the key is there, and marks it as the most recently used.
     bool touch(const std::string& key);
-    void put(const std::string& key);
-    void drop(const std::string& key);
+    void insert(const std::string& key);
+    void erase(const std::string& key);
     void clear();
-    std::size_t size() const { return at_.size(); }
+    std::size_t size() const { return positions_.size(); }
 
   private:
-    std::size_t most_;
-    std::list<std::string> order_;  // the one used last is first
-    std::unordered_map<std::string, std::list<std::string>::iterator> at_;
+    std::size_t maxKeys_;
+    std::list<std::string> recency_;  // the most recently used key is first
+    std::unordered_map<std::string, std::list<std::string>::iterator> positions_;
 };
 
-// Marks of commands that have run, each for its time: what comes again by then gets the old receipt.
+// The idempotency keys of requests that have run, each kept until its time to live is over. A
+// request that repeats a kept key has no further effect.
 class IdempotencyRecords {
   public:
-    // True when it is new, and kept from now on.
-    bool enter(Nanos now, const std::string& mark, Nanos until);
+    // Returns true if the key is not recorded yet, and records it.
+    bool recordIfNew(Nanos now, const std::string& key, Nanos until);
 
   private:
-    struct Mark {
+    struct Record {
         Nanos until;
-        std::string name;
+        std::string key;
     };
     std::unordered_map<std::string, Nanos> until_;
-    std::deque<Mark> order_;
+    std::deque<Record> order_;
 };
 
-// The share of its capacity that a machine has that came up cold.
-double paceOf(Nanos now, Nanos startedAt, double share, Nanos ramp);
+// The share of its capacity that a server has at `now`: it grows linearly from `initialFraction` at
+// the server's start to 1 after `rampDuration`. `startedAt` 0 means that the server started long
+// ago.
+double capacityFractionAt(Nanos now, Nanos startedAt, double initialFraction, Nanos rampDuration);
 
 }  // namespace poppyscale::testbed
