--- a/src/testbed/drivers/live/baseline_proxy.cpp
+++ b/src/testbed/drivers/live/baseline_proxy.cpp
@@ -34,77 +34,81 @@
 using transport::Connection;
 
 constexpr int kMaxAttempts = 3;
-constexpr double kBound = 1.25;  // of the mean that a cache may have out
+// The policy `boundedLoad` passes by caches with this many times the mean number of requests in
+// flight.
+constexpr double kBoundedLoadFactor = 1.25;
 constexpr Nanos kLongPollWait = 10'000 * kMillisecond;
 constexpr Nanos kLongPollGrace = 2'000 * kMillisecond;
 constexpr Nanos kCrashAfter = 3'000 * kMillisecond;
-constexpr Nanos kLeaving = 480 * kMillisecond;
-constexpr std::uint32_t kDrawOut = 20;  // one in so many commands
+// After SIGTERM the proxy goes on accepting for this long, then ends once no request is open.
+constexpr Nanos kDrainTime = 480 * kMillisecond;
+// The defects `lost` and `foreign` affect one request in this many.
+constexpr std::uint32_t kRequestsPerDefect = 20;
 
 class BaselineProxy;
 
 struct ServerEntry {
     std::string name;
     Address address{};
-    EndpointState presence = EndpointState::removed;
+    EndpointState state = EndpointState::removed;
     std::int64_t startedMs = 0;
-    bool origin = false;
-    int out = 0;
-    std::vector<class UpstreamHandler*> idle;
+    bool isOrigin = false;
+    int inFlight = 0;
+    std::vector<class UpstreamHandler*> idleConnections;
 };
 
 // A connection to a cache or the origin; one attempt at a time.
 class UpstreamHandler : private Connection::Handler {
   public:
-    UpstreamHandler(BaselineProxy& proxy, ServerEntry& place);
+    UpstreamHandler(BaselineProxy& proxy, ServerEntry& server);
     bool open();
-    void send(std::uint64_t command, std::string bytes, Nanos deadline);
-    ServerEntry& place() { return place_; }
-    bool up() const { return up_; }
-    void fail() { over({AttemptOutcome::connectFailed, {}, true}, false); }
+    void send(std::uint64_t requestId, std::string bytes, Nanos deadline);
+    ServerEntry& server() { return server_; }
+    bool isConnected() const { return isConnected_; }
+    void fail() { endAttempt({AttemptOutcome::connectFailed, {}, true}, false); }
 
   private:
     void onConnected(bool up) override;
     void onData(std::string_view bytes) override;
     void onClosed() override;
-    void over(protocol::AttemptResponse outcome, bool keep);
+    void endAttempt(protocol::AttemptResponse outcome, bool keepAlive);
 
     BaselineProxy& proxy_;
-    ServerEntry& place_;
+    ServerEntry& server_;
     Connection connection_;
-    transport::Timer limit_;
+    transport::Timer attemptTimer_;
     protocol::RespDecoder decoder_{{64 * 1024, 16, 3, 128 * 1024, false}};
     protocol::HttpResponse http_{64 * 1024};
-    std::uint64_t command_ = 0;
-    std::string bytes_;
-    Nanos relayUntil_ = 0;
-    bool up_ = false;
+    std::uint64_t requestId_ = 0;
+    std::string requestBytes_;
+    Nanos deadline_ = 0;
+    bool isConnected_ = false;
 };
 
 class ClientHandler : private Connection::Handler {
   public:
     explicit ClientHandler(BaselineProxy& proxy);
     bool start(const std::function<bool(Connection&)>& finish);
-    void say(std::string_view bytes);
-    bool busy() const { return open_; }
+    void respond(std::string_view bytes);
+    bool hasOpenRequest() const { return hasOpenRequest_; }
     void close();
 
   private:
     void onData(std::string_view bytes) override;
     void onClosed() override { close(); }
-    void next();
+    void startNextRequest();
 
     BaselineProxy& proxy_;
     Connection connection_;
     protocol::RespDecoder decoder_{{64 * 1024, 16, 1, 80 * 1024, true}};
-    std::deque<protocol::RespValue> waiting_;
-    bool open_ = false;
+    std::deque<protocol::RespValue> pipelined_;
+    bool hasOpenRequest_ = false;
 };
 
 class EndpointPoller : private Connection::Handler {
   public:
     explicit EndpointPoller(BaselineProxy& proxy);
-    void call();
+    void poll();
 
   private:
     void onConnected(bool up) override;
@@ -113,8 +117,8 @@
 
     BaselineProxy& proxy_;
     std::unique_ptr<Connection> connection_;
-    protocol::HttpResponse answer_{4 << 20};
-    transport::Timer again_;
+    protocol::HttpResponse response_{4 << 20};
+    transport::Timer retryTimer_;
     std::int64_t version_ = 0;
 };
 
@@ -123,14 +127,14 @@
     BaselineProxy(BaselinePolicy policy, BaselineDefect defect);
     int run();
 
-    void take(ClientHandler& front, protocol::Request said);
-    void left(ClientHandler& front);
-    void onAttemptEnded(std::uint64_t command, protocol::AttemptResponse outcome);
-    void listed(const protocol::EndpointList& roster);
-    void forget(UpstreamHandler* back);
-    void rest(UpstreamHandler* back);
+    void onRequest(ClientHandler& client, protocol::Request request);
+    void onClientDisconnected(ClientHandler& client);
+    void onAttemptEnded(std::uint64_t requestId, protocol::AttemptResponse outcome);
+    void applyEndpointList(const protocol::EndpointList& list);
+    void removeUpstream(UpstreamHandler* upstream);
+    void returnToIdle(UpstreamHandler* upstream);
 
-    protocol::StartupConfig start;
+    protocol::StartupConfig config;
     transport::BufferPool pool{1 << 14};
     transport::EventLoop loop;
     std::list<std::unique_ptr<ClientHandler>> clients;
@@ -138,19 +142,19 @@
 
   private:
     struct OpenRequest {
-        ClientHandler* front;
-        protocol::Request said;
-        Idempotency effect = Idempotency::nonIdempotent;
+        ClientHandler* client;
+        protocol::Request request;
+        Idempotency idempotency = Idempotency::nonIdempotent;
         Nanos deadline = 0;
         int attempts = 0;
         bool mayHaveExecuted = false;
         bool toOrigin = false;
-        bool again = false;  // the defect's second time
-        std::vector<ServerEntry*> tried;
+        bool wasDuplicated = false;  // the defect `twice` has sent it again
+        std::vector<ServerEntry*> triedServers;
     };
-    ServerEntry* choose(OpenRequest& held);
-    void attempt(std::uint64_t id, OpenRequest& held);
-    void finish(std::uint64_t id, const std::string& words);
+    ServerEntry* chooseServer(OpenRequest& open);
+    void startAttempt(std::uint64_t id, OpenRequest& open);
+    void finish(std::uint64_t id, const std::string& response);
     void stop();
 
     BaselinePolicy policy_;
@@ -158,93 +162,97 @@
     std::mt19937 random_;
     std::map<std::string, ServerEntry> servers_;
     std::unordered_map<std::uint64_t, OpenRequest> openRequests_;
-    std::uint64_t last_ = 0;
-    std::size_t turn_ = 0;
+    std::uint64_t lastRequestId_ = 0;
+    std::size_t roundRobinIndex_ = 0;
     std::unique_ptr<transport::Listener> listener_;
-    std::unique_ptr<EndpointPoller> watch_;
-    std::unique_ptr<transport::Timer> crash_, drained_;
+    std::unique_ptr<EndpointPoller> poller_;
+    std::unique_ptr<transport::Timer> crashTimer_, drainTimer_;
     std::vector<std::unique_ptr<transport::Signal>> signals_;
 };
 
-// ---- Back
+// ---- UpstreamHandler
 
-UpstreamHandler::UpstreamHandler(BaselineProxy& proxy, ServerEntry& place)
-    : proxy_(proxy), place_(place), connection_(proxy.loop, proxy.pool, *this), limit_(proxy.loop, [this] {
-          over({connection_.unsentBytes() == 0 && up_ ? AttemptOutcome::timedOut
-                                                      : AttemptOutcome::connectFailed,
-                {},
-                true},
-               false);
+UpstreamHandler::UpstreamHandler(BaselineProxy& proxy, ServerEntry& server)
+    : proxy_(proxy),
+      server_(server),
+      connection_(proxy.loop, proxy.pool, *this),
+      attemptTimer_(proxy.loop, [this] {
+          endAttempt({connection_.unsentBytes() == 0 && isConnected_ ? AttemptOutcome::timedOut
+                                                                     : AttemptOutcome::connectFailed,
+                      {},
+                      true},
+                     false);
       }) {}
 
-bool UpstreamHandler::open() { return connection_.connect(place_.address); }
-
-void UpstreamHandler::send(std::uint64_t command, std::string bytes, Nanos deadline) {
-    command_ = command;
-    bytes_ = std::move(bytes);
-    limit_.start(up_ ? deadline
-                     : std::min(deadline, transport::EventLoop::now() + proxy_.start.connectTimeout));
-    if (!up_) {
-        // Once it is up the attempt has all of its time.
-        relayUntil_ = deadline;
+bool UpstreamHandler::open() { return connection_.connect(server_.address); }
+
+void UpstreamHandler::send(std::uint64_t requestId, std::string bytes, Nanos deadline) {
+    requestId_ = requestId;
+    requestBytes_ = std::move(bytes);
+    attemptTimer_.start(isConnected_
+                            ? deadline
+                            : std::min(deadline, transport::EventLoop::now() + proxy_.config.connectTimeout));
+    if (!isConnected_) {
+        // The attempt's own deadline applies once the connection is up.
+        deadline_ = deadline;
         return;
     }
-    if (!connection_.write(bytes_)) over({AttemptOutcome::connectFailed, {}, true}, false);
+    if (!connection_.write(requestBytes_)) endAttempt({AttemptOutcome::connectFailed, {}, true}, false);
 }
 
 void UpstreamHandler::onConnected(bool up) {
-    if (!up) return over({AttemptOutcome::connectFailed, {}, true}, false);
-    up_ = true;
+    if (!up) return endAttempt({AttemptOutcome::connectFailed, {}, true}, false);
+    isConnected_ = true;
     connection_.setReading(true);
-    if (!command_) return proxy_.rest(this);
-    limit_.start(relayUntil_);
-    if (!connection_.write(bytes_)) over({AttemptOutcome::connectFailed, {}, true}, false);
+    if (!requestId_) return proxy_.returnToIdle(this);
+    attemptTimer_.start(deadline_);
+    if (!connection_.write(requestBytes_)) endAttempt({AttemptOutcome::connectFailed, {}, true}, false);
 }
 
 void UpstreamHandler::onData(std::string_view bytes) {
-    if (!command_) return proxy_.forget(this);
-    if (place_.origin) {
+    if (!requestId_) return proxy_.removeUpstream(this);
+    if (server_.isOrigin) {
         const auto state = http_.feed(bytes);
         if (state == protocol::HttpResponse::State::more) return;
-        if (state == protocol::HttpResponse::State::malformed) return over({}, false);
+        if (state == protocol::HttpResponse::State::malformed) return endAttempt({}, false);
         const int status = http_.status();
         protocol::AttemptResponse outcome{status == 200 ? AttemptOutcome::succeeded : AttemptOutcome::failed,
                                           std::move(http_.body()), true};
         if (http_.wasNotExecuted()) outcome.outcome = AttemptOutcome::overloaded;
-        const bool keep = http_.isKeepAlive();
+        const bool keepAlive = http_.isKeepAlive();
         http_.clear();
-        return over(std::move(outcome), keep);
+        return endAttempt(std::move(outcome), keepAlive);
     }
     const auto state = decoder_.feed(bytes);
     if (state == protocol::RespDecoder::State::more) return;
-    if (state == protocol::RespDecoder::State::malformed) return over({}, false);
+    if (state == protocol::RespDecoder::State::malformed) return endAttempt({}, false);
     auto outcome = protocol::readCacheResponse(decoder_.takeValue());
-    const bool keep = outcome.isWellFormed && bytes.empty();
-    over(std::move(outcome), keep);
+    const bool keepAlive = outcome.isWellFormed && bytes.empty();
+    endAttempt(std::move(outcome), keepAlive);
 }
 
 void UpstreamHandler::onClosed() {
-    if (!command_) return proxy_.forget(this);
-    over({up_ && connection_.unsentBytes() == 0 ? AttemptOutcome::connectionLost
-                                                : AttemptOutcome::connectFailed,
-          {},
-          true},
-         false);
+    if (!requestId_) return proxy_.removeUpstream(this);
+    endAttempt({isConnected_ && connection_.unsentBytes() == 0 ? AttemptOutcome::connectionLost
+                                                               : AttemptOutcome::connectFailed,
+                {},
+                true},
+               false);
 }
 
-void UpstreamHandler::over(protocol::AttemptResponse outcome, bool keep) {
-    limit_.stop();
-    const std::uint64_t command = std::exchange(command_, 0);
+void UpstreamHandler::endAttempt(protocol::AttemptResponse outcome, bool keepAlive) {
+    attemptTimer_.stop();
+    const std::uint64_t requestId = std::exchange(requestId_, 0);
     BaselineProxy& proxy = proxy_;
-    --place_.out;
-    if (keep)
-        proxy.rest(this);
+    --server_.inFlight;
+    if (keepAlive)
+        proxy.returnToIdle(this);
     else
-        proxy.forget(this);
-    if (command) proxy.onAttemptEnded(command, std::move(outcome));
+        proxy.removeUpstream(this);
+    if (requestId) proxy.onAttemptEnded(requestId, std::move(outcome));
 }
 
-// ---- Front
+// ---- ClientHandler
 
 ClientHandler::ClientHandler(BaselineProxy& proxy)
     : proxy_(proxy), connection_(proxy.loop, proxy.pool, *this) {}
@@ -260,54 +268,54 @@
         const auto state = decoder_.feed(bytes);
         if (state == protocol::RespDecoder::State::more) break;
         if (state == protocol::RespDecoder::State::malformed) return close();
-        waiting_.push_back(decoder_.takeValue());
+        pipelined_.push_back(decoder_.takeValue());
     }
-    next();
+    startNextRequest();
 }
 
-void ClientHandler::next() {
-    while (!open_ && !waiting_.empty()) {
-        auto said = protocol::readRequest(std::move(waiting_.front()));
-        waiting_.pop_front();
-        if (const auto* aside = std::get_if<protocol::ControlCommand>(&said)) {
-            connection_.write(aside->response);
+void ClientHandler::startNextRequest() {
+    while (!hasOpenRequest_ && !pipelined_.empty()) {
+        auto parsed = protocol::readRequest(std::move(pipelined_.front()));
+        pipelined_.pop_front();
+        if (const auto* control = std::get_if<protocol::ControlCommand>(&parsed)) {
+            connection_.write(control->response);
             continue;
         }
-        open_ = true;
-        proxy_.take(*this, std::move(std::get<protocol::Request>(said)));
+        hasOpenRequest_ = true;
+        proxy_.onRequest(*this, std::move(std::get<protocol::Request>(parsed)));
     }
 }
 
-void ClientHandler::say(std::string_view bytes) {
-    open_ = false;
+void ClientHandler::respond(std::string_view bytes) {
+    hasOpenRequest_ = false;
     connection_.write(bytes);
-    next();
+    startNextRequest();
 }
 
 void ClientHandler::close() {
     BaselineProxy& proxy = proxy_;
-    proxy.left(*this);
+    proxy.onClientDisconnected(*this);
     proxy.clients.remove_if([this](const auto& f) { return f.get() == this; });
 }
 
-// ---- ListWatch
+// ---- EndpointPoller
 
 EndpointPoller::EndpointPoller(BaselineProxy& proxy)
     : proxy_(proxy),
-      again_(proxy.loop,
-             [this] {
-                 connection_.reset();
-                 call();
-             }),
-      version_(proxy.start.knownEndpoints.version) {}
-
-void EndpointPoller::call() {
-    answer_.clear();
-    again_.start(transport::EventLoop::now() + kLongPollWait + kLongPollGrace);
+      retryTimer_(proxy.loop,
+                  [this] {
+                      connection_.reset();
+                      poll();
+                  }),
+      version_(proxy.config.knownEndpoints.version) {}
+
+void EndpointPoller::poll() {
+    response_.clear();
+    retryTimer_.start(transport::EventLoop::now() + kLongPollWait + kLongPollGrace);
     if (connection_) return onConnected(true);
     Connection::Handler& self = *this;
     connection_ = std::make_unique<Connection>(proxy_.loop, proxy_.pool, self);
-    const auto at = transport::parseAddress(proxy_.start.discovery);
+    const auto at = transport::parseAddress(proxy_.config.discovery);
     if (!at || !connection_->connect(*at)) onClosed();
 }
 
@@ -319,67 +327,67 @@
 }
 
 void EndpointPoller::onData(std::string_view bytes) {
-    const auto state = answer_.feed(bytes);
+    const auto state = response_.feed(bytes);
     if (state == protocol::HttpResponse::State::more) return;
-    if (state == protocol::HttpResponse::State::malformed || answer_.status() != 200) return onClosed();
+    if (state == protocol::HttpResponse::State::malformed || response_.status() != 200) return onClosed();
     try {
-        const auto roster = protocol::readEndpointList(answer_.body());
-        version_ = roster.version;
-        proxy_.listed(roster);
+        const auto list = protocol::readEndpointList(response_.body());
+        version_ = list.version;
+        proxy_.applyEndpointList(list);
     } catch (const protocol::ParseError&) {
         return onClosed();
     }
-    call();
+    poll();
 }
 
 void EndpointPoller::onClosed() {
     connection_.reset();
-    again_.start(transport::EventLoop::now() + 500 * kMillisecond);
+    retryTimer_.start(transport::EventLoop::now() + 500 * kMillisecond);
 }
 
-// ---- Proxy
+// ---- BaselineProxy
 
-protocol::StartupConfig readStartFile() {
+protocol::StartupConfig readStartupConfigFile() {
     const char* const path = std::getenv("ROUTER_CONFIG");
     std::ifstream file(path ? path : "", std::ios::binary);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ScenarioError("ROUTER_CONFIG names no file that can be read");
+    if (!file) throw ScenarioError("can't read the configuration file that ROUTER_CONFIG names");
     return protocol::readStartupConfig(text);
 }
 
 BaselineProxy::BaselineProxy(BaselinePolicy policy, BaselineDefect defect)
-    : start(readStartFile()),
+    : config(readStartupConfigFile()),
       policy_(policy),
       defect_(defect),
-      random_(static_cast<std::mt19937::result_type>(start.policy.seed)) {
-    start.knownEndpoints.isComplete = true;
-    listed(start.knownEndpoints);
-    start.knownEndpoints.version = 0;
+      random_(static_cast<std::mt19937::result_type>(config.policy.seed)) {
+    config.knownEndpoints.isComplete = true;
+    applyEndpointList(config.knownEndpoints);
+    config.knownEndpoints.version = 0;
 }
 
 int BaselineProxy::run() {
     listener_ = std::make_unique<transport::Listener>(loop, [this](const auto& finish) {
-        auto front = std::make_unique<ClientHandler>(*this);
-        if (front->start(finish)) clients.push_back(std::move(front));
+        auto client = std::make_unique<ClientHandler>(*this);
+        if (client->start(finish)) clients.push_back(std::move(client));
     });
-    const auto at = transport::parseAddress(start.listen);
-    const std::string problem = at ? listener_->listen(*at) : "not an address";
+    const auto at = transport::parseAddress(config.listen);
+    const std::string problem = at ? listener_->listen(*at) : "not an IPv4 address and port";
     if (!problem.empty()) {
-        fmt::print(stderr, "poppyscale_testbed: can't listen on {}: {}\n", start.listen, problem);
+        fmt::print(stderr, "poppyscale_testbed: can't listen on {}: {}\n", config.listen, problem);
         return 1;
     }
-    watch_ = std::make_unique<EndpointPoller>(*this);
-    watch_->call();
+    poller_ = std::make_unique<EndpointPoller>(*this);
+    poller_->poll();
     signals_.push_back(std::make_unique<transport::Signal>(loop, SIGTERM, [this] { stop(); }));
     signals_.push_back(std::make_unique<transport::Signal>(loop, SIGINT, [this] { stop(); }));
     signals_.push_back(std::make_unique<transport::Signal>(loop, SIGHUP, [this] {
-        start.discovery = readStartFile().discovery;
-        watch_ = std::make_unique<EndpointPoller>(*this);
-        watch_->call();
+        config.discovery = readStartupConfigFile().discovery;
+        poller_ = std::make_unique<EndpointPoller>(*this);
+        poller_->poll();
     }));
     if (defect_ == BaselineDefect::crash) {
-        crash_ = std::make_unique<transport::Timer>(loop, [] { std::_Exit(1); });
-        crash_->start(transport::EventLoop::now() + kCrashAfter);
+        crashTimer_ = std::make_unique<transport::Timer>(loop, [] { std::_Exit(1); });
+        crashTimer_->start(transport::EventLoop::now() + kCrashAfter);
     }
     loop.run();
     clients.clear();
@@ -388,42 +396,43 @@
 }
 
 void BaselineProxy::stop() {
-    const Nanos until = transport::EventLoop::now() + kLeaving;
-    drained_ = std::make_unique<transport::Timer>(loop, [this] {
+    const Nanos until = transport::EventLoop::now() + kDrainTime;
+    drainTimer_ = std::make_unique<transport::Timer>(loop, [this] {
         listener_->acceptBacklog();
         if (openRequests_.empty()) return loop.stop();
-        drained_->start(transport::EventLoop::now() + 50 * kMillisecond);
+        drainTimer_->start(transport::EventLoop::now() + 50 * kMillisecond);
     });
-    drained_->start(until);
+    drainTimer_->start(until);
 }
 
-void BaselineProxy::listed(const protocol::EndpointList& roster) {
-    if (roster.isComplete)
-        for (auto& [name, place] : servers_) place.presence = EndpointState::removed;
-    for (const auto& entry : roster.entries) {
-        ServerEntry& place = servers_[entry.endpoint.name];
-        place.name = entry.endpoint.name;
-        if (const auto address = transport::parseAddress(entry.address)) place.address = *address;
-        place.presence = entry.endpoint.state;
-        place.startedMs = entry.startedMs;
-        place.origin = entry.endpoint.shape == start.policy.originShape;
+void BaselineProxy::applyEndpointList(const protocol::EndpointList& list) {
+    if (list.isComplete)
+        for (auto& [name, server] : servers_) server.state = EndpointState::removed;
+    for (const auto& entry : list.entries) {
+        ServerEntry& server = servers_[entry.endpoint.name];
+        server.name = entry.endpoint.name;
+        if (const auto address = transport::parseAddress(entry.address)) server.address = *address;
+        server.state = entry.endpoint.state;
+        server.startedMs = entry.startedMs;
+        server.isOrigin = entry.endpoint.shape == config.policy.originShape;
     }
 }
 
-ServerEntry* BaselineProxy::choose(OpenRequest& held) {
+ServerEntry* BaselineProxy::chooseServer(OpenRequest& open) {
     std::vector<ServerEntry*> ready;
     ServerEntry* origin = nullptr;
-    double out = 0;
-    for (auto& [name, place] : servers_) {
-        if (place.origin && place.presence == EndpointState::ready) origin = &place;
-        const bool usable = place.presence == EndpointState::ready ||
-                            (defect_ == BaselineDefect::drain && place.presence == EndpointState::draining);
-        if (place.origin || !usable) continue;
-        if (std::find(held.tried.begin(), held.tried.end(), &place) != held.tried.end()) continue;
-        ready.push_back(&place);
-        out += place.out;
+    double totalInFlight = 0;
+    for (auto& [name, server] : servers_) {
+        if (server.isOrigin && server.state == EndpointState::ready) origin = &server;
+        const bool isUsable = server.state == EndpointState::ready ||
+                              (defect_ == BaselineDefect::drain && server.state == EndpointState::draining);
+        if (server.isOrigin || !isUsable) continue;
+        if (std::find(open.triedServers.begin(), open.triedServers.end(), &server) != open.triedServers.end())
+            continue;
+        ready.push_back(&server);
+        totalInFlight += server.inFlight;
     }
-    if (held.said.isWrite || held.toOrigin) return origin;
+    if (open.request.isWrite || open.toOrigin) return origin;
     if (ready.empty()) return nullptr;
     if (defect_ == BaselineDefect::cold)
         return *std::max_element(ready.begin(), ready.end(), [](const ServerEntry* a, const ServerEntry* b) {
@@ -431,112 +440,115 @@
         });
     if (defect_ == BaselineDefect::drain)
         for (ServerEntry* p : ready)
-            if (p->presence == EndpointState::draining) return p;
+            if (p->state == EndpointState::draining) return p;
     if (policy_ == BaselinePolicy::random) return ready[random_() % ready.size()];
-    if (policy_ == BaselinePolicy::passThrough) return ready[++turn_ % ready.size()];
+    if (policy_ == BaselinePolicy::passThrough) return ready[++roundRobinIndex_ % ready.size()];
     const auto weight = [&](const ServerEntry* p) {
-        return XXH3_64bits_withSeed(held.said.key.data(), held.said.key.size(),
+        return XXH3_64bits_withSeed(open.request.key.data(), open.request.key.size(),
                                     XXH3_64bits(p->name.data(), p->name.size()));
     };
     std::sort(ready.begin(), ready.end(),
               [&](const ServerEntry* a, const ServerEntry* b) { return weight(a) > weight(b); });
     if (policy_ == BaselinePolicy::boundedLoad) {
-        const double most = kBound * (out + 1) / static_cast<double>(ready.size());
+        const double bound = kBoundedLoadFactor * (totalInFlight + 1) / static_cast<double>(ready.size());
         for (ServerEntry* p : ready)
-            if (p->out < std::max(most, 1.0)) return p;
+            if (p->inFlight < std::max(bound, 1.0)) return p;
     }
     return ready.front();
 }
 
-void BaselineProxy::take(ClientHandler& front, protocol::Request said) {
-    const std::uint64_t id = ++last_;
-    OpenRequest held;
-    held.front = &front;
-    held.deadline = loop.earliestArrival() + said.timeout;
-    for (const RequestClass& v : start.policy.requestClasses)
-        if (v.name == said.requestClass) held.effect = v.idempotency;
-    held.said = std::move(said);
-    auto& kept = openRequests_[id] = std::move(held);
-    if (defect_ == BaselineDefect::lost && random_() % kDrawOut == 0) return;
-    if (defect_ == BaselineDefect::foreign && random_() % kDrawOut == 0)
+void BaselineProxy::onRequest(ClientHandler& client, protocol::Request request) {
+    const std::uint64_t id = ++lastRequestId_;
+    OpenRequest open;
+    open.client = &client;
+    open.deadline = loop.earliestArrival() + request.timeout;
+    for (const RequestClass& requestClass : config.policy.requestClasses)
+        if (requestClass.name == request.requestClass) open.idempotency = requestClass.idempotency;
+    open.request = std::move(request);
+    auto& stored = openRequests_[id] = std::move(open);
+    if (defect_ == BaselineDefect::lost && random_() % kRequestsPerDefect == 0) return;
+    if (defect_ == BaselineDefect::foreign && random_() % kRequestsPerDefect == 0)
         return finish(id, protocol::bulk("made-up"));
-    attempt(id, kept);
+    startAttempt(id, stored);
 }
 
-void BaselineProxy::attempt(std::uint64_t id, OpenRequest& held) {
+void BaselineProxy::startAttempt(std::uint64_t id, OpenRequest& open) {
     const Nanos now = transport::EventLoop::now();
-    ServerEntry* const to = held.attempts < kMaxAttempts ? choose(held) : nullptr;
-    if (!to || now >= held.deadline) {
-        const bool harmless = !held.mayHaveExecuted || held.effect == Idempotency::safe;
-        return finish(id, harmless ? "-BUSY 100\r\n" : "-ERR failed\r\n");
+    ServerEntry* const server = open.attempts < kMaxAttempts ? chooseServer(open) : nullptr;
+    if (!server || now >= open.deadline) {
+        const bool canReject = !open.mayHaveExecuted || open.idempotency == Idempotency::safe;
+        return finish(id, canReject ? "-BUSY 100\r\n" : "-ERR failed\r\n");
     }
-    ++held.attempts;
-    held.tried.push_back(to);
-    UpstreamHandler* back = nullptr;
-    if (!to->idle.empty()) {
-        back = to->idle.back();
-        to->idle.pop_back();
+    ++open.attempts;
+    open.triedServers.push_back(server);
+    UpstreamHandler* upstream = nullptr;
+    if (!server->idleConnections.empty()) {
+        upstream = server->idleConnections.back();
+        server->idleConnections.pop_back();
     } else {
-        auto made = std::make_unique<UpstreamHandler>(*this, *to);
-        back = made.get();
-        upstreams[back] = std::move(made);
+        auto created = std::make_unique<UpstreamHandler>(*this, *server);
+        upstream = created.get();
+        upstreams[upstream] = std::move(created);
     }
-    ++to->out;
-    const Nanos timeTold =
-        defect_ == BaselineDefect::tellsWholeTime ? held.said.timeout : held.deadline - now;
-    const bool fresh = !back->up();
-    back->send(id,
-               to->origin ? protocol::originRequest(held.said, "origin", timeTold)
-                          : protocol::cacheRequest(held.said, timeTold),
-               held.deadline);
-    if (fresh && upstreams.contains(back) && !back->open()) back->fail();
+    ++server->inFlight;
+    const Nanos forwardedTimeout =
+        defect_ == BaselineDefect::tellsWholeTime ? open.request.timeout : open.deadline - now;
+    const bool isNew = !upstream->isConnected();
+    upstream->send(id,
+                   server->isOrigin ? protocol::originRequest(open.request, "origin", forwardedTimeout)
+                                    : protocol::cacheRequest(open.request, forwardedTimeout),
+                   open.deadline);
+    if (isNew && upstreams.contains(upstream) && !upstream->open()) upstream->fail();
 }
 
 void BaselineProxy::onAttemptEnded(std::uint64_t id, protocol::AttemptResponse outcome) {
     const auto it = openRequests_.find(id);
     if (it == openRequests_.end()) return;
-    OpenRequest& held = it->second;
+    OpenRequest& open = it->second;
     if (outcome.outcome == AttemptOutcome::succeeded) {
-        // Once more, where it may not be: after its answer, so that nothing else of it looks odd.
-        if (defect_ == BaselineDefect::twice && held.effect == Idempotency::nonIdempotent &&
-            !std::exchange(held.again, true)) {
-            held.tried.clear();
-            return attempt(id, held);
+        // Sent again although it is not idempotent, and only after it succeeded, so that no other
+        // rule is broken.
+        if (defect_ == BaselineDefect::twice && open.idempotency == Idempotency::nonIdempotent &&
+            !std::exchange(open.wasDuplicated, true)) {
+            open.triedServers.clear();
+            return startAttempt(id, open);
         }
         return finish(id, protocol::bulk(outcome.value));
     }
     if (outcome.outcome == AttemptOutcome::cacheMiss) {
-        held.toOrigin = true;
-        return attempt(id, held);
+        open.toOrigin = true;
+        return startAttempt(id, open);
     }
-    const bool ran =
+    const bool mayHaveRun =
         outcome.outcome != AttemptOutcome::overloaded && outcome.outcome != AttemptOutcome::connectFailed;
-    held.mayHaveExecuted |= ran;
-    const bool may = !held.mayHaveExecuted || held.effect == Idempotency::safe;
-    if (!may) return finish(id, "-ERR failed\r\n");
+    open.mayHaveExecuted |= mayHaveRun;
+    const bool mayRetry = !open.mayHaveExecuted || open.idempotency == Idempotency::safe;
+    if (!mayRetry) return finish(id, "-ERR failed\r\n");
     if (policy_ == BaselinePolicy::passThrough) return finish(id, "-BUSY 100\r\n");
-    attempt(id, held);
+    startAttempt(id, open);
 }
 
-void BaselineProxy::finish(std::uint64_t id, const std::string& words) {
+void BaselineProxy::finish(std::uint64_t id, const std::string& response) {
     const auto it = openRequests_.find(id);
-    ClientHandler* const front = it->second.front;
+    ClientHandler* const client = it->second.client;
     openRequests_.erase(it);
-    if (front) front->say(words);
+    if (client) client->respond(response);
 }
 
-void BaselineProxy::left(ClientHandler& front) {
-    for (auto& [id, held] : openRequests_)
-        if (held.front == &front) held.front = nullptr;
+void BaselineProxy::onClientDisconnected(ClientHandler& client) {
+    for (auto& [id, open] : openRequests_)
+        if (open.client == &client) open.client = nullptr;
     std::erase_if(openRequests_,
-                  [&](const auto& item) { return !item.second.front && item.second.attempts == 0; });
+                  [&](const auto& item) { return !item.second.client && item.second.attempts == 0; });
 }
 
-void BaselineProxy::rest(UpstreamHandler* back) { back->place().idle.push_back(back); }
+void BaselineProxy::returnToIdle(UpstreamHandler* upstream) {
+    upstream->server().idleConnections.push_back(upstream);
+}
 
-void BaselineProxy::forget(UpstreamHandler* back) {
-    std::erase(back->place().idle, back);
-    upstreams.erase(back);
+void BaselineProxy::removeUpstream(UpstreamHandler* upstream) {
+    std::erase(upstream->server().idleConnections, upstream);
+    upstreams.erase(upstream);
 }
 
 }  // namespace
--- a/src/testbed/drivers/live/baseline_proxy.hpp
+++ b/src/testbed/drivers/live/baseline_proxy.hpp
@@ -1,4 +1,5 @@
-// Small routers to compare with and to prove the audit by: plain policies, and one that breaks a named rule.
+// Baseline routers: plain policies that the router is compared with, and defective variants that
+// each break one rule, to show that the audit detects it.
 #pragma once
 
 #include <string>
@@ -6,25 +7,25 @@
 namespace poppyscale::testbed {
 
 enum class BaselinePolicy : std::uint8_t {
-    random,       // any cache that is ready
-    rendezvous,   // the key's first in rendezvous order
-    boundedLoad,  // the same, passing by who has a quarter more out than the mean
-    passThrough   // the next in turn and no second try: the least that a proxy can do
+    random,       // any ready cache
+    rendezvous,   // the key's first ready cache in rendezvous order
+    boundedLoad,  // the first one in rendezvous order with less than 1.25 times the mean in flight
+    passThrough   // ready caches in turn, no retries: the least work that a proxy can do
 };
 
 enum class BaselineDefect : std::uint8_t {
     none,
-    twice,          // sends what takes effect again when it has been answered
-    lost,           // leaves a command in twenty without an answer
-    foreign,        // answers one in twenty with what no server gave
-    drain,          // goes on sending to what it was told leaves
-    cold,           // sends all it has to the cache that came up last
-    crash,          // ends by itself after three seconds
-    tellsWholeTime  // each attempt tells its server all the time that the client gave, however much has
-                    // passed
+    twice,          // sends a non-idempotent request again after it succeeded
+    lost,           // never answers one request in 20
+    foreign,        // answers one request in 20 with a value that no server returned
+    drain,          // prefers draining caches
+    cold,           // sends all reads to the cache that started last
+    crash,          // exits by itself after three seconds
+    tellsWholeTime  // forwards the client's whole timeout, however much of it has passed
 };
 
-// Serves until SIGTERM, told by $ROUTER_CONFIG as the router is. The exit code.
+// Serves until SIGTERM or SIGINT. Reads its configuration from the file named by $ROUTER_CONFIG, as
+// the router does. Returns the exit code.
 int serveProxy(BaselinePolicy policy, BaselineDefect defect);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/host_environment.cpp
+++ b/src/testbed/drivers/live/host_environment.cpp
@@ -15,22 +15,23 @@
 namespace poppyscale::testbed {
 namespace {
 
-// What the processes load stands beside the testbed's own program.
+// The library that the machine's processes preload lies beside the testbed's own program.
 std::string libraryPath() {
     return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "libpoppyscale_host_emulation.so")
         .string();
 }
 
-// A value that several processes read is changed whole.
-class Writing {
+// Makes an update of the state atomic for readers in other processes: the counter `turn` is odd
+// during the update, and readers retry (a seqlock).
+class StateWrite {
   public:
-    explicit Writing(HostState& state) : state_(state) {
+    explicit StateWrite(HostState& state) : state_(state) {
         state_.turn.fetch_add(1, std::memory_order_acq_rel);
         std::atomic_thread_fence(std::memory_order_seq_cst);
     }
-    ~Writing() { state_.turn.fetch_add(1, std::memory_order_release); }
-    Writing(const Writing&) = delete;
-    Writing& operator=(const Writing&) = delete;
+    ~StateWrite() { state_.turn.fetch_add(1, std::memory_order_release); }
+    StateWrite(const StateWrite&) = delete;
+    StateWrite& operator=(const StateWrite&) = delete;
 
   private:
     HostState& state_;
@@ -40,73 +41,74 @@
 
 HostEnvironment::HostEnvironment(const std::string& file, const std::string& disk, Nanos now) : file_(file) {
     if (!std::filesystem::exists(libraryPath()))
-        throw RunError("a machine's clock and disk need " + libraryPath());
-    if (disk.size() >= kLongestFolder) throw RunError("a machine's folder has too long a path: " + disk);
+        throw RunError("clock and disk faults need a library that does not exist: " + libraryPath());
+    if (disk.size() >= kLongestFolder) throw RunError("the path of a machine's folder is too long: " + disk);
     const int fd = ::open(file.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     void* at = MAP_FAILED;
     if (fd >= 0 && ::ftruncate(fd, sizeof(HostState)) == 0)
         at = ::mmap(nullptr, sizeof(HostState), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
-    const int failed = errno;
+    const int error = errno;
     if (fd >= 0) ::close(fd);
-    if (at == MAP_FAILED) throw RunError(fmt::format("can't map {}: {}", file, std::strerror(failed)));
+    if (at == MAP_FAILED) throw RunError(fmt::format("can't map {}: {}", file, std::strerror(error)));
     state_ = new (at) HostState{};
     state_->format = kHostFormat;
     std::memcpy(state_->folder, disk.c_str(), disk.size() + 1);
-    anchor(now, now, 1);
+    startSegment(now, now, 1);
 }
 
 HostEnvironment::~HostEnvironment() { ::munmap(state_, sizeof(HostState)); }
 
 std::vector<std::pair<std::string, std::string>> HostEnvironment::variables() const {
-    // Built with sanitizers, a program wants its own library first; here it is loaded second, which it bears.
+    // A program built with AddressSanitizer checks that its runtime library is loaded first. It
+    // works as the second one, so the check is turned off.
     return {
         {kHostVariable, file_}, {"LD_PRELOAD", libraryPath()}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-void HostEnvironment::anchor(Nanos trueAt, Nanos shownAt, double rate) {
-    pieces_.push_back({trueAt, shownAt, rate});
-    const Writing writing(*state_);
+void HostEnvironment::startSegment(Nanos trueAt, Nanos shownAt, double rate) {
+    segments_.push_back({trueAt, shownAt, rate});
+    const StateWrite write(*state_);
     state_->trueAt = trueAt;
     state_->shownAt = shownAt;
     state_->rate = rate;
 }
 
 Nanos HostEnvironment::shownAt(Nanos trueAt) const {
-    const Piece& p = pieces_.back();
-    return p.shownAt + static_cast<Nanos>(static_cast<double>(trueAt - p.trueAt) * p.rate);
+    const ClockSegment& segment = segments_.back();
+    return segment.shownAt + static_cast<Nanos>(static_cast<double>(trueAt - segment.trueAt) * segment.rate);
 }
 
-void HostEnvironment::rate(Nanos now, double rate) { anchor(now, shownAt(now), rate); }
+void HostEnvironment::setClockRate(Nanos now, double rate) { startSegment(now, shownAt(now), rate); }
 
-void HostEnvironment::jump(Nanos by) {
-    const Writing writing(*state_);
+void HostEnvironment::jumpWallClock(Nanos by) {
+    const StateWrite write(*state_);
     state_->wallLead += by;
 }
 
-void HostEnvironment::slept(Nanos from, Nanos now) {
-    const Nanos shown = shownAt(from), without = shownAt(now);
-    anchor(now, shown, pieces_.back().rate);
-    const Writing writing(*state_);
-    state_->slept += without - shown;
+void HostEnvironment::endSleep(Nanos from, Nanos now) {
+    const Nanos shownBefore = shownAt(from), shownNow = shownAt(now);
+    startSegment(now, shownBefore, segments_.back().rate);
+    const StateWrite write(*state_);
+    state_->slept += shownNow - shownBefore;
 }
 
-void HostEnvironment::readOnly(bool is) {
-    const Writing writing(*state_);
-    state_->readOnly = is;
+void HostEnvironment::setReadOnly(bool isReadOnly) {
+    const StateWrite write(*state_);
+    state_->readOnly = isReadOnly;
 }
 
-void HostEnvironment::syncTakes(Nanos time) {
-    const Writing writing(*state_);
-    state_->syncTakes = time;
+void HostEnvironment::setSyncDelay(Nanos delay) {
+    const StateWrite write(*state_);
+    state_->syncTakes = delay;
 }
 
-void HostEnvironment::syncsFail(int count) { state_->syncsFail = static_cast<std::uint32_t>(count); }
+void HostEnvironment::failNextSyncs(int count) { state_->syncsFail = static_cast<std::uint32_t>(count); }
 
-Nanos HostEnvironment::trueOf(Nanos shown) const {
-    std::size_t i = pieces_.size();
-    while (i > 1 && pieces_[i - 1].shownAt > shown) --i;
-    const Piece& p = pieces_[i - 1];
-    return p.trueAt + static_cast<Nanos>(static_cast<double>(shown - p.shownAt) / p.rate);
+Nanos HostEnvironment::trueTimeOf(Nanos shown) const {
+    std::size_t i = segments_.size();
+    while (i > 1 && segments_[i - 1].shownAt > shown) --i;
+    const ClockSegment& segment = segments_[i - 1];
+    return segment.trueAt + static_cast<Nanos>(static_cast<double>(shown - segment.shownAt) / segment.rate);
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/host_environment.hpp
+++ b/src/testbed/drivers/live/host_environment.hpp
@@ -1,4 +1,4 @@
-// A machine's clock and disk, as the testbed has its processes see them.
+// The clock and disk that the processes of an emulated machine see.
 #pragma once
 
 #include <string>
@@ -10,45 +10,47 @@
 
 namespace poppyscale::testbed {
 
-// One for each machine whose clock or disk is to ail; others need none, and their processes see the true
-// ones.
+// Exists for each machine with clock or disk faults. Processes of other machines see the real clock
+// and disk.
 class HostEnvironment {
   public:
-    // `file` is the seam to the machine's processes, `disk` their folder. Throws CannotRun.
+    // `file` is the shared file that the machine's processes map, `disk` the folder that is their
+    // disk. Throws RunError.
     HostEnvironment(const std::string& file, const std::string& disk, Nanos now);
     ~HostEnvironment();
     HostEnvironment(const HostEnvironment&) = delete;
     HostEnvironment& operator=(const HostEnvironment&) = delete;
 
-    // For the environment of all processes of the machine.
+    // Environment variables for all processes of the machine.
     std::vector<std::pair<std::string, std::string>> variables() const;
 
-    // Times as fast as it is, from now on.
-    void rate(Nanos now, double rate);
-    // Of the wall clock, either way.
-    void jump(Nanos by);
-    // The machine slept from then to now: only the clocks that go on meanwhile have seen it.
-    void slept(Nanos from, Nanos now);
-    void readOnly(bool is);
-    // Each sync takes so much longer.
-    void syncTakes(Nanos time);
-    // So many of the next syncs fail.
-    void syncsFail(int count);
-
-    // The true time at which the machine's clock that doesn't jump showed that.
-    Nanos trueOf(Nanos shown) const;
+    // From `now` on, the machine's clocks run `rate` times as fast as the real ones.
+    void setClockRate(Nanos now, double rate);
+    // Moves the wall clock forward, or back if `by` is negative.
+    void jumpWallClock(Nanos by);
+    // The machine slept from `from` to `now`: its monotonic clock stood still, clocks that run
+    // during sleep did not.
+    void endSleep(Nanos from, Nanos now);
+    void setReadOnly(bool isReadOnly);
+    // Each sync takes longer by `delay`.
+    void setSyncDelay(Nanos delay);
+    // The next `count` syncs fail.
+    void failNextSyncs(int count);
+
+    // The true time at which the machine's monotonic clock showed `shown`.
+    Nanos trueTimeOf(Nanos shown) const;
 
   private:
-    struct Piece {
+    struct ClockSegment {
         Nanos trueAt, shownAt;
         double rate;
     };
-    void anchor(Nanos trueAt, Nanos shownAt, double rate);
+    void startSegment(Nanos trueAt, Nanos shownAt, double rate);
     Nanos shownAt(Nanos trueAt) const;
 
     std::string file_;
     HostState* state_ = nullptr;
-    std::vector<Piece> pieces_;  // the earliest first
+    std::vector<ClockSegment> segments_;  // in order of time
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/http_request.hpp
+++ b/src/testbed/drivers/live/http_request.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 calls, as the origin and discovery of the testbed hear them.
+// HTTP/1.1 requests to the testbed's origin and discovery, and their responses.
 #pragma once
 
 #include <http_parser.h>
@@ -15,13 +15,13 @@
     HttpRequestParser& operator=(const HttpRequestParser&) = delete;
 
     enum class State : std::uint8_t { more, complete, malformed };
-    // Eats of `bytes` up to the end of one call at most.
+    // Consumes `bytes` up to the end of one request at most; `bytes` keeps the rest.
     State feed(std::string_view& bytes);
     void clear();
 
     bool write() const { return parser_.method == HTTP_PUT; }
     const std::string& path() const { return path_; }
-    // A value of the part behind '?', "" without one.
+    // The value of a query parameter of the path; "" if it has none of that name.
     std::string_view query(std::string_view name) const;
     const std::string& id() const { return id_; }
     const std::string& info() const { return info_; }
@@ -30,14 +30,14 @@
     static HttpRequestParser& of(http_parser* parser) {
         return *static_cast<HttpRequestParser*>(parser->data);
     }
-    void headerDone();
+    void onHeaderComplete();
 
-    http_parser_settings calls_{};
+    http_parser_settings callbacks_{};
     http_parser parser_{};
-    std::string path_, field_, value_, id_, info_;
-    std::size_t size_ = 0;
-    bool valueSeen_ = false;
-    bool whole_ = false;
+    std::string path_, headerName_, headerValue_, id_, info_;
+    std::size_t receivedBytes_ = 0;
+    bool hasHeaderValue_ = false;
+    bool isComplete_ = false;
 };
 
 std::string httpAnswer(int status, std::string_view extra, std::string_view body);
--- a/src/testbed/drivers/live/interactive.cpp
+++ b/src/testbed/drivers/live/interactive.cpp
@@ -17,44 +17,47 @@
 namespace poppyscale::testbed {
 
 void serveByHand(const Scenario& scenario, const std::string& program) {
-    EventLog ledger;
+    EventLog eventLog;
     std::vector<std::string> names;
-    ledger.watch = [&](const LogEvent& e) {
-        if (e.kind == EventKind::server) names.emplace_back(wordAt(e.text, 0));
-        const bool told =
-            e.kind == EventKind::sent || e.kind == EventKind::began || e.kind == EventKind::ended;
-        if (!told) return;
-        fmt::print("{:9.3f} s  router {:2}  {:<10} {:<6} {}\n", static_cast<double>(e.at) / 1e9, e.router,
-                   names.at(static_cast<std::size_t>(e.server)), nameOf(e.kind), e.text);
+    eventLog.watch = [&](const LogEvent& event) {
+        if (event.kind == EventKind::server) names.emplace_back(wordAt(event.text, 0));
+        const bool isShown =
+            event.kind == EventKind::sent || event.kind == EventKind::began || event.kind == EventKind::ended;
+        if (!isShown) return;
+        fmt::print("{:9.3f} s  router {:2}  {:<10} {:<6} {}\n", static_cast<double>(event.at) / 1e9,
+                   event.router, names.at(static_cast<std::size_t>(event.server)), nameOf(event.kind),
+                   event.text);
         std::fflush(stdout);
     };
-    LiveRunOptions wanted;
-    wanted.program = program;
-    wanted.serve = [](const std::string& router) {
-        fmt::print("serving; routers from {} on. Try: poppyscale_testbed ask {} get plum\nCtrl-C ends it.\n",
-                   router, router);
+    LiveRunOptions options;
+    options.program = program;
+    options.serve = [](const std::string& router) {
+        fmt::print(
+            "Serving; the first router listens at {}. Try: poppyscale_testbed ask {} get plum\nCtrl-C stops "
+            "it.\n",
+            router, router);
         std::fflush(stdout);
     };
-    runLive(scenario, 1, ledger, wanted);
+    runLive(scenario, 1, eventLog, options);
 }
 
 std::string askByHand(const std::string& address, const std::vector<std::string>& words,
                       const std::string& requestClass) {
     const auto to = transport::parseAddress(address);
     if (!to) throw RunError(address + " is not an address and port");
-    const bool write = words.size() == 3 && words[0] == "set";
-    if (!write && (words.size() != 2 || words[0] != "get"))
-        throw RunError("expected get KEY or set KEY VALUE");
+    const bool isWrite = words.size() == 3 && words[0] == "set";
+    if (!isWrite && (words.size() != 2 || words[0] != "get"))
+        throw RunError("expected `get KEY` or `set KEY VALUE`");
     std::random_device random;
     const std::string id = fmt::format("{:08x}{:08x}", random(), random());
-    std::string info =
-        fmt::format("c={},t=none,d=2000", requestClass.empty() ? (write ? "upload" : "read") : requestClass);
-    if (write) info += fmt::format(",k={:08x}{:08x}", random(), random());
-    std::vector<std::string_view> command{write ? "OBJ.SET" : "OBJ.GET", words[1], id, info};
-    if (write) command.push_back(words[2]);
+    std::string info = fmt::format("c={},t=none,d=2000",
+                                   requestClass.empty() ? (isWrite ? "upload" : "read") : requestClass);
+    if (isWrite) info += fmt::format(",k={:08x}{:08x}", random(), random());
+    std::vector<std::string_view> command{isWrite ? "OBJ.SET" : "OBJ.GET", words[1], id, info};
+    if (isWrite) command.push_back(words[2]);
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const timeval limit{5, 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
+    const timeval timeout{5, 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     const std::string bytes = protocol::command(command);
     std::string problem = "no answer";
     if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0 ||
--- a/src/testbed/drivers/live/interactive.hpp
+++ b/src/testbed/drivers/live/interactive.hpp
@@ -1,4 +1,4 @@
-// A deployment to try a router with by hand.
+// An emulated deployment for trying out a router by hand.
 #pragma once
 
 #include <string>
@@ -8,10 +8,12 @@
 
 namespace poppyscale::testbed {
 
-// Plays the scenario's servers round its routers, without load or faults, until interrupted; says what comes.
+// Runs the scenario's routers and servers without load or faults until interrupted, and prints each
+// attempt that the servers receive, start and finish.
 void serveByHand(const Scenario& scenario, const std::string& program);
 
-// Asks a router for a key, or writes it; the answer in words. Throws CannotRun when there is none.
+// Sends one request to a router: `words` is `get KEY` or `set KEY VALUE`. Returns the text of the
+// response; throws RunError if there is none.
 std::string askByHand(const std::string& address, const std::vector<std::string>& words,
                       const std::string& requestClass);
 
--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -40,23 +40,26 @@
 using transport::Connection;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr Nanos kReadyWithin = 15 * kSecond;
-constexpr Nanos kAskReady = 20 * kMillisecond;
-constexpr Nanos kLateFrom = 20 * kMillisecond;
-constexpr Nanos kLateSpan = 100 * kMillisecond;
-constexpr Nanos kRollMore = 30 * kSecond;  // beyond the day, for a roll that is not over
-constexpr Nanos kOldDiscovery = 1'500 * kMillisecond;
-constexpr std::size_t kBuffers = 1 << 16;
+constexpr Nanos kReadinessTimeout = 15 * kSecond;
+constexpr Nanos kReadinessProbeInterval = 20 * kMillisecond;
+// A window counts as late if the testbed was later than the threshold at any time in it.
+constexpr Nanos kLateThreshold = 20 * kMillisecond;
+constexpr Nanos kLatenessWindow = 100 * kMillisecond;
+// How long the load goes on past the scenario's length while a rollout is not over.
+constexpr Nanos kMaxRolloutOvertime = 30 * kSecond;
+// After discovery has moved, connections to its old address stay open for this long.
+constexpr Nanos kOldDiscoveryLinger = 1'500 * kMillisecond;
+constexpr std::size_t kBufferCapacity = 1 << 16;
 constexpr std::uint16_t kRouterPort = 7000, kDiscoveryPort = 9000, kServerPort = 10000;
 
-std::string textOf(const Address& a) {
+std::string formatAddress(const Address& address) {
     char name[INET_ADDRSTRLEN] = {};
-    ::inet_ntop(AF_INET, &a.sin_addr, name, sizeof name);
-    return fmt::format("{}:{}", name, ntohs(a.sin_port));
+    ::inet_ntop(AF_INET, &address.sin_addr, name, sizeof name);
+    return fmt::format("{}:{}", name, ntohs(address.sin_port));
 }
 
-// The value of an item of an info list; empty if there is none. It lies within `info`.
-std::string_view itemOf(std::string_view info, std::string_view name) {
+// The value of an item of an info list, as a view into `info`; empty if there is no such item.
+std::string_view infoItem(std::string_view info, std::string_view name) {
     while (!info.empty()) {
         const auto item = info.substr(0, info.find(','));
         if (item.starts_with(name) && item.size() > name.size() && item[name.size()] == '=')
@@ -66,22 +69,25 @@
     return "";
 }
 
-// The time that an attempt's info list tells, in ms; none if it has no such item or that is no number.
-std::optional<std::int64_t> forwardedTimeout(std::string_view info) {
-    return protocol::parse<std::int64_t>(itemOf(info, "d"));
+// The timeout in ms that an attempt's info list forwards (item `d`); nothing if the item is missing
+// or not a number.
+std::optional<std::int64_t> parseForwardedTimeout(std::string_view info) {
+    return protocol::parse<std::int64_t>(infoItem(info, "d"));
 }
 
-RequestId idOf(std::string_view text) { return protocol::parse<std::uint64_t>(text, 16).value_or(0); }
+RequestId parseRequestId(std::string_view text) {
+    return protocol::parse<std::uint64_t>(text, 16).value_or(0);
+}
 
 std::string lastLine(const std::string& path) {
     std::ifstream file(path);
-    std::string line, last = "nothing";
+    std::string line, last = "(none)";
     while (std::getline(file, line)) last = line;
     return last;
 }
 
-// A socket that is bound and listens but takes nobody: with its backlog full, who connects hears nothing, as
-// of a machine that is cut off.
+// A listening socket that never accepts. Its backlog is kept full, so connection attempts get no
+// answer, as from a machine behind a network partition.
 class UnresponsiveSocket {
   public:
     explicit UnresponsiveSocket(const Address& at) {
@@ -90,14 +96,14 @@
         ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
         if (::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 || ::listen(fd_, 0) != 0)
             return;
-        for (int& plug : plugs_) {
-            plug = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-            ::connect(plug, reinterpret_cast<const sockaddr*>(&at), sizeof at);
+        for (int& filler : backlogFillers_) {
+            filler = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+            ::connect(filler, reinterpret_cast<const sockaddr*>(&at), sizeof at);
         }
     }
     ~UnresponsiveSocket() {
-        for (const int plug : plugs_)
-            if (plug >= 0) ::close(plug);
+        for (const int filler : backlogFillers_)
+            if (filler >= 0) ::close(filler);
         if (fd_ >= 0) ::close(fd_);
     }
     UnresponsiveSocket(const UnresponsiveSocket&) = delete;
@@ -105,15 +111,15 @@
 
   private:
     int fd_ = -1;
-    int plugs_[2] = {-1, -1};
+    int backlogFillers_[2] = {-1, -1};
 };
 
 class LiveRun;
 
-// A router's connection to a cache or to the origin, as the server has it.
+// The server's side of a router's connection to a cache or to the origin.
 class ServerConnectionHandler : private Connection::Handler {
   public:
-    ServerConnectionHandler(LiveRun& live, int router, int door);
+    ServerConnectionHandler(LiveRun& live, int router, int addressIndex);
     bool start(const std::function<bool(Connection&)>& finish);
     void reply(const Reply& reply);
     ConnectionId id() const { return id_; }
@@ -121,25 +127,26 @@
   private:
     void onData(std::string_view bytes) override;
     void onClosed() override;
-    Nanos heldUp() const;
-    void readAttempt(const protocol::RespValue& words);
+    // How long before it was read the data may have arrived.
+    Nanos maxArrivalDelay() const;
+    void readAttempt(const protocol::RespValue& value);
 
     LiveRun& live_;
-    int router_, address_;
+    int router_, addressIndex_;
     ConnectionId id_ = 0;
     Connection connection_;
     protocol::RespDecoder decoder_{{80 * 1024, 16, 2, 160 * 1024, false}};
     HttpRequestParser http_;
 };
 
-// A router's connection to discovery.
+// The server's side of a router's connection to discovery.
 class DiscoveryConnection : private Connection::Handler {
   public:
     DiscoveryConnection(LiveRun& live, int router);
     bool start(const std::function<bool(Connection&)>& finish);
-    void say(int status, const std::string& json);
+    void respond(int status, const std::string& json);
     int router() const { return router_; }
-    PollId call() const { return call_; }
+    PollId pollId() const { return pollId_; }
 
   private:
     void onData(std::string_view bytes) override;
@@ -147,20 +154,20 @@
 
     LiveRun& live_;
     int router_;
-    PollId call_ = 0;  // the last one; 0 before the first
+    PollId pollId_ = 0;  // the latest poll; 0 before the first
     Connection connection_;
     HttpRequestParser http_;
 };
 
-// A client's connection to a router; one command at a time.
+// A client's connection to a router; one request at a time.
 class ClientConnectionHandler : private Connection::Handler {
   public:
     ClientConnectionHandler(LiveRun& live, int router);
-    // False when the system has nothing left for it.
+    // False when the connection can't be started because the system lacks resources.
     bool open(const Address& to);
-    void send(const ClientRequest& ask);
-    RequestId asked() const { return ask_.id; }
-    bool idle() const { return up_ && ask_.id == 0; }
+    void send(const ClientRequest& request);
+    RequestId requestId() const { return request_.id; }
+    bool isIdle() const { return isConnected_ && request_.id == 0; }
 
   private:
     void onConnected(bool up) override;
@@ -172,188 +179,193 @@
     int router_;
     Connection connection_;
     protocol::RespDecoder decoder_{{80 * 1024, 64, 3, 256 * 1024, false}};
-    ClientRequest ask_;
-    bool up_ = false;
-    int served_ = 0;
+    ClientRequest request_;
+    bool isConnected_ = false;
+    int responses_ = 0;
 };
 
-// Asks a router that has been started whether it is there, until it is.
+// Sends PING to a router that has been started until it answers.
 class ReadinessProbe : private Connection::Handler {
   public:
     ReadinessProbe(LiveRun& live, int router);
 
   private:
-    void tryIt();
+    void probe();
     void onConnected(bool up) override;
     void onData(std::string_view bytes) override;
     void onClosed() override;
 
     LiveRun& live_;
     int router_;
-    transport::Timer again_;
+    transport::Timer retryTimer_;
     std::unique_ptr<Connection> connection_;
 };
 
 class LiveRun : public Transport, private MachineEvents {
   public:
-    LiveRun(const Scenario& scenario, std::uint64_t seed, EventLog& ledger, const LiveRunOptions& wanted);
+    LiveRun(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog, const LiveRunOptions& options);
     ~LiveRun() override;
     LiveResult run();
 
-    // Times of the world.
-    Nanos now() const { return transport::EventLoop::now() - base_; }
+    // Time since the start of the run, which is the clock of the emulated deployment.
+    Nanos now() const { return transport::EventLoop::now() - startedAt_; }
 
-    void sendRequest(const ClientRequest& ask) override { askOn(ask, false); }
-    void askOn(const ClientRequest& ask, bool fresh);
+    void sendRequest(const ClientRequest& request) override { dispatchRequest(request, false); }
+    // Sends the request on an idle client connection, or on a new one if there is none or
+    // `onNewConnection` is set.
+    void dispatchRequest(const ClientRequest& request, bool onNewConnection);
     void disconnectClient(int router, RequestId id) override;
     void onConnectionOpened(ConnectionId conn, bool up) override {
-        if (!up) serverLinks.erase(conn);
+        if (!up) serverConnections.erase(conn);
     }
     void sendReply(ConnectionId conn, const Reply& reply) override {
-        const auto it = serverLinks.find(conn);
-        if (it != serverLinks.end()) it->second->reply(reply);
+        const auto it = serverConnections.find(conn);
+        if (it != serverConnections.end()) it->second->reply(reply);
+    }
+    void breakConnection(ConnectionId conn) override { serverConnections.erase(conn); }
+    void setAddressState(int router, int addressIndex, AddressState state) override;
+    void sendEndpointList(int router, PollId pollId, const EndpointListMessage& list) override;
+    void refusePoll(int router, PollId pollId) override;
+    void failPoll(int router, PollId pollId) override;
+    void closeDiscoveryConnections(int router);
+    void moveDiscovery(int addressIndex) override;
+    void killRouter(int router) override {
+        machines_ ? machines_->kill(router) : signalRouter(router, SIGKILL);
     }
-    void breakConnection(ConnectionId conn) override { serverLinks.erase(conn); }
-    void setAddressState(int router, int door, AddressState state) override;
-    void sendEndpointList(int router, PollId call, const EndpointListMessage& list) override;
-    void refusePoll(int router, PollId call) override;
-    void failPoll(int router, PollId call) override;
-    void dropListLinks(int router);
-    void moveDiscovery(int door) override;
-    void killRouter(int router) override { machines_ ? machines_->kill(router) : signalTo(router, SIGKILL); }
     void startRouter(int router) override;
-    void terminateRouter(int router) override { signalTo(router, SIGTERM); }
+    void terminateRouter(int router) override { signalRouter(router, SIGTERM); }
     void reloadRouter(int router) override;
     void upgradeRouter(int router) override;
     void injectMachineFault(const FaultPlan& fault, int machine, bool begins) override {
-        if (machines_) machines_->injectFault(clock(), fault, machine, begins);
+        if (machines_) machines_->injectFault(steadyTime(), fault, machine, begins);
     }
 
     void injectProcessFault(const FaultPlan& fault, bool begins) override {
-        if (processFaults_) processFaults_->play(fault, begins);
+        if (processFaults_) processFaults_->inject(fault, begins);
     }
 
     void routerReady(int router);
-    void dropClient(int router, ClientConnectionHandler* link);
+    void removeClientConnection(int router, ClientConnectionHandler* connection);
     Address addressOf(int router, std::uint16_t port) const;
-    bool alive(int router) const {
+    bool isRouterAlive(int router) const {
         return machines_ ? machines_->isUp(router) : processes_[static_cast<std::size_t>(router)] != nullptr;
     }
 
-    transport::BufferPool pool{kBuffers};
+    transport::BufferPool pool{kBufferCapacity};
     transport::EventLoop loop;
     EmulatedDeployment deployment;
-    std::unordered_map<ConnectionId, std::unique_ptr<ServerConnectionHandler>> serverLinks;
-    std::list<std::unique_ptr<DiscoveryConnection>> listLinks;
-    std::vector<std::list<std::unique_ptr<ClientConnectionHandler>>> clients;
+    std::unordered_map<ConnectionId, std::unique_ptr<ServerConnectionHandler>> serverConnections;
+    std::list<std::unique_ptr<DiscoveryConnection>> discoveryConnections;
+    std::vector<std::list<std::unique_ptr<ClientConnectionHandler>>> clientConnections;
 
   private:
-    // ---- MachineHost: times are of the clock that all processes share
-    static Nanos clock() {
+    // ---- MachineEvents: times are on the steady clock, which all processes share
+    static Nanos steadyTime() {
         return std::chrono::duration_cast<std::chrono::nanoseconds>(
                    std::chrono::steady_clock::now().time_since_epoch())
             .count();
     }
-    Nanos deploymentTime(Nanos at) const { return std::max<Nanos>(now() - (clock() - at), 0); }
+    // The deployment's time at the steady-clock time `at`.
+    Nanos deploymentTime(Nanos at) const { return std::max<Nanos>(now() - (steadyTime() - at), 0); }
     void onRouterUp(int router) override;
     void onRouterStopping(int router, Nanos at) override {
         deployment.routerLeaves(now(), router, deploymentTime(at));
     }
     void onRouterGone(int router, Nanos) override {
-        dropListLinks(router);
-        if (begun_ && !ending_) deployment.routerGone(now(), router);
+        closeDiscoveryConnections(router);
+        if (hasBegun_ && !isEnding_) deployment.routerGone(now(), router);
     }
     void onClaim(int router, Nanos at, const std::string& what) override {
         deployment.note(now(), EventKind::claims, router, deploymentTime(at), what);
     }
-    void makeMachines();
+    void createMachines();
     void observeRollout();
 
     struct ListeningAddress {
         AddressState state = AddressState::refused;
         std::unique_ptr<transport::Listener> listener;
-        std::unique_ptr<UnresponsiveSocket> wall;
+        std::unique_ptr<UnresponsiveSocket> unresponsiveSocket;
     };
-    void claimNet();
-    void signalTo(int router, int number);
+    void claimSubnet();
+    void signalRouter(int router, int number);
     void writeConfiguration(int router);
-    nlohmann::json listJson(int router, const EndpointListMessage& list) const;
-    void openDiscovery(int door);
+    nlohmann::json endpointListJson(int router, const EndpointListMessage& list) const;
+    void openDiscovery(int addressIndex);
     void runIteration();
     void observeLateness(Nanos at);
-    void childrenEnded();
+    void onChildrenExited();
     void onOperatorResponse();
-    std::string addressOfServer(int router) const { return fmt::format("{}/r{}.sock", folder_, router); }
+    std::string adminSocketPath(int router) const { return fmt::format("{}/r{}.sock", folder_, router); }
     void beginDeployment();
-    void end();
+    void endRun();
 
     const LiveRunOptions& options_;
     std::uint64_t seed_;
-    std::uint32_t net_ = 0;  // the routers' addresses but for the last part
-    int claim_ = -1;
-    Nanos base_;
-    std::int64_t unixBaseMs_;
+    std::uint32_t subnet_ = 0;  // the routers' addresses without the last byte, in host byte order
+    int subnetReservationFd_ = -1;
+    Nanos startedAt_;
+    std::int64_t startedAtUnixMs_;
     std::string folder_;
-    bool ownFolder_ = false;
+    bool ownsFolder_ = false;
     std::vector<std::unique_ptr<ChildProcess>> processes_;
-    std::vector<std::unique_ptr<ReadinessProbe>> ready_;
+    std::vector<std::unique_ptr<ReadinessProbe>> probes_;
     std::vector<std::vector<ListeningAddress>> addresses_;
-    std::vector<std::unique_ptr<transport::Listener>> discovery_;
-    int discoveryAddress_ = 0;
-    std::set<int> readyOnes_;
-    struct Asked {  // an operator's socket, until it has answered
+    std::vector<std::unique_ptr<transport::Listener>> discoveryListeners_;
+    int discoveryAddressIndex_ = 0;
+    std::set<int> readyRouters_;
+    struct PendingUpgrade {  // an upgrade request on a router's admin socket, until it is answered
         int router;
         int fd;
-        std::string said;
+        std::string response;
     };
-    std::list<Asked> asked_;
-    bool begun_ = false, ending_ = false;
+    std::list<PendingUpgrade> pendingUpgrades_;
+    bool hasBegun_ = false, isEnding_ = false;
     EventLog& eventLog_;
-    Nanos worstLate_ = 0, lateUntil_ = 0;
-    long lateSpans_ = 0, allSpans_ = 0;
-    std::uint64_t starts_ = 0;
-    Nanos shown_ = 0;
+    Nanos worstLateness_ = 0, windowEnd_ = 0;  // of the current lateness window
+    long lateWindows_ = 0, totalWindows_ = 0;
+    std::uint64_t configurationsWritten_ = 0;
+    Nanos lastProgressAt_ = 0;
     LiveResult result_;
-    transport::Timer step_;
-    transport::Timer readyBy_;
+    transport::Timer stepTimer_;
+    transport::Timer readinessTimer_;
     std::string failure_;
-    std::unique_ptr<ProcessFaults> processFaults_;  // null where the day has none
+    std::unique_ptr<ProcessFaults> processFaults_;  // null if the scenario has no process faults
     std::unique_ptr<Machines> machines_;
-    bool rolled_ = false;
-    std::unique_ptr<transport::Signal> child_, interrupt_, terminate_;
+    bool isRolloutOver_ = false;
+    std::unique_ptr<transport::Signal> childSignal_, interruptSignal_, terminateSignal_;
 };
 
-// ---- ServerLink
+// ---- ServerConnectionHandler
 
-ServerConnectionHandler::ServerConnectionHandler(LiveRun& live, int router, int door)
-    : live_(live), router_(router), address_(door), connection_(live.loop, live.pool, *this) {}
+ServerConnectionHandler::ServerConnectionHandler(LiveRun& live, int router, int addressIndex)
+    : live_(live), router_(router), addressIndex_(addressIndex), connection_(live.loop, live.pool, *this) {}
 
 bool ServerConnectionHandler::start(const std::function<bool(Connection&)>& finish) {
     if (!finish(connection_)) return false;
-    id_ = live_.deployment.connect(live_.now(), router_, address_);
+    id_ = live_.deployment.connect(live_.now(), router_, addressIndex_);
     connection_.setReading(true);
     return true;
 }
 
 void ServerConnectionHandler::onData(std::string_view bytes) {
-    // When it is read, also after a hold-up of the testbed: dated back, an attempt would seem to have been
-    // sent before the answer that it follows.
+    // The time of reading, also when the testbed itself was delayed. If the attempt were dated back
+    // to its possible arrival, it would seem to precede the response that it follows.
     const Nanos at = live_.now();
     while (!bytes.empty()) {
-        if (address_ == 0) {
+        if (addressIndex_ == 0) {
             const auto state = http_.feed(bytes);
             if (state == HttpRequestParser::State::more) return;
             if (state == HttpRequestParser::State::malformed) return onClosed();
-            ServerCall call;
-            call.command = idOf(http_.id());
-            call.key = http_.path().substr(std::min<std::size_t>(http_.path().size(), 1));
-            call.requestClass = itemOf(http_.info(), "c");
-            call.mark = itemOf(http_.info(), "k");
-            call.write = http_.write();
-            call.forwardedTimeoutMs = forwardedTimeout(http_.info());
-            call.delayedBy = heldUp();
+            ServerCall attempt;
+            attempt.command = parseRequestId(http_.id());
+            attempt.key = http_.path().substr(std::min<std::size_t>(http_.path().size(), 1));
+            attempt.requestClass = infoItem(http_.info(), "c");
+            attempt.mark = infoItem(http_.info(), "k");
+            attempt.write = http_.write();
+            attempt.forwardedTimeoutMs = parseForwardedTimeout(http_.info());
+            attempt.delayedBy = maxArrivalDelay();
             http_.clear();
-            live_.deployment.call(at, id_, call);
+            live_.deployment.call(at, id_, attempt);
         } else {
             const auto state = decoder_.feed(bytes);
             if (state == protocol::RespDecoder::State::more) return;
@@ -369,25 +381,25 @@
     const bool write = !words.empty() && words[0].text == "OBJ.SET";
     if (words.size() != (write ? 5U : 4U) || (!write && words[0].text != "OBJ.GET"))
         return void(connection_.write("-SYNTAX\r\n"));
-    ServerCall call;
-    call.command = idOf(words[2].text);
-    call.key = words[1].text;
-    call.requestClass = itemOf(words[3].text, "c");
-    call.mark = itemOf(words[3].text, "k");
-    call.write = write;
-    call.forwardedTimeoutMs = forwardedTimeout(words[3].text);
-    call.delayedBy = heldUp();
-    live_.deployment.call(live_.now(), id_, call);
-}
-
-Nanos ServerConnectionHandler::heldUp() const {
+    ServerCall attempt;
+    attempt.command = parseRequestId(words[2].text);
+    attempt.key = words[1].text;
+    attempt.requestClass = infoItem(words[3].text, "c");
+    attempt.mark = infoItem(words[3].text, "k");
+    attempt.write = write;
+    attempt.forwardedTimeoutMs = parseForwardedTimeout(words[3].text);
+    attempt.delayedBy = maxArrivalDelay();
+    live_.deployment.call(live_.now(), id_, attempt);
+}
+
+Nanos ServerConnectionHandler::maxArrivalDelay() const {
     return transport::EventLoop::now() - live_.loop.earliestArrival();
 }
 
 void ServerConnectionHandler::reply(const Reply& reply) {
     using K = Reply::Kind;
     std::string text;
-    if (address_ == 0) {
+    if (addressIndex_ == 0) {
         if (reply.kind == K::value) text = httpAnswer(200, "", reply.token);
         if (reply.kind == K::error || reply.kind == K::miss) text = httpAnswer(500, "", "");
         if (reply.kind == K::busy) text = httpAnswer(503, "X-Rejected: 1\r\n", "");
@@ -407,10 +419,10 @@
     const ConnectionId id = id_;
     LiveRun& live = live_;
     live.deployment.closed(live.now(), id);
-    live.serverLinks.erase(id);
+    live.serverConnections.erase(id);
 }
 
-// ---- ListLink
+// ---- DiscoveryConnection
 
 DiscoveryConnection::DiscoveryConnection(LiveRun& live, int router)
     : live_(live), router_(router), connection_(live.loop, live.pool, *this) {}
@@ -428,61 +440,61 @@
     const auto after = protocol::parse<std::int64_t>(http_.query("after"));
     const auto wait = protocol::parse<std::int64_t>(http_.query("wait_ms")).value_or(0);
     http_.clear();
-    call_ = live_.deployment.beginPoll(live_.now(), router_, after, wait * kMillisecond);
+    pollId_ = live_.deployment.beginPoll(live_.now(), router_, after, wait * kMillisecond);
 }
 
-void DiscoveryConnection::say(int status, const std::string& json) {
+void DiscoveryConnection::respond(int status, const std::string& json) {
     connection_.write(httpAnswer(status, "", json));
 }
 
 void DiscoveryConnection::onClosed() {
     LiveRun& live = live_;
-    live.deployment.endPoll(call_);
-    live.listLinks.remove_if([this](const auto& link) { return link.get() == this; });
+    live.deployment.endPoll(pollId_);
+    live.discoveryConnections.remove_if([this](const auto& connection) { return connection.get() == this; });
 }
 
-// ---- ClientLink
+// ---- ClientConnectionHandler
 
 ClientConnectionHandler::ClientConnectionHandler(LiveRun& live, int router)
     : live_(live), router_(router), connection_(live.loop, live.pool, *this) {}
 
 bool ClientConnectionHandler::open(const Address& to) { return connection_.connect(to); }
 
-void ClientConnectionHandler::send(const ClientRequest& ask) {
-    ask_ = ask;
-    if (up_) write();
+void ClientConnectionHandler::send(const ClientRequest& request) {
+    request_ = request;
+    if (isConnected_) write();
 }
 
 void ClientConnectionHandler::write() {
     const RequestClassPlan& requestClass =
-        live_.deployment.scenario().requestClasses[static_cast<std::size_t>(ask_.requestClass)];
+        live_.deployment.scenario().requestClasses[static_cast<std::size_t>(request_.requestClass)];
     const auto& tenants = live_.deployment.scenario().tenants;
-    const Nanos left = std::max<Nanos>((ask_.deadline - live_.now()) / kMillisecond, 1);
-    std::string info =
-        fmt::format("c={},t={},d={}", requestClass.requestClass.name,
-                    ask_.tenant < 0 ? "none" : tenants[static_cast<std::size_t>(ask_.tenant)].name, left);
-    if (!ask_.mark.empty()) info += ",k=" + ask_.mark;
-    const std::string id = fmt::format("{:016x}", ask_.id);
-    std::vector<std::string_view> words{requestClass.write ? "OBJ.SET" : "OBJ.GET", ask_.key, id, info};
+    const Nanos left = std::max<Nanos>((request_.deadline - live_.now()) / kMillisecond, 1);
+    std::string info = fmt::format(
+        "c={},t={},d={}", requestClass.requestClass.name,
+        request_.tenant < 0 ? "none" : tenants[static_cast<std::size_t>(request_.tenant)].name, left);
+    if (!request_.mark.empty()) info += ",k=" + request_.mark;
+    const std::string id = fmt::format("{:016x}", request_.id);
+    std::vector<std::string_view> words{requestClass.write ? "OBJ.SET" : "OBJ.GET", request_.key, id, info};
     if (requestClass.write) words.push_back("value");
     if (!connection_.write(protocol::command(words))) onClosed();
 }
 
 void ClientConnectionHandler::onConnected(bool up) {
     if (!up) return onClosed();
-    up_ = true;
+    isConnected_ = true;
     connection_.setReading(true);
-    if (ask_.id) write();
+    if (request_.id) write();
 }
 
 void ClientConnectionHandler::onData(std::string_view bytes) {
     while (!bytes.empty()) {
         const auto state = decoder_.feed(bytes);
         if (state == protocol::RespDecoder::State::more) return;
-        if (state == protocol::RespDecoder::State::malformed || ask_.id == 0) return onClosed();
+        if (state == protocol::RespDecoder::State::malformed || request_.id == 0) return onClosed();
         const protocol::RespValue value = decoder_.takeValue();
-        const RequestId id = std::exchange(ask_.id, 0);
-        ++served_;
+        const RequestId id = std::exchange(request_.id, 0);
+        ++responses_;
         using K = protocol::RespValue::Kind;
         LiveRun& live = live_;
         const Nanos at = live.now();
@@ -502,25 +514,26 @@
 
 void ClientConnectionHandler::onClosed() {
     LiveRun& live = live_;
-    const ClientRequest ask = ask_;
-    // A connection that has been used may be closed just as its next command comes: that goes on a new one.
-    const bool again = ask.id && served_ > 0 && live.alive(router_);
-    const bool up = up_;
-    live.dropClient(router_, this);
-    if (again) return live.askOn(ask, true);
-    if (ask.id)
-        live.deployment.onClientOutcome(live.now(), ask.id, EmulatedDeployment::ClientOutcome::unsent,
-                                        up ? "broken" : "", 0);
+    const ClientRequest request = request_;
+    // The router may close a used connection just as the next request is sent on it. That request
+    // is sent again on a new connection.
+    const bool retry = request.id && responses_ > 0 && live.isRouterAlive(router_);
+    const bool wasConnected = isConnected_;
+    live.removeClientConnection(router_, this);
+    if (retry) return live.dispatchRequest(request, true);
+    if (request.id)
+        live.deployment.onClientOutcome(live.now(), request.id, EmulatedDeployment::ClientOutcome::unsent,
+                                        wasConnected ? "broken" : "", 0);
 }
 
-// ---- Ready
+// ---- ReadinessProbe
 
 ReadinessProbe::ReadinessProbe(LiveRun& live, int router)
-    : live_(live), router_(router), again_(live.loop, [this] { tryIt(); }) {
-    again_.start(transport::EventLoop::now() + kAskReady);
+    : live_(live), router_(router), retryTimer_(live.loop, [this] { probe(); }) {
+    retryTimer_.start(transport::EventLoop::now() + kReadinessProbeInterval);
 }
 
-void ReadinessProbe::tryIt() {
+void ReadinessProbe::probe() {
     Connection::Handler& self = *this;
     connection_ = std::make_unique<Connection>(live_.loop, live_.pool, self);
     if (!connection_->connect(live_.addressOf(router_, kRouterPort))) onClosed();
@@ -538,32 +551,34 @@
 
 void ReadinessProbe::onClosed() {
     connection_.reset();
-    again_.start(transport::EventLoop::now() + kAskReady);
+    retryTimer_.start(transport::EventLoop::now() + kReadinessProbeInterval);
 }
 
-// ---- Live
+// ---- LiveRun
 
-LiveRun::LiveRun(const Scenario& scenario, std::uint64_t seed, EventLog& ledger, const LiveRunOptions& wanted)
-    : deployment(scenario, seed, ledger, *this),
-      clients(static_cast<std::size_t>(scenario.routers.count)),
-      options_(wanted),
+LiveRun::LiveRun(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                 const LiveRunOptions& options)
+    : deployment(scenario, seed, eventLog, *this),
+      clientConnections(static_cast<std::size_t>(scenario.routers.count)),
+      options_(options),
       seed_(seed),
-      base_(transport::EventLoop::now()),
-      unixBaseMs_(std::chrono::duration_cast<std::chrono::milliseconds>(
-                      std::chrono::system_clock::now().time_since_epoch())
-                      .count()),
+      startedAt_(transport::EventLoop::now()),
+      startedAtUnixMs_(std::chrono::duration_cast<std::chrono::milliseconds>(
+                           std::chrono::system_clock::now().time_since_epoch())
+                           .count()),
       processes_(static_cast<std::size_t>(scenario.routers.count)),
-      ready_(static_cast<std::size_t>(scenario.routers.count)),
+      probes_(static_cast<std::size_t>(scenario.routers.count)),
       addresses_(static_cast<std::size_t>(scenario.routers.count)),
-      eventLog_(ledger),
-      step_(loop, [] {}),
-      readyBy_(loop, [this] {
-          failure_ = "a router did not answer PING in time";
+      eventLog_(eventLog),
+      stepTimer_(loop, [] {}),
+      readinessTimer_(loop, [this] {
+          failure_ = "not all routers were ready within 15 s of the start";
           loop.stop();
       }) {
-    // Heirs of routers are ours when these have ended.
+    // Processes that routers start for a hot restart become children of the testbed when their
+    // parents exit.
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
-    if (scenario.routers.count > 200) throw RunError("at most 200 routers on sockets");
+    if (scenario.routers.count > 200) throw RunError("a run on sockets can have at most 200 routers");
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
     files.rlim_cur = files.rlim_max;
@@ -572,13 +587,14 @@
                         static_cast<std::size_t>(deployment.addresses() + 8) * 3;
     if (files.rlim_cur < needed)
         throw RunError(
-            fmt::format("the system gives {} descriptors, about {} are needed", files.rlim_cur, needed));
-    claimNet();
-    folder_ = wanted.folder;
+            fmt::format("the limit of open files (RLIMIT_NOFILE) is {}, but the run needs about {}",
+                        files.rlim_cur, needed));
+    claimSubnet();
+    folder_ = options.folder;
     if (folder_.empty()) {
         folder_ = (std::filesystem::temp_directory_path() / fmt::format("poppyscale_testbed-{}", ::getpid()))
                       .string();
-        ownFolder_ = true;
+        ownsFolder_ = true;
     }
     std::filesystem::create_directories(folder_);
     if (scenario.hasProcessFaults()) processFaults_ = std::make_unique<ProcessFaults>(folder_, seed);
@@ -587,196 +603,210 @@
         for (int d = 0; d < deployment.addresses(); ++d) LiveRun::setAddressState(r, d, AddressState::open);
     }
     openDiscovery(0);
-    if (scenario.machines.count > 0) makeMachines();
+    if (scenario.machines.count > 0) createMachines();
 }
 
 LiveRun::~LiveRun() {
     machines_.reset();
     for (auto& p : processes_) p.reset();
-    for (const Asked& one : asked_) ::close(one.fd);
-    ready_.clear();
-    clients.clear();
-    serverLinks.clear();
-    listLinks.clear();
-    if (claim_ >= 0) ::close(claim_);
+    for (const PendingUpgrade& one : pendingUpgrades_) ::close(one.fd);
+    probes_.clear();
+    clientConnections.clear();
+    serverConnections.clear();
+    discoveryConnections.clear();
+    if (subnetReservationFd_ >= 0) ::close(subnetReservationFd_);
     std::error_code ignored;
-    if (ownFolder_) std::filesystem::remove_all(folder_, ignored);
+    if (ownsFolder_) std::filesystem::remove_all(folder_, ignored);
 }
 
-// Several testbeds may run on one machine: each takes a net of its own within 127.0.0.0/8.
-void LiveRun::claimNet() {
+// Several testbeds may run on one machine. Each takes a /24 subnet of its own within 127.64.0.0/10,
+// and reserves it by a socket that is bound to an address in it.
+void LiveRun::claimSubnet() {
     std::mt19937 draw(static_cast<unsigned>(::getpid()));
     for (int tries = 0; tries < 200; ++tries) {
-        net_ = 127U << 24 | (64 + draw() % 64) << 16 | (draw() % 250 + 1) << 8;
-        claim_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        subnet_ = 127U << 24 | (64 + draw() % 64) << 16 | (draw() % 250 + 1) << 8;
+        subnetReservationFd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const Address at = addressOf(252, kRouterPort);
-        if (::bind(claim_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return;
-        ::close(std::exchange(claim_, -1));
+        if (::bind(subnetReservationFd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return;
+        ::close(std::exchange(subnetReservationFd_, -1));
     }
-    throw RunError("found no free addresses on loopback");
+    throw RunError("found no free loopback subnet within 127.64.0.0/10 in 200 tries");
 }
 
 Address LiveRun::addressOf(int router, std::uint16_t port) const {
-    Address a{};
-    a.sin_family = AF_INET;
-    a.sin_addr.s_addr = htonl(net_ | static_cast<std::uint32_t>(router + 1));
-    a.sin_port = htons(port);
-    return a;
-}
-
-void LiveRun::setAddressState(int router, int door, AddressState state) {
-    ListeningAddress& is = addresses_.at(static_cast<std::size_t>(router)).at(static_cast<std::size_t>(door));
-    if (is.state == state) return;
-    is.state = state;
-    is.listener.reset();
-    is.wall.reset();
-    const Address at = addressOf(router, static_cast<std::uint16_t>(kServerPort + door));
-    if (state == AddressState::silent) is.wall = std::make_unique<UnresponsiveSocket>(at);
+    Address address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(subnet_ | static_cast<std::uint32_t>(router + 1));
+    address.sin_port = htons(port);
+    return address;
+}
+
+void LiveRun::setAddressState(int router, int addressIndex, AddressState state) {
+    ListeningAddress& entry =
+        addresses_.at(static_cast<std::size_t>(router)).at(static_cast<std::size_t>(addressIndex));
+    if (entry.state == state) return;
+    entry.state = state;
+    entry.listener.reset();
+    entry.unresponsiveSocket.reset();
+    const Address at = addressOf(router, static_cast<std::uint16_t>(kServerPort + addressIndex));
+    if (state == AddressState::silent) entry.unresponsiveSocket = std::make_unique<UnresponsiveSocket>(at);
     if (state != AddressState::open) return;
-    is.listener = std::make_unique<transport::Listener>(loop, [this, router, door](const auto& finish) {
-        auto link = std::make_unique<ServerConnectionHandler>(*this, router, door);
-        if (!link->start(finish)) return;
-        const ConnectionId id = link->id();
-        serverLinks[id] = std::move(link);
-    });
-    const std::string problem = is.listener->listen(at);
-    if (!problem.empty()) throw RunError(fmt::format("can't listen on {}: {}", textOf(at), problem));
+    entry.listener =
+        std::make_unique<transport::Listener>(loop, [this, router, addressIndex](const auto& finish) {
+            auto connection = std::make_unique<ServerConnectionHandler>(*this, router, addressIndex);
+            if (!connection->start(finish)) return;
+            const ConnectionId id = connection->id();
+            serverConnections[id] = std::move(connection);
+        });
+    const std::string problem = entry.listener->listen(at);
+    if (!problem.empty()) throw RunError(fmt::format("can't listen on {}: {}", formatAddress(at), problem));
 }
 
-void LiveRun::openDiscovery(int door) {
-    discovery_.clear();
+void LiveRun::openDiscovery(int addressIndex) {
+    discoveryListeners_.clear();
     for (int r = 0; r < deployment.scenario().routers.count; ++r) {
-        discovery_.push_back(std::make_unique<transport::Listener>(loop, [this, r](const auto& finish) {
-            auto link = std::make_unique<DiscoveryConnection>(*this, r);
-            if (link->start(finish)) listLinks.push_back(std::move(link));
-        }));
-        const Address at = addressOf(r, static_cast<std::uint16_t>(kDiscoveryPort + door));
-        const std::string problem = discovery_.back()->listen(at);
-        if (!problem.empty()) throw RunError(fmt::format("can't listen on {}: {}", textOf(at), problem));
+        discoveryListeners_.push_back(
+            std::make_unique<transport::Listener>(loop, [this, r](const auto& finish) {
+                auto connection = std::make_unique<DiscoveryConnection>(*this, r);
+                if (connection->start(finish)) discoveryConnections.push_back(std::move(connection));
+            }));
+        const Address at = addressOf(r, static_cast<std::uint16_t>(kDiscoveryPort + addressIndex));
+        const std::string problem = discoveryListeners_.back()->listen(at);
+        if (!problem.empty())
+            throw RunError(fmt::format("can't listen on {}: {}", formatAddress(at), problem));
     }
-    discoveryAddress_ = door;
+    discoveryAddressIndex_ = addressIndex;
 }
 
-void LiveRun::moveDiscovery(int door) {
-    openDiscovery(door);
+void LiveRun::moveDiscovery(int addressIndex) {
+    openDiscovery(addressIndex);
     for (int r = 0; r < deployment.scenario().routers.count; ++r) {
         reloadRouter(r);
-        std::vector<const DiscoveryConnection*> old;
-        for (const auto& link : listLinks)
-            if (link->router() == r) old.push_back(link.get());
-        deployment.at(now() + kOldDiscovery, [this, old](Nanos) {
-            listLinks.remove_if([&](const auto& link) {
-                const bool isOld = std::find(old.begin(), old.end(), link.get()) != old.end();
-                if (isOld) deployment.endPoll(link->call());
+        std::vector<const DiscoveryConnection*> oldConnections;
+        for (const auto& connection : discoveryConnections)
+            if (connection->router() == r) oldConnections.push_back(connection.get());
+        deployment.at(now() + kOldDiscoveryLinger, [this, oldConnections](Nanos) {
+            discoveryConnections.remove_if([&](const auto& connection) {
+                const bool isOld = std::find(oldConnections.begin(), oldConnections.end(),
+                                             connection.get()) != oldConnections.end();
+                if (isOld) deployment.endPoll(connection->pollId());
                 return isOld;
             });
         });
     }
 }
 
-void LiveRun::dropListLinks(int router) {
-    listLinks.remove_if([router](const auto& link) { return link->router() == router; });
+void LiveRun::closeDiscoveryConnections(int router) {
+    discoveryConnections.remove_if(
+        [router](const auto& connection) { return connection->router() == router; });
 }
 
-nlohmann::json LiveRun::listJson(int router, const EndpointListMessage& list) const {
+nlohmann::json LiveRun::endpointListJson(int router, const EndpointListMessage& list) const {
     static constexpr const char* states[] = {"Gone", "Ready", "Terminating"};
     auto servers = nlohmann::json::array();
     for (const EndpointLine& line : list.lines) {
-        const EmulatedDeployment::Server& s = deployment.servers()[static_cast<std::size_t>(line.server)];
+        const EmulatedDeployment::Server& server =
+            deployment.servers()[static_cast<std::size_t>(line.server)];
         servers.push_back(
-            {{"id", s.name},
-             {"addr", textOf(addressOf(router, static_cast<std::uint16_t>(kServerPort + s.door)))},
-             {"zone", s.zone},
-             {"kind", s.origin ? "origin" : "cache"},
-             {"cell", s.cell},
+            {{"id", server.name},
+             {"addr",
+              formatAddress(addressOf(router, static_cast<std::uint16_t>(kServerPort + server.door)))},
+             {"zone", server.zone},
+             {"kind", server.origin ? "origin" : "cache"},
+             {"cell", server.cell},
              {"state", states[static_cast<int>(line.state)]},
-             {"weight", (s.plan ? s.plan->cores * s.plan->speed : 1.0) / (1 + line.heldCommands)},
+             {"weight",
+              (server.plan ? server.plan->cores * server.plan->speed : 1.0) / (1 + line.heldCommands)},
              {"started_ms",
-              line.startedAt ? unixBaseMs_ + (line.startedAt + s.wallStep) / kMillisecond : 0}});
+              line.startedAt ? startedAtUnixMs_ + (line.startedAt + server.wallStep) / kMillisecond : 0}});
     }
     return {{"version", list.version}, {"full", list.full}, {"servers", std::move(servers)}};
 }
 
-void LiveRun::sendEndpointList(int router, PollId call, const EndpointListMessage& list) {
-    for (const auto& link : listLinks)
-        if (link->call() == call) return link->say(200, listJson(router, list).dump());
+void LiveRun::sendEndpointList(int router, PollId pollId, const EndpointListMessage& list) {
+    for (const auto& connection : discoveryConnections)
+        if (connection->pollId() == pollId)
+            return connection->respond(200, endpointListJson(router, list).dump());
 }
 
-void LiveRun::refusePoll(int, PollId call) {
-    for (const auto& link : listLinks)
-        if (link->call() == call) return link->say(503, "");
+void LiveRun::refusePoll(int, PollId pollId) {
+    for (const auto& connection : discoveryConnections)
+        if (connection->pollId() == pollId) return connection->respond(503, "");
 }
 
-void LiveRun::failPoll(int, PollId call) {
-    listLinks.remove_if([call](const auto& link) { return link->call() == call; });
+void LiveRun::failPoll(int, PollId pollId) {
+    discoveryConnections.remove_if(
+        [pollId](const auto& connection) { return connection->pollId() == pollId; });
 }
 
 void LiveRun::writeConfiguration(int router) {
-    const RouterPlace place{
-        router, fmt::format("r{}", router), textOf(addressOf(router, kRouterPort)),
-        textOf(addressOf(router, static_cast<std::uint16_t>(kDiscoveryPort + discoveryAddress_)))};
-    const auto json = configurationOf(deployment.scenario(), place, seed_ * 1000 + ++starts_,
-                                      listJson(router, deployment.lastList(router)));
+    const RouterPlace place{router, fmt::format("r{}", router), formatAddress(addressOf(router, kRouterPort)),
+                            formatAddress(addressOf(router, static_cast<std::uint16_t>(
+                                                                kDiscoveryPort + discoveryAddressIndex_)))};
+    const auto json = configurationOf(deployment.scenario(), place, seed_ * 1000 + ++configurationsWritten_,
+                                      endpointListJson(router, deployment.lastList(router)));
     const std::string path = fmt::format("{}/r{}.json", folder_, router);
     std::ofstream(path + ".new") << json.dump(1) << '\n';
-    std::filesystem::rename(path + ".new",
-                            path);  // whoever reads it meanwhile has one whole file or the other
+    // Renamed into place, so that a reader sees either the old file or the new one as a whole.
+    std::filesystem::rename(path + ".new", path);
 }
 
 void LiveRun::startRouter(int router) {
     auto& process = processes_[static_cast<std::size_t>(router)];
-    if (process || ending_ || machines_) return;
+    if (process || isEnding_ || machines_) return;
     writeConfiguration(router);
     std::string program = options_.program;
     if (options_.operated) {
         const std::string file = fmt::format("{}/r{}.toml", folder_, router);
-        std::ofstream(file) << fmt::format("[admin]\nsocket = \"{}\"\n", addressOfServer(router));
+        std::ofstream(file) << fmt::format("[admin]\nsocket = \"{}\"\n", adminSocketPath(router));
         program += " --operator " + file;
     }
     std::vector<std::pair<std::string, std::string>> variables{
         {"ROUTER_CONFIG", fmt::format("{}/r{}.json", folder_, router)},
         {"ROUTER_NAME", fmt::format("r{}", router)},
-        {"ROUTER_LISTEN", textOf(addressOf(router, kRouterPort))}};
+        {"ROUTER_LISTEN", formatAddress(addressOf(router, kRouterPort))}};
     if (processFaults_)
         for (auto& variable : processFaults_->variables()) variables.push_back(std::move(variable));
     process = std::make_unique<ChildProcess>(program, variables, fmt::format("{}/r{}.log", folder_, router));
-    ready_[static_cast<std::size_t>(router)] = std::make_unique<ReadinessProbe>(*this, router);
+    probes_[static_cast<std::size_t>(router)] = std::make_unique<ReadinessProbe>(*this, router);
 }
 
 void LiveRun::routerReady(int router) {
-    // Within a call of its own connection: it goes with the next step.
-    deployment.at(now(), [this, router](Nanos) { ready_[static_cast<std::size_t>(router)].reset(); });
-    if (alive(router)) onRouterUp(router);
+    // This runs in a callback of the probe's own connection, so the probe is destroyed in a later
+    // step.
+    deployment.at(now(), [this, router](Nanos) { probes_[static_cast<std::size_t>(router)].reset(); });
+    if (isRouterAlive(router)) onRouterUp(router);
 }
 
 void LiveRun::beginDeployment() {
-    begun_ = true;
+    hasBegun_ = true;
     if (machines_ && deployment.scenario().roll.there)
         deployment.at(now() + deployment.scenario().roll.at, [this](Nanos) {
-            onClaim(-1, clock(), "roll begins");
+            onClaim(-1, steadyTime(), "roll begins");
             machines_->startRollout();
         });
-    if (options_.serve) return options_.serve(textOf(addressOf(0, kRouterPort)));
-    lateUntil_ = now() + kLateSpan;
-    // For whoever has to do something while it is on: files and times tell it too early on a slow machine.
+    if (options_.serve) return options_.serve(formatAddress(addressOf(0, kRouterPort)));
+    windowEnd_ = now() + kLatenessWindow;
+    // Tests wait for this line before they act on a running load. On a slow machine, files and
+    // elapsed time would show the begin too early.
     if (!options_.folder.empty()) fmt::print(stderr, "the load begins\n");
     deployment.begin(now());
 }
 
-void LiveRun::signalTo(int router, int number) {
+void LiveRun::signalRouter(int router, int number) {
     if (auto& process = processes_[static_cast<std::size_t>(router)]) process->signal(number);
 }
 
 void LiveRun::reloadRouter(int router) {
-    if (!alive(router) || machines_) return;
+    if (!isRouterAlive(router) || machines_) return;
     writeConfiguration(router);
-    signalTo(router, SIGHUP);
+    signalRouter(router, SIGHUP);
 }
 
 void LiveRun::upgradeRouter(int router) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
-    const std::string path = addressOfServer(router);
+    const std::string path = adminSocketPath(router);
     const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const std::string_view line = "{\"do\":\"upgrade\"}\n";
     const bool fits = path.size() < sizeof at.sun_path;
@@ -787,163 +817,175 @@
         ::close(fd);
         return;
     }
-    asked_.push_back({router, fd, {}});
+    pendingUpgrades_.push_back({router, fd, {}});
 }
 
 void LiveRun::onOperatorResponse() {
-    for (auto it = asked_.begin(); it != asked_.end();) {
+    for (auto it = pendingUpgrades_.begin(); it != pendingUpgrades_.end();) {
         char buffer[4096];
         const ssize_t got = ::recv(it->fd, buffer, sizeof buffer, MSG_DONTWAIT);
-        if (got > 0) it->said.append(buffer, static_cast<std::size_t>(got));
-        const bool whole = it->said.ends_with('\n');
-        if (!whole && (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))) {
+        if (got > 0) it->response.append(buffer, static_cast<std::size_t>(got));
+        const bool isComplete = it->response.ends_with('\n');
+        if (!isComplete && (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))) {
             ++it;
             continue;
         }
-        const auto said = nlohmann::json::parse(it->said, nullptr, false);
-        const bool done = said.is_object() && said.contains("taken_over_by") && alive(it->router);
-        if (done)
-            processes_[static_cast<std::size_t>(it->router)]->replaceWith(said["taken_over_by"].get<pid_t>());
-        ++(done ? result_.upgrades : result_.upgradesFailed);
+        const auto answer = nlohmann::json::parse(it->response, nullptr, false);
+        const bool succeeded =
+            answer.is_object() && answer.contains("taken_over_by") && isRouterAlive(it->router);
+        if (succeeded)
+            processes_[static_cast<std::size_t>(it->router)]->replaceWith(
+                answer["taken_over_by"].get<pid_t>());
+        ++(succeeded ? result_.upgrades : result_.upgradesFailed);
         ::close(it->fd);
-        it = asked_.erase(it);
+        it = pendingUpgrades_.erase(it);
     }
 }
 
-void LiveRun::childrenEnded() {
-    // One that was taken over may end as soon as it has said so: its new process's name stands in the socket
-    // by then.
+void LiveRun::onChildrenExited() {
+    // A router that has handed over to a new process may exit right after its answer. The answer,
+    // which holds the id of the new process, is in the socket by then.
     onOperatorResponse();
     for (std::size_t r = 0; r < processes_.size(); ++r) {
         if (!processes_[r] || !processes_[r]->hasExited()) continue;
         processes_[r].reset();
-        ready_[r].reset();
-        dropListLinks(static_cast<int>(r));
-        if (!begun_) {
-            failure_ = fmt::format("router {} ended before it was ready; it said: {}", r,
+        probes_[r].reset();
+        closeDiscoveryConnections(static_cast<int>(r));
+        if (!hasBegun_) {
+            failure_ = fmt::format("router {} exited before it was ready; the last line of its log is: {}", r,
                                    lastLine(fmt::format("{}/r{}.log", folder_, r)));
             return loop.stop();
         }
-        // Clients' connections to it end by themselves; what the world still has of it is no more.
-        if (!ending_) deployment.routerGone(now(), static_cast<int>(r));
+        // Clients' connections to the router end by themselves; the emulated deployment drops the
+        // rest of its state.
+        if (!isEnding_) deployment.routerGone(now(), static_cast<int>(r));
     }
 }
 
-void LiveRun::askOn(const ClientRequest& ask, bool fresh) {
-    auto& links = clients[static_cast<std::size_t>(ask.router)];
-    if (!fresh)
-        for (auto it = links.begin(); it != links.end(); ++it)
-            if ((*it)->idle()) {
-                links.splice(links.begin(), links, it);
-                return links.front()->send(ask);
+void LiveRun::dispatchRequest(const ClientRequest& request, bool onNewConnection) {
+    auto& connections = clientConnections[static_cast<std::size_t>(request.router)];
+    if (!onNewConnection)
+        for (auto it = connections.begin(); it != connections.end(); ++it)
+            if ((*it)->isIdle()) {
+                connections.splice(connections.begin(), connections, it);
+                return connections.front()->send(request);
             }
-    links.push_front(std::make_unique<ClientConnectionHandler>(*this, ask.router));
-    ClientConnectionHandler* const link = links.front().get();
-    link->send(ask);
-    if (link->open(addressOf(ask.router, kRouterPort))) return;
-    dropClient(ask.router, link);
-    deployment.at(now(), [this, id = ask.id](Nanos t) {
+    connections.push_front(std::make_unique<ClientConnectionHandler>(*this, request.router));
+    ClientConnectionHandler* const connection = connections.front().get();
+    connection->send(request);
+    if (connection->open(addressOf(request.router, kRouterPort))) return;
+    removeClientConnection(request.router, connection);
+    deployment.at(now(), [this, id = request.id](Nanos t) {
         deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
     });
 }
 
-void LiveRun::dropClient(int router, ClientConnectionHandler* link) {
-    clients[static_cast<std::size_t>(router)].remove_if([&](const auto& l) { return l.get() == link; });
+void LiveRun::removeClientConnection(int router, ClientConnectionHandler* connection) {
+    clientConnections[static_cast<std::size_t>(router)].remove_if(
+        [&](const auto& l) { return l.get() == connection; });
 }
 
 void LiveRun::disconnectClient(int router, RequestId id) {
-    for (auto& link : clients[static_cast<std::size_t>(router)])
-        if (link->asked() == id) return dropClient(router, link.get());
+    for (auto& connection : clientConnections[static_cast<std::size_t>(router)])
+        if (connection->requestId() == id) return removeClientConnection(router, connection.get());
 }
 
-void LiveRun::makeMachines() {
-    const Scenario& s = deployment.scenario();
+void LiveRun::createMachines() {
+    const Scenario& scenario = deployment.scenario();
     std::vector<FormServer> servers;
     for (const auto& server : deployment.servers())
         servers.push_back({server.name, server.zone, kServerPort + server.door, server.cell,
                            server.plan ? server.plan->cores * server.plan->speed : 1.0, server.origin});
-    const int discovery = s.machines.fileList ? 0 : kDiscoveryPort;
-    MachinesOptions w;
-    w.folder = std::filesystem::absolute(folder_).string();
-    w.program = options_.program;
-    w.ctl = options_.ctl;
-    w.changed = options_.changed;
-    if (w.ctl.empty()) w.ctl = (std::filesystem::path(options_.program).parent_path() / "poppyctl").string();
-    w.ctl = std::filesystem::absolute(w.ctl).string();
-    if (!std::filesystem::exists(w.ctl) || !std::filesystem::exists(w.program))
-        throw RunError(fmt::format("machines need {} and {}", w.program, w.ctl));
-    w.form = operatorFormOf(s, servers, discovery, "");
-    w.changedForm = operatorFormOf(s, servers, discovery, s.roll.change);
-    w.seed = seed_;
-    w.address = [this](int router) {
-        const std::string at = textOf(addressOf(router, kRouterPort));
+    const int discovery = scenario.machines.fileList ? 0 : kDiscoveryPort;
+    MachinesOptions machineOptions;
+    machineOptions.folder = std::filesystem::absolute(folder_).string();
+    machineOptions.program = options_.program;
+    machineOptions.ctl = options_.ctl;
+    machineOptions.changedProgram = options_.changed;
+    if (machineOptions.ctl.empty())
+        machineOptions.ctl = (std::filesystem::path(options_.program).parent_path() / "poppyctl").string();
+    machineOptions.ctl = std::filesystem::absolute(machineOptions.ctl).string();
+    if (!std::filesystem::exists(machineOptions.ctl) || !std::filesystem::exists(machineOptions.program))
+        throw RunError(fmt::format(
+            "a scenario with machines needs the programs {} and {}, and one of them does not exist",
+            machineOptions.program, machineOptions.ctl));
+    machineOptions.operatorFile = operatorFormOf(scenario, servers, discovery, "");
+    machineOptions.changedOperatorFile = operatorFormOf(scenario, servers, discovery, scenario.roll.change);
+    machineOptions.seed = seed_;
+    machineOptions.address = [this](int router) {
+        const std::string at = formatAddress(addressOf(router, kRouterPort));
         return at.substr(0, at.find(':'));
     };
-    w.port = kRouterPort;
-    machines_ = std::make_unique<Machines>(s, w, static_cast<MachineEvents&>(*this));
+    machineOptions.firstPort = kRouterPort;
+    machines_ = std::make_unique<Machines>(scenario, machineOptions, static_cast<MachineEvents&>(*this));
 }
 
 void LiveRun::onRouterUp(int router) {
     deployment.routerUp(now(), router);
-    if (begun_) return;
-    readyOnes_.insert(router);
-    if (readyOnes_.size() < ready_.size()) return;
-    readyBy_.stop();
+    if (hasBegun_) return;
+    readyRouters_.insert(router);
+    if (readyRouters_.size() < probes_.size()) return;
+    readinessTimer_.stop();
     beginDeployment();
 }
 
-// What the coordinator said at its end, beside what each router runs: the audit holds one against the other.
+// Logs the coordinator's outcome. The audit compares it with the version that each router runs at
+// the end.
 void LiveRun::observeRollout() {
-    if (!begun_ || rolled_ || !machines_->hasRolledOut()) return;
-    rolled_ = true;
-    const int code = *machines_->hasRolledOut();
+    if (!hasBegun_ || isRolloutOver_ || !machines_->rolloutExitCode()) return;
+    isRolloutOver_ = true;
+    const int code = *machines_->rolloutExitCode();
     static const std::map<int, std::string> words{{0, "went"}, {1, "cant"}, {3, "undone"}, {4, "notundone"}};
     const auto word = words.find(code);
-    onClaim(-1, clock(), "roll ends " + (word == words.end() ? fmt::format("code{}", code) : word->second));
-    fmt::print(stderr, "{}\n", machines_->lastOfCoordinator());
-    // What it leaves behind is looked at for a while longer.
+    onClaim(-1, steadyTime(),
+            "roll ends " + (word == words.end() ? fmt::format("code{}", code) : word->second));
+    fmt::print(stderr, "{}\n", machines_->coordinatorOutcome());
+    // The load goes on for two more seconds, so that effects of the rollout's end are observed.
     deployment.at(now() + 2 * kSecond, [this](Nanos t) { deployment.endLoad(t); });
 }
 
 void LiveRun::observeLateness(Nanos at) {
-    if (!begun_ || ending_ || options_.serve) return;
-    worstLate_ =
-        std::max(worstLate_, std::max<Nanos>(at - std::max(deployment.next(), lateUntil_ - kLateSpan), 0));
+    if (!hasBegun_ || isEnding_ || options_.serve) return;
+    worstLateness_ = std::max(
+        worstLateness_, std::max<Nanos>(at - std::max(deployment.next(), windowEnd_ - kLatenessWindow), 0));
 }
 
 void LiveRun::runIteration() {
     onOperatorResponse();
     if (machines_) {
-        machines_->runIteration(clock());
+        machines_->runIteration(steadyTime());
         observeRollout();
     }
     const Nanos at = now();
     observeLateness(at);
-    if (begun_ && !ending_ && !options_.serve && at >= lateUntil_) {
-        eventLog_.add({at, EventKind::late, 0, -1, -1, 0, worstLate_, {}});
-        // Held up for long, one look covers many spans.
-        const long spans = (at - lateUntil_) / kLateSpan + 1;
-        allSpans_ += spans;
-        if (worstLate_ > kLateFrom) lateSpans_ += std::min<long>(spans, worstLate_ / kLateSpan + 1);
-        worstLate_ = 0;
-        lateUntil_ = at + kLateSpan;
+    if (hasBegun_ && !isEnding_ && !options_.serve && at >= windowEnd_) {
+        eventLog_.add({at, EventKind::late, 0, -1, -1, 0, worstLateness_, {}});
+        // After a long delay of the testbed, one check covers several windows.
+        const long windows = (at - windowEnd_) / kLatenessWindow + 1;
+        totalWindows_ += windows;
+        if (worstLateness_ > kLateThreshold)
+            lateWindows_ += std::min<long>(windows, worstLateness_ / kLatenessWindow + 1);
+        worstLateness_ = 0;
+        windowEnd_ = at + kLatenessWindow;
     }
-    // Held up in here, what has fallen due is played late too: it is looked at before each step, not once a
-    // turn.
+    // Steps take time and delay the steps after them, so lateness is measured before each step and
+    // not once per iteration.
     for (Nanos t = now(); deployment.step(t); t = now()) observeLateness(now());
-    if (begun_ && !ending_ && options_.progress && at - shown_ > kSecond) options_.progress(shown_ = at);
-    if (begun_ && !ending_ && machines_ && deployment.scenario().roll.there && !rolled_ &&
-        at < deployment.scenario().length + kRollMore)
+    if (hasBegun_ && !isEnding_ && options_.progress && at - lastProgressAt_ > kSecond)
+        options_.progress(lastProgressAt_ = at);
+    if (hasBegun_ && !isEnding_ && machines_ && deployment.scenario().roll.there && !isRolloutOver_ &&
+        at < deployment.scenario().length + kMaxRolloutOvertime)
         deployment.endLoad(std::max(at + kSecond, deployment.scenario().length));
-    if (begun_ && !ending_ && !options_.serve && deployment.isOver(at)) return end();
-    step_.start(std::min(deployment.next(), at + (machines_ ? 5 * kMillisecond : kLateSpan)) + base_);
+    if (hasBegun_ && !isEnding_ && !options_.serve && deployment.isOver(at)) return endRun();
+    stepTimer_.start(std::min(deployment.next(), at + (machines_ ? 5 * kMillisecond : kLatenessWindow)) +
+                     startedAt_);
 }
 
-void LiveRun::end() {
-    if (machines_ && begun_)
+void LiveRun::endRun() {
+    if (machines_ && hasBegun_)
         for (int r = 0; r < deployment.scenario().routers.count; ++r)
-            onClaim(r, clock(), "runs " + machines_->runs(r));
-    ending_ = true;
+            onClaim(r, steadyTime(), "runs " + machines_->runningVersion(r));
+    isEnding_ = true;
     for (auto& p : processes_) {
         if (!p) continue;
         result_.cpuSeconds += p->cpuSeconds();
@@ -953,32 +995,33 @@
 }
 
 LiveResult LiveRun::run() {
-    child_ = std::make_unique<transport::Signal>(loop, SIGCHLD, [this] { childrenEnded(); });
+    childSignal_ = std::make_unique<transport::Signal>(loop, SIGCHLD, [this] { onChildrenExited(); });
     const auto interrupted = [this] {
         result_.interrupted = true;
-        end();
+        endRun();
     };
-    interrupt_ = std::make_unique<transport::Signal>(loop, SIGINT, interrupted);
-    terminate_ = std::make_unique<transport::Signal>(loop, SIGTERM, interrupted);
+    interruptSignal_ = std::make_unique<transport::Signal>(loop, SIGINT, interrupted);
+    terminateSignal_ = std::make_unique<transport::Signal>(loop, SIGTERM, interrupted);
     if (machines_)
         machines_->start();
     else
         for (int r = 0; r < deployment.scenario().routers.count; ++r) startRouter(r);
-    readyBy_.start(transport::EventLoop::now() + kReadyWithin);
+    readinessTimer_.start(transport::EventLoop::now() + kReadinessTimeout);
     loop.onIteration([this] { runIteration(); });
     loop.run();
     if (!failure_.empty()) throw RunError(failure_);
     if (processFaults_) result_.processFaults = processFaults_->counts();
-    result_.latePart = allSpans_ ? static_cast<double>(lateSpans_) / static_cast<double>(allSpans_) : 0;
+    result_.latePart =
+        totalWindows_ ? static_cast<double>(lateWindows_) / static_cast<double>(totalWindows_) : 0;
     return result_;
 }
 
 }  // namespace
 
-LiveResult runLive(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
-                   const LiveRunOptions& wanted) {
+LiveResult runLive(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                   const LiveRunOptions& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    LiveRun live(scenario, seed, ledger, wanted);
+    LiveRun live(scenario, seed, eventLog, options);
     return live.run();
 }
 
--- a/src/testbed/drivers/live/live_run.hpp
+++ b/src/testbed/drivers/live/live_run.hpp
@@ -1,4 +1,4 @@
-// The world behind real loopback sockets, round real router processes.
+// Runs a scenario with real router processes; the emulated deployment is behind loopback sockets.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +12,38 @@
 
 namespace poppyscale::testbed {
 
-// The testbed or the program that it plays could not be brought to run.
+// The testbed, or a program that it needs, can't run.
 struct RunError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct LiveResult {
-    double latePart = 0;    // of all tenths of a second: those in which the testbed was over 20 ms late
-    double cpuSeconds = 0;  // of all routers that lived to the end
-    double memoryMb = 0;    // of the one with the most, at the end
-    int upgrades = 0;       // that were done
+    double latePart = 0;    // share of tenths of a second in which the testbed was over 20 ms late
+    double cpuSeconds = 0;  // of all routers that run at the end, in sum
+    double memoryMb = 0;    // of the router that uses the most at the end
+    int upgrades = 0;       // successful hot restarts
     int upgradesFailed = 0;
     bool interrupted = false;
-    std::map<std::string, std::uint64_t> processFaults;  // how often each happened
+    std::map<std::string, std::uint64_t> processFaults;  // occurrences of each fault
 };
 
 struct LiveRunOptions {
     std::string program = "build/poppyscale";
-    std::string ctl;        // poppyctl, for machines: beside the program if empty
-    std::string changed;    // the program that a roll of `same` changes to; a copy of `program` if empty
-    bool operated = false;  // the program takes --operator, so that it can be asked to upgrade
-    std::string folder;     // for configurations and the routers' own logs
-    // Without clients of its own, until interrupted: `poppyscale_testbed serve`. Called once all routers are
-    // up.
+    std::string ctl;  // path of poppyctl, which machines need; beside `program` if empty
+    // The program that a rollout of the change `same` installs; a copy of `program` if empty.
+    std::string changed;
+    bool operated = false;  // the program accepts --operator, so that it can be told to upgrade
+    std::string folder;     // for configurations and the routers' logs; a temporary one if empty
+    // If set, the run has no load and lasts until interrupted (`poppyscale_testbed serve`). Called
+    // once all routers are up.
     std::function<void(const std::string& firstRouter)> serve;
-    std::function<void(Nanos)> progress;
+    std::function<void(Nanos)> progress;  // called about once a second of the run
 };
 
-LiveResult runLive(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
-                   const LiveRunOptions& wanted);
+LiveResult runLive(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                   const LiveRunOptions& options);
 
-// By how much what two sockets tell may be read in the wrong order, for the audit.
+// Tolerance for the audit: events from two sockets may be read in the wrong order by this much.
 constexpr Nanos kLiveTolerance = 25 * kMillisecond;
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/machines.cpp
+++ b/src/testbed/drivers/live/machines.cpp
@@ -28,32 +28,33 @@
 
 using nlohmann::json;
 
-constexpr double kSlowHarm = 0.08;  // days are short: over the plan's default
-constexpr Nanos kAskEvery = 40 * kMillisecond;
-constexpr Nanos kAnswerWithin = 2'000 * kMillisecond;
-
-// What an agent keeps to go back to, and what it changes to.
-void loseProgram(const std::string& folder) {
-    std::error_code none;
-    for (const auto& one : std::filesystem::directory_iterator(folder + "/versions", none))
-        if (one.is_directory()) std::filesystem::remove_all(one.path(), none);
+// `slow_harm` of the rollout plan. Scenarios are short, so it is above the plan's default.
+constexpr double kSlowHarm = 0.08;
+constexpr Nanos kEventPollInterval = 40 * kMillisecond;
+constexpr Nanos kEventPollTimeout = 2'000 * kMillisecond;
+
+// Removes the copies of programs that an agent keeps for changes and rollbacks.
+void removeStoredPrograms(const std::string& folder) {
+    std::error_code ignored;
+    for (const auto& entry : std::filesystem::directory_iterator(folder + "/versions", ignored))
+        if (entry.is_directory()) std::filesystem::remove_all(entry.path(), ignored);
 }
 
-std::string beside(const std::string& name) {
+std::string siblingProgram(const std::string& name) {
     const auto path = std::filesystem::read_symlink("/proc/self/exe").parent_path() / name;
-    if (!std::filesystem::exists(path)) throw RunError("not there: " + path.string());
+    if (!std::filesystem::exists(path)) throw RunError("program does not exist: " + path.string());
     return path.string();
 }
 
-std::string wordFor(const std::string& command) { return command.substr(0, command.find(' ')); }
+std::string executableOf(const std::string& command) { return command.substr(0, command.find(' ')); }
 
 }  // namespace
 
 std::vector<pid_t> descendantsOf(pid_t process) {
     std::vector<pid_t> all;
-    std::error_code none;
+    std::error_code ignored;
     for (const auto& thread :
-         std::filesystem::directory_iterator(fmt::format("/proc/{}/task", process), none)) {
+         std::filesystem::directory_iterator(fmt::format("/proc/{}/task", process), ignored)) {
         std::ifstream file(thread.path() / "children");
         for (pid_t child; file >> child;) {
             all.push_back(child);
@@ -64,17 +65,17 @@
     return all;
 }
 
-int guarded(const std::function<int()>& play) {
+int guarded(const std::function<int()>& run) {
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
-    const pid_t guard = ::getpid();
+    const pid_t supervisor = ::getpid();
     const pid_t child = ::fork();
     if (child < 0) throw RunError(std::string("can't start a process: ") + std::strerror(errno));
     if (child == 0) {
         ::prctl(PR_SET_PDEATHSIG, SIGTERM);
-        if (::getppid() != guard) ::_exit(1);
+        if (::getppid() != supervisor) ::_exit(1);
         int code = 1;
         try {
-            code = play();
+            code = run();
         } catch (const std::exception& problem) {
             fmt::print(stderr, "poppyscale_testbed: {}\n", problem.what());
             code = 2;
@@ -82,25 +83,26 @@
         std::fflush(nullptr);
         ::_exit(code);
     }
-    // What is said to this process is meant for the play.
-    sigset_t heard;
-    sigemptyset(&heard);
-    for (const int s : {SIGINT, SIGTERM, SIGCHLD}) sigaddset(&heard, s);
-    sigprocmask(SIG_BLOCK, &heard, nullptr);
+    // Signals to this process are forwarded to the child.
+    sigset_t forwarded;
+    sigemptyset(&forwarded);
+    for (const int s : {SIGINT, SIGTERM, SIGCHLD}) sigaddset(&forwarded, s);
+    sigprocmask(SIG_BLOCK, &forwarded, nullptr);
     int status = 0;
     for (;;) {
-        const pid_t ended = ::waitpid(-1, &status, WNOHANG);
-        if (ended == child) break;
-        if (ended > 0) continue;
+        const pid_t exited = ::waitpid(-1, &status, WNOHANG);
+        if (exited == child) break;
+        if (exited > 0) continue;
         siginfo_t info{};
-        ::sigwaitinfo(&heard, &info);
+        ::sigwaitinfo(&forwarded, &info);
         if (info.si_signo != SIGCHLD) ::kill(child, info.si_signo);
     }
-    // What it left behind has become this process's, or is below what has.
+    // Processes that the child left behind are now descendants of this process, which is a
+    // subreaper.
     for (int i = 0; i < 100; ++i) {
-        const auto left = descendantsOf(guard);
-        if (left.empty()) break;
-        for (const pid_t p : left) ::kill(p, SIGKILL);
+        const auto remaining = descendantsOf(supervisor);
+        if (remaining.empty()) break;
+        for (const pid_t p : remaining) ::kill(p, SIGKILL);
         while (::waitpid(-1, nullptr, WNOHANG) > 0) {
         }
         ::usleep(10'000);
@@ -108,33 +110,35 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : 1;
 }
 
-Machines::Machines(const Scenario& scenario, const MachinesOptions& wanted, MachineEvents& host)
+Machines::Machines(const Scenario& scenario, const MachinesOptions& options, MachineEvents& events)
     : scenario_(scenario),
-      options_(wanted),
-      host_(host),
+      options_(options),
+      events_(events),
       machines_(static_cast<std::size_t>(scenario.machines.count)),
       routers_(static_cast<std::size_t>(scenario.routers.count)) {
-    std::ofstream(options_.folder + "/form.toml") << options_.form;
-    for (int m = 0; m < scenario.machines.count; ++m) {
-        Machine& one = machines_[static_cast<std::size_t>(m)];
-        one.folder = fmt::format("{}/m{}", options_.folder, m);
-        one.file = fmt::format("{}/m{}.toml", options_.folder, m);
-        std::filesystem::remove_all(one.folder);  // a disk begins empty
-        std::filesystem::create_directories(one.folder);
-        std::ofstream(one.file) << fmt::format(
+    std::ofstream(options_.folder + "/form.toml") << options_.operatorFile;
+    for (int machine = 0; machine < scenario.machines.count; ++machine) {
+        MachineState& state = machines_[static_cast<std::size_t>(machine)];
+        state.folder = fmt::format("{}/m{}", options_.folder, machine);
+        state.agentConfig = fmt::format("{}/m{}.toml", options_.folder, machine);
+        std::filesystem::remove_all(state.folder);  // the machine's disk is empty at first
+        std::filesystem::create_directories(state.folder);
+        std::ofstream(state.agentConfig) << fmt::format(
             "program = \"{}\"\noperator = \"{}/form.toml\"\nfolder = \"{}\"\nname = \"m{}r\"\nzone = "
             "\"{}\"\naddress = "
             "\"{}\"\nown_addresses = true\nfirst_port = {}\ncount = {}\nready_ms = 5000\nstop_ms = "
             "4000\npause_ms = "
             "100\nlongest_pause_ms = 1000\n",
-            std::filesystem::absolute(wordFor(options_.program)).string(), options_.folder, one.folder, m,
-            scenario.zoneOf(first(m)), options_.address(first(m)), options_.port,
-            scenario.machines.instances);
-        if (needsHost(scenario, m))
-            one.host = std::make_unique<HostEnvironment>(fmt::format("{}/m{}.host", options_.folder, m),
-                                                         one.folder, transport::EventLoop::now());
+            std::filesystem::absolute(executableOf(options_.program)).string(), options_.folder, state.folder,
+            machine, scenario.zoneOf(firstRouterOf(machine)), options_.address(firstRouterOf(machine)),
+            options_.firstPort, scenario.machines.instances);
+        if (needsHostEnvironment(scenario, machine))
+            state.hostEnvironment =
+                std::make_unique<HostEnvironment>(fmt::format("{}/m{}.host", options_.folder, machine),
+                                                  state.folder, transport::EventLoop::now());
     }
-    // One for each ordered pair, and from the operator's desk to each.
+    // One path for each ordered pair of machines, and one from the operator's workstation to each
+    // machine.
     networkPaths_.resize(machines_.size() + 1);
     for (int from = -1; from < scenario.machines.count; ++from) {
         auto& row = networkPaths_[static_cast<std::size_t>(from < 0 ? scenario.machines.count : from)];
@@ -150,80 +154,84 @@
                     : fmt::format("{}/w{}-{}.sock", options_.folder, from, to);
 }
 
-bool Machines::needsHost(const Scenario& scenario, int m) {
-    return std::any_of(scenario.faults.begin(), scenario.faults.end(), [m](const FaultPlan& f) {
+bool Machines::needsHostEnvironment(const Scenario& scenario, int machine) {
+    return std::any_of(scenario.faults.begin(), scenario.faults.end(), [machine](const FaultPlan& f) {
         using K = FaultKind;
-        const bool seen = f.kind == K::machineSleep || f.kind == K::diskReadOnly || f.kind == K::diskSlow ||
-                          f.kind == K::syncFails || f.kind == K::clockRate || f.kind == K::clockJump;
-        return seen && (f.machine < 0 || f.machine == m);
+        const bool affectsHost = f.kind == K::machineSleep || f.kind == K::diskReadOnly ||
+                                 f.kind == K::diskSlow || f.kind == K::syncFails || f.kind == K::clockRate ||
+                                 f.kind == K::clockJump;
+        return affectsHost && (f.machine < 0 || f.machine == machine);
     });
 }
 
 Machines::~Machines() {
     coordinators_.clear();
-    for (int m = 0; m < std::ssize(machines_); ++m) {
-        endAll(m, SIGKILL);
-        Machine& one = machines_[static_cast<std::size_t>(m)];
-        if (one.ask >= 0) ::close(one.ask);
+    for (int machine = 0; machine < std::ssize(machines_); ++machine) {
+        signalAll(machine, SIGKILL);
+        MachineState& state = machines_[static_cast<std::size_t>(machine)];
+        if (state.eventsFd >= 0) ::close(state.eventsFd);
     }
-    // Those whose parent has gone are ours by now.
-    for (const pid_t p : seen_) {
+    // Processes whose parent has exited are children of this process by now.
+    for (const pid_t p : seenProcesses_) {
         if (::waitpid(p, nullptr, WNOHANG) == 0) ::kill(p, SIGKILL);
         ::waitpid(p, nullptr, WNOHANG);
     }
 }
 
 void Machines::start() {
-    for (int m = 0; m < std::ssize(machines_); ++m) startAgent(m);
+    for (int machine = 0; machine < std::ssize(machines_); ++machine) startAgent(machine);
 }
 
-void Machines::startAgent(int m) {
-    Machine& one = machines_[static_cast<std::size_t>(m)];
-    std::filesystem::create_directories(one.folder);
-    one.down = false;
-    one.after = 0;
+void Machines::startAgent(int machine) {
+    MachineState& state = machines_[static_cast<std::size_t>(machine)];
+    std::filesystem::create_directories(state.folder);
+    state.isDown = false;
+    state.lastEvent = 0;
     const RolloutScenario& roll = scenario_.roll;
     std::vector<std::pair<std::string, std::string>> variables;
     if (roll.harmful() && !roll.bySettings())
         variables = {{"POPPYSCALE_TESTBED_PROGRAM_HARM", roll.change},
                      {"POPPYSCALE_TESTBED_PROGRAM_HARM_SIZE", fmt::format("{}", roll.size)}};
-    if (one.host)
-        for (auto& variable : one.host->variables()) variables.push_back(std::move(variable));
-    one.agent = std::make_unique<ChildProcess>(fmt::format("{} fleet {}", options_.ctl, one.file), variables,
-                                               fmt::format("{}/m{}.log", options_.folder, m));
+    if (state.hostEnvironment)
+        for (auto& variable : state.hostEnvironment->variables()) variables.push_back(std::move(variable));
+    state.agent =
+        std::make_unique<ChildProcess>(fmt::format("{} fleet {}", options_.ctl, state.agentConfig), variables,
+                                       fmt::format("{}/m{}.log", options_.folder, machine));
 }
 
 std::string Machines::prepareChange() {
     const RolloutScenario& roll = scenario_.roll;
     if (roll.bySettings()) {
-        std::ofstream(options_.folder + "/changed.toml") << options_.changedForm;
+        std::ofstream(options_.folder + "/changed.toml") << options_.changedOperatorFile;
         return fmt::format("operator = \"{}/changed.toml\"\n", options_.folder);
     }
-    // The same program with another digest, or a defective version, which stands beside the testbed's own
-    // program.
+    // The change is the same program or a defective variant, which lies beside the testbed's own
+    // program. The byte added at the end gives the file a digest of its own.
     const std::string path = options_.folder + "/change";
-    const std::string same = options_.changed.empty() ? wordFor(options_.program) : options_.changed;
-    std::filesystem::copy_file(roll.harmful() ? beside("poppyscale_defective_variant") : same, path,
+    const std::string same =
+        options_.changedProgram.empty() ? executableOf(options_.program) : options_.changedProgram;
+    std::filesystem::copy_file(roll.harmful() ? siblingProgram("poppyscale_defective_variant") : same, path,
                                std::filesystem::copy_options::overwrite_existing);
     std::ofstream(path, std::ios::binary | std::ios::app) << '\0';
     return fmt::format("program = \"{}\"\n", path);
 }
 
-// The same for all coordinators, but for the ways that lead from where each is.
+// The change is prepared once. All coordinators have the same plan, except for the paths from their
+// machines to the agents.
 void Machines::startRollout() {
-    change_ = "[change]\n" + prepareChange();
+    planChange_ = "[change]\n" + prepareChange();
     startCoordinator(scenario_.roll.machine);
 }
 
 void Machines::startCoordinator(int machine) {
-    const RolloutScenario& r = scenario_.roll;
+    const RolloutScenario& roll = scenario_.roll;
     std::string plan;
     for (int m = 0; m < std::ssize(machines_); ++m)
         plan += fmt::format("[[agents]]\nname = \"m{}\"\nsocket = \"{}\"\n", m,
                             m == machine ? machines_[static_cast<std::size_t>(m)].folder + "/fleet.sock"
                                          : networkPathSocket(machine, m));
-    plan += change_;
-    for (const std::string& s : r.stages)
+    plan += planChange_;
+    for (const std::string& s : roll.stages)
         plan +=
             fmt::format("[[stages]]\n{} = {}\n", s.find('.') == std::string::npos ? "instances" : "share", s);
     const auto ms = [](Nanos ns) { return ns / kMillisecond; };
@@ -231,52 +239,52 @@
         "[stage]\nleast_ms = {}\nlongest_ms = {}\nsettle_ms = {}\nwatch_ms = {}\nbatch = "
         "1\n[keep]\nwithout_word_ms = "
         "{}\n[back]\nbatch = 2\nwithin_ms = {}\n[worse]\nharm = {}\nsilent = {}\nslow_harm = {}\n",
-        ms(r.least), ms(r.longest), ms(r.settleTime), ms(r.watch), ms(r.keep), ms(r.back), r.harm, r.silent,
-        kSlowHarm);
+        ms(roll.least), ms(roll.longest), ms(roll.settleTime), ms(roll.watch), ms(roll.keep), ms(roll.back),
+        roll.harm, roll.silent, kSlowHarm);
     const std::string file = machine < 0 ? options_.folder + "/plan.toml"
                                          : fmt::format("{}/plan{}.toml", options_.folder, machine);
     std::ofstream(file) << plan;
     std::vector<std::pair<std::string, std::string>> variables;
-    if (machine >= 0 && machines_[static_cast<std::size_t>(machine)].host)
-        variables = machines_[static_cast<std::size_t>(machine)].host->variables();
+    if (machine >= 0 && machines_[static_cast<std::size_t>(machine)].hostEnvironment)
+        variables = machines_[static_cast<std::size_t>(machine)].hostEnvironment->variables();
     coordinators_.push_back({std::make_unique<ChildProcess>(fmt::format("{} roll {}", options_.ctl, file),
                                                             variables, options_.folder + "/coordinator.log"),
                              machine});
 }
 
-std::string Machines::lastOfCoordinator() const {
+std::string Machines::coordinatorOutcome() const {
     std::ifstream file(options_.folder + "/coordinator.log");
-    std::string line, why;
+    std::string line, outcome;
     while (std::getline(file, line))
         if (line.find(" ends ") != std::string::npos || line.find(": stops ") != std::string::npos)
-            why = line;
-    return why;
+            outcome = line;
+    return outcome;
 }
 
-std::vector<pid_t> Machines::processesOf(int m) const {
-    const Machine& one = machines_[static_cast<std::size_t>(m)];
+std::vector<pid_t> Machines::processesOf(int machine) const {
+    const MachineState& state = machines_[static_cast<std::size_t>(machine)];
     std::vector<pid_t> all;
-    if (one.agent) {
-        all.push_back(one.agent->pid());
-        const auto below = descendantsOf(one.agent->pid());
+    if (state.agent) {
+        all.push_back(state.agent->pid());
+        const auto below = descendantsOf(state.agent->pid());
         all.insert(all.end(), below.begin(), below.end());
     }
-    for (int r = first(m); r < first(m) + scenario_.machines.instances; ++r)
+    for (int r = firstRouterOf(machine); r < firstRouterOf(machine) + scenario_.machines.instances; ++r)
         if (const pid_t p = routers_[static_cast<std::size_t>(r)].pid;
             p > 0 && std::find(all.begin(), all.end(), p) == all.end())
             all.push_back(p);
     for (const Coordinator& c : coordinators_)
-        if (c.machine == m) all.push_back(c.process->pid());
+        if (c.machine == machine) all.push_back(c.process->pid());
     return all;
 }
 
-void Machines::endAll(int m, int number) {
-    for (const pid_t p : processesOf(m)) {
-        ::kill(p, number);
-        seen_.push_back(p);
+void Machines::signalAll(int machine, int signalNumber) {
+    for (const pid_t p : processesOf(machine)) {
+        ::kill(p, signalNumber);
+        seenProcesses_.push_back(p);
     }
-    if (number != SIGKILL) return;
-    machines_[static_cast<std::size_t>(m)].agent.reset();
+    if (signalNumber != SIGKILL) return;
+    machines_[static_cast<std::size_t>(machine)].agent.reset();
 }
 
 void Machines::kill(int router) {
@@ -284,222 +292,236 @@
     if (p > 0) ::kill(p, SIGKILL);
 }
 
-void Machines::forEachNetworkPath(int m, const std::function<void(NetworkPath&)>& what) {
+void Machines::forEachNetworkPath(int machine, const std::function<void(NetworkPath&)>& apply) {
     for (int other = -1; other < std::ssize(machines_); ++other) {
-        what(networkPath(other, m));
-        if (other >= 0 && other != m) what(networkPath(m, other));
+        apply(networkPath(other, machine));
+        if (other >= 0 && other != machine) apply(networkPath(machine, other));
     }
 }
 
-void Machines::cut(int m, const FaultPlan& fault, bool begins) {
+void Machines::setPartition(int machine, const FaultPlan& fault, bool begins) {
     for (int other = -1; other < std::ssize(machines_); ++other) {
         const auto& named = fault.others;
-        if (other == m) continue;
+        if (other == machine) continue;
         if (!named.empty() && std::find(named.begin(), named.end(), other) == named.end()) continue;
-        const auto change = [&](NetworkPath& w, bool to, bool from) {
-            w.cutTo = begins && to;
-            w.cutFrom = begins && from;
-            if (!begins) w.healed();
+        const auto change = [&](NetworkPath& w, bool cutForward, bool cutBackward) {
+            w.isForwardCut = begins && cutForward;
+            w.isBackwardCut = begins && cutBackward;
+            if (!begins) w.breakConnections();
         };
-        change(networkPath(other, m), fault.to, fault.from);
-        // The ways that begin at it carry the same two streams, named from their own other end.
-        if (other >= 0) change(networkPath(m, other), fault.from, fault.to);
+        change(networkPath(other, machine), fault.to, fault.from);
+        // On the paths that start at the machine the two directions are swapped.
+        if (other >= 0) change(networkPath(machine, other), fault.from, fault.to);
     }
 }
 
-void Machines::stopAll(Machine& one, int m, Nanos now, bool begins) {
-    if (begins) one.stopped = processesOf(m);
-    for (int r = first(m); r < first(m) + scenario_.machines.instances; ++r)
-        host_.onClaim(r, now, begins ? "away begins" : "away ends");
-    for (const pid_t p : one.stopped) ::kill(p, begins ? SIGSTOP : SIGCONT);
+void Machines::setStopped(MachineState& state, int machine, Nanos now, bool begins) {
+    if (begins) state.stoppedProcesses = processesOf(machine);
+    for (int r = firstRouterOf(machine); r < firstRouterOf(machine) + scenario_.machines.instances; ++r)
+        events_.onClaim(r, now, begins ? "away begins" : "away ends");
+    for (const pid_t p : state.stoppedProcesses) ::kill(p, begins ? SIGSTOP : SIGCONT);
 }
 
-void Machines::injectFault(Nanos now, const FaultPlan& fault, int m, bool begins) {
-    Machine& one = machines_[static_cast<std::size_t>(m)];
-    const auto each = [&](auto what) {
-        for (int r = first(m); r < first(m) + scenario_.machines.instances; ++r) what(r);
+void Machines::injectFault(Nanos now, const FaultPlan& fault, int machine, bool begins) {
+    MachineState& state = machines_[static_cast<std::size_t>(machine)];
+    const auto forEachRouter = [&](auto apply) {
+        for (int r = firstRouterOf(machine); r < firstRouterOf(machine) + scenario_.machines.instances; ++r)
+            apply(r);
     };
     using K = FaultKind;
     switch (fault.kind) {
         case K::machineKill:
         case K::machineLost:
-            if (!begins) return startAgent(m);
-            one.down = true;
-            each([&](int r) {
-                host_.onRouterStopping(r, now);
-                host_.onClaim(r, now, "away begins");
+            if (!begins) return startAgent(machine);
+            state.isDown = true;
+            forEachRouter([&](int r) {
+                events_.onRouterStopping(r, now);
+                events_.onClaim(r, now, "away begins");
             });
-            // Its coordinator goes with it; the testbed brings no other one by itself.
-            endAll(m, SIGKILL);
-            std::erase_if(coordinators_, [m](const Coordinator& c) { return c.machine == m; });
-            if (one.ask >= 0) ::close(std::exchange(one.ask, -1));
-            each([&](int r) {
+            // A coordinator on this machine is killed too, and the testbed does not start another
+            // one.
+            signalAll(machine, SIGKILL);
+            std::erase_if(coordinators_, [machine](const Coordinator& c) { return c.machine == machine; });
+            if (state.eventsFd >= 0) ::close(std::exchange(state.eventsFd, -1));
+            forEachRouter([&](int r) {
                 routers_[static_cast<std::size_t>(r)] = {-1, false, true,
-                                                         routers_[static_cast<std::size_t>(r)].changed};
-                host_.onRouterGone(r, now);
+                                                         routers_[static_cast<std::size_t>(r)].runsChange};
+                events_.onRouterGone(r, now);
             });
-            if (fault.kind == K::machineLost) std::filesystem::remove_all(one.folder);
+            if (fault.kind == K::machineLost) std::filesystem::remove_all(state.folder);
             return;
         case K::machineStop:
         case K::machineSleep:
-            if (begins) one.asleepSince = now;
-            if (!begins && fault.kind == K::machineSleep) one.host->slept(one.asleepSince, now);
-            return stopAll(one, m, now, begins);
+            if (begins) state.asleepSince = now;
+            if (!begins && fault.kind == K::machineSleep)
+                state.hostEnvironment->endSleep(state.asleepSince, now);
+            return setStopped(state, machine, now, begins);
         case K::agentKill:
-            if (!begins) return startAgent(m);
-            one.down = true;
-            if (one.ask >= 0) ::close(std::exchange(one.ask, -1));
-            ::kill(one.agent->pid(), SIGKILL);
-            one.agent.reset();
+            if (!begins) return startAgent(machine);
+            state.isDown = true;
+            if (state.eventsFd >= 0) ::close(std::exchange(state.eventsFd, -1));
+            ::kill(state.agent->pid(), SIGKILL);
+            state.agent.reset();
             return;
         case K::agentStop:
-            if (one.agent) ::kill(one.agent->pid(), begins ? SIGSTOP : SIGCONT);
+            if (state.agent) ::kill(state.agent->pid(), begins ? SIGSTOP : SIGCONT);
             return;
         case K::machineCut:
-            return cut(m, fault, begins);
+            return setPartition(machine, fault, begins);
         case K::diskFull: {
-            if (!one.agent) return;
+            if (!state.agent) return;
             rlimit limit{begins ? 0 : RLIM_INFINITY, RLIM_INFINITY};
-            ::prlimit(one.agent->pid(), RLIMIT_FSIZE, &limit, nullptr);
+            ::prlimit(state.agent->pid(), RLIMIT_FSIZE, &limit, nullptr);
             return;
         }
         case K::diskReadOnly:
-            return one.host->readOnly(begins);
+            return state.hostEnvironment->setReadOnly(begins);
         case K::diskSlow:
-            return one.host->syncTakes(begins ? static_cast<Nanos>(fault.by * kMillisecond) : 0);
+            return state.hostEnvironment->setSyncDelay(begins ? static_cast<Nanos>(fault.by * kMillisecond)
+                                                              : 0);
         case K::syncFails:
-            return one.host->syncsFail(begins ? fault.count : 0);
+            return state.hostEnvironment->failNextSyncs(begins ? fault.count : 0);
         case K::programGone:
-            if (begins) loseProgram(one.folder);
+            if (begins) removeStoredPrograms(state.folder);
             return;
         case K::clockRate:
-            return one.host->rate(now, begins ? fault.by : 1);
+            return state.hostEnvironment->setClockRate(now, begins ? fault.by : 1);
         case K::clockJump:
-            return one.host->jump(static_cast<Nanos>((begins ? fault.by : -fault.by) * kMillisecond));
+            return state.hostEnvironment->jumpWallClock(
+                static_cast<Nanos>((begins ? fault.by : -fault.by) * kMillisecond));
         case K::wayDelay:
         case K::wayStall:
         case K::wayDrop:
-            forEachNetworkPath(m, [&](NetworkPath& w) {
+            forEachNetworkPath(machine, [&](NetworkPath& w) {
                 if (fault.kind == K::wayDelay)
                     w.delay = begins ? static_cast<Nanos>(fault.by * kMillisecond) : 0;
-                if (fault.kind == K::wayStall) w.stalls = begins;
-                if (fault.kind == K::wayDrop) w.drops = begins ? fault.by : 0;
+                if (fault.kind == K::wayStall) w.isStalled = begins;
+                if (fault.kind == K::wayDrop) w.dropShare = begins ? fault.by : 0;
             });
             return;
         case K::coordinatorKill:
             if (!begins) {
-                if (!hasRolledOut_) startCoordinator(coordinatorAt_);
+                if (!rolloutExitCode_) startCoordinator(killedCoordinatorMachine_);
                 return;
             }
-            for (const Coordinator& c : coordinators_) coordinatorAt_ = c.machine;
+            for (const Coordinator& c : coordinators_) killedCoordinatorMachine_ = c.machine;
             coordinators_.clear();
             return;
         case K::coordinatorTwice:
-            if (begins && !hasRolledOut_) startCoordinator(fault.machine);
+            if (begins && !rolloutExitCode_) startCoordinator(fault.machine);
             return;
         default:
             return;
     }
 }
 
-// ---- what the agents tell
+// ---- events of the agents
 
-void Machines::pollAgents(Nanos now, int m) {
-    Machine& one = machines_[static_cast<std::size_t>(m)];
-    if (one.down) return;
-    if (one.ask >= 0) {
+void Machines::pollAgents(Nanos now, int machine) {
+    MachineState& state = machines_[static_cast<std::size_t>(machine)];
+    if (state.isDown) return;
+    if (state.eventsFd >= 0) {
         char buffer[65536];
-        ssize_t got = 0;
-        while ((got = ::recv(one.ask, buffer, sizeof buffer, MSG_DONTWAIT)) > 0)
-            one.said.append(buffer, static_cast<std::size_t>(got));
-        const bool over = got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-        if (!one.said.ends_with('\n')) {
-            if (over || now - one.askedAt > kAnswerWithin) ::close(std::exchange(one.ask, -1));
+        ssize_t received = 0;
+        while ((received = ::recv(state.eventsFd, buffer, sizeof buffer, MSG_DONTWAIT)) > 0)
+            state.response.append(buffer, static_cast<std::size_t>(received));
+        const bool isClosed = received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+        if (!state.response.ends_with('\n')) {
+            if (isClosed || now - state.lastPollAt > kEventPollTimeout)
+                ::close(std::exchange(state.eventsFd, -1));
             return;
         }
-        ::close(std::exchange(one.ask, -1));
-        const auto said = json::parse(one.said, nullptr, false);
-        if (!said.is_object() || !said.contains("events")) return;
-        for (const auto& e : said["events"]) {
-            one.after = e.at("number").get<std::uint64_t>();
-            happened(m, e.at("what").get<std::string>(), first(m) + e.at("instance").get<int>(),
-                     one.host ? one.host->trueOf(e.at("at_ns").get<Nanos>()) : e.at("at_ns").get<Nanos>(),
-                     e.at("pid").get<pid_t>(), e.at("version").get<std::string>());
+        ::close(std::exchange(state.eventsFd, -1));
+        const auto answer = json::parse(state.response, nullptr, false);
+        if (!answer.is_object() || !answer.contains("events")) return;
+        for (const auto& event : answer["events"]) {
+            state.lastEvent = event.at("number").get<std::uint64_t>();
+            onAgentEvent(machine, event.at("what").get<std::string>(),
+                         firstRouterOf(machine) + event.at("instance").get<int>(),
+                         state.hostEnvironment
+                             ? state.hostEnvironment->trueTimeOf(event.at("at_ns").get<Nanos>())
+                             : event.at("at_ns").get<Nanos>(),
+                         event.at("pid").get<pid_t>(), event.at("version").get<std::string>());
         }
         return;
     }
-    if (now - one.askedAt < kAskEvery) return;
-    one.askedAt = now;
-    one.said.clear();
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    const std::string path = one.folder + "/fleet.sock";
-    std::memcpy(at.sun_path, path.data(), std::min(path.size(), sizeof at.sun_path - 1));
-    one.ask = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    const std::string line = json{{"do", "events"}, {"after", one.after}}.dump() + "\n";
-    if (::connect(one.ask, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
-        ::send(one.ask, line.data(), line.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(line.size()))
-        ::close(std::exchange(one.ask, -1));
+    if (now - state.lastPollAt < kEventPollInterval) return;
+    state.lastPollAt = now;
+    state.response.clear();
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    const std::string path = state.folder + "/fleet.sock";
+    std::memcpy(address.sun_path, path.data(), std::min(path.size(), sizeof address.sun_path - 1));
+    state.eventsFd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+    const std::string request = json{{"do", "events"}, {"after", state.lastEvent}}.dump() + "\n";
+    if (::connect(state.eventsFd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
+        ::send(state.eventsFd, request.data(), request.size(), MSG_NOSIGNAL) !=
+            static_cast<ssize_t>(request.size()))
+        ::close(std::exchange(state.eventsFd, -1));
 }
 
-void Machines::happened(int, const std::string& what, int r, Nanos at, pid_t pid,
-                        const std::string& version) {
-    Router& router = routers_[static_cast<std::size_t>(r)];
-    if (before_.empty()) before_ = version;
-    if (pid > 0) router.pid = pid;
-    if (pid > 0) seen_.push_back(pid);
-    const bool toChange = version != before_;
-    const auto away = [&](bool is) {
-        if (std::exchange(router.isGone, is) != is) host_.onClaim(r, at, is ? "away begins" : "away ends");
+void Machines::onAgentEvent(int, const std::string& what, int router, Nanos at, pid_t pid,
+                            const std::string& version) {
+    RouterState& state = routers_[static_cast<std::size_t>(router)];
+    if (versionBefore_.empty()) versionBefore_ = version;
+    if (pid > 0) state.pid = pid;
+    if (pid > 0) seenProcesses_.push_back(pid);
+    const bool isChanged = version != versionBefore_;
+    const auto setAway = [&](bool isAway) {
+        if (std::exchange(state.isAway, isAway) != isAway)
+            events_.onClaim(router, at, isAway ? "away begins" : "away ends");
     };
     if (what == "ready" || what == "found") {
-        away(false);
-        if (!std::exchange(router.up, true)) host_.onRouterUp(r);
+        setAway(false);
+        if (!std::exchange(state.isUp, true)) events_.onRouterUp(router);
     } else if (what == "told to stop") {
-        if (router.up) host_.onRouterStopping(r, at);
-        away(true);
+        if (state.isUp) events_.onRouterStopping(router, at);
+        setAway(true);
     } else if (what.starts_with("ended")) {
-        away(true);
-        router.pid = -1;
-        if (std::exchange(router.up, false)) host_.onRouterGone(r, at);
+        setAway(true);
+        state.pid = -1;
+        if (std::exchange(state.isUp, false)) events_.onRouterGone(router, at);
     }
-    if ((what.starts_with("changes") || what == "started" || what == "found") && toChange &&
-        !router.changed) {
-        router.changed = true;
-        host_.onClaim(r, at, "change begins");
+    if ((what.starts_with("changes") || what == "started" || what == "found") && isChanged &&
+        !state.runsChange) {
+        state.runsChange = true;
+        events_.onClaim(router, at, "change begins");
     }
-    if (what == "changed" && !toChange && router.changed) {
-        router.changed = false;
-        host_.onClaim(r, at, "change ends");
+    if (what == "changed" && !isChanged && state.runsChange) {
+        state.runsChange = false;
+        events_.onClaim(router, at, "change ends");
     }
 }
 
-std::string Machines::runs(int router) const {
-    const Router& r = routers_[static_cast<std::size_t>(router)];
+std::string Machines::runningVersion(int router) const {
+    const RouterState& state = routers_[static_cast<std::size_t>(router)];
     char path[4096];
     const ssize_t size =
-        r.pid > 0 ? ::readlink(fmt::format("/proc/{}/exe", r.pid).c_str(), path, sizeof path) : -1;
-    if (size <= 0 || !r.up) return "nothing";
-    // By the process itself and not by its agent's word; settings by what it was given.
+        state.pid > 0 ? ::readlink(fmt::format("/proc/{}/exe", state.pid).c_str(), path, sizeof path) : -1;
+    if (size <= 0 || !state.isUp) return "nothing";
+    // Taken from the process itself, not from its agent: the program from /proc, settings from the
+    // status that the process reports.
     const std::string program(path, static_cast<std::size_t>(size));
-    const auto slash = before_.find('/');
+    const auto slash = versionBefore_.find('/');
     if (scenario_.roll.bySettings()) {
-        const int m = router / scenario_.machines.instances;
-        const std::string door = fmt::format("{}/m{}r{}.sock", machines_[static_cast<std::size_t>(m)].folder,
-                                             m, router - first(m));
+        const int machine = router / scenario_.machines.instances;
+        const std::string socketPath =
+            fmt::format("{}/m{}r{}.sock", machines_[static_cast<std::size_t>(machine)].folder, machine,
+                        router - firstRouterOf(machine));
         try {
             const auto described =
-                ctl::sendRequest(door, {{"do", "status"}}, 1000).at("described").get<std::string>();
-            return described.find(marked()) != std::string::npos ? "change" : "before";
+                ctl::sendRequest(socketPath, {{"do", "status"}}, 1000).at("described").get<std::string>();
+            return described.find(changeMarker()) != std::string::npos ? "change" : "before";
         } catch (const std::exception&) {
             return "nothing";
         }
     }
-    return program.find(before_.substr(0, slash)) != std::string::npos ? "before" : "change";
+    return program.find(versionBefore_.substr(0, slash)) != std::string::npos ? "before" : "change";
 }
 
-// What an instance tells of what is in force, if that is the roll's settings.
-std::string Machines::marked() const {
+// Text that occurs in an instance's description of its settings if and only if it runs the
+// rollout's settings.
+std::string Machines::changeMarker() const {
     const RolloutScenario& roll = scenario_.roll;
     const RequestClass& requestClass = scenario_.requestClasses.front().requestClass;
     if (roll.change == "misnamed") return "nowhere";
@@ -509,9 +531,9 @@
 }
 
 void Machines::runIteration(Nanos now) {
-    for (int m = 0; m < std::ssize(machines_); ++m) {
-        for (int from = -1; from < std::ssize(machines_); ++from) networkPath(from, m).pump(now);
-        pollAgents(now, m);
+    for (int machine = 0; machine < std::ssize(machines_); ++machine) {
+        for (int from = -1; from < std::ssize(machines_); ++from) networkPath(from, machine).pump(now);
+        pollAgents(now, machine);
     }
     for (auto it = coordinators_.begin(); it != coordinators_.end();) {
         if (!it->process->hasExited()) {
@@ -520,8 +542,9 @@
         }
         const int code = it->process->exitCode();
         it = coordinators_.erase(it);
-        // One that was overtaken ends with 1: the other one's word counts.
-        if (code != 1 || coordinators_.empty()) hasRolledOut_ = code;
+        // A coordinator that was superseded by another one exits with 1; the other one's exit code
+        // counts.
+        if (code != 1 || coordinators_.empty()) rolloutExitCode_ = code;
     }
 }
 
--- a/src/testbed/drivers/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -1,6 +1,6 @@
-// Machines of the testbed: each a loopback address, a folder that is its disk, a zone, an agent (`poppyctl
-// fleet`) and the routers that it runs; and a coordinator (`poppyctl roll`) that reaches the agents over the
-// lab's ways.
+// Emulated machines. Each has a loopback address, a folder that is its disk, a zone, an agent
+// (`poppyctl fleet`) and the routers that the agent runs. A coordinator (`poppyctl roll`) reaches
+// the agents over emulated network paths.
 #pragma once
 
 #include <sys/types.h>
@@ -19,115 +19,121 @@
 
 namespace poppyscale::testbed {
 
-// What machines tell of their routers, at the time at which it was so.
+// Receives the events of the routers on machines; `at` is the time at which an event happened.
 class MachineEvents {
   public:
     virtual ~MachineEvents() = default;
     virtual void onRouterUp(int router) = 0;
     virtual void onRouterStopping(int router, Nanos at) = 0;
     virtual void onRouterGone(int router, Nanos at) = 0;
-    // What a process claims to do, and from when to when.
+    // A process is believed to begin or end an activity: `what` is the text of a `claims` entry of
+    // the event log.
     virtual void onClaim(int router, Nanos at, const std::string& what) = 0;
 };
 
 struct MachinesOptions {
     std::string folder;
-    std::string program;  // of the routers
-    std::string ctl;      // poppyctl
-    std::string changed;  // what a roll of `same` changes to, or empty
-    std::string form;     // of the operator's file, and as the roll changes it
-    std::string changedForm;
+    std::string program;  // command line of the routers
+    std::string ctl;      // path of poppyctl
+    // The program that a rollout of the change `same` installs; a copy of `program` if empty.
+    std::string changedProgram;
+    std::string operatorFile;         // contents of the operator's file for the routers
+    std::string changedOperatorFile;  // the same with the rollout's settings
     std::uint64_t seed = 1;
-    // Of the first router of a machine; the others' follow.
+    // The IP address of the first router of a machine; the machine's other routers have the next
+    // ones.
     std::function<std::string(int router)> address;
-    int port = 0;
+    int firstPort = 0;
 };
 
 class Machines {
   public:
-    Machines(const Scenario& scenario, const MachinesOptions& wanted, MachineEvents& host);
-    // Ends everything that runs on them.
+    Machines(const Scenario& scenario, const MachinesOptions& options, MachineEvents& events);
+    // Kills everything that runs on the machines.
     ~Machines();
 
     void start();
-    // Often: what the agents tell, what goes the ways, who has ended. `now` on the clock of all processes.
+    // Relays bytes on the network paths, reads the agents' events and looks for coordinators that
+    // have exited. To be called often; `now` is on the steady clock, which all processes share.
     void runIteration(Nanos now);
     void injectFault(Nanos now, const FaultPlan& fault, int machine, bool begins);
     void kill(int router);
-    bool isUp(int router) const { return routers_[static_cast<std::size_t>(router)].up; }
+    bool isUp(int router) const { return routers_[static_cast<std::size_t>(router)].isUp; }
     void startRollout();
-    // Set once the coordinator has ended by itself: its exit code.
-    std::optional<int> hasRolledOut() const { return hasRolledOut_; }
-    // What each router runs now: "before", "change" or "nothing".
-    std::string runs(int router) const;
-    std::string lastOfCoordinator() const;
+    // The coordinator's exit code; set once it has exited by itself.
+    std::optional<int> rolloutExitCode() const { return rolloutExitCode_; }
+    // The version that a router runs now: "before", "change" or "nothing".
+    std::string runningVersion(int router) const;
+    std::string coordinatorOutcome() const;
 
   private:
-    struct Machine {
-        std::string folder, file;
-        std::unique_ptr<HostEnvironment> host;  // where its clock or its disk is to ail
+    struct MachineState {
+        std::string folder, agentConfig;
+        std::unique_ptr<HostEnvironment> hostEnvironment;  // null without clock and disk faults
         std::unique_ptr<ChildProcess> agent;
-        int ask = -1;  // a connection to the agent's address
-        std::string said;
-        Nanos askedAt = 0;
-        std::uint64_t after = 0;
-        bool down = false;  // by a fault
-        std::vector<pid_t> stopped;
+        int eventsFd = -1;  // connection to the agent while a poll for events is open; else -1
+        std::string response;
+        Nanos lastPollAt = 0;
+        std::uint64_t lastEvent = 0;
+        bool isDown = false;  // the machine or its agent is down by a fault
+        std::vector<pid_t> stoppedProcesses;
         Nanos asleepSince = 0;
     };
-    struct Router {
+    struct RouterState {
         pid_t pid = -1;
-        bool up = false;
-        bool isGone = false;
-        bool changed = false;
+        bool isUp = false;
+        bool isAway = false;
+        bool runsChange = false;
     };
-    int first(int machine) const { return machine * scenario_.machines.instances; }
+    int firstRouterOf(int machine) const { return machine * scenario_.machines.instances; }
     void startAgent(int machine);
     void startCoordinator(int machine);
-    // The way from one machine, or from the operator's desk, to another machine's agent.
+    // The path to the agent of machine `to` from machine `from`, or from the operator's workstation
+    // if `from` is below 0.
     NetworkPath& networkPath(int from, int to) {
         return *networkPaths_[static_cast<std::size_t>(from < 0 ? scenario_.machines.count : from)]
                              [static_cast<std::size_t>(to)];
     }
     std::string networkPathSocket(int from, int to) const;
-    // From which `machine` is cut, and as each of them sees it.
-    void cut(int machine, const FaultPlan& fault, bool begins);
-    // All that lead to it or from it.
-    void forEachNetworkPath(int machine, const std::function<void(NetworkPath&)>& what);
-    void stopAll(Machine& one, int machine, Nanos now, bool begins);
-    static bool needsHost(const Scenario& scenario, int machine);
+    // Cuts or restores the paths between `machine` and the machines that the fault names.
+    void setPartition(int machine, const FaultPlan& fault, bool begins);
+    // All paths that lead to the machine or from it.
+    void forEachNetworkPath(int machine, const std::function<void(NetworkPath&)>& apply);
+    void setStopped(MachineState& state, int machine, Nanos now, bool begins);
+    static bool needsHostEnvironment(const Scenario& scenario, int machine);
     void pollAgents(Nanos now, int machine);
-    void happened(int machine, const std::string& what, int router, Nanos at, pid_t pid,
-                  const std::string& version);
-    void endAll(int machine, int number);
+    void onAgentEvent(int machine, const std::string& what, int router, Nanos at, pid_t pid,
+                      const std::string& version);
+    void signalAll(int machine, int signalNumber);
     std::vector<pid_t> processesOf(int machine) const;
     std::string prepareChange();
-    std::string marked() const;
+    std::string changeMarker() const;
 
     const Scenario& scenario_;
     MachinesOptions options_;
-    MachineEvents& host_;
-    std::vector<Machine> machines_;
-    std::vector<Router> routers_;
+    MachineEvents& events_;
+    std::vector<MachineState> machines_;
+    std::vector<RouterState> routers_;
     struct Coordinator {
         std::unique_ptr<ChildProcess> process;
-        int machine;  // -1: at the operator's desk
+        int machine;  // -1: the operator's workstation
     };
     std::vector<Coordinator> coordinators_;
-    std::vector<std::vector<std::unique_ptr<NetworkPath>>>
-        networkPaths_;  // by where from, the desk last, and where to
+    // By source machine, the operator's workstation last, then by target machine.
+    std::vector<std::vector<std::unique_ptr<NetworkPath>>> networkPaths_;
     int ended_ = 0;
-    std::optional<int> hasRolledOut_;
-    int coordinatorAt_ = -1;  // where the one was that was killed
-    std::string change_;      // of the plan
-    std::string before_;      // the version that runs before the roll
-    std::vector<pid_t> seen_;
+    std::optional<int> rolloutExitCode_;
+    int killedCoordinatorMachine_ = -1;  // of the last killed one; -1: the workstation
+    std::string planChange_;             // the `[change]` part of the coordinators' plan
+    std::string versionBefore_;          // the version that runs before the rollout
+    std::vector<pid_t> seenProcesses_;
 };
 
-// All processes that descend from that one, itself not among them.
+// All descendants of a process, without the process itself.
 std::vector<pid_t> descendantsOf(pid_t process);
 
-// Plays in a process of its own, and ends what that leaves behind, however it ended.
-int guarded(const std::function<int()>& play);
+// Calls `run` in a child process and, however the child ends, kills all processes that it leaves
+// behind. Returns the child's exit code, or 1 if a signal ended it.
+int guarded(const std::function<int()>& run);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/network_path.cpp
+++ b/src/testbed/drivers/live/network_path.cpp
@@ -14,19 +14,19 @@
 namespace poppyscale::testbed {
 namespace {
 
-constexpr long kStallsAfter = 64;  // bytes of a stream
-constexpr std::size_t kPiece = 64 * 1024;
+constexpr long kStallAfterBytes = 64;  // both directions of a connection together
+constexpr std::size_t kReadSize = 64 * 1024;
 
-sockaddr_un addressOf(const std::string& path) {
+sockaddr_un unixAddress(const std::string& path) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
-    if (path.size() >= sizeof at.sun_path) throw RunError("a socket's path is too long: " + path);
+    if (path.size() >= sizeof at.sun_path) throw RunError("path is too long for a Unix socket: " + path);
     std::memcpy(at.sun_path, path.data(), path.size());
     return at;
 }
 
-int connected(const std::string& path) {
-    const sockaddr_un at = addressOf(path);
+int connectTo(const std::string& path) {
+    const sockaddr_un at = unixAddress(path);
     const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     if (::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
     ::close(fd);
@@ -36,73 +36,81 @@
 }  // namespace
 
 NetworkPath::NetworkPath(std::string from, std::string to, std::uint64_t seed)
-    : path_(std::move(from)), to_(std::move(to)), random_(seed) {
-    const sockaddr_un at = addressOf(path_);
-    ::unlink(path_.c_str());
-    fd_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    if (::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 && ::listen(fd_, 64) == 0) return;
-    throw RunError(fmt::format("can't listen at {}: {}", path_, std::strerror(errno)));
+    : listenPath_(std::move(from)), targetPath_(std::move(to)), random_(seed) {
+    const sockaddr_un at = unixAddress(listenPath_);
+    ::unlink(listenPath_.c_str());
+    listenFd_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+    if (::bind(listenFd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
+        ::listen(listenFd_, 64) == 0)
+        return;
+    throw RunError(fmt::format("can't listen at {}: {}", listenPath_, std::strerror(errno)));
 }
 
 NetworkPath::~NetworkPath() {
-    for (RelayedConnection& p : pipes_) {
-        ::close(p.there.from);
-        if (p.there.to >= 0) ::close(p.there.to);
+    for (RelayedConnection& connection : connections_) {
+        ::close(connection.forward.from);
+        if (connection.forward.to >= 0) ::close(connection.forward.to);
     }
-    ::close(fd_);
+    ::close(listenFd_);
 }
 
-void NetworkPath::healed() {
-    for (RelayedConnection& p : pipes_) p.broken = true;
+void NetworkPath::breakConnections() {
+    for (RelayedConnection& connection : connections_) connection.isBroken = true;
 }
 
-void NetworkPath::pass(Nanos now, RelayedConnection& pipe, Direction& half, bool cut) {
-    char buffer[kPiece];
-    ssize_t got = 0;
-    while (half.from >= 0 && !half.over && (got = ::recv(half.from, buffer, sizeof buffer, 0)) > 0)
-        if (!cut) half.on.push_back({now + delay, std::string(buffer, static_cast<std::size_t>(got))});
-    // An end is told like bytes: not over a cut.
-    if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) half.over = true;
-    while (!half.on.empty() && half.on.front().due <= now && half.to >= 0 && !cut) {
-        std::string& text = half.on.front().text;
-        std::size_t most = text.size();
-        if (stalls) most = std::min(most, static_cast<std::size_t>(std::max(kStallsAfter - pipe.passed, 0L)));
-        if (most == 0) return;
-        const ssize_t sent = ::send(half.to, text.data(), most, MSG_NOSIGNAL);
+void NetworkPath::relay(Nanos now, RelayedConnection& connection, Direction& direction, bool isCut) {
+    char buffer[kReadSize];
+    ssize_t received = 0;
+    while (direction.from >= 0 && !direction.hasEnded &&
+           (received = ::recv(direction.from, buffer, sizeof buffer, 0)) > 0)
+        if (!isCut)
+            direction.queue.push_back({now + delay, std::string(buffer, static_cast<std::size_t>(received))});
+    // The end of a stream is relayed after its bytes, and like them not across a cut.
+    if (received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) direction.hasEnded = true;
+    while (!direction.queue.empty() && direction.queue.front().due <= now && direction.to >= 0 && !isCut) {
+        std::string& text = direction.queue.front().text;
+        std::size_t allowed = text.size();
+        if (isStalled)
+            allowed = std::min(allowed, static_cast<std::size_t>(
+                                            std::max(kStallAfterBytes - connection.forwardedBytes, 0L)));
+        if (allowed == 0) return;
+        const ssize_t sent = ::send(direction.to, text.data(), allowed, MSG_NOSIGNAL);
         if (sent <= 0) {
-            pipe.broken |= errno != EAGAIN && errno != EWOULDBLOCK;
+            connection.isBroken |= errno != EAGAIN && errno != EWOULDBLOCK;
             return;
         }
-        pipe.passed += sent;
+        connection.forwardedBytes += sent;
         text.erase(0, static_cast<std::size_t>(sent));
-        if (text.empty()) half.on.pop_front();
+        if (text.empty()) direction.queue.pop_front();
     }
-    if (half.over && half.on.empty() && !cut) pipe.broken = true;
+    if (direction.hasEnded && direction.queue.empty() && !isCut) connection.isBroken = true;
 }
 
 void NetworkPath::pump(Nanos now) {
-    for (int fd; (fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;) {
-        if (random_.chance(drops)) {
+    for (int fd; (fd = ::accept4(listenFd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;) {
+        if (random_.chance(dropShare)) {
             ::close(fd);
             continue;
         }
-        // Cut off, whoever connects hears nothing at all.
-        const int on = cutTo || cutFrom ? -1 : connected(to_);
-        if (on < 0 && !cutTo && !cutFrom)
+        // While the path is cut, a new connection is accepted but not connected to the target.
+        const int target = isForwardCut || isBackwardCut ? -1 : connectTo(targetPath_);
+        if (target < 0 && !isForwardCut && !isBackwardCut)
             ::close(fd);
         else
-            pipes_.push_back({{fd, on, {}, false}, {on, fd, {}, false}, 0, false});
+            connections_.push_back({{fd, target, {}, false}, {target, fd, {}, false}, 0, false});
     }
-    for (RelayedConnection& p : pipes_) {
-        // One that came over a cut in one direction leads on where the other is open.
-        if (p.there.to < 0 && !cutTo) p.there.to = p.back.from = connected(to_);
-        pass(now, p, p.there, cutTo);
-        if (!p.broken) pass(now, p, p.back, cutFrom);
+    for (RelayedConnection& connection : connections_) {
+        // A connection accepted during a cut is connected to the target once the forward direction
+        // is open.
+        if (connection.forward.to < 0 && !isForwardCut)
+            connection.forward.to = connection.backward.from = connectTo(targetPath_);
+        relay(now, connection, connection.forward, isForwardCut);
+        if (!connection.isBroken) relay(now, connection, connection.backward, isBackwardCut);
     }
-    pipes_.remove_if([](const RelayedConnection& p) {
-        if (!p.broken) return false;
-        ::close(p.there.from);
-        if (p.there.to >= 0) ::close(p.there.to);
+    connections_.remove_if([](const RelayedConnection& connection) {
+        if (!connection.isBroken) return false;
+        ::close(connection.forward.from);
+        if (connection.forward.to >= 0) ::close(connection.forward.to);
         return true;
     });
 }
--- a/src/testbed/drivers/live/network_path.hpp
+++ b/src/testbed/drivers/live/network_path.hpp
@@ -1,4 +1,5 @@
-// A way from one machine to another: a Unix socket that leads to another one, and can be cut, slow, or break.
+// The network path from one machine to another: a Unix socket that relays connections to another
+// Unix socket and emulates partitions, latency, stalls and broken connections.
 #pragma once
 
 #include <deque>
@@ -12,20 +13,22 @@
 
 class NetworkPath {
   public:
-    // Throws CannotRun when it can't listen at `from`.
+    // Relays connections to the socket `from` on to the socket `to`. Throws RunError when it can't
+    // listen at `from`.
     NetworkPath(std::string from, std::string to, std::uint64_t seed);
     ~NetworkPath();
     NetworkPath(const NetworkPath&) = delete;
     NetworkPath& operator=(const NetworkPath&) = delete;
 
-    // What was sent while it was cut is lost; connections stay as they are until it heals, then they break.
-    bool cutTo = false, cutFrom = false;
+    // Bytes sent in a direction that is cut are lost. Connections stay open during the cut; the
+    // caller breaks them after it.
+    bool isForwardCut = false, isBackwardCut = false;
     Nanos delay = 0;
-    bool stalls = false;  // a stream stops after some bytes, until it does not any more
-    double drops = 0;     // share of connections that are broken as they come
-    void healed();        // after a cut
+    bool isStalled = false;   // each connection stops after 64 bytes until this is unset
+    double dropShare = 0;     // share of new connections that are closed at once
+    void breakConnections();  // after a cut
 
-    // Takes and passes on what there is; to be called often.
+    // Accepts connections and relays bytes without blocking; to be called often.
     void pump(Nanos now);
 
   private:
@@ -35,20 +38,20 @@
     };
     struct Direction {
         int from, to;
-        std::deque<Bytes> on;
-        bool over = false;  // nothing more comes
+        std::deque<Bytes> queue;
+        bool hasEnded = false;  // the sender has closed its end
     };
     struct RelayedConnection {
-        Direction there, back;
-        long passed = 0;
-        bool broken = false;
+        Direction forward, backward;
+        long forwardedBytes = 0;
+        bool isBroken = false;
     };
-    void pass(Nanos now, RelayedConnection& pipe, Direction& half, bool cut);
+    void relay(Nanos now, RelayedConnection& connection, Direction& direction, bool isCut);
 
-    std::string path_, to_;
-    int fd_ = -1;
+    std::string listenPath_, targetPath_;
+    int listenFd_ = -1;
     Random random_;
-    std::list<RelayedConnection> pipes_;
+    std::list<RelayedConnection> connections_;
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/process_faults.cpp
+++ b/src/testbed/drivers/live/process_faults.cpp
@@ -14,7 +14,8 @@
 namespace poppyscale::testbed {
 namespace {
 
-constexpr std::uint32_t kHeldUpTurns = fault_injection::kOne / 50;
+// One event loop iteration in 50 is delayed.
+constexpr std::uint32_t kDelayedTurnShare = fault_injection::kOne / 50;
 
 std::string libraryPath() {
     return (std::filesystem::read_symlink("/proc/self/exe").parent_path() /
@@ -28,11 +29,13 @@
     : file_(std::filesystem::absolute(folder + "/process-faults").string()) {
     const int fd = ::open(file_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0 || ::ftruncate(fd, sizeof(fault_injection::FaultPlan)) != 0)
-        throw std::runtime_error(fmt::format("{}: {}", file_, std::strerror(errno)));
+        throw std::runtime_error(
+            fmt::format("can't create the fault plan {}: {}", file_, std::strerror(errno)));
     void* const at =
         ::mmap(nullptr, sizeof(fault_injection::FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
-    if (at == MAP_FAILED) throw std::runtime_error(fmt::format("{}: {}", file_, std::strerror(errno)));
+    if (at == MAP_FAILED)
+        throw std::runtime_error(fmt::format("can't map the fault plan {}: {}", file_, std::strerror(errno)));
     plan_ = new (at) fault_injection::FaultPlan;
     plan_->seed = static_cast<std::uint32_t>(seed);
 }
@@ -45,28 +48,28 @@
             {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-void ProcessFaults::play(const FaultPlan& fault, bool begins) {
-    const auto by = static_cast<std::int64_t>(fault.by * kMillisecond);
-    if (fault.kind == FaultKind::wallStep) plan_->wallStep = begins ? by : 0;
+void ProcessFaults::inject(const FaultPlan& fault, bool begins) {
+    const auto delay = static_cast<std::int64_t>(fault.by * kMillisecond);
+    if (fault.kind == FaultKind::wallStep) plan_->wallStep = begins ? delay : 0;
     if (fault.kind == FaultKind::holdUp) {
-        plan_->maxDelay = begins ? by : 0;
-        plan_->delayShare = begins ? kHeldUpTurns : 0;
+        plan_->maxDelay = begins ? delay : 0;
+        plan_->delayShare = begins ? kDelayedTurnShare : 0;
     }
     if (fault.kind != FaultKind::callsFail) return;
     const auto call = static_cast<std::size_t>(*fault_injection::systemCallNamed(fault.call));
-    const auto way = static_cast<std::size_t>(*fault_injection::faultEffectNamed(fault.way));
-    plan_->share[call][way] = begins ? static_cast<std::uint32_t>(fault.by * fault_injection::kOne) : 0;
+    const auto effect = static_cast<std::size_t>(*fault_injection::faultEffectNamed(fault.way));
+    plan_->share[call][effect] = begins ? static_cast<std::uint32_t>(fault.by * fault_injection::kOne) : 0;
 }
 
 std::map<std::string, std::uint64_t> ProcessFaults::counts() const {
-    std::map<std::string, std::uint64_t> all;
+    std::map<std::string, std::uint64_t> counts;
     for (std::size_t c = 0; c < fault_injection::kSystemCalls; ++c)
         for (std::size_t w = 0; w < fault_injection::kFaultEffects; ++w)
             if (const std::uint64_t count = plan_->occurrences[c][w]; count > 0)
-                all[fmt::format("{} {}", fault_injection::kSystemCallNames[c],
-                                fault_injection::kFaultEffectNames[w])] = count;
-    if (const std::uint64_t count = plan_->delays; count > 0) all["held up"] = count;
-    return all;
+                counts[fmt::format("{} {}", fault_injection::kSystemCallNames[c],
+                                   fault_injection::kFaultEffectNames[w])] = count;
+    if (const std::uint64_t count = plan_->delays; count > 0) counts["held up"] = count;
+    return counts;
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/process_faults.hpp
+++ b/src/testbed/drivers/live/process_faults.hpp
@@ -1,4 +1,5 @@
-// The faults of the routers' processes: a plan that they map by a preloaded library, written here.
+// Faults of router processes. A library preloaded into each process maps the fault plan, which is
+// written here.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +15,18 @@
 
 class ProcessFaults {
   public:
-    // The plan is a file in `folder`. Throws std::runtime_error where it can't be made.
+    // The plan is a file in `folder`. Throws std::runtime_error if the file can't be created.
     ProcessFaults(const std::string& folder, std::uint64_t seed);
     ~ProcessFaults();
     ProcessFaults(const ProcessFaults&) = delete;
     ProcessFaults& operator=(const ProcessFaults&) = delete;
 
-    // What a process is started with to be struck.
+    // Environment variables for a process in which the faults are to happen.
     std::vector<std::pair<std::string, std::string>> variables() const;
-    void play(const FaultPlan& fault, bool begins);
-    // How often each has happened so far, "CALL WAY" or "held up"; of those only that have.
+    // Starts the fault, or ends it.
+    void inject(const FaultPlan& fault, bool begins);
+    // How often each fault has happened so far, by "CALL EFFECT" or "held up". Faults that have not
+    // happened are left out.
     std::map<std::string, std::uint64_t> counts() const;
 
   private:
