--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -1,4 +1,5 @@
-// The testbed as a program: days on real sockets, routers that break a rule, and what it says of bad use.
+// The testbed as a program: runs on real sockets, detection of routers that break a rule, and
+// errors in use.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -21,48 +22,49 @@
 
 namespace {
 
-struct Said {
-    int code = -1;
-    std::string text;
-    std::string last;
+struct CommandResult {
+    int exitCode = -1;
+    std::string output;
+    std::string lastLine;
 };
 
-Said call(const std::string& arguments) {
-    Said said;
+CommandResult runTestbed(const std::string& arguments) {
+    CommandResult result;
     FILE* const pipe =
         popen((std::string(POPPYSCALE_TESTBED_PROGRAM " ") + arguments + " 2>&1").c_str(), "r");
     std::array<char, 4096> buffer{};
     while (const std::size_t got = std::fread(buffer.data(), 1, buffer.size(), pipe))
-        said.text.append(buffer.data(), got);
+        result.output.append(buffer.data(), got);
     const int status = pclose(pipe);
-    said.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-    const auto end = said.text.find_last_not_of('\n');
-    const auto begin = said.text.find_last_of('\n', end);
-    said.last = said.text.substr(begin + 1, end - begin);
-    return said;
+    result.exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    const auto end = result.output.find_last_not_of('\n');
+    const auto begin = result.output.find_last_of('\n', end);
+    result.lastLine = result.output.substr(begin + 1, end - begin);
+    return result;
 }
 
-// A day that is on. What was late beside other days, or other work of the machine, proves nothing in either
-// way and is played again alone; what proves something is never played again.
-class On {
+// A testbed command that runs in the background. A run that was late (exit code 3) because of other
+// runs or other load on the machine proves nothing and is repeated alone, at most twice. A run with
+// a verdict is never repeated.
+class BackgroundRun {
   public:
-    explicit On(std::string arguments)
+    explicit BackgroundRun(std::string arguments)
         : arguments_(std::move(arguments)),
-          said_(std::async(std::launch::async, [a = arguments_] { return call(a); })) {}
-    Said over() {
-        Said said = said_.get();
-        for (int tries = 0; tries < 2 && said.code == 3; ++tries) said = call(arguments_);
-        return said;
+          result_(std::async(std::launch::async, [a = arguments_] { return runTestbed(a); })) {}
+    CommandResult result() {
+        CommandResult result = result_.get();
+        for (int tries = 0; tries < 2 && result.exitCode == 3; ++tries) result = runTestbed(arguments_);
+        return result;
     }
 
   private:
     std::string arguments_;
-    std::future<Said> said_;
+    std::future<CommandResult> result_;
 };
 
-// A testbed as a child, of which a test reads what it says while it goes on.
-struct Child {
-    explicit Child(const std::vector<std::string>& words) {
+// A testbed as a child process whose error output a test reads while it runs.
+struct TestbedProcess {
+    explicit TestbedProcess(const std::vector<std::string>& words) {
         int ends[2];
         REQUIRE(pipe(ends) == 0);
         pid = fork();
@@ -77,48 +79,51 @@
             _exit(127);
         }
         close(ends[1]);
-        says = fdopen(ends[0], "r");
+        output = fdopen(ends[0], "r");
     }
-    ~Child() { std::fclose(says); }
-    // Until it has said that, however long its start takes; false when it ended before.
-    bool hear(const std::string& words) {
+    ~TestbedProcess() { std::fclose(output); }
+    // Reads until a line contains `words`, however long that takes; false if the process exits
+    // before.
+    bool waitForOutput(const std::string& words) {
         std::array<char, 4096> line{};
-        while (std::fgets(line.data(), line.size(), says))
+        while (std::fgets(line.data(), line.size(), output))
             if (std::string(line.data()).find(words) != std::string::npos) return true;
         return false;
     }
-    int code() {
-        while (hear("\x01")) {
+    int waitForExit() {
+        while (waitForOutput("\x01")) {
         }
         int status = 0;
         waitpid(pid, &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     }
     pid_t pid = -1;
-    FILE* says = nullptr;
+    FILE* output = nullptr;
 };
 
-// A folder of its own, gone with the test.
-struct Folder {
-    Folder() {
+// A temporary folder that is removed at the end of the test.
+struct TemporaryFolder {
+    TemporaryFolder() {
         std::string name =
             (std::filesystem::temp_directory_path() / "poppyscale_testbed-story-XXXXXX").string();
         path = mkdtemp(name.data());
     }
-    ~Folder() { std::filesystem::remove_all(path); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path); }
     std::string path;
 };
 
-// The calm day with some of its lines replaced and faults added.
-std::string day(const Folder& folder, const std::string& name, int lengthMs,
-                const std::vector<std::pair<std::string, std::string>>& changes, const std::string& faults) {
+// Writes the scenario `calm` with some texts replaced, a new length, less load and `faults` added,
+// and returns the file's path.
+std::string writeScenario(const TemporaryFolder& folder, const std::string& name, int lengthMs,
+                          const std::vector<std::pair<std::string, std::string>>& replacements,
+                          const std::string& faults) {
     std::ifstream file(SCENARIOS "/calm.toml");
     std::string text{std::istreambuf_iterator<char>(file), {}};
     text.erase(text.find("[holds]"));
-    auto all = changes;
-    all.push_back({"length_ms = 20000", "length_ms = " + std::to_string(lengthMs)});
-    all.push_back({"per_second = 220", "per_second = 120"});
-    for (const auto& [from, to] : all) {
+    auto allReplacements = replacements;
+    allReplacements.push_back({"length_ms = 20000", "length_ms = " + std::to_string(lengthMs)});
+    allReplacements.push_back({"per_second = 220", "per_second = 120"});
+    for (const auto& [from, to] : allReplacements) {
         const auto at = text.find(from);
         REQUIRE(at != std::string::npos);
         text.replace(at, from.size(), to);
@@ -128,39 +133,43 @@
     return path;
 }
 
-const std::vector<std::pair<std::string, std::string>> kTender{
+const std::vector<std::pair<std::string, std::string>> kFragileSlowStart{
     {"[cold]", "[cold]\nshare = 0.1\ntip = 1.05\nramp_ms = 20000\nfall_ms = 1000"},
     {"count = 12", "count = 6"}};
 
 }  // namespace
 
-TEST_CASE("days in virtual time keep the rules and their bounds, up to hundreds of routers and caches") {
-    std::vector<std::future<Said>> days;
+TEST_CASE("Simulated scenarios keep all rules and their bounds, up to hundreds of routers and caches") {
+    std::vector<std::future<CommandResult>> runs;
     for (const char* name :
          {"crash", "hang", "slow", "replace", "zone-cut", "origin-stop", "discovery-down", "hot-key", "spoil",
           "drain", "router-kill", "cold-storm", "move", "many", "many-release", "many-killed"})
-        days.push_back(std::async(
-            std::launch::async, [name] { return call("sim " SCENARIOS "/" + std::string(name) + ".toml"); }));
-    for (auto& one : days) {
-        const Said said = one.get();
-        CHECK_MESSAGE(said.last == "verdict: kept", said.text);
-        CHECK(said.code == 0);
+        runs.push_back(std::async(std::launch::async, [name] {
+            return runTestbed("sim " SCENARIOS "/" + std::string(name) + ".toml");
+        }));
+    for (auto& one : runs) {
+        const CommandResult result = one.get();
+        CHECK_MESSAGE(result.lastLine == "verdict: kept", result.output);
+        CHECK(result.exitCode == 0);
     }
 }
 
 TEST_CASE(
-    "short days on sockets: calm, a move, caches that crash, routers that are killed and told to stop") {
-    const Folder f;
-    const std::string crash = "[[faults]]\nkind = \"crash\"\nat_ms = 1000\nfor_ms = 1500\ncount = 2\n";
-    const std::string roll =
+    "Short runs on sockets keep all rules: calm, mixed routers, crashed caches, stopped routers, late "
+    "connections") {
+    const TemporaryFolder folder;
+    const std::string crashFaults = "[[faults]]\nkind = \"crash\"\nat_ms = 1000\nfor_ms = 1500\ncount = 2\n";
+    const std::string routerFaults =
         "[[faults]]\nkind = \"router_kill\"\nat_ms = 500\n[[faults]]\nkind = \"reload\"\nat_ms = 300\n"
         "[[faults]]\nkind = \"router_restart\"\nat_ms = 2500\nfor_ms = 1000\n";
-    // Either kind of router before the same caches, of which two drain: neither starves the other.
-    const std::string move =
+    // Two kinds of routers (`moved` or not) share the caches, of which two drain; neither may
+    // starve the other.
+    const std::string drainFaults =
         "[[faults]]\nkind = \"drain\"\nat_ms = 1500\nfor_ms = 2000\ncount = 2\n[holds]\ngoal = 0.8\napart = "
         "0.1\n";
-    // Connections come up after a second, and most of the clients that wait have left by then.
-    const std::vector<std::pair<std::string, std::string>> lateDay{
+    // Connections are established after a second, at the kernel's next try, and most of the waiting
+    // clients have left by then.
+    const std::vector<std::pair<std::string, std::string>> lateChanges{
         {"[network]", "connect_ms = 2500\nidle_ms = 400\n[network]"},
         {"share = 0.92", "share = 0.5"},
         {"share = 0.05", "share = 0.47\nwrite = false"}};
@@ -168,110 +177,118 @@
         "[[faults]]\nkind = \"late\"\nat_ms = 500\nfor_ms = 4000\ntimes = 2\ncount = 6\n"
         "[[faults]]\nkind = \"leave\"\nat_ms = 1200\nfor_ms = 4000\ntimes = 2\nby = 0.8\n"
         "[holds]\nsent_on = 0\n";
-    std::vector<On> days;
+    std::vector<BackgroundRun> runs;
     for (const auto& file :
-         {day(f, "calm", 3000, {}, ""), day(f, "move", 5000, {{"count = 3", "count = 4\nmoved = 2"}}, move),
-          day(f, "crash", 4000, {}, crash),
-          day(f, "routers", 5000, {{"[network]", "restart_ms = 600\nnotice_ms = 400\n[network]"}}, roll),
-          day(f, "late", 6000, lateDay, lateFaults)})
-        days.emplace_back("run " + file + " --program " POPPYSCALE_PROGRAM " --out " + file + ".out");
-    for (On& one : days) {
-        const Said said = one.over();
-        CHECK_MESSAGE(said.last == "verdict: kept", said.text);
-        CHECK(said.code == 0);
+         {writeScenario(folder, "calm", 3000, {}, ""),
+          writeScenario(folder, "move", 5000, {{"count = 3", "count = 4\nmoved = 2"}}, drainFaults),
+          writeScenario(folder, "crash", 4000, {}, crashFaults),
+          writeScenario(folder, "routers", 5000,
+                        {{"[network]", "restart_ms = 600\nnotice_ms = 400\n[network]"}}, routerFaults),
+          writeScenario(folder, "late", 6000, lateChanges, lateFaults)})
+        runs.emplace_back("run " + file + " --program " POPPYSCALE_PROGRAM " --out " + file + ".out");
+    for (BackgroundRun& one : runs) {
+        const CommandResult result = one.result();
+        CHECK_MESSAGE(result.lastLine == "verdict: kept", result.output);
+        CHECK(result.exitCode == 0);
     }
-    const std::string out = f.path + "/crash.toml.out";
+    const std::string out = folder.path + "/crash.toml.out";
     CHECK(std::filesystem::file_size(out + "/report.html") > 2'000);
     std::ifstream report(out + "/report.json");
     CHECK(nlohmann::json::parse(report).at("figures").at("goal").get<double>() > 0.5);
-    // Judged again from its log alone it comes to the same.
-    CHECK(call("audit " + out).last == "verdict: kept");
+    // An audit of the log alone comes to the same verdict.
+    CHECK(runTestbed("audit " + out).lastLine == "verdict: kept");
 }
 
-TEST_CASE("each broken rule is caught on sockets, and a router that keeps all of them is let be") {
-    const Folder f;
-    const std::string drain = "[[faults]]\nkind = \"drain\"\nat_ms = 800\nfor_ms = 3500\ncount = 2\n";
-    const std::string crash = "[[faults]]\nkind = \"crash\"\nat_ms = 300\nfor_ms = 300\ncount = 2\n";
-    const std::string calm = day(f, "calm", 4500, {}, "");
-    // Half of the caches answer late, a miss too: what goes on to the origin goes there long after its
-    // arrival.
-    const std::string slow = "[[faults]]\nkind = \"slow\"\nat_ms = 300\nfor_ms = 3500\ncount = 6\nby = 12\n";
-    std::vector<std::pair<std::string, On>> days;
-    const auto playDefect = [&](const std::string& defect, const std::string& rule, const std::string& file) {
-        days.emplace_back(
+TEST_CASE("The audit of a run on sockets detects each broken rule and accepts a router that breaks none") {
+    const TemporaryFolder folder;
+    const std::string drainFaults = "[[faults]]\nkind = \"drain\"\nat_ms = 800\nfor_ms = 3500\ncount = 2\n";
+    const std::string crashFaults = "[[faults]]\nkind = \"crash\"\nat_ms = 300\nfor_ms = 300\ncount = 2\n";
+    const std::string calmScenario = writeScenario(folder, "calm", 4500, {}, "");
+    // Half of the caches answer late, misses included, so requests go to the origin long after
+    // their arrival.
+    const std::string slowFaults =
+        "[[faults]]\nkind = \"slow\"\nat_ms = 300\nfor_ms = 3500\ncount = 6\nby = 12\n";
+    std::vector<std::pair<std::string, BackgroundRun>> runs;
+    const auto startDefect = [&](const std::string& defect, const std::string& rule,
+                                 const std::string& file) {
+        runs.emplace_back(
             rule, "run " + file + " --program '" POPPYSCALE_TESTBED_PROGRAM " fault-router " + defect + "'");
     };
-    const auto play = [&](const std::string& rule, const std::string& file) { playDefect(rule, rule, file); };
-    for (const char* rule : {"none", "twice", "lost", "foreign", "crash"}) play(rule, calm);
-    play("drain", day(f, "drain", 4500, {}, drain));
-    play("cold", day(f, "cold", 6000, kTender, crash));
-    const std::string slowDay = day(f, "slow", 4500, {}, slow);
-    playDefect("tells-whole-time", "time", slowDay);
-    play("none", slowDay);
-    for (auto& [rule, one] : days) {
-        const Said said = one.over();
-        const bool kept = rule == "none";
-        CHECK_MESSAGE(said.code == (kept ? 0 : 1), said.text);
-        if (kept)
-            CHECK(said.last == "verdict: kept");
+    const auto start = [&](const std::string& rule, const std::string& file) {
+        startDefect(rule, rule, file);
+    };
+    for (const char* rule : {"none", "twice", "lost", "foreign", "crash"}) start(rule, calmScenario);
+    start("drain", writeScenario(folder, "drain", 4500, {}, drainFaults));
+    start("cold", writeScenario(folder, "cold", 6000, kFragileSlowStart, crashFaults));
+    const std::string slowScenario = writeScenario(folder, "slow", 4500, {}, slowFaults);
+    startDefect("tells-whole-time", "time", slowScenario);
+    start("none", slowScenario);
+    for (auto& [rule, one] : runs) {
+        const CommandResult result = one.result();
+        const bool keepsRules = rule == "none";
+        CHECK_MESSAGE(result.exitCode == (keepsRules ? 0 : 1), result.output);
+        if (keepsRules)
+            CHECK(result.lastLine == "verdict: kept");
         else
-            CHECK_MESSAGE((said.last.starts_with("verdict: broken:") &&
-                           said.last.find(" " + rule) != std::string::npos),
-                          said.text);
+            CHECK_MESSAGE((result.lastLine.starts_with("verdict: broken:") &&
+                           result.lastLine.find(" " + rule) != std::string::npos),
+                          result.output);
     }
 }
 
-TEST_CASE("a scenario or a program at fault ends with 2 and says which") {
-    const Folder f;
-    const std::string bad = day(f, "bad", 3000, {{"zipf = 1.0", "zpif = 1.0"}}, "");
-    const Said said = call("sim " + bad);
-    CHECK(said.code == 2);
-    CHECK(said.last == "poppyscale_testbed: " + bad + ":32: load.zpif: is not a key that is known here");
-    CHECK(call("sim").code == 2);
-    CHECK(call("sim /nowhere.toml").last == "poppyscale_testbed: /nowhere.toml:1: can't be read");
-    const Said gone = call("run " SCENARIOS "/calm.toml --program /nowhere/router");
-    CHECK(gone.code == 2);
-    CHECK(gone.last.find("ended before it was ready") != std::string::npos);
-    CHECK(call("audit " + f.path).code == 2);
+TEST_CASE("Exits with 2 and names the scenario, key or program that is at fault") {
+    const TemporaryFolder folder;
+    const std::string badScenario = writeScenario(folder, "bad", 3000, {{"zipf = 1.0", "zpif = 1.0"}}, "");
+    const CommandResult result = runTestbed("sim " + badScenario);
+    CHECK(result.exitCode == 2);
+    CHECK(result.lastLine ==
+          "poppyscale_testbed: " + badScenario + ":32: load.zpif: is not a key that is known here");
+    CHECK(runTestbed("sim").exitCode == 2);
+    CHECK(runTestbed("sim /nowhere.toml").lastLine == "poppyscale_testbed: /nowhere.toml:1: can't be read");
+    const CommandResult missingProgram = runTestbed("run " SCENARIOS "/calm.toml --program /nowhere/router");
+    CHECK(missingProgram.exitCode == 2);
+    CHECK(missingProgram.lastLine.find("exited before it was ready") != std::string::npos);
+    CHECK(runTestbed("audit " + folder.path).exitCode == 2);
 }
 
-TEST_CASE("a lab that was held up says that its run proves nothing") {
-    const Folder f;
-    const std::string file = day(f, "calm", 3000, {}, "");
-    Child lab({"run", file, "--program", POPPYSCALE_PROGRAM, "--out", f.path + "/out"});
-    REQUIRE(lab.hear("the load begins"));
+TEST_CASE("Exits with 3 when the testbed itself was stopped during the run") {
+    const TemporaryFolder folder;
+    const std::string file = writeScenario(folder, "calm", 3000, {}, "");
+    TestbedProcess testbed({"run", file, "--program", POPPYSCALE_PROGRAM, "--out", folder.path + "/out"});
+    REQUIRE(testbed.waitForOutput("the load begins"));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    kill(lab.pid, SIGSTOP);
+    kill(testbed.pid, SIGSTOP);
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
-    kill(lab.pid, SIGCONT);
-    CHECK(lab.code() == 3);
+    kill(testbed.pid, SIGCONT);
+    CHECK(testbed.waitForExit() == 3);
 }
 
-TEST_CASE("interrupted, the lab ends what it started and nothing else") {
-    const Folder f;
-    const std::string file = day(f, "calm", 20000, {}, "");
-    const std::string marker = f.path + "/pid";
-    const std::string program = "sh -c 'echo $$ >> " + marker + "; exec " POPPYSCALE_PROGRAM "'";
-    Child lab({"run", file, "--program", program, "--out", f.path + "/out"});
-    REQUIRE(lab.hear("the load begins"));
-    std::ifstream pids(marker);
+TEST_CASE("An interrupted testbed ends the routers that it started") {
+    const TemporaryFolder folder;
+    const std::string file = writeScenario(folder, "calm", 20000, {}, "");
+    const std::string pidFile = folder.path + "/pid";
+    const std::string program = "sh -c 'echo $$ >> " + pidFile + "; exec " POPPYSCALE_PROGRAM "'";
+    TestbedProcess testbed({"run", file, "--program", program, "--out", folder.path + "/out"});
+    REQUIRE(testbed.waitForOutput("the load begins"));
+    std::ifstream pids(pidFile);
     const std::vector<pid_t> routers(std::istream_iterator<pid_t>(pids), {});
     REQUIRE(routers.size() == 3);
-    kill(lab.pid, SIGINT);
-    CHECK(lab.code() == 1);
+    kill(testbed.pid, SIGINT);
+    CHECK(testbed.waitForExit() == 1);
     for (const pid_t r : routers) CHECK(kill(r, 0) != 0);
 }
 
-TEST_CASE("pairs that differ by chance are told from those that don't") {
+TEST_CASE("chanceOf gives the probability that paired differences are due to chance") {
     using poppyscale::testbed::chanceOf;
     CHECK(chanceOf({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
     CHECK(chanceOf({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
     CHECK(chanceOf({0, 0, 0, 0}) == doctest::Approx(1));
-    CHECK(chanceOf({3, 1, -2}) == doctest::Approx(0.75));  // by hand: six of the eight sums are 2 off or more
+    // Computed by hand: six of the eight sums are at least 2 from zero.
+    CHECK(chanceOf({3, 1, -2}) == doctest::Approx(0.75));
 }
 
-TEST_CASE("calls to the origin and to discovery are taken in pieces, one after the other") {
-    poppyscale::testbed::HttpRequestParser call;
+TEST_CASE("HttpRequestParser reads requests that arrive in pieces, one after the other") {
+    poppyscale::testbed::HttpRequestParser parser;
     using State = poppyscale::testbed::HttpRequestParser::State;
     const std::string text =
         "PUT /k1 HTTP/1.1\r\nHost: o\r\nx-call-id: 9b\r\nX-Call-Info: c=put,k=7\r\nContent-Length: "
@@ -279,20 +296,20 @@
         "GET /api/targets?after=4&wait_ms=20 HTTP/1.1\r\nHost: d\r\n\r\n";
     std::string_view rest = text;
     std::string_view piece = rest.substr(0, 20);
-    CHECK(call.feed(piece) == State::more);
+    CHECK(parser.feed(piece) == State::more);
     rest.remove_prefix(20);
-    CHECK(call.feed(rest) == State::complete);
-    CHECK(call.write());
-    CHECK(call.path() == "/k1");
-    CHECK(call.id() == "9b");
-    CHECK(call.info() == "c=put,k=7");
-    call.clear();
-    CHECK(call.feed(rest) == State::complete);
-    CHECK_FALSE(call.write());
-    CHECK(call.query("after") == "4");
-    CHECK(call.query("wait_ms") == "20");
-    CHECK(call.query("wait") == "");
-    call.clear();
+    CHECK(parser.feed(rest) == State::complete);
+    CHECK(parser.write());
+    CHECK(parser.path() == "/k1");
+    CHECK(parser.id() == "9b");
+    CHECK(parser.info() == "c=put,k=7");
+    parser.clear();
+    CHECK(parser.feed(rest) == State::complete);
+    CHECK_FALSE(parser.write());
+    CHECK(parser.query("after") == "4");
+    CHECK(parser.query("wait_ms") == "20");
+    CHECK(parser.query("wait") == "");
+    parser.clear();
     std::string_view noise = "\x01\x02 nonsense\r\n";
-    CHECK(call.feed(noise) == State::malformed);
+    CHECK(parser.feed(noise) == State::malformed);
 }
