--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -11,73 +11,76 @@
 namespace {
 
 template <class Model>
-bool tell(const Model& start, const ExplorationResult<Model>& e, const std::string& bounds) {
+bool printResult(const Model& start, const ExplorationResult<Model>& result, const std::string& bounds) {
     fmt::print("{}: states={} steps={} walks={} depth={}{} seconds={:.1f} steps_per_second={:.0f}\n", bounds,
-               e.states, e.steps, e.walks, e.depth, e.all ? " (all there is)" : "", e.seconds,
-               static_cast<double>(e.steps) / std::max(e.seconds, 1e-9));
-    if (e.broken.empty()) return true;
-    fmt::print("found, in {} events{}:\n", e.run.size(), e.shortest ? ", and none of these is shorter" : "");
-    Model m = start;
-    int number = 0;
-    for (const auto& action : e.run) {
-        fmt::print("  {:3}  {}\n", ++number, m.describe(action));
-        m.apply(action);
+               result.states, result.steps, result.walks, result.depth,
+               result.isExhaustive ? " (complete)" : "", result.seconds,
+               static_cast<double>(result.steps) / std::max(result.seconds, 1e-9));
+    if (result.broken.empty()) return true;
+    fmt::print("violation after {} steps{}:\n", result.run.size(),
+               result.isShortest ? " (shortest run)" : "");
+    Model model = start;
+    int stepNumber = 0;
+    for (const auto& step : result.run) {
+        fmt::print("  {:3}  {}\n", ++stepNumber, model.describe(step));
+        model.apply(step);
     }
-    if (e.healed) fmt::print("       then nothing fails any more, and all that was sent comes\n");
-    fmt::print("verdict: broken: {}\n", e.broken);
+    if (result.healed) fmt::print("       then all faults end, and all messages arrive\n");
+    fmt::print("verdict: broken: {}\n", result.broken);
     return false;
 }
 
-// Voters whose clocks run fast and holders whose clocks are slow: where a grant is shortest and a holder
-// believes longest. Then all sorts.
-bool exploreLeases(const ExplorationCommand& call) {
-    LeaseModelOptions wanted;
-    if (!call.without.empty()) wanted.without = {lease::parseSafeguard(call.without)};
-    ExplorationOptions how;
-    how.seed = call.seed;
-    wanted.clocks = 0b00111;
-    // Whole runs, in which something else happens than a fair order has next, once, twice ... times.
+// First with fast clocks at the acceptors and slow clocks at the holders, where a grant is shortest and a
+// holder relies on it longest; then with random clocks.
+bool exploreLeases(const ExplorationCommand& command) {
+    LeaseModelOptions modelOptions;
+    if (!command.without.empty()) modelOptions.without = {lease::parseSafeguard(command.without)};
+    ExplorationOptions exploration;
+    exploration.seed = command.seed;
+    modelOptions.clocks = 0b00111;
+    // Complete runs with one, two, ... deviations from the fair order.
     constexpr int kMostDeviations = 4;
-    how.walks = false;
-    wanted.ticks = 16;  // some three leases, or one, a quarantine and the next
-    how.breadth = 1;
-    double left = call.seconds * 0.5;
-    for (int deviations = 1; deviations <= kMostDeviations && left > 1; ++deviations) {
-        wanted.deviations = deviations;
-        how.seconds = left;
-        const LeaseModel fair(wanted);
-        const auto found = StateExplorer(fair, how).explore();
-        left -= found.seconds;
-        if (!tell(fair, found,
-                  fmt::format("{} deviations from a fair order of {} ticks", deviations, wanted.ticks)))
+    exploration.hasRandomWalks = false;
+    modelOptions.ticks = 16;  // about three leases, or a lease, a quarantine and the next lease
+    exploration.breadthFirstShare = 1;
+    double secondsLeft = command.seconds * 0.5;
+    for (int deviations = 1; deviations <= kMostDeviations && secondsLeft > 1; ++deviations) {
+        modelOptions.deviations = deviations;
+        exploration.seconds = secondsLeft;
+        const LeaseModel model(modelOptions);
+        const auto result = StateExplorer(model, exploration).explore();
+        secondsLeft -= result.seconds;
+        if (!printResult(
+                model, result,
+                fmt::format("{} deviations from the fair order of {} ticks", deviations, modelOptions.ticks)))
             return false;
-        if (!found.all) break;
+        if (!result.isExhaustive) break;
     }
-    // Every order at all, from the start; then long random ones.
-    wanted.deviations = -1;
-    wanted.ticks = LeaseModelOptions{}.ticks;
-    how = {};
-    how.seed = call.seed;
-    how.seconds = call.seconds * 0.25;
-    const LeaseModel worst(wanted);
-    if (!tell(worst, StateExplorer(worst, how).explore(),
-              "3 voters with fast clocks, 2 holders with slow ones"))
+    // Every order from the start, with any number of deviations; then long random runs.
+    modelOptions.deviations = -1;
+    modelOptions.ticks = LeaseModelOptions{}.ticks;
+    exploration = {};
+    exploration.seed = command.seed;
+    exploration.seconds = command.seconds * 0.25;
+    const LeaseModel model(modelOptions);
+    if (!printResult(model, StateExplorer(model, exploration).explore(),
+                     "3 acceptors with fast clocks, 2 holders with slow clocks"))
         return false;
-    std::mt19937 chance(static_cast<std::mt19937::result_type>(call.seed));
-    constexpr int kMixed = 6;
-    how.seconds = call.seconds * 0.25 / kMixed;
-    how.mostStates = 1;  // straight to the long runs
-    how.walkLength = 200;
-    wanted.holders = 3;
-    wanted.forgets = wanted.crashes = wanted.letGos = 3;
-    wanted.doubles = wanted.stops = wanted.slowSyncs = 2;
-    wanted.ticks = 80;
-    for (int i = 0; i < kMixed; ++i) {
-        wanted.clocks = chance() % 64;
-        how.seed = chance();
-        const LeaseModel mixed(wanted);
-        if (!tell(mixed, StateExplorer(mixed, how).explore(),
-                  fmt::format("3 voters, 3 holders, clocks {:06b}", wanted.clocks)))
+    std::mt19937 random(static_cast<std::mt19937::result_type>(command.seed));
+    constexpr int kMixedRuns = 6;
+    exploration.seconds = command.seconds * 0.25 / kMixedRuns;
+    exploration.mostStates = 1;  // goes straight to the random runs
+    exploration.walkLength = 200;
+    modelOptions.holders = 3;
+    modelOptions.diskLosses = modelOptions.crashes = modelOptions.releases = 3;
+    modelOptions.duplicates = modelOptions.suspensions = modelOptions.slowSyncs = 2;
+    modelOptions.ticks = 80;
+    for (int i = 0; i < kMixedRuns; ++i) {
+        modelOptions.clocks = random() % 64;
+        exploration.seed = random();
+        const LeaseModel mixedModel(modelOptions);
+        if (!printResult(mixedModel, StateExplorer(mixedModel, exploration).explore(),
+                         fmt::format("3 acceptors, 3 holders, clocks {:06b}", modelOptions.clocks)))
             return false;
     }
     fmt::print("verdict: kept\n");
@@ -86,9 +89,9 @@
 
 }  // namespace
 
-bool explore(const ExplorationCommand& call) {
-    if (call.what == "leases") return exploreLeases(call);
-    throw std::runtime_error(fmt::format("'{}' is none of: leases", call.what));
+bool explore(const ExplorationCommand& command) {
+    if (command.what == "leases") return exploreLeases(command);
+    throw std::runtime_error(fmt::format("unknown model '{}': expected leases", command.what));
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/model_checker/command.hpp
+++ b/src/testbed/model_checker/command.hpp
@@ -1,5 +1,4 @@
-// `poppyscale_testbed explore`: every order of events, up to stated bounds, and whether a known mistake is
-// found.
+// The command `poppyscale_testbed explore`: the model checker over all orders of events up to stated bounds.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +7,14 @@
 namespace poppyscale::testbed {
 
 struct ExplorationCommand {
-    std::string what;     // leases
-    std::string without;  // a guard that is left out, or empty
+    std::string what;     // the model: leases
+    std::string without;  // the safeguard to disable; empty: none
     double seconds = 40;
     std::uint64_t seed = 1;
 };
 
-// True when nothing was found. Prints bounds, states, and the run that breaks something. Throws
-// std::runtime_error for names that nobody knows.
-bool explore(const ExplorationCommand& call);
+// Returns true if no violation was found. Prints the bounds, the number of states, and the run that leads to
+// a violation. Throws std::runtime_error for an unknown model or safeguard.
+bool explore(const ExplorationCommand& command);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -1,5 +1,5 @@
-// Voters and holders of one lease in every order of events: the real deciders over scripted messages, disks
-// and clocks.
+// A model of the acceptors and holders of one lease for the state explorer: the real protocol code over
+// modelled messages, disks and clocks.
 #pragma once
 
 #include <array>
@@ -18,55 +18,55 @@
 struct LeaseModelOptions {
     std::set<lease::Safeguard> without;
     int holders = 2;
-    // Of each of them in one run, at most.
-    int forgets = 1, crashes = 1, doubles = 1, stops = 1, letGos = 1, slowSyncs = 1;
+    // How often each of these may happen in one run.
+    int diskLosses = 1, crashes = 1, duplicates = 1, suspensions = 1, releases = 1, slowSyncs = 1;
     int ticks = 40;
-    // Below 0: everything may happen at each moment. Else so many times in a run something else may than what
-    // a fair order has next (delay bounding: Emmi, Qadeer and Rakamaric, POPL 2011), which reaches whole
-    // runs.
+    // Below 0: any step may happen at any time. Otherwise: how often in a run a step may differ from the
+    // next one of the fair order (delay bounding: Emmi, Qadeer and Rakamaric, POPL 2011), so that complete
+    // runs can be explored.
     int deviations = -1;
-    std::uint32_t clocks = 0;  // a bit for each process: its clock is as fast as may be, or as slow
+    std::uint32_t clocks = 0;  // a bit for each process: 1 for the fastest clock allowed, 0 for the slowest
 };
 
 class LeaseModel {
   public:
     enum class StepKind : std::uint8_t {
-        tick,         // time goes on
-        lose,         // a message is lost
-        hold,         // it is held back, until it is delivered by itself
-        deliver,      // a message comes
-        twice,        // it comes, and will once more
-        syncLater,    // the same, and what the acceptor keeps is not on its disk yet
-        synced,       // now it is
-        crash,        // a acceptor starts again with what is on its disk
-        forget,       // a acceptor starts again with nothing
-        holderCrash,  // a holder starts again
-        act,          // a holder acts, if it may
-        stopped,      // a holder is told that it may act and is stopped before it does
-        goesOn,       // it goes on: the act comes late
-        letGo,
-        handOn
+        tick,               // time advances by one tick
+        loseMessage,        // a message is lost
+        delayMessage,       // a message is held back: the fair order does not deliver it
+        deliver,            // a message arrives
+        deliverTwice,       // a message arrives and stays in flight, to arrive again
+        deliverBeforeSync,  // a request arrives, and the acceptor's disk does not sync yet
+        completeSync,       // an acceptor's disk syncs
+        restartAcceptor,    // an acceptor restarts with what is on its disk
+        loseDisk,           // an acceptor restarts with an empty disk
+        restartHolder,      // a holder restarts
+        act,                // a holder enters a critical section and acts
+        suspend,            // a holder enters a critical section and is suspended before it acts
+        resume,             // a suspended holder continues: its act comes late
+        release,
+        transfer
     };
     struct Step {
-        StepKind what = StepKind::tick;
-        int who = 0;
-        // Of a message: between whom, which kind, which one of those that are alike. Nothing that depends on
-        // when.
-        int from = 0, kind = 0, nth = 0;
+        StepKind kind = StepKind::tick;
+        int process = 0;
+        // For steps of a message: its sender, its kind, and its index among the messages in flight of the
+        // same sender, receiver and kind. No times, so that a step means the same in every run.
+        int from = 0, messageKind = 0, ordinal = 0;
         bool operator==(const Step&) const = default;
     };
 
-    explicit LeaseModel(const LeaseModelOptions& wanted);
+    explicit LeaseModel(const LeaseModelOptions& options);
 
-    std::vector<Step> actions() const;
-    bool apply(const Step& action);
-    const std::string& broken() const { return broken_; }
+    std::vector<Step> enabledSteps() const;
+    bool apply(const Step& step);
+    const std::string& broken() const { return violation_; }
     std::string image() const;
-    std::string describe(const Step& action) const;
-    Step drawn(std::mt19937& chance) const;
+    std::string describe(const Step& step) const;
+    Step randomStep(std::mt19937& random) const;
     void heal();
-    // How often somebody else came to act than before.
-    int changes() const { return changes_; }
+    // How often another holder acted than before.
+    int actorChangeCount() const { return actorChangeCount_; }
 
   private:
     using Body = std::variant<lease::LeaseRequest, lease::LeaseAnswer, lease::RecallRequest,
@@ -75,12 +75,12 @@
         int from, to;  // acceptors first, then holders
         Body body;
         Nanos sentAt;
-        bool held = false;
+        bool isDelayed = false;
     };
     struct Disk {
-        bool voted = false;
+        bool hasState = false;
         lease::GrantRecords records;
-        // Written and not synced.
+        // Written, not yet synced.
         lease::GrantRecords pending;
         std::uint64_t ticket = 0;
     };
@@ -91,8 +91,8 @@
     };
     int acceptors() const { return settings_.acceptorCount; }
     bool isAcceptor(int process) const { return process < acceptors(); }
-    int count() const { return acceptors() + options_.holders; }
-    Nanos localOf(int process) const;
+    int processCount() const { return acceptors() + options_.holders; }
+    Nanos localTimeOf(int process) const;
     lease::LeaseHolder& holder(int process) {
         return holders_[static_cast<std::size_t>(process - acceptors())];
     }
@@ -101,22 +101,23 @@
     }
     lease::Acceptor& acceptor(int process) { return *acceptors_[static_cast<std::size_t>(process)]; }
     Disk& disk(int process) { return disks_[static_cast<std::size_t>(process)]; }
-    // What a fair order has next: what is due at a disk, an act, the oldest message, time.
-    Step usual() const;
-    std::vector<Step> possible() const;
-    bool play(const Step& action);
-    Step actionOf(std::size_t message, StepKind what) const;
-    std::optional<std::size_t> find(const Step& action) const;
+    // The next step of the fair order: a pending sync, else an act, else the delivery of the oldest
+    // message, else a tick.
+    Step fairStep() const;
+    std::vector<Step> possibleSteps() const;
+    bool execute(const Step& step);
+    Step messageStep(std::size_t index, StepKind kind) const;
+    std::optional<std::size_t> findMessage(const Step& step) const;
     void reconcile(int process, bool syncs);
     void sync(int process);
     void send(int from, int to, Body body);
-    void hand(const Message& message, bool syncs);
+    void deliver(const Message& message, bool syncs);
     void startAcceptor(int process);
     void startHolder(int process);
-    bool beginAct(int process, lease::Fence fence, bool late);
-    bool mayAct(int process) const;
-    bool acts(int process) const;  // one of its acts is not over
-    bool somebodyHolds() const;
+    bool beginAct(int process, lease::Fence fence, bool isLate);
+    bool canAct(int process) const;
+    bool isActing(int process) const;  // one of its acts is in progress
+    bool isLeaseHeld() const;
 
     LeaseModelOptions options_;
     lease::LeaseSettings settings_;
@@ -127,11 +128,11 @@
     std::vector<lease::LeaseHolder> holders_;
     std::vector<Message> messagesInFlight_;
     std::vector<ActiveSection> activeSections_;
-    std::vector<std::optional<lease::CriticalSection>> stopped_;  // holders that were told so and stand still
-    lease::Fence seen_ = 0;                                       // by who receives the acts
-    std::uint32_t incarnations_ = 1;
-    int lastActor_ = -1, changes_ = 0;
-    std::string broken_;
+    std::vector<std::optional<lease::CriticalSection>> suspended_;  // by holder: what it is suspended in
+    lease::Fence highestFence_ = 0;                                 // that the receiver of the acts has seen
+    std::uint32_t lastIncarnation_ = 1;
+    int lastActor_ = -1, actorChangeCount_ = 0;
+    std::string violation_;
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -1,19 +1,19 @@
-// Every order of events on real deciders: breadth first up to a bound, each state once by the hash of its
-// image; then long random runs beyond it. What is found is printed as the shortest run that there is, or that
-// is left when everything that it does not need has been taken out.
+// Explores the orders of events of a model: breadth first up to a bound, each state once by the hash of its
+// image; then beyond that by long random runs. The result is the shortest run that leads to a violation, or a
+// random run without the steps that its violation does not need.
 //
-// Two images with one 128-bit hash would hide a state; with 10^8 states the chance of any is under 10^-22.
+// Two images with the same 128-bit hash would hide a state; with 10^8 states the probability of any such pair
+// is below 10^-22.
 //
 // `Model` is copied by value and has
-//   struct Step: comparable, and the same thing wherever it is applied
-//   std::vector<Step> actions() const          what may happen now
-//   bool apply(const Step&)                    false: it can't here, and nothing changed
-//   const std::string& broken() const            what must not be and is; empty: nothing
-//   std::string image() const                    all that matters of it
-//   std::string describe(const Step&) const    the step in words
-//   Step drawn(std::mt19937&) const            one of actions(), what is rare in the world not too often
-//   void heal()                                  nothing fails from now on: `broken` then names what does not
-//   recover
+//   struct Step                              comparable, with the same meaning in every run
+//   std::vector<Step> enabledSteps() const   the steps that may happen next
+//   bool apply(const Step&)                  false, and without effect, if the step can't happen
+//   const std::string& broken() const        the violation; empty: none
+//   std::string image() const                all state that matters
+//   std::string describe(const Step&) const
+//   Step randomStep(std::mt19937&) const     one of enabledSteps(), in which rare events stay rare
+//   void heal()                              ends all faults; `broken` then names what does not recover
 #pragma once
 
 #include <xxhash.h>
@@ -32,38 +32,39 @@
 struct ExplorationOptions {
     double seconds = 40;
     std::uint64_t seed = 1;
-    int walkLength = 120;              // of a random run
-    std::size_t mostStates = 400'000;  // at one depth, kept at once: a few KB each
-    bool walks = true;                 // after what breadth first has found
-    double breadth = 0.5;              // of the time
+    int walkLength = 120;              // steps of a random run
+    std::size_t mostStates = 400'000;  // at one depth, kept in memory: a few KB each
+    bool hasRandomWalks = true;        // after the breadth-first search
+    double breadthFirstShare = 0.5;    // of `seconds`
 };
 
 template <class Model>
 struct ExplorationResult {
     std::uint64_t states = 0, steps = 0, walks = 0;
-    int depth = 0;     // to which every order was looked at
-    bool all = false;  // there was nothing further
+    int depth = 0;              // to which every order was explored
+    bool isExhaustive = false;  // no state was left to explore
     double seconds = 0;
     std::string broken;
     std::vector<typename Model::Step> run;
-    bool shortest = false;  // none is shorter
-    bool healed = false;    // it shows once nothing fails any more and all that was sent has come
+    bool isShortest = false;  // no shorter run leads to a violation
+    bool healed = false;      // the violation shows only after Model::heal()
 };
 
 template <class Model>
 class StateExplorer {
   public:
     using Step = typename Model::Step;
-    StateExplorer(Model start, const ExplorationOptions& wanted)
-        : start_(std::move(start)), wanted_(wanted) {}
+    StateExplorer(Model start, const ExplorationOptions& options)
+        : start_(std::move(start)), options_(options) {}
 
     ExplorationResult<Model> explore() {
-        const auto began = Clock::now();
-        breadth(began, wanted_.seconds * wanted_.breadth);
-        if (wanted_.walks && out_.broken.empty() && !out_.all) walk(began, wanted_.seconds * 0.9);
-        if (!out_.broken.empty() && !out_.shortest) shrink(began);
-        out_.seconds = since(began);
-        return std::move(out_);
+        const auto startedAt = Clock::now();
+        searchBreadthFirst(startedAt, options_.seconds * options_.breadthFirstShare);
+        if (options_.hasRandomWalks && result_.broken.empty() && !result_.isExhaustive)
+            walkRandomly(startedAt, options_.seconds * 0.9);
+        if (!result_.broken.empty() && !result_.isShortest) shrinkRun(startedAt);
+        result_.seconds = secondsSince(startedAt);
+        return std::move(result_);
     }
 
   private:
@@ -71,18 +72,18 @@
     struct Hash {
         std::size_t operator()(const XXH128_hash_t& h) const { return static_cast<std::size_t>(h.low64); }
     };
-    struct Same {
+    struct Equal {
         bool operator()(const XXH128_hash_t& a, const XXH128_hash_t& b) const { return XXH128_isEqual(a, b); }
     };
-    static double since(Clock::time_point began) {
-        return std::chrono::duration<double>(Clock::now() - began).count();
+    static double secondsSince(Clock::time_point startedAt) {
+        return std::chrono::duration<double>(Clock::now() - startedAt).count();
     }
-    bool isNew(const Model& m) {
-        const std::string image = m.image();
+    bool isNew(const Model& model) {
+        const std::string image = model.image();
         return seen_.insert(XXH3_128bits(image.data(), image.size())).second;
     }
 
-    void breadth(Clock::time_point began, double seconds) {
+    void searchBreadthFirst(Clock::time_point startedAt, double seconds) {
         struct Node {
             Model model;
             std::vector<Step> run;
@@ -92,97 +93,101 @@
         for (int depth = 1; !level.empty(); ++depth) {
             std::vector<Node> next;
             for (Node& node : level) {
-                for (const Step& action : node.model.actions()) {
-                    Model m = node.model;
-                    if (!m.apply(action)) continue;
-                    ++out_.steps;
-                    if (!m.broken().empty()) {
-                        out_.broken = m.broken();
-                        out_.run = node.run;
-                        out_.run.push_back(action);
-                        out_.shortest = true;
+                for (const Step& step : node.model.enabledSteps()) {
+                    Model model = node.model;
+                    if (!model.apply(step)) continue;
+                    ++result_.steps;
+                    if (!model.broken().empty()) {
+                        result_.broken = model.broken();
+                        result_.run = node.run;
+                        result_.run.push_back(step);
+                        result_.isShortest = true;
                         return;
                     }
-                    if (!isNew(m)) continue;
-                    ++out_.states;
+                    if (!isNew(model)) continue;
+                    ++result_.states;
                     auto run = node.run;
-                    run.push_back(action);
-                    next.push_back({std::move(m), std::move(run)});
+                    run.push_back(step);
+                    next.push_back({std::move(model), std::move(run)});
                 }
-                if (since(began) > seconds || next.size() > wanted_.mostStates) return;
+                if (secondsSince(startedAt) > seconds || next.size() > options_.mostStates) return;
                 node.run = {};
             }
-            out_.depth = depth;
+            result_.depth = depth;
             level = std::move(next);
         }
-        out_.all = true;
+        result_.isExhaustive = true;
     }
 
-    void walk(Clock::time_point began, double seconds) {
-        std::mt19937 chance(static_cast<std::mt19937::result_type>(wanted_.seed));
-        while (since(began) < seconds) {
-            ++out_.walks;
-            Model m = start_;
+    void walkRandomly(Clock::time_point startedAt, double seconds) {
+        std::mt19937 random(static_cast<std::mt19937::result_type>(options_.seed));
+        while (secondsSince(startedAt) < seconds) {
+            ++result_.walks;
+            Model model = start_;
             std::vector<Step> run;
-            for (int i = 0; i < wanted_.walkLength && m.broken().empty(); ++i) {
-                const Step action = m.drawn(chance);
-                if (!m.apply(action)) continue;
-                ++out_.steps;
-                run.push_back(action);
+            for (int i = 0; i < options_.walkLength && model.broken().empty(); ++i) {
+                const Step step = model.randomStep(random);
+                if (!model.apply(step)) continue;
+                ++result_.steps;
+                run.push_back(step);
             }
-            out_.healed = m.broken().empty();
-            if (out_.healed) m.heal();
-            if (m.broken().empty()) continue;
-            out_.broken = m.broken();
-            out_.run = std::move(run);
+            result_.healed = model.broken().empty();
+            if (result_.healed) model.heal();
+            if (model.broken().empty()) continue;
+            result_.broken = model.broken();
+            result_.run = std::move(run);
             return;
         }
     }
 
-    // The same break, or another one: any run that breaks something will do.
-    std::string playedTo(const std::vector<Step>& run, std::vector<Step>& needed, bool& healed) const {
-        Model m = start_;
+    // The violation of a run, which may be another one than before: any will do. `needed`: the steps of the
+    // run that could happen.
+    std::string replay(const std::vector<Step>& run, std::vector<Step>& needed, bool& healed) const {
+        Model model = start_;
         needed.clear();
         healed = false;
-        for (const Step& action : run) {
-            if (!m.apply(action)) continue;
-            needed.push_back(action);
-            if (!m.broken().empty()) return m.broken();
+        for (const Step& step : run) {
+            if (!model.apply(step)) continue;
+            needed.push_back(step);
+            if (!model.broken().empty()) return model.broken();
         }
         healed = true;
-        m.heal();
-        return m.broken();
+        model.heal();
+        return model.broken();
     }
 
-    void shrink(Clock::time_point began) {
-        const double until = std::max(wanted_.seconds, since(began) + 5);
-        for (std::size_t piece = std::max<std::size_t>(out_.run.size() / 2, 1); since(began) < until;) {
-            bool less = false;
-            for (std::size_t at = 0; at < out_.run.size() && since(began) < until;) {
-                auto without = out_.run;
-                const auto from = without.begin() + static_cast<std::ptrdiff_t>(at);
-                without.erase(from, from + static_cast<std::ptrdiff_t>(std::min(piece, without.size() - at)));
+    void shrinkRun(Clock::time_point startedAt) {
+        const double until = std::max(options_.seconds, secondsSince(startedAt) + 5);
+        for (std::size_t chunkSize = std::max<std::size_t>(result_.run.size() / 2, 1);
+             secondsSince(startedAt) < until;) {
+            bool isShortened = false;
+            for (std::size_t position = 0;
+                 position < result_.run.size() && secondsSince(startedAt) < until;) {
+                auto without = result_.run;
+                const auto from = without.begin() + static_cast<std::ptrdiff_t>(position);
+                without.erase(
+                    from, from + static_cast<std::ptrdiff_t>(std::min(chunkSize, without.size() - position)));
                 std::vector<Step> needed;
                 bool healed = false;
-                const std::string broken = playedTo(without, needed, healed);
+                const std::string broken = replay(without, needed, healed);
                 if (broken.empty()) {
-                    at += piece;
+                    position += chunkSize;
                     continue;
                 }
-                out_.broken = broken;
-                out_.run = std::move(needed);
-                out_.healed = healed;
-                less = true;
+                result_.broken = broken;
+                result_.run = std::move(needed);
+                result_.healed = healed;
+                isShortened = true;
             }
-            if (!less && piece == 1) return;
-            if (!less) piece = std::max<std::size_t>(piece / 2, 1);
+            if (!isShortened && chunkSize == 1) return;
+            if (!isShortened) chunkSize = std::max<std::size_t>(chunkSize / 2, 1);
         }
     }
 
     Model start_;
-    ExplorationOptions wanted_;
-    ExplorationResult<Model> out_;
-    std::unordered_set<XXH128_hash_t, Hash, Same> seen_;
+    ExplorationOptions options_;
+    ExplorationResult<Model> result_;
+    std::unordered_set<XXH128_hash_t, Hash, Equal> seen_;
 };
 
 }  // namespace poppyscale::testbed
