--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -23,11 +23,11 @@
 using namespace lease;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr Nanos kSync = 4 * kMillisecond;
+constexpr Nanos kDiskSyncTime = 4 * kMillisecond;
 constexpr Nanos kLatency = 400 * 1000;  // one way
-constexpr Nanos kActLasts = 200 * kMillisecond;
-constexpr Nanos kActEvery = 500 * kMillisecond;
-constexpr Nanos kAskAct = 10 * kMillisecond;  // a task that may not act yet asks again
+constexpr Nanos kCriticalSectionDuration = 200 * kMillisecond;
+constexpr Nanos kActInterval = 500 * kMillisecond;
+constexpr Nanos kRetryInterval = 10 * kMillisecond;  // while a holder may not act yet
 
 double cpuSeconds() {
     timespec at{};
@@ -35,386 +35,418 @@
     return static_cast<double>(at.tv_sec) + static_cast<double>(at.tv_nsec) / 1e9;
 }
 
-class SimulatedRun {
+class SimulatedLeaseRun {
   public:
-    explicit SimulatedRun(const LeaseRunOptions& p)
-        : p_(p), random_(p.seed * 7 + 1), faults_(p.seed * 13 + 5), net_(p.seed * 17 + 9) {
-        settings_.acceptorCount = p.acceptors;
-        settings_.disabledSafeguards = p.disabledSafeguard;
-        routers_.resize(static_cast<std::size_t>(p.routers));
-        for (int r = 0; r < p.routers; ++r) {
-            Router& one = at(r);
-            one.rate = 1 + settings_.rate * (2 * random_.fraction() - 1);
-            one.zero = static_cast<Nanos>(random_.fraction() * 1e12);
-            one.disk.voted = true;
-            start(0, r);
+    explicit SimulatedLeaseRun(const LeaseRunOptions& options)
+        : options_(options),
+          random_(options.seed * 7 + 1),
+          faultRandom_(options.seed * 13 + 5),
+          networkRandom_(options.seed * 17 + 9) {
+        settings_.acceptorCount = options.acceptors;
+        settings_.disabledSafeguards = options.disabledSafeguard;
+        routers_.resize(static_cast<std::size_t>(options.routers));
+        for (int index = 0; index < options.routers; ++index) {
+            Router& router = routerAt(index);
+            router.clockRate = 1 + settings_.rate * (2 * random_.fraction() - 1);
+            router.clockZero = static_cast<Nanos>(random_.fraction() * 1e12);
+            router.disk.hasState = true;
+            startProcess(0, index);
         }
-        leases_.resize(static_cast<std::size_t>(p.leases));
-        // Three candidates each, spread evenly: which is the first is drawn.
-        for (int l = 0; l < p.leases; ++l)
-            for (int k = 0; k < p.candidates; ++k)
-                candidates_[(l + k * (p.routers / p.candidates) + k) % p.routers].push_back(
+        leases_.resize(static_cast<std::size_t>(options.leases));
+        // Spreads the candidates of each lease evenly over the routers; the k-th has rank k.
+        for (int l = 0; l < options.leases; ++l)
+            for (int k = 0; k < options.candidates; ++k)
+                candidates_[(l + k * (options.routers / options.candidates) + k) % options.routers].push_back(
                     {static_cast<LeaseId>(l), k});
-        for (int r = 0; r < p.routers; ++r) wantAll(0, r);
+        for (int index = 0; index < options.routers; ++index) acquireAll(0, index);
     }
 
-    LeaseRunResult play() {
-        const auto began = std::chrono::steady_clock::now();
-        const double cpu = cpuSeconds();
-        const auto end = static_cast<Nanos>(p_.seconds * 1e9);
+    LeaseRunResult run() {
+        const auto startedAt = std::chrono::steady_clock::now();
+        const double cpuAtStart = cpuSeconds();
+        const auto end = static_cast<Nanos>(options_.seconds * 1e9);
         planFaults(kSecond * 10, end);
         events_.schedule(0, [this](Nanos t) { sample(t); });
         while (events_.next() <= end) events_.step(end);
-        LeaseRunResult& o = out_;
-        o.seconds = p_.seconds;
-        o.wall = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-        o.without = samples_ ? static_cast<double>(nobody_) / static_cast<double>(samples_) : 0;
-        std::sort(gaps_.begin(), gaps_.end());
+        LeaseRunResult& result = result_;
+        result.seconds = options_.seconds;
+        result.wall = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
+        result.without =
+            sampleCount_ ? static_cast<double>(unheldSampleCount_) / static_cast<double>(sampleCount_) : 0;
+        std::sort(takeoverTimes_.begin(), takeoverTimes_.end());
         const auto quantile = [this](double q) {
-            return gaps_.empty() ? 0
-                                 : gaps_[static_cast<std::size_t>(q * static_cast<double>(gaps_.size() - 1))];
+            return takeoverTimes_.empty() ? 0
+                                          : takeoverTimes_[static_cast<std::size_t>(
+                                                q * static_cast<double>(takeoverTimes_.size() - 1))];
         };
-        o.p50 = quantile(0.5);
-        o.p99 = quantile(0.99);
-        o.most = quantile(1);
-        o.framesPerSecond = static_cast<double>(frames_) / p_.routers / p_.seconds;
-        o.bytesPerFrame = frames_ ? static_cast<double>(messages_) * 29 / static_cast<double>(frames_) : 0;
-        o.cpuMicros = (cpuSeconds() - cpu) * 1e6 / p_.routers / p_.seconds;
-        o.digest = fmt::format("{:016x}", digest_);
-        return o;
+        result.p50 = quantile(0.5);
+        result.p99 = quantile(0.99);
+        result.most = quantile(1);
+        result.framesPerSecond = static_cast<double>(frameCount_) / options_.routers / options_.seconds;
+        result.bytesPerFrame =
+            frameCount_ ? static_cast<double>(messageCount_) * 29 / static_cast<double>(frameCount_) : 0;
+        result.cpuMicros = (cpuSeconds() - cpuAtStart) * 1e6 / options_.routers / options_.seconds;
+        result.digest = fmt::format("{:016x}", digest_);
+        return result;
     }
 
   private:
     struct Disk {
-        bool voted = false;
+        bool hasState = false;
         GrantRecords records;
     };
     struct Router {
-        bool up = true, stopped = false;
+        bool isUp = true, isSuspended = false;
         int incarnation = 0;
-        double rate = 1;
-        Nanos zero = 0, trueAt = 0, shownAt = 0;
+        double clockRate = 1;
+        Nanos clockZero = 0, clockSetAt = 0, clockReading = 0;
         std::optional<Acceptor> acceptor;
         std::optional<LeaseHolder> holder;
         Disk disk;
-        double loss = 0;
-        bool cutTo = false, cutFrom = false;
-        Nanos delay = 0;
+        double lossRate = 0;
+        bool isCutInbound = false, isCutOutbound = false;
+        Nanos addedDelay = 0;
         Nanos wakeAt = kNever;
-        std::vector<std::function<void(Nanos)>> held;  // what came while it was stopped
+        std::vector<std::function<void(Nanos)>> deferred;  // events that arrived while it was suspended
     };
     struct Lease {
-        Fence seen = 0;
-        int actor = -1;  // who acts or acted last
-        Nanos actsUntil = 0;
-        Nanos diedAt = 0;  // its holder was killed, and nobody has acted since
+        Fence highestFence = 0;
+        int lastActor = -1;  // the router that acts or acted last
+        Nanos actUntil = 0;
+        Nanos holderKilledAt = 0;  // 0 once a router has acted again
     };
-    Router& at(int r) { return routers_[static_cast<std::size_t>(r)]; }
-    bool isAcceptorVoting(int r) const { return r < p_.acceptors; }
+    Router& routerAt(int index) { return routers_[static_cast<std::size_t>(index)]; }
+    bool isAcceptor(int index) const { return index < options_.acceptors; }
 
-    // The clock that goes on while a machine sleeps, off by its rate, from a zero of its own.
-    Nanos local(int r, Nanos now) {
-        const Router& one = at(r);
-        return one.zero + one.shownAt + static_cast<Nanos>(static_cast<double>(now - one.trueAt) * one.rate);
+    // The router's clock: it runs on while the machine sleeps, at the router's rate and from its own zero.
+    Nanos localTimeOf(int index, Nanos now) {
+        const Router& router = routerAt(index);
+        return router.clockZero + router.clockReading +
+               static_cast<Nanos>(static_cast<double>(now - router.clockSetAt) * router.clockRate);
     }
-    Nanos trueAt(int r, Nanos shown) {
-        const Router& one = at(r);
-        return one.trueAt +
-               static_cast<Nanos>(static_cast<double>(shown - one.zero - one.shownAt) / one.rate);
+    Nanos trueTime(int index, Nanos localTime) {
+        const Router& router = routerAt(index);
+        return router.clockSetAt +
+               static_cast<Nanos>(static_cast<double>(localTime - router.clockZero - router.clockReading) /
+                                  router.clockRate);
     }
 
-    void start(Nanos now, int r) {
-        Router& one = at(r);
-        one.up = true;
-        one.stopped = false;
-        ++one.incarnation;
-        one.wakeAt = kNever;
-        one.holder.emplace(settings_, static_cast<MemberId>(r + 1),
-                           static_cast<std::uint32_t>(
-                               p_.seed * 65'537 + static_cast<std::uint64_t>(r * 1'000 + one.incarnation)));
-        if (isAcceptorVoting(r))
-            one.acceptor.emplace(
-                settings_, r, local(r, now),
-                one.disk.voted ? std::optional<GrantRecords>(one.disk.records) : std::nullopt);
+    void startProcess(Nanos now, int index) {
+        Router& router = routerAt(index);
+        router.isUp = true;
+        router.isSuspended = false;
+        ++router.incarnation;
+        router.wakeAt = kNever;
+        router.holder.emplace(
+            settings_, static_cast<MemberId>(index + 1),
+            static_cast<std::uint32_t>(options_.seed * 65'537 +
+                                       static_cast<std::uint64_t>(index * 1'000 + router.incarnation)));
+        if (isAcceptor(index))
+            router.acceptor.emplace(
+                settings_, index, localTimeOf(index, now),
+                router.disk.hasState ? std::optional<GrantRecords>(router.disk.records) : std::nullopt);
     }
-    void wantAll(Nanos now, int r) {
-        for (const auto& [lease, rank] : candidates_[r]) {
-            at(r).holder->acquire(local(r, now), lease, rank);
-            events_.schedule(now, [this, r, lease = lease, life = at(r).incarnation](Nanos t) {
-                task(t, r, lease, life);
-            });
+    void acquireAll(Nanos now, int index) {
+        for (const auto& [lease, rank] : candidates_[index]) {
+            routerAt(index).holder->acquire(localTimeOf(index, now), lease, rank);
+            events_.schedule(now, [this, index, lease = lease, incarnation = routerAt(index).incarnation](
+                                      Nanos t) { runTask(t, index, lease, incarnation); });
         }
-        reconcile(now, r);
+        reconcile(now, index);
     }
 
-    // ---- tasks: each acts as often as it may, and the receiver of its acts sees who
+    // ---- tasks: each acts as often as its lease allows, and the receiver of the acts checks them
 
-    void task(Nanos now, int r, LeaseId lease, int life) {
-        Router& one = at(r);
-        if (!one.up || one.incarnation != life) return;
-        const auto again = [this, r, lease, life](Nanos t) { task(t, r, lease, life); };
-        if (one.stopped) return one.held.push_back(again);
-        const auto act = one.holder->enterCriticalSection(local(r, now), lease, kActLasts);
-        if (!act)
-            return events_.schedule(now + (one.holder->isHolding(local(r, now), lease) ? kAskAct : kActEvery),
-                                    again);
-        // Once in a while it is stopped just between the question and the act.
-        if (stops_ && faults_.chance(0.0005)) {
-            stop(now, r, 2 * settings_.duration);
-            one.held.push_back([this, r, lease, fence = act->fence, again](Nanos t) {
-                arrive(t, r, lease, fence, true);
-                events_.schedule(t + kActEvery, again);
+    void runTask(Nanos now, int index, LeaseId lease, int incarnation) {
+        Router& router = routerAt(index);
+        if (!router.isUp || router.incarnation != incarnation) return;
+        const auto repeat = [this, index, lease, incarnation](Nanos t) {
+            runTask(t, index, lease, incarnation);
+        };
+        if (router.isSuspended) return router.deferred.push_back(repeat);
+        const auto section =
+            router.holder->enterCriticalSection(localTimeOf(index, now), lease, kCriticalSectionDuration);
+        if (!section)
+            return events_.schedule(
+                now + (router.holder->isHolding(localTimeOf(index, now), lease) ? kRetryInterval
+                                                                                : kActInterval),
+                repeat);
+        // Occasionally suspends the process between enterCriticalSection and the act.
+        if (suspendsBeforeActs_ && faultRandom_.chance(0.0005)) {
+            suspend(now, index, 2 * settings_.duration);
+            router.deferred.push_back([this, index, lease, fence = section->fence, repeat](Nanos t) {
+                recordAct(t, index, lease, fence, true);
+                events_.schedule(t + kActInterval, repeat);
             });
             return;
         }
-        arrive(now, r, lease, act->fence, false);
-        events_.schedule(now + kActEvery, again);
+        recordAct(now, index, lease, section->fence, false);
+        events_.schedule(now + kActInterval, repeat);
     }
-    void arrive(Nanos now, int r, LeaseId lease, Fence fence, bool late) {
-        Lease& l = leases_[lease];
-        if (late && fence < l.seen) return void(++out_.lateRefused);
-        ++out_.acts;
-        if (!late && l.actor != r && now < l.actsUntil)
-            broke(out_.overlaps, now, r, lease, "two act at once");
-        if (fence < l.seen) broke(out_.violations, now, r, lease, "the fence fell");
-        l.seen = std::max(l.seen, fence);
-        if (l.actor != r) {
-            ++out_.changes;
-            if (l.diedAt) gaps_.push_back(static_cast<double>(now - l.diedAt) / 1e9);
+    void recordAct(Nanos now, int index, LeaseId lease, Fence fence, bool isLate) {
+        Lease& state = leases_[lease];
+        if (isLate && fence < state.highestFence) return void(++result_.lateRefused);
+        ++result_.acts;
+        if (!isLate && state.lastActor != index && now < state.actUntil)
+            recordViolation(result_.overlaps, now, index, lease, "two routers act at once");
+        if (fence < state.highestFence)
+            recordViolation(result_.violations, now, index, lease, "the fencing token decreased");
+        state.highestFence = std::max(state.highestFence, fence);
+        if (state.lastActor != index) {
+            ++result_.changes;
+            if (state.holderKilledAt)
+                takeoverTimes_.push_back(static_cast<double>(now - state.holderKilledAt) / 1e9);
         }
-        l.diedAt = 0;
-        l.actor = r;
-        if (!late) l.actsUntil = now + kActLasts;
-        const std::uint64_t what[] = {static_cast<std::uint64_t>(now), static_cast<std::uint64_t>(r), lease,
-                                      fence};
-        digest_ = XXH3_64bits_withSeed(what, sizeof what, digest_);
+        state.holderKilledAt = 0;
+        state.lastActor = index;
+        if (!isLate) state.actUntil = now + kCriticalSectionDuration;
+        const std::uint64_t act[] = {static_cast<std::uint64_t>(now), static_cast<std::uint64_t>(index),
+                                     lease, fence};
+        digest_ = XXH3_64bits_withSeed(act, sizeof act, digest_);
     }
-    void broke(long& count, Nanos now, int r, LeaseId lease, const char* what) {
-        if (count++ == 0 && out_.first.empty())
-            out_.first = fmt::format("{:.3f} s: lease {}: {}, by router {} beside {}",
-                                     static_cast<double>(now) / 1e9, lease, what, r, leases_[lease].actor);
+    void recordViolation(long& count, Nanos now, int index, LeaseId lease, const char* rule) {
+        if (count++ == 0 && result_.first.empty())
+            result_.first =
+                fmt::format("{:.3f} s: lease {}: {}: router {}, after router {}",
+                            static_cast<double>(now) / 1e9, lease, rule, index, leases_[lease].lastActor);
     }
 
-    // ---- between them
+    // ---- messages
 
     template <class F>
-    void send(Nanos now, int from, int to, std::size_t count, F what) {
-        ++frames_;
-        messages_ += count;
-        Router &a = at(from), &b = at(to);
-        if (a.cutFrom || b.cutTo || net_.chance(a.loss) || net_.chance(b.loss) || net_.chance(loss_)) return;
-        const auto way = static_cast<Nanos>(static_cast<double>(kLatency) * (0.8 + 0.4 * net_.fraction())) +
-                         a.delay + b.delay;
-        events_.schedule(now + way, [this, to, life = b.incarnation, what = std::move(what)](Nanos t) {
-            Router& one = at(to);
-            if (!one.up || one.incarnation != life) return;
-            if (one.stopped)
-                return one.held.push_back([this, to, what](Nanos then) {
-                    what(then);
+    void send(Nanos now, int from, int to, std::size_t count, F deliver) {
+        ++frameCount_;
+        messageCount_ += count;
+        Router &sender = routerAt(from), &receiver = routerAt(to);
+        if (sender.isCutOutbound || receiver.isCutInbound || networkRandom_.chance(sender.lossRate) ||
+            networkRandom_.chance(receiver.lossRate) || networkRandom_.chance(lossRate_))
+            return;
+        const auto latency =
+            static_cast<Nanos>(static_cast<double>(kLatency) * (0.8 + 0.4 * networkRandom_.fraction())) +
+            sender.addedDelay + receiver.addedDelay;
+        events_.schedule(now + latency, [this, to, incarnation = receiver.incarnation,
+                                         deliver = std::move(deliver)](Nanos t) {
+            Router& router = routerAt(to);
+            if (!router.isUp || router.incarnation != incarnation) return;
+            if (router.isSuspended)
+                return router.deferred.push_back([this, to, deliver](Nanos then) {
+                    deliver(then);
                     reconcile(then, to);
                 });
-            what(t);
+            deliver(t);
             reconcile(t, to);
         });
     }
 
-    void reconcile(Nanos now, int r) {
-        Router& one = at(r);
-        if (!one.up || one.stopped) return;
-        auto wanted = one.holder->reconcile(local(r, now));
-        std::map<int, std::vector<LeaseRequest>> asks;
-        for (const auto& [v, ask] : wanted.requests) asks[v].push_back(ask);
-        for (auto& [v, all] : asks) {
+    void reconcile(Nanos now, int index) {
+        Router& router = routerAt(index);
+        if (!router.isUp || router.isSuspended) return;
+        auto actions = router.holder->reconcile(localTimeOf(index, now));
+        std::map<int, std::vector<LeaseRequest>> requestsByAcceptor;
+        for (const auto& [v, request] : actions.requests) requestsByAcceptor[v].push_back(request);
+        for (auto& [v, all] : requestsByAcceptor) {
             const std::size_t count = all.size();
-            send(now, r, v, count, [this, r, v = v, all = std::move(all)](Nanos t) {
-                for (const LeaseRequest& ask : all)
-                    at(v).acceptor->onRequest(local(v, t), static_cast<MemberId>(r + 1), ask);
+            send(now, index, v, count, [this, index, v = v, all = std::move(all)](Nanos t) {
+                for (const LeaseRequest& request : all)
+                    routerAt(v).acceptor->onRequest(localTimeOf(v, t), static_cast<MemberId>(index + 1),
+                                                    request);
             });
         }
-        for (const auto& [to, lease] : wanted.offers)
-            send(now, r, to - 1, 1, [this, to = to - 1, lease = lease](Nanos t) {
-                at(to).holder->onTransferOffered(local(to, t), lease);
+        for (const auto& [to, lease] : actions.offers)
+            send(now, index, to - 1, 1, [this, to = to - 1, lease = lease](Nanos t) {
+                routerAt(to).holder->onTransferOffered(localTimeOf(to, t), lease);
             });
-        if (one.acceptor) reconcileAcceptor(now, r);
-        const Nanos next = one.holder->nextDeadline();
-        Nanos due = next == kNever ? kNever : trueAt(r, next) + 1;
-        if (one.acceptor && one.acceptor->nextDeadline() != kNever)
-            due = std::min(due, trueAt(r, one.acceptor->nextDeadline()) + 1);
+        if (router.acceptor) reconcileAcceptor(now, index);
+        const Nanos next = router.holder->nextDeadline();
+        Nanos due = next == kNever ? kNever : trueTime(index, next) + 1;
+        if (router.acceptor && router.acceptor->nextDeadline() != kNever)
+            due = std::min(due, trueTime(index, router.acceptor->nextDeadline()) + 1);
         due = std::max(due, now + 1);
-        if (due >= one.wakeAt && one.wakeAt > now) return;
-        one.wakeAt = due;
-        events_.schedule(due, [this, r, life = one.incarnation, due](Nanos t) {
-            if (at(r).incarnation != life || at(r).wakeAt != due) return;
-            at(r).wakeAt = kNever;
-            reconcile(t, r);
+        if (due >= router.wakeAt && router.wakeAt > now) return;
+        router.wakeAt = due;
+        events_.schedule(due, [this, index, incarnation = router.incarnation, due](Nanos t) {
+            if (routerAt(index).incarnation != incarnation || routerAt(index).wakeAt != due) return;
+            routerAt(index).wakeAt = kNever;
+            reconcile(t, index);
         });
     }
-    void reconcileAcceptor(Nanos now, int r) {
-        auto wanted = at(r).acceptor->reconcile(local(r, now));
-        std::map<int, std::vector<LeaseAnswer>> answers;
-        for (const auto& [to, answer] : wanted.answers) answers[to - 1].push_back(answer);
-        for (auto& [to, all] : answers) {
+    void reconcileAcceptor(Nanos now, int index) {
+        auto actions = routerAt(index).acceptor->reconcile(localTimeOf(index, now));
+        std::map<int, std::vector<LeaseAnswer>> answersByHolder;
+        for (const auto& [to, answer] : actions.answers) answersByHolder[to - 1].push_back(answer);
+        for (auto& [to, all] : answersByHolder) {
             const std::size_t count = all.size();
-            send(now, r, to, count, [this, r, to = to, all = std::move(all)](Nanos t) {
-                for (const LeaseAnswer& a : all) at(to).holder->onAnswer(local(to, t), r, a);
+            send(now, index, to, count, [this, index, to = to, all = std::move(all)](Nanos t) {
+                for (const LeaseAnswer& a : all) routerAt(to).holder->onAnswer(localTimeOf(to, t), index, a);
             });
         }
-        for (const auto& [to, recall] : wanted.recalls)
-            send(now, r, to, 1, [this, r, to = to](Nanos t) {
-                at(to).acceptor->onRequest(local(to, t), r, RecallRequest{});
+        for (const auto& [to, recall] : actions.recalls)
+            send(now, index, to, 1, [this, index, to = to](Nanos t) {
+                routerAt(to).acceptor->onRequest(localTimeOf(to, t), index, RecallRequest{});
             });
-        for (auto& [to, recalled] : wanted.recallAnswers) {
-            const std::size_t count = recalled.records.size() + 1;
-            send(now, r, to, count, [this, r, to = to, said = std::move(recalled)](Nanos t) {
-                at(to).acceptor->onRequest(local(to, t), r, said);
+        for (auto& [to, recallAnswer] : actions.recallAnswers) {
+            const std::size_t count = recallAnswer.records.size() + 1;
+            send(now, index, to, count, [this, index, to = to, answer = std::move(recallAnswer)](Nanos t) {
+                routerAt(to).acceptor->onRequest(localTimeOf(to, t), index, answer);
             });
         }
-        if (wanted.ticket == 0) return;
-        events_.schedule(now + kSync,
-                         [this, r, life = at(r).incarnation, keep = std::move(wanted.recordsToPersist),
-                          ticket = wanted.ticket](Nanos t) {
-                             Router& one = at(r);
-                             if (!one.up || one.incarnation != life) return;
-                             one.disk.voted = true;
-                             for (const auto& [lease, record] : keep) one.disk.records[lease] = record;
-                             const auto tell = [this, r, ticket](Nanos then) {
-                                 at(r).acceptor->onPersisted(local(r, then), ticket);
-                                 reconcile(then, r);
+        if (actions.ticket == 0) return;
+        events_.schedule(now + kDiskSyncTime,
+                         [this, index, incarnation = routerAt(index).incarnation,
+                          records = std::move(actions.recordsToPersist), ticket = actions.ticket](Nanos t) {
+                             Router& router = routerAt(index);
+                             if (!router.isUp || router.incarnation != incarnation) return;
+                             router.disk.hasState = true;
+                             for (const auto& [lease, record] : records) router.disk.records[lease] = record;
+                             const auto confirm = [this, index, ticket](Nanos then) {
+                                 routerAt(index).acceptor->onPersisted(localTimeOf(index, then), ticket);
+                                 reconcile(then, index);
                              };
-                             if (one.stopped) return one.held.push_back(tell);
-                             tell(t);
+                             if (router.isSuspended) return router.deferred.push_back(confirm);
+                             confirm(t);
                          });
     }
 
-    // ---- what fails
+    // ---- faults
 
-    void kill(Nanos now, int r, bool disk, Nanos away) {
-        Router& one = at(r);
-        if (!one.up) return;
-        if (one.holder)
-            for (const auto& [lease, rank] : candidates_[r])
-                if (one.holder->isHolding(local(r, now), lease)) {
-                    ++out_.kills;
-                    if (!leases_[lease].diedAt) leases_[lease].diedAt = now;
+    void kill(Nanos now, int index, bool keepsDisk, Nanos downtime) {
+        Router& router = routerAt(index);
+        if (!router.isUp) return;
+        if (router.holder)
+            for (const auto& [lease, rank] : candidates_[index])
+                if (router.holder->isHolding(localTimeOf(index, now), lease)) {
+                    ++result_.kills;
+                    if (!leases_[lease].holderKilledAt) leases_[lease].holderKilledAt = now;
                 }
-        one.up = false;
-        one.held.clear();
-        one.cutTo = one.cutFrom = false;
-        if (!disk) one.disk = {};
-        events_.schedule(now + away, [this, r](Nanos t) {
-            if (at(r).up) return;
-            start(t, r);
-            wantAll(t, r);
+        router.isUp = false;
+        router.deferred.clear();
+        router.isCutInbound = router.isCutOutbound = false;
+        if (!keepsDisk) router.disk = {};
+        events_.schedule(now + downtime, [this, index](Nanos t) {
+            if (routerAt(index).isUp) return;
+            startProcess(t, index);
+            acquireAll(t, index);
         });
     }
-    void stop(Nanos now, int r, Nanos length) {
-        Router& one = at(r);
-        if (!one.up || one.stopped) return;
-        one.stopped = true;
-        events_.schedule(now + length, [this, r, life = one.incarnation](Nanos t) {
-            Router& again = at(r);
-            if (!again.up || again.incarnation != life || !again.stopped) return;
-            again.stopped = false;
-            for (auto& what : std::exchange(again.held, {})) what(t);
-            again.wakeAt = kNever;
-            reconcile(t, r);
+    void suspend(Nanos now, int index, Nanos length) {
+        Router& router = routerAt(index);
+        if (!router.isUp || router.isSuspended) return;
+        router.isSuspended = true;
+        events_.schedule(now + length, [this, index, incarnation = router.incarnation](Nanos t) {
+            Router& resumed = routerAt(index);
+            if (!resumed.isUp || resumed.incarnation != incarnation || !resumed.isSuspended) return;
+            resumed.isSuspended = false;
+            for (auto& callback : std::exchange(resumed.deferred, {})) callback(t);
+            resumed.wakeAt = kNever;
+            reconcile(t, index);
         });
     }
     bool areAllAcceptorsVoting() {
-        for (int v = 0; v < p_.acceptors; ++v)
-            if (!at(v).up || at(v).acceptor->state() != Acceptor::State::voting) return false;
+        for (int v = 0; v < options_.acceptors; ++v)
+            if (!routerAt(v).isUp || routerAt(v).acceptor->state() != Acceptor::State::voting) return false;
         return true;
     }
     void planFaults(Nanos from, Nanos end) {
-        if (p_.faults == "loss") loss_ = 0.1;
-        if (p_.faults == "none" || p_.faults == "loss") return;
-        stops_ = p_.faults == "all";
-        const bool all = p_.faults == "all";
+        if (options_.faults == "loss") lossRate_ = 0.1;
+        if (options_.faults == "none" || options_.faults == "loss") return;
+        suspendsBeforeActs_ = options_.faults == "all";
+        const bool hasAllFaults = options_.faults == "all";
         for (Nanos t = from; t < end - 20 * kSecond;
-             t += static_cast<Nanos>((all ? 0.5 + faults_.fraction() * 3 : 4) * 1e9))
-            events_.schedule(t, [this](Nanos now) { fault(now); });
+             t += static_cast<Nanos>((hasAllFaults ? 0.5 + faultRandom_.fraction() * 3 : 4) * 1e9))
+            events_.schedule(t, [this](Nanos now) { injectFault(now); });
     }
-    void fault(Nanos now) {
-        const auto length = static_cast<Nanos>((0.2 + 8 * faults_.fraction() * faults_.fraction()) * 1e9);
-        const bool voter = faults_.chance(0.5);
-        const int r = voter ? faults_.below(p_.acceptors) : faults_.below(p_.routers);
-        if (p_.faults == "restart") {
-            const int v = iteration_++ % p_.acceptors;
+    void injectFault(Nanos now) {
+        const auto length =
+            static_cast<Nanos>((0.2 + 8 * faultRandom_.fraction() * faultRandom_.fraction()) * 1e9);
+        const bool isAcceptorFault = faultRandom_.chance(0.5);
+        const int index =
+            isAcceptorFault ? faultRandom_.below(options_.acceptors) : faultRandom_.below(options_.routers);
+        if (options_.faults == "restart") {
+            const int v = restartCount_++ % options_.acceptors;
             return kill(now, v, true, kSecond / 2);
         }
-        if (p_.faults == "flap") {
-            at(0).cutTo = at(0).cutFrom = true;
-            return events_.schedule(now + 2 * kSecond,
-                                    [this](Nanos) { at(0).cutTo = at(0).cutFrom = false; });
+        if (options_.faults == "flap") {
+            routerAt(0).isCutInbound = routerAt(0).isCutOutbound = true;
+            return events_.schedule(now + 2 * kSecond, [this](Nanos) {
+                routerAt(0).isCutInbound = routerAt(0).isCutOutbound = false;
+            });
         }
-        if (p_.faults == "holders")
-            return kill(now, p_.acceptors + faults_.below(p_.routers - p_.acceptors), true, 10 * kSecond);
-        switch (faults_.below(8)) {
+        if (options_.faults == "holders")
+            return kill(now, options_.acceptors + faultRandom_.below(options_.routers - options_.acceptors),
+                        true, 10 * kSecond);
+        switch (faultRandom_.below(8)) {
             case 0:
-                return kill(now, r, true, length);
+                return kill(now, index, true, length);
             case 1:
-                // One acceptor after the other: of a majority that forgets at once only the quarantine is
-                // promised.
-                return kill(now, r, isAcceptorVoting(r) && !areAllAcceptorsVoting(), length);
+                // Acceptors lose their disks one at a time: if a majority loses them at once, only the
+                // quarantine is guaranteed.
+                return kill(now, index, isAcceptor(index) && !areAllAcceptorsVoting(), length);
             case 2:
-                return stop(now, r, length);
+                return suspend(now, index, length);
             case 3:
-                at(r).cutTo = true;
-                return events_.schedule(now + length, [this, r](Nanos) { at(r).cutTo = false; });
+                routerAt(index).isCutInbound = true;
+                return events_.schedule(now + length,
+                                        [this, index](Nanos) { routerAt(index).isCutInbound = false; });
             case 4:
-                at(r).cutFrom = true;
-                return events_.schedule(now + length, [this, r](Nanos) { at(r).cutFrom = false; });
+                routerAt(index).isCutOutbound = true;
+                return events_.schedule(now + length,
+                                        [this, index](Nanos) { routerAt(index).isCutOutbound = false; });
             case 5:
-                at(r).loss = 0.1 + 0.8 * faults_.fraction();
-                return events_.schedule(now + length, [this, r](Nanos) { at(r).loss = 0; });
+                routerAt(index).lossRate = 0.1 + 0.8 * faultRandom_.fraction();
+                return events_.schedule(now + length, [this, index](Nanos) { routerAt(index).lossRate = 0; });
             case 6:
-                // Over a lease's length at times.
-                at(r).delay = length;
-                return events_.schedule(now + length, [this, r](Nanos) { at(r).delay = 0; });
+                // Longer than a lease's duration at times.
+                routerAt(index).addedDelay = length;
+                return events_.schedule(now + length,
+                                        [this, index](Nanos) { routerAt(index).addedDelay = 0; });
             default: {
-                // To the ends of what is allowed, from where it is.
-                Router& one = at(r);
-                one.shownAt = local(r, now) - one.zero;
-                one.trueAt = now;
-                one.rate = 1 + settings_.rate * (faults_.chance(0.5) ? 1 : -1);
+                // Sets the clock's rate to a limit of the settings; its reading does not jump.
+                Router& router = routerAt(index);
+                router.clockReading = localTimeOf(index, now) - router.clockZero;
+                router.clockSetAt = now;
+                router.clockRate = 1 + settings_.rate * (faultRandom_.chance(0.5) ? 1 : -1);
                 return;
             }
         }
     }
 
-    // Whether somebody holds each, ten times a second.
+    // Counts ten times per second the leases that nobody holds.
     void sample(Nanos now) {
         if (now >= 2 * kSecond)
             for (LeaseId l = 0; l < leases_.size(); ++l) {
-                bool held = false;
-                for (int k = 0; k < p_.candidates && !held; ++k) {
-                    const int r = (static_cast<int>(l) + k * (p_.routers / p_.candidates) + k) % p_.routers;
-                    held = at(r).up && at(r).holder->isHolding(local(r, now), l);
+                bool isHeld = false;
+                for (int k = 0; k < options_.candidates && !isHeld; ++k) {
+                    const int index =
+                        (static_cast<int>(l) + k * (options_.routers / options_.candidates) + k) %
+                        options_.routers;
+                    isHeld =
+                        routerAt(index).isUp && routerAt(index).holder->isHolding(localTimeOf(index, now), l);
                 }
-                ++samples_;
-                nobody_ += !held;
+                ++sampleCount_;
+                unheldSampleCount_ += !isHeld;
             }
         events_.schedule(now + kSecond / 10, [this](Nanos t) { sample(t); });
     }
 
-    LeaseRunOptions p_;
+    LeaseRunOptions options_;
     lease::LeaseSettings settings_;
-    Random random_, faults_, net_;
+    Random random_, faultRandom_, networkRandom_;
     EventQueue events_;
     std::vector<Router> routers_;
     std::vector<Lease> leases_;
-    std::unordered_map<int, std::vector<std::pair<LeaseId, int>>> candidates_;  // by router, with its rank
-    double loss_ = 0;
-    bool stops_ = false;
-    int iteration_ = 0;
-    std::uint64_t frames_ = 0, messages_ = 0, digest_ = 0;
-    long samples_ = 0, nobody_ = 0;
-    std::vector<double> gaps_;
-    LeaseRunResult out_;
+    std::unordered_map<int, std::vector<std::pair<LeaseId, int>>>
+        candidates_;  // by router: leases, with its rank
+    double lossRate_ = 0;
+    bool suspendsBeforeActs_ = false;
+    int restartCount_ = 0;
+    std::uint64_t frameCount_ = 0, messageCount_ = 0, digest_ = 0;
+    long sampleCount_ = 0, unheldSampleCount_ = 0;
+    std::vector<double> takeoverTimes_;
+    LeaseRunResult result_;
 };
 
 }  // namespace
 
-LeaseRunResult runSimulatedLeases(const LeaseRunOptions& play) { return SimulatedRun(play).play(); }
+LeaseRunResult runSimulatedLeases(const LeaseRunOptions& options) { return SimulatedLeaseRun(options).run(); }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/lease_run.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -1,6 +1,6 @@
-// Leases of a whole fleet in virtual time: the real acceptors and holders over links, disks and clocks that
-// fail, hours for each seed. The same seed plays the same, and ends with the same digest of all that
-// happened.
+// The leases of a whole fleet in virtual time: the real acceptors and lease holders with faults of the
+// network, disks, clocks and processes, for hours per seed. A run is deterministic: the same seed gives the
+// same digest of all acts.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +14,33 @@
 struct LeaseRunOptions {
     std::uint64_t seed = 1;
     int routers = 300, acceptors = 5, leases = 1000;
-    int candidates = 3;    // of each lease
-    double seconds = 600;  // virtual
-    // none, all (drawn, one after another), loss (a tenth of all messages), flap (one acceptor's links, 2 s
-    // in 4), restart (the acceptors one after another, with their disks, handing nothing on), holders
-    // (killed)
+    int candidates = 3;    // for each lease
+    double seconds = 600;  // of virtual time
+    // none
+    // all: random faults, one after another
+    // loss: a tenth of all messages is lost
+    // flap: one acceptor is cut off for 2 s in every 4 s
+    // restart: the acceptors are killed in turn; they keep their disks and transfer no leases
+    // holders: routers that are not acceptors are killed
     std::string faults = "all";
     std::set<lease::Safeguard> disabledSafeguard;
 };
 
 struct LeaseRunResult {
-    long overlaps = 0, violations = 0;  // acts of two at once; acts by a fence under one that was seen
+    long overlaps = 0, violations = 0;  // overlapping acts; acts with a lower fencing token than one seen
     long acts = 0, lateRefused = 0;
-    long changes = 0;  // an act by another than the one before
-    long kills = 0;    // of a router that held something
-    double without =
-        0;  // share of the leases' time in which nobody held them, after the first second of each
-    double p50 = 0, p99 = 0, most = 0;  // s, from the death of a holder to the next act
-    double framesPerSecond = 0;         // of one router, sent; a frame is all for one other router
+    long changes = 0;                   // acts by another router than the act before
+    long kills = 0;                     // leases whose holder was killed
+    double without = 0;                 // share of the leases' time without a holder, from 2 s on
+    double p50 = 0, p99 = 0, most = 0;  // s, from the kill of a holder to the next act
+    double framesPerSecond = 0;         // sent per router; a frame carries all messages to one other router
     double bytesPerFrame = 0;
-    double cpuMicros = 0;  // of deciding, a router and second
+    double cpuMicros = 0;  // CPU time of the process, per router and virtual second
     double seconds = 0, wall = 0;
-    std::string digest;  // of every act
-    std::string first;   // the first break, in words
+    std::string digest;  // over all acts
+    std::string first;   // the first violation, as text
 };
 
-LeaseRunResult runSimulatedLeases(const LeaseRunOptions& play);
+LeaseRunResult runSimulatedLeases(const LeaseRunOptions& options);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/rollout_run.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -17,23 +17,24 @@
 using namespace rollout;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr Nanos kTick = 500 * kMillisecond;
-constexpr Nanos kSync = 4 * kMillisecond;
-constexpr const char* kChange = "change";
+constexpr Nanos kPollInterval = 500 * kMillisecond;
+constexpr Nanos kDiskSyncTime = 4 * kMillisecond;
+constexpr const char* kChangeDigest = "change";
 
 const std::vector<std::pair<std::string, RouterDefect::Kind>>& defects() {
-    static const std::vector<std::pair<std::string, RouterDefect::Kind>> all{
+    static const std::vector<std::pair<std::string, RouterDefect::Kind>> named{
         {"none", RouterDefect::Kind::none},
         {"declines", RouterDefect::Kind::rejects},
         {"silent", RouterDefect::Kind::silent},
         {"slower", RouterDefect::Kind::slower},
         {"connections", RouterDefect::Kind::connections},
         {"presses", RouterDefect::Kind::retriesNeedlessly}};
-    return all;
+    return named;
 }
 
-// The operators' size in little: three zones, a cache for each five routers, room for a burst.
-Scenario scenarioOf(const RolloutRunOptions& w) {
+// A small deployment in the operators' proportions: three zones, one cache per five routers, and capacity
+// for a burst of load.
+Scenario makeScenario(const RolloutRunOptions& options) {
     const std::string text = fmt::format(
         R"(name = "roll"
 length_ms = 3600000
@@ -98,49 +99,51 @@
 work_us = 50000
 spread = 0.5
 )",
-        w.routers, std::max(w.routers / 5, 6), std::max(w.routers / 2, 24), w.routers * 6);
+        options.routers, std::max(options.routers / 5, 6), std::max(options.routers / 2, 24),
+        options.routers * 6);
     return parseScenario(text, "roll");
 }
 
 class SimulatedMachine : private AgentHost {
   public:
-    SimulatedMachine(SimulatedFleet& fleet, int first, int count, Random& chance)
+    SimulatedMachine(SimulatedFleet& fleet, int first, int count, Random& random)
         : fleet_(fleet),
-          first_(first),
-          random_(chance),
+          firstRouter_(first),
+          random_(random),
           agent_(count, {"old", ""}, static_cast<AgentHost&>(*this)) {
         reconcile();
     }
-    // Over the same form as between processes.
-    std::string hear(const Order& order) {
-        const std::string refused = agent_.onOrder(fleet_.time(), readOrder(toJson(order)), {"new", ""});
+    // Encodes and decodes the order, as between processes.
+    std::string onOrder(const Order& order) {
+        const std::string rejectionReason =
+            agent_.onOrder(fleet_.time(), readOrder(toJson(order)), {"new", ""});
         reconcile();
-        return refused;
+        return rejectionReason;
     }
     Report report() {
-        const Report r = agent_.report(fleet_.time());
-        std::vector<nlohmann::json> figures;
-        for (std::size_t i = 0; i < r.instances.size(); ++i)
-            figures.push_back(fleet_.figures(first_ + static_cast<int>(i)));
-        Report full = r;
-        for (std::size_t i = 0; i < figures.size(); ++i) {
+        const Report agentReport = agent_.report(fleet_.time());
+        std::vector<nlohmann::json> metrics;
+        for (std::size_t i = 0; i < agentReport.instances.size(); ++i)
+            metrics.push_back(fleet_.metricsJson(firstRouter_ + static_cast<int>(i)));
+        Report full = agentReport;
+        for (std::size_t i = 0; i < metrics.size(); ++i) {
             full.instances[i].name = fmt::format("r{}", i);
-            full.instances[i].zone = figures[i].is_object() ? figures[i].at("zone").get<std::string>() : "";
+            full.instances[i].zone = metrics[i].is_object() ? metrics[i].at("zone").get<std::string>() : "";
         }
-        return readReport(toJson(full, figures));
+        return readReport(toJson(full, metrics));
     }
 
   private:
     void persist(const AgentState&) override {
-        fleet_.at(fleet_.time() + kSync, [this](Nanos now) {
+        fleet_.schedule(fleet_.time() + kDiskSyncTime, [this](Nanos now) {
             agent_.onPersisted(now, "");
             reconcile();
         });
     }
     void install(int i, const Version& to) override {
-        const auto takes = static_cast<Nanos>((0.3 + 0.7 * random_.fraction()) * 1e9);
-        fleet_.at(fleet_.time() + takes, [this, i, changed = to.program == "new"](Nanos now) {
-            fleet_.change(first_ + i, changed);
+        const auto installTime = static_cast<Nanos>((0.3 + 0.7 * random_.fraction()) * 1e9);
+        fleet_.schedule(fleet_.time() + installTime, [this, i, isDefective = to.program == "new"](Nanos now) {
+            fleet_.replaceRouter(firstRouter_ + i, isDefective);
             agent_.onInstalled(now, i, "");
             reconcile();
         });
@@ -149,15 +152,15 @@
     void reconcile() { agent_.reconcile(fleet_.time()); }
 
     SimulatedFleet& fleet_;
-    int first_;
+    int firstRouter_;
     Random& random_;
     RolloutAgent agent_;
 };
 
 class SimulatedCoordinator : private RolloutHost {
   public:
-    SimulatedCoordinator(const RolloutRunOptions& wanted, SimulatedFleet& fleet)
-        : options_(wanted), fleet_(fleet), random_(wanted.seed * 11 + 3) {
+    SimulatedCoordinator(const RolloutRunOptions& options, SimulatedFleet& fleet)
+        : options_(options), fleet_(fleet), random_(options.seed * 11 + 3) {
         plan_.name = "roll";
         plan_.program = "/new";
         plan_.stages = {{1, 0}, {0, 0.05}, {0, 0.25}, {0, 1}};
@@ -169,61 +172,61 @@
         plan_.rollbackTimeout = 120 * kSecond;
         plan_.batchSize = 2;
         plan_.rollbackBatchSize = 10;
-        if (wanted.maxSlowHarm > 0) plan_.thresholds.slowHarm = wanted.maxSlowHarm;
-        const int each = wanted.routers / wanted.machines;
-        for (int m = 0; m < wanted.machines; ++m) {
-            const int first = m * each;
-            const int count = m + 1 == wanted.machines ? wanted.routers - first : each;
+        if (options.maxSlowHarm > 0) plan_.thresholds.slowHarm = options.maxSlowHarm;
+        const int routersPerMachine = options.routers / options.machines;
+        for (int m = 0; m < options.machines; ++m) {
+            const int first = m * routersPerMachine;
+            const int count = m + 1 == options.machines ? options.routers - first : routersPerMachine;
             plan_.agents.push_back({fmt::format("m{}", m), ""});
             machines_.push_back(std::make_unique<SimulatedMachine>(fleet, first, count, random_));
         }
         RolloutHost& self = *this;
-        controller_ = std::make_unique<RolloutController>(plan_, kChange, self);
-        fleet.at(5 * kSecond, [this](Nanos now) { tick(now); });
+        controller_ = std::make_unique<RolloutController>(plan_, kChangeDigest, self);
+        fleet.schedule(5 * kSecond, [this](Nanos now) { pollAgents(now); });
     }
-    RolloutRunResult played() const {
-        RolloutRunResult p;
-        p.completed = controller_->outcome() == RolloutOutcome::completed;
-        p.rolledBack = controller_->outcome() == RolloutOutcome::rolledBack;
-        p.stopped = p.rolledBack || controller_->outcome() == RolloutOutcome::rollbackIncomplete;
-        p.stage = stoppedAt_ ? stage_ : controller_->stage();
-        p.stages = controller_->stageCount();
-        p.most = controller_->maxChangedCount();
-        p.instances = controller_->instanceCount();
-        const auto asked = static_cast<double>(fleet_.asked() - askedBefore_);
-        p.harmed = asked > 0 ? static_cast<double>(fleet_.affectedRequests()) / asked : 0;
-        if (stoppedAt_) p.detectedAfter = static_cast<double>(stoppedAt_ - begunAt_) / 1e9;
-        p.seconds = static_cast<double>(fleet_.time()) / 1e9;
-        p.reason = controller_->reason();
-        return p;
+    RolloutRunResult currentResult() const {
+        RolloutRunResult result;
+        result.completed = controller_->outcome() == RolloutOutcome::completed;
+        result.rolledBack = controller_->outcome() == RolloutOutcome::rolledBack;
+        result.stopped = result.rolledBack || controller_->outcome() == RolloutOutcome::rollbackIncomplete;
+        result.stage = stoppedAt_ ? stoppedStage_ : controller_->stage();
+        result.stages = controller_->stageCount();
+        result.most = controller_->maxChangedCount();
+        result.instances = controller_->instanceCount();
+        const auto requests = static_cast<double>(fleet_.requestCount() - requestsBefore_);
+        result.harmed = requests > 0 ? static_cast<double>(fleet_.affectedRequestCount()) / requests : 0;
+        if (stoppedAt_) result.detectedAfter = static_cast<double>(stoppedAt_ - firstChangeAt_) / 1e9;
+        result.seconds = static_cast<double>(fleet_.time()) / 1e9;
+        result.reason = controller_->reason();
+        return result;
     }
 
   private:
-    void tick(Nanos now) {
+    void pollAgents(Nanos now) {
         for (std::size_t a = 0; a < machines_.size(); ++a) {
             if (const auto order = controller_->orderFor(static_cast<int>(a)))
-                if (const auto refused = machines_[a]->hear(*order); !refused.empty())
-                    controller_->onSuperseded(now, static_cast<int>(a), refused);
+                if (const auto rejectionReason = machines_[a]->onOrder(*order); !rejectionReason.empty())
+                    controller_->onSuperseded(now, static_cast<int>(a), rejectionReason);
             controller_->onReport(now, static_cast<int>(a), machines_[a]->report());
         }
         controller_->reconcile(now);
         if (controller_->outcome() != RolloutOutcome::none) return fleet_.finish();
-        fleet_.at(now + kTick, [this](Nanos t) { tick(t); });
+        fleet_.schedule(now + kPollInterval, [this](Nanos t) { pollAgents(t); });
     }
-    void report(std::string_view what, const nlohmann::json& fields) override {
+    void report(std::string_view event, const nlohmann::json& fields) override {
         const Nanos now = fleet_.time();
-        if (what == "stage begins" && begunAt_ == 0) {
-            begunAt_ = now;
-            askedBefore_ = fleet_.asked();
+        if (event == "stage begins" && firstChangeAt_ == 0) {
+            firstChangeAt_ = now;
+            requestsBefore_ = fleet_.requestCount();
         }
-        if (what == "stops") {
+        if (event == "stops") {
             stoppedAt_ = now;
-            stage_ = controller_->stage();
+            stoppedStage_ = controller_->stage();
         }
-        if (options_.isVerbose && what == "stops")
+        if (options_.isVerbose && event == "stops")
             fmt::print(stderr, "{}\n", controller_->status(now).at("compared").dump(1));
         if (options_.isVerbose)
-            fmt::print(stderr, "{:7.1f} s {} {}\n", static_cast<double>(now) / 1e9, what, fields.dump());
+            fmt::print(stderr, "{:7.1f} s {} {}\n", static_cast<double>(now) / 1e9, event, fields.dump());
     }
 
     const RolloutRunOptions& options_;
@@ -232,86 +235,87 @@
     RolloutPlan plan_;
     std::vector<std::unique_ptr<SimulatedMachine>> machines_;
     std::unique_ptr<RolloutController> controller_;
-    Nanos begunAt_ = 0, stoppedAt_ = 0;
-    int stage_ = 0;
-    long askedBefore_ = 0;
+    Nanos firstChangeAt_ = 0, stoppedAt_ = 0;
+    int stoppedStage_ = 0;
+    long requestsBefore_ = 0;
 };
 
-// What has nothing to do with the change, in the middle of a stage: the day's faults, of which one is drawn.
-void addFault(Scenario& s, const RolloutRunOptions& w) {
-    if (w.fault.empty()) return;
-    Random chance(w.seed * 13 + 5);
-    static const char* const all[] = {"cache", "zone", "burst", "origin"};
-    const std::string kind = w.fault == "drawn" ? all[chance.below(4)] : w.fault;
-    FaultPlan f;
-    f.at = (30 + static_cast<Nanos>(chance.fraction() * 60)) * kSecond;
-    f.length = (5 + static_cast<Nanos>(chance.fraction() * 15)) * kSecond;
+// Adds a fault during a stage that has nothing to do with the change. "drawn": a random one of the kinds.
+void addFault(Scenario& scenario, const RolloutRunOptions& options) {
+    if (options.fault.empty()) return;
+    Random random(options.seed * 13 + 5);
+    static const char* const kinds[] = {"cache", "zone", "burst", "origin"};
+    const std::string kind = options.fault == "drawn" ? kinds[random.below(4)] : options.fault;
+    FaultPlan fault;
+    fault.at = (30 + static_cast<Nanos>(random.fraction() * 60)) * kSecond;
+    fault.length = (5 + static_cast<Nanos>(random.fraction() * 15)) * kSecond;
     if (kind == "cache") {
-        f.kind = FaultKind::crash;
-        f.count = std::max(s.cacheCount() / 15, 1);
+        fault.kind = FaultKind::crash;
+        fault.count = std::max(scenario.cacheCount() / 15, 1);
     } else if (kind == "zone") {
-        f.kind = FaultKind::cut;
-        f.zone = s.network.zones[static_cast<std::size_t>(chance.below(3))];
+        fault.kind = FaultKind::cut;
+        fault.zone = scenario.network.zones[static_cast<std::size_t>(random.below(3))];
     } else if (kind == "burst") {
-        f.kind = FaultKind::load;
-        f.by = 1.6;
+        fault.kind = FaultKind::load;
+        fault.by = 1.6;
     } else if (kind == "origin") {
-        f.kind = FaultKind::originSlow;
-        f.by = 2.5;
+        fault.kind = FaultKind::originSlow;
+        fault.by = 2.5;
     } else {
-        throw ScenarioError(fmt::format("'{}' is none of cache, zone, burst, origin, drawn", kind));
+        throw ScenarioError(
+            fmt::format("unknown fault '{}': expected cache, zone, burst, origin or drawn", kind));
     }
-    s.faults.push_back(f);
+    scenario.faults.push_back(fault);
 }
 
 }  // namespace
 
 RouterDefect::Kind defectNamed(const std::string& name) {
-    std::string known;
-    for (const auto& [n, kind] : defects()) {
-        if (n == name) return kind;
-        known += (known.empty() ? "" : ", ") + n;
+    std::string knownNames;
+    for (const auto& [knownName, kind] : defects()) {
+        if (knownName == name) return kind;
+        knownNames += (knownNames.empty() ? "" : ", ") + knownName;
     }
-    throw ScenarioError(fmt::format("'{}' is no harm; there are {}", name, known));
+    throw ScenarioError(fmt::format("unknown defect '{}': expected one of {}", name, knownNames));
 }
 
-RolloutRunResult runSimulatedRollout(const RolloutRunOptions& wanted) {
-    Scenario scenario = scenarioOf(wanted);
-    addFault(scenario, wanted);
-    EventLog ledger;
+RolloutRunResult runSimulatedRollout(const RolloutRunOptions& options) {
+    Scenario scenario = makeScenario(options);
+    addFault(scenario, options);
+    EventLog eventLog;
     std::unique_ptr<SimulatedCoordinator> coordinator;
-    RolloutRunResult played;
-    SimulatedRunOptions sim;
-    sim.defect = wanted.defect;
+    RolloutRunResult result;
+    SimulatedRunOptions runOptions;
+    runOptions.defect = options.defect;
     struct Unstaged {
-        long before = 0, after = 0, harmed = 0;
-    } all;
-    sim.attach = [&](SimulatedFleet& fleet) {
-        if (!wanted.unstaged) {
-            coordinator = std::make_unique<SimulatedCoordinator>(wanted, fleet);
+        long requestsBefore = 0, requestsAfter = 0, affected = 0;
+    } unstaged;
+    runOptions.onStart = [&](SimulatedFleet& fleet) {
+        if (!options.unstaged) {
+            coordinator = std::make_unique<SimulatedCoordinator>(options, fleet);
             return;
         }
-        // As fast as a machine's keeper rolls: one a machine each three seconds.
-        const int each = wanted.routers / wanted.machines;
-        for (int r = 0; r < wanted.routers; ++r)
-            fleet.at((25 + 3 * (r % each)) * kSecond, [&fleet, &all, r](Nanos) {
-                if (r == 0) all.before = fleet.asked();
-                fleet.change(r, true);
+        // As fast as a supervisor's rolling operation: one instance per machine every 3 s.
+        const int routersPerMachine = options.routers / options.machines;
+        for (int r = 0; r < options.routers; ++r)
+            fleet.schedule((25 + 3 * (r % routersPerMachine)) * kSecond, [&fleet, &unstaged, r](Nanos) {
+                if (r == 0) unstaged.requestsBefore = fleet.requestCount();
+                fleet.replaceRouter(r, true);
             });
-        fleet.at((25 + 3 * each + 60) * kSecond, [&](Nanos) {
-            const auto asked = static_cast<double>(fleet.asked() - all.before);
-            played.harmed = static_cast<double>(fleet.affectedRequests()) / std::max(asked, 1.0);
-            played.completed = true;
-            played.most = played.instances = wanted.routers;
-            played.seconds = static_cast<double>(fleet.time()) / 1e9;
+        fleet.schedule((25 + 3 * routersPerMachine + 60) * kSecond, [&](Nanos) {
+            const auto requests = static_cast<double>(fleet.requestCount() - unstaged.requestsBefore);
+            result.harmed = static_cast<double>(fleet.affectedRequestCount()) / std::max(requests, 1.0);
+            result.completed = true;
+            result.most = result.instances = options.routers;
+            result.seconds = static_cast<double>(fleet.time()) / 1e9;
             fleet.finish();
         });
     };
-    sim.duration = [&] {
-        if (coordinator) played = coordinator->played();
+    runOptions.onEnd = [&] {
+        if (coordinator) result = coordinator->currentResult();
     };
-    simulate(scenario, wanted.seed, ledger, sim);
-    return played;
+    simulate(scenario, options.seed, eventLog, runOptions);
+    return result;
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/rollout_run.hpp
+++ b/src/testbed/drivers/simulated/rollout_run.hpp
@@ -1,4 +1,4 @@
-// A staged change in virtual time: the real coordinator and the real agents over the fleet of `sim`.
+// A staged rollout in virtual time: the real rollout controller and agents over a simulated fleet.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 struct RolloutRunOptions {
     std::uint64_t seed = 1;
     RouterDefect defect;
-    std::string fault;       // "", "cache", "zone", "burst", "origin" or "drawn": in the middle of a stage
-    double maxSlowHarm = 0;  // of the plan; 0: its default
+    std::string fault;       // unrelated, during a stage: "", "cache", "zone", "burst", "origin" or "drawn"
+    double maxSlowHarm = 0;  // threshold of the plan; 0: its default
     int routers = 300;
     int machines = 20;
-    bool unstaged = false;   // all, one after another, and nobody looks
-    bool isVerbose = false;  // what is seen and decided, on standard error
+    bool unstaged = false;   // replaces all routers one after another, without comparing
+    bool isVerbose = false;  // prints comparisons and decisions on standard error
 };
 
 struct RolloutRunResult {
     bool stopped = false, rolledBack = false, completed = false;
     int stage = 0, stages = 0;
-    int most = 0;  // instances that had the change at once
+    int most = 0;  // instances that had the change at the same time, at most
     int instances = 0;
-    double harmed = 0;         // share of commands since the roll began that the harm was done to
-    double detectedAfter = 0;  // s, from the first change
-    double seconds = 0;        // of the whole
+    double harmed = 0;         // share of the requests since the rollout began that the defect affected
+    double detectedAfter = 0;  // s, from the first change to the stop
+    double seconds = 0;        // of the whole run
     std::string reason;
 };
 
-RolloutRunResult runSimulatedRollout(const RolloutRunOptions& wanted);
+RolloutRunResult runSimulatedRollout(const RolloutRunOptions& options);
 
-// Throws BadScenario for an unknown name.
+// Throws ScenarioError for an unknown name.
 RouterDefect::Kind defectNamed(const std::string& name);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -17,36 +17,40 @@
 namespace poppyscale::testbed {
 namespace {
 
-// The module reads 0 as long ago, so its clock starts far from it.
-constexpr Nanos kBase = 1'000'000'000 * kMillisecond;
-constexpr Nanos kLeaving = 480 * kMillisecond;
+// Added to virtual time for the policy, which takes a time of 0 as long ago.
+constexpr Nanos kClockOffset = 1'000'000'000 * kMillisecond;
+constexpr Nanos kTerminationNotice =
+    480 * kMillisecond;  // a router still accepts requests that long after it was told to terminate
 
 class SimulatedRun;
 
-// One router: the module and the least of a host round it. What real sockets add is `run`'s to show.
+// One router: the routing policy and the smallest host that it needs. The effects of real sockets show only
+// in the live driver.
 class SimulatedRouter : private PolicyHost {
   public:
-    SimulatedRouter(SimulatedRun& play, int index, int slot, std::uint64_t seed, Nanos now,
-                    const RouterDefect& harm);
+    SimulatedRouter(SimulatedRun& run, int index, int slot, std::uint64_t seed, Nanos now,
+                    const RouterDefect& defect);
 
-    void onRequest(const ClientRequest& ask);
+    void onRequest(const ClientRequest& request);
     void onClientDisconnected(RequestId id);
-    void opened(ConnectionId id, bool up);
-    void reply(ConnectionId id, const Reply& reply);
+    void onConnectionOpened(ConnectionId id, bool isOpen);
+    void onReply(ConnectionId id, const Reply& reply);
     void onConnectionBroken(ConnectionId id);
-    void listed(Nanos now, EndpointUpdateKind kind, const EndpointListMessage& list);
-    void stop(Nanos now);
+    void onEndpointList(Nanos now, EndpointUpdateKind kind, const EndpointListMessage& list);
+    void beginDraining(Nanos now);
     void runIteration(Nanos now);
-    bool finished(Nanos now) const { return stopAt_ && now >= stopAt_ && requests_.empty(); }
-    bool accepts(Nanos now) const { return !stopAt_ || now < stopAt_; }
-    void abandonAttempt(ConnectionId conn, RequestId id, int number, bool unwritten);
-    void idled(ConnectionId conn, Nanos since);
-    void dropAll(Nanos now);
+    bool isFinished(Nanos now) const {
+        return stopAcceptingAt_ && now >= stopAcceptingAt_ && requests_.empty();
+    }
+    bool isAccepting(Nanos now) const { return !stopAcceptingAt_ || now < stopAcceptingAt_; }
+    void abandonAttempt(ConnectionId conn, RequestId id, int number, bool onlyIfUnwritten);
+    void onIdleTimeout(ConnectionId conn, Nanos since);
+    void abortAllRequests(Nanos now);
     void restartLongPoll(Nanos now);
     void startLongPoll(Nanos now, std::optional<std::int64_t> after);
-    bool holds(RequestId id) const { return requests_.contains(id); }
+    bool hasRequest(RequestId id) const { return requests_.contains(id); }
     int index() const { return index_; }
-    nlohmann::json figures(Nanos now) const;
+    nlohmann::json metricsJson(Nanos now) const;
 
   private:
     struct AttemptInFlight {
@@ -54,36 +58,37 @@
         ConnectionId conn;
         Nanos sentAt;
         int number;
-        bool written = false;
+        bool isWritten = false;
     };
     struct OpenRequest {
-        ClientRequest ask;
-        Nanos takenAt = 0;
-        bool told = false;
-        int attempts = 0;
-        std::optional<AttemptInFlight> out;
+        ClientRequest clientRequest;
+        Nanos acceptedAt = 0;
+        bool isClientDone = false;
+        int attemptCount = 0;
+        std::optional<AttemptInFlight> attempt;
     };
     struct StartAttempt {
         std::string cache;
         Nanos deadline, latestStart;
     };
     struct SendResponse {
-        EmulatedDeployment::ClientOutcome how;
+        EmulatedDeployment::ClientOutcome outcome;
         Nanos retryAfter;
     };
     struct Action {
         RequestId id;
-        std::variant<StartAttempt, SendResponse> what;
+        std::variant<StartAttempt, SendResponse> operation;
     };
-    struct UpstreamLink {
-        int door;
-        RequestId command = 0;
-        bool up = false;
-        Nanos idleAt = 0;
+    struct UpstreamConnection {
+        int address;
+        RequestId requestId = 0;
+        bool isOpen = false;
+        Nanos idleSince = 0;
     };
 
     void startAttempt(RequestId id, std::string_view cache, Nanos deadline, Nanos latestStart) override {
-        actions_.push_back({id, StartAttempt{std::string(cache), deadline - kBase, latestStart - kBase}});
+        actions_.push_back(
+            {id, StartAttempt{std::string(cache), deadline - kClockOffset, latestStart - kClockOffset}});
     }
     void reject(RequestId id, Nanos retryAfter) override {
         actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::declined, retryAfter}});
@@ -92,113 +97,116 @@
         actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::terminated, 0}});
     }
     void scheduleWakeup(Nanos at) override;
-    void pollEndpoints() override { pollRequested_ = true; }
+    void pollEndpoints() override { isPollRequested_ = true; }
     void log(std::string_view) override {}
 
-    void send(Nanos now, RequestId id, OpenRequest& held, const StartAttempt& what);
-    void end(Nanos now, RequestId id, AttemptOutcome ending);
-    void write(Nanos now, ConnectionId conn, OpenRequest& held);
-    void drop(Nanos now, ConnectionId conn);
-    void rest(ConnectionId conn, UpstreamLink& link);
-    bool isAffectedByDefect(RouterDefect::Kind kind);
-    void answered(Nanos now, RequestId id, const OpenRequest& held, const std::string& token);
-    void retryNeedlessly(Nanos now, const OpenRequest& held);
-    std::string_view verbOf(const OpenRequest& held) const;
-
-    SimulatedRun& play_;
+    void sendAttempt(Nanos now, RequestId id, OpenRequest& request, const StartAttempt& attempt);
+    void endAttempt(Nanos now, RequestId id, AttemptOutcome outcome);
+    void writeRequest(Nanos now, ConnectionId conn, OpenRequest& request);
+    void closeConnection(Nanos now, ConnectionId conn);
+    void returnToPool(ConnectionId conn, UpstreamConnection& connection);
+    bool drawDefect(RouterDefect::Kind kind);
+    void answerClient(Nanos now, RequestId id, const OpenRequest& request, const std::string& token);
+    void retryNeedlessly(Nanos now, const OpenRequest& request);
+    std::string_view requestClassName(const OpenRequest& request) const;
+
+    SimulatedRun& run_;
     int index_;
     PollId endpointPoll_ = 0;
-    int slot_;  // of the play: a router that was changed has had several
+    int slot_;  // in SimulatedRun: each process of a router has its own
     Nanos startedAt_;
     RouterDefect defect_;
     std::unique_ptr<metrics::RouterMetrics> metrics_;
-    std::uint64_t opened_ = 0;
-    std::unordered_map<ConnectionId, ServerCall> presses_;  // on connections that are on their way, or out
+    std::uint64_t openedCount_ = 0;
+    std::unordered_map<ConnectionId, ServerCall>
+        needlessFetches_;  // by connection, which may still be opening
     Random random_;
     std::unordered_map<RequestId, OpenRequest> requests_;
-    std::unordered_map<ConnectionId, UpstreamLink> links_;
-    std::unordered_map<int, std::vector<ConnectionId>> idle_;  // by address
-    std::vector<std::function<void(Nanos)>> events_;           // for the module, in their order
+    std::unordered_map<ConnectionId, UpstreamConnection> connections_;
+    std::unordered_map<int, std::vector<ConnectionId>> idleConnections_;  // by address
+    std::vector<std::function<void(Nanos)>> events_;                      // for the policy, in order
     std::vector<Action> actions_;
-    std::int64_t version_ = 0;
-    Nanos stopAt_ = 0;
-    bool pollRequested_ = false;
+    std::int64_t listVersion_ = 0;
+    Nanos stopAcceptingAt_ = 0;
+    bool isPollRequested_ = false;
     RoutingPolicy policy_;
 };
 
 class SimulatedRun : public Transport, private SimulatedFleet {
   public:
-    SimulatedRun(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
-                 const SimulatedRunOptions& wanted)
+    SimulatedRun(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                 const SimulatedRunOptions& options)
         : seed(seed),
-          world(scenario, seed, ledger, *this),
-          options_(wanted),
-          slots_(static_cast<std::size_t>(scenario.routers.count), -1) {}
-
-    void run(const std::function<void(Nanos)>& progress) {
-        const Scenario& s = world.scenario();
-        for (int r = 0; r < s.routers.count; ++r) startRouter(r);
-        if (options_.attach) options_.attach(*this);
-        world.begin(0);
-        Nanos shown = 0;
-        const Nanos last = s.length + s.longestLimit() + s.slack + 1'000 * kMillisecond;
+          deployment(scenario, seed, eventLog, *this),
+          options_(options),
+          slotByRouter_(static_cast<std::size_t>(scenario.routers.count), -1) {}
+
+    void execute(const std::function<void(Nanos)>& progress) {
+        const Scenario& scenario = deployment.scenario();
+        for (int r = 0; r < scenario.routers.count; ++r) startRouter(r);
+        if (options_.onStart) options_.onStart(*this);
+        deployment.begin(0);
+        Nanos reportedAt = 0;
+        const Nanos end = scenario.length + scenario.longestLimit() + scenario.slack + 1'000 * kMillisecond;
         reconcile();
-        while (now < last && !world.isOver(now) && !finished_) {
-            now = world.next();
-            world.step(now);
+        while (now < end && !deployment.isOver(now) && !isRunFinished_) {
+            now = deployment.next();
+            deployment.step(now);
             reconcile();
-            if (progress && now - shown > 1'000 * kMillisecond) progress(shown = now);
+            if (progress && now - reportedAt > 1'000 * kMillisecond) progress(reportedAt = now);
         }
     }
-    void touch(int slot) {
-        if (slot >= 0 && !std::exchange(touched_[static_cast<std::size_t>(slot)], 1)) dirty_.push_back(slot);
+    void markDirty(int slot) {
+        if (slot >= 0 && !std::exchange(isDirty_[static_cast<std::size_t>(slot)], 1))
+            dirtySlots_.push_back(slot);
     }
-    bool counted() const { return static_cast<bool>(options_.attach); }
+    bool hasMetrics() const { return static_cast<bool>(options_.onStart); }
     PolicySettings settingsFor(int router, std::uint64_t routerSeed) const {
-        PolicySettings terms = policySettingsOf(world.scenario(), router, routerSeed);
-        if (options_.mistake) options_.mistake(terms);
-        return terms;
-    }
-    void struck() { ++harmed_; }
-
-    void sendRequest(const ClientRequest& ask) override {
-        ++asked_;
-        const int slot = slotOf(ask.router);
-        SimulatedRouter* const r = at(slot);
-        if (r && r->accepts(now)) {
-            touch(slot);
-            return r->onRequest(ask);
+        PolicySettings settings = policySettingsOf(deployment.scenario(), router, routerSeed);
+        if (options_.mistake) options_.mistake(settings);
+        return settings;
+    }
+    void countAffectedRequest() { ++affectedRequestCount_; }
+
+    void sendRequest(const ClientRequest& request) override {
+        ++requestCount_;
+        const int slot = slotOf(request.router);
+        SimulatedRouter* const target = routerAt(slot);
+        if (target && target->isAccepting(now)) {
+            markDirty(slot);
+            return target->onRequest(request);
         }
-        world.at(now + world.scenario().network.same, [this, id = ask.id](Nanos t) {
-            world.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
+        deployment.at(now + deployment.scenario().network.same, [this, id = request.id](Nanos t) {
+            deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
         });
     }
     void disconnectClient(int router, RequestId id) override {
         for (std::size_t slot = 0; slot < routers_.size(); ++slot)
-            if (routers_[slot] && routers_[slot]->index() == router && routers_[slot]->holds(id))
-                routers_[slot]->onClientDisconnected(id), touch(static_cast<int>(slot));
+            if (routers_[slot] && routers_[slot]->index() == router && routers_[slot]->hasRequest(id))
+                routers_[slot]->onClientDisconnected(id), markDirty(static_cast<int>(slot));
     }
-    void onConnectionOpened(ConnectionId conn, bool up) override {
-        if (SimulatedRouter* const r = owner(conn)) r->opened(conn, up);
+    void onConnectionOpened(ConnectionId conn, bool isOpen) override {
+        if (SimulatedRouter* const target = ownerOf(conn)) target->onConnectionOpened(conn, isOpen);
     }
     void sendReply(ConnectionId conn, const Reply& reply) override {
-        if (SimulatedRouter* const r = owner(conn)) r->reply(conn, reply);
+        if (SimulatedRouter* const target = ownerOf(conn)) target->onReply(conn, reply);
     }
     void breakConnection(ConnectionId conn) override {
-        if (SimulatedRouter* const r = owner(conn)) r->onConnectionBroken(conn);
+        if (SimulatedRouter* const target = ownerOf(conn)) target->onConnectionBroken(conn);
     }
     void setAddressState(int, int, AddressState) override {}
     void sendEndpointList(int router, PollId, const EndpointListMessage& list) override {
-        SimulatedRouter* const r = at(slotOf(router));
-        if (!r) return;
-        touch(slotOf(router));
-        r->listed(now, list.full ? EndpointUpdateKind::complete : EndpointUpdateKind::delta, list);
+        SimulatedRouter* const target = routerAt(slotOf(router));
+        if (!target) return;
+        markDirty(slotOf(router));
+        target->onEndpointList(now, list.full ? EndpointUpdateKind::complete : EndpointUpdateKind::delta,
+                               list);
     }
     void failPoll(int router, PollId) override {
-        SimulatedRouter* const r = at(slotOf(router));
-        if (!r) return;
-        touch(slotOf(router));
-        r->listed(now, EndpointUpdateKind::failed, {});
+        SimulatedRouter* const target = routerAt(slotOf(router));
+        if (!target) return;
+        markDirty(slotOf(router));
+        target->onEndpointList(now, EndpointUpdateKind::failed, {});
     }
     void moveDiscovery(int) override {
         for (auto& r : routers_)
@@ -206,110 +214,114 @@
     }
     void killRouter(int router) override {
         const int slot = slotOf(router);
-        if (!at(slot)) return;
-        at(slot)->dropAll(now);
-        gone(slot);
+        if (!routerAt(slot)) return;
+        routerAt(slot)->abortAllRequests(now);
+        removeRouter(slot);
     }
     void startRouter(int router) override {
-        if (at(slotOf(router))) return;
-        world.routerUp(now, router);
-        occupy(router, {});
+        if (routerAt(slotOf(router))) return;
+        deployment.routerUp(now, router);
+        addRouter(router, {});
     }
     void terminateRouter(int router) override {
         const int slot = slotOf(router);
-        if (SimulatedRouter* const r = at(slot)) {
-            r->stop(now);
-            touch(slot);
-            world.at(now + kLeaving, [this, slot](Nanos) { touch(slot); });
-            const Nanos latest = now + kLeaving + world.scenario().longestLimit() + 200 * kMillisecond;
-            world.at(latest, [this, slot](Nanos t) {
-                if (SimulatedRouter* const late = at(slot); late && !late->accepts(t))
-                    late->dropAll(now), gone(slot);
+        if (SimulatedRouter* const target = routerAt(slot)) {
+            target->beginDraining(now);
+            markDirty(slot);
+            deployment.at(now + kTerminationNotice, [this, slot](Nanos) { markDirty(slot); });
+            const Nanos latest =
+                now + kTerminationNotice + deployment.scenario().longestLimit() + 200 * kMillisecond;
+            deployment.at(latest, [this, slot](Nanos t) {
+                if (SimulatedRouter* const stopping = routerAt(slot); stopping && !stopping->isAccepting(t))
+                    stopping->abortAllRequests(now), removeRouter(slot);
             });
         }
     }
     void reloadRouter(int) override {}
-    void upgradeRouter(int) override {}  // a hand-over is between processes
-    void giveUp(int slot, ConnectionId conn, RequestId id, int number, bool unwritten) {
-        if (SimulatedRouter* const r = at(slot)) r->abandonAttempt(conn, id, number, unwritten);
+    void upgradeRouter(int) override {}  // a hot restart needs real processes
+    void abandonAttempt(int slot, ConnectionId conn, RequestId id, int number, bool onlyIfUnwritten) {
+        if (SimulatedRouter* const target = routerAt(slot))
+            target->abandonAttempt(conn, id, number, onlyIfUnwritten);
     }
-    SimulatedRouter* at(int slot) {
+    SimulatedRouter* routerAt(int slot) {
         return slot < 0 ? nullptr : routers_[static_cast<std::size_t>(slot)].get();
     }
-    void idled(int slot, ConnectionId conn, Nanos since) {
-        if (SimulatedRouter* const r = at(slot)) r->idled(conn, since);
+    void onIdleTimeout(int slot, ConnectionId conn, Nanos since) {
+        if (SimulatedRouter* const target = routerAt(slot)) target->onIdleTimeout(conn, since);
     }
 
     Nanos now = 0;
     const std::uint64_t seed;
-    std::unordered_map<ConnectionId, int> owners;  // slots
-    EmulatedDeployment world;
+    std::unordered_map<ConnectionId, int> connectionOwners;  // by connection: the slot of its router
+    EmulatedDeployment deployment;
 
   private:
-    int slotOf(int router) const { return slots_[static_cast<std::size_t>(router)]; }
-    void occupy(int router, const RouterDefect& harm) {
+    int slotOf(int router) const { return slotByRouter_[static_cast<std::size_t>(router)]; }
+    void addRouter(int router, const RouterDefect& defect) {
         const auto slot = static_cast<int>(routers_.size());
-        slots_[static_cast<std::size_t>(router)] = slot;
-        touched_.push_back(0);
+        slotByRouter_[static_cast<std::size_t>(router)] = slot;
+        isDirty_.push_back(0);
         routers_.push_back(
-            std::make_unique<SimulatedRouter>(*this, router, slot, seed * 1000 + ++starts_, now, harm));
-        routers_.back()->listed(now, EndpointUpdateKind::cached, world.lastList(router));
-        touch(slot);
+            std::make_unique<SimulatedRouter>(*this, router, slot, seed * 1000 + ++startCount_, now, defect));
+        routers_.back()->onEndpointList(now, EndpointUpdateKind::cached, deployment.lastList(router));
+        markDirty(slot);
     }
-    // ---- SimFleet
+    // ---- SimulatedFleet
     Nanos time() const override { return now; }
-    void at(Nanos when, std::function<void(Nanos)> what) override { world.at(when, std::move(what)); }
-    nlohmann::json figures(int router) override {
+    void schedule(Nanos when, std::function<void(Nanos)> callback) override {
+        deployment.at(when, std::move(callback));
+    }
+    nlohmann::json metricsJson(int router) override {
         const int slot = slotOf(router);
-        auto all = at(slot) ? at(slot)->figures(now) : nlohmann::json();
-        if (all.is_object()) all["pid"] = slot + 1;
-        return all;
-    }
-    void change(int router, bool harmful) override {
-        const int before = slotOf(router);
-        if (SimulatedRouter* const r = at(before)) {
-            // It has no listener any more, and goes once it owes nothing.
-            r->stop(now - kLeaving);
-            touch(before);
+        auto json = routerAt(slot) ? routerAt(slot)->metricsJson(now) : nlohmann::json();
+        if (json.is_object()) json["pid"] = slot + 1;
+        return json;
+    }
+    void replaceRouter(int router, bool isDefective) override {
+        const int oldSlot = slotOf(router);
+        if (SimulatedRouter* const target = routerAt(oldSlot)) {
+            // The old process accepts nothing any more, and ends once its requests are answered.
+            target->beginDraining(now - kTerminationNotice);
+            markDirty(oldSlot);
         }
-        occupy(router, harmful ? options_.defect : RouterDefect{});
-    }
-    void finish() override { finished_ = true; }
-    long asked() const override { return asked_; }
-    long affectedRequests() const override { return harmed_; }
-    SimulatedRouter* owner(ConnectionId conn) {
-        const auto it = owners.find(conn);
-        if (it == owners.end()) return nullptr;
-        touch(it->second);
-        return at(it->second);
-    }
-    void gone(int slot) {
-        const int router = at(slot)->index();
+        addRouter(router, isDefective ? options_.defect : RouterDefect{});
+    }
+    void finish() override { isRunFinished_ = true; }
+    long requestCount() const override { return requestCount_; }
+    long affectedRequestCount() const override { return affectedRequestCount_; }
+    SimulatedRouter* ownerOf(ConnectionId conn) {
+        const auto it = connectionOwners.find(conn);
+        if (it == connectionOwners.end()) return nullptr;
+        markDirty(it->second);
+        return routerAt(it->second);
+    }
+    void removeRouter(int slot) {
+        const int router = routerAt(slot)->index();
         routers_[static_cast<std::size_t>(slot)].reset();
         std::vector<ConnectionId> conns;
-        std::erase_if(owners, [&](const auto& item) {
+        std::erase_if(connectionOwners, [&](const auto& item) {
             if (item.second == slot) conns.push_back(item.first);
             return item.second == slot;
         });
         if (slotOf(router) == slot) {
-            slots_[static_cast<std::size_t>(router)] = -1;
-            return world.routerGone(now, router);
+            slotByRouter_[static_cast<std::size_t>(router)] = -1;
+            return deployment.routerGone(now, router);
         }
-        // Another one has its place: only its own connections end.
+        // Another process has taken the router's place, so only this one's connections close.
         std::sort(conns.begin(), conns.end());
-        for (const ConnectionId conn : conns) world.closed(now, conn);
+        for (const ConnectionId conn : conns) deployment.closed(now, conn);
     }
     void reconcile() {
-        // By number, so that a run is the same each time.
-        while (!dirty_.empty()) {
-            std::vector<int> now_dirty;
-            now_dirty.swap(dirty_);
-            std::sort(now_dirty.begin(), now_dirty.end());
-            for (const int r : now_dirty) {
-                touched_[static_cast<std::size_t>(r)] = 0;
-                if (SimulatedRouter* const router = at(r)) {
+        // In slot order, so that a run is reproducible.
+        while (!dirtySlots_.empty()) {
+            std::vector<int> slots;
+            slots.swap(dirtySlots_);
+            std::sort(slots.begin(), slots.end());
+            for (const int slot : slots) {
+                isDirty_[static_cast<std::size_t>(slot)] = 0;
+                if (SimulatedRouter* const router = routerAt(slot)) {
                     router->runIteration(now);
-                    if (router->finished(now)) router->dropAll(now), gone(r);
+                    if (router->isFinished(now)) router->abortAllRequests(now), removeRouter(slot);
                 }
             }
         }
@@ -317,362 +329,386 @@
 
     const SimulatedRunOptions& options_;
     std::vector<std::unique_ptr<SimulatedRouter>> routers_;  // by slot
-    std::vector<int> slots_;                                 // of each router, or -1
-    std::vector<char> touched_;
-    long asked_ = 0, harmed_ = 0;
-    bool finished_ = false;
-    std::vector<int> dirty_;
-    std::uint64_t starts_ = 0;
+    std::vector<int> slotByRouter_;                          // by router; -1: it is down
+    std::vector<char> isDirty_;
+    long requestCount_ = 0, affectedRequestCount_ = 0;
+    bool isRunFinished_ = false;
+    std::vector<int> dirtySlots_;
+    std::uint64_t startCount_ = 0;
 };
 
-SimulatedRouter::SimulatedRouter(SimulatedRun& play, int index, int slot, std::uint64_t seed, Nanos now,
-                                 const RouterDefect& harm)
-    : play_(play),
+SimulatedRouter::SimulatedRouter(SimulatedRun& run, int index, int slot, std::uint64_t seed, Nanos now,
+                                 const RouterDefect& defect)
+    : run_(run),
       index_(index),
       slot_(slot),
       startedAt_(now),
-      defect_(harm),
+      defect_(defect),
       random_(seed * 7 + 1),
-      policy_(play.settingsFor(index, seed), *this, kBase + now) {
-    if (!play.counted()) return;
-    metrics_ = std::make_unique<metrics::RouterMetrics>(play.settingsFor(index, seed).requestClasses);
+      policy_(run.settingsFor(index, seed), *this, kClockOffset + now) {
+    if (!run.hasMetrics()) return;
+    metrics_ = std::make_unique<metrics::RouterMetrics>(run.settingsFor(index, seed).requestClasses);
 }
 
-bool SimulatedRouter::isAffectedByDefect(RouterDefect::Kind kind) {
+bool SimulatedRouter::drawDefect(RouterDefect::Kind kind) {
     if (defect_.kind != kind || !random_.chance(defect_.size)) return false;
-    play_.struck();
+    run_.countAffectedRequest();
     return true;
 }
 
-std::string_view SimulatedRouter::verbOf(const OpenRequest& held) const {
-    return play_.world.scenario()
-        .requestClasses[static_cast<std::size_t>(held.ask.requestClass)]
+std::string_view SimulatedRouter::requestClassName(const OpenRequest& request) const {
+    return run_.deployment.scenario()
+        .requestClasses[static_cast<std::size_t>(request.clientRequest.requestClass)]
         .requestClass.name;
 }
 
-nlohmann::json SimulatedRouter::figures(Nanos now) const {
+nlohmann::json SimulatedRouter::metricsJson(Nanos now) const {
     if (!metrics_) return {};
-    auto all = metrics_->json();
+    auto json = metrics_->json();
     int ready = 0, listed = 0;
-    for (const auto& s : play_.world.servers()) listed += !s.origin;
-    for (const EndpointLine& line : play_.world.lastList(index_).lines)
+    for (const auto& s : run_.deployment.servers()) listed += !s.origin;
+    for (const EndpointLine& line : run_.deployment.lastList(index_).lines)
         ready += line.state == EndpointState::ready &&
-                 !play_.world.servers()[static_cast<std::size_t>(line.server)].origin;
-    all.update({{"program", "sim"},
-                {"zone", play_.world.routerZone(index_)},
-                {"up_ms", (now - startedAt_) / kMillisecond},
-                {"open", requests_.size()},
-                {"links", links_.size()},
-                {"links_opened", opened_},
-                {"caches_ready", ready},
-                {"caches_listed", listed},
-                {"memory_kb", 0},
-                {"descriptors", links_.size()}});
-    return all;
+                 !run_.deployment.servers()[static_cast<std::size_t>(line.server)].origin;
+    json.update({{"program", "sim"},
+                 {"zone", run_.deployment.routerZone(index_)},
+                 {"up_ms", (now - startedAt_) / kMillisecond},
+                 {"open", requests_.size()},
+                 {"links", connections_.size()},
+                 {"links_opened", openedCount_},
+                 {"caches_ready", ready},
+                 {"caches_listed", listed},
+                 {"memory_kb", 0},
+                 {"descriptors", connections_.size()}});
+    return json;
 }
 
 void SimulatedRouter::scheduleWakeup(Nanos at) {
-    play_.world.at(at - kBase, [&play = play_, slot = slot_](Nanos) { play.touch(slot); });
+    run_.deployment.at(at - kClockOffset, [&run = run_, slot = slot_](Nanos) { run.markDirty(slot); });
 }
 
-void SimulatedRouter::onRequest(const ClientRequest& ask) {
-    const Scenario& s = play_.world.scenario();
-    const auto& requestClass = s.requestClasses[static_cast<std::size_t>(ask.requestClass)].requestClass.name;
-    if (requests_.size() >= s.routers.open || isAffectedByDefect(RouterDefect::Kind::rejects)) {
+void SimulatedRouter::onRequest(const ClientRequest& request) {
+    const Scenario& scenario = run_.deployment.scenario();
+    const auto& requestClass =
+        scenario.requestClasses[static_cast<std::size_t>(request.requestClass)].requestClass.name;
+    if (requests_.size() >= scenario.routers.open || drawDefect(RouterDefect::Kind::rejects)) {
         if (metrics_) metrics_->recordRejected(requestClass, metrics::Rejection::requestLimit);
-        play_.world.at(play_.now, [&play = play_, id = ask.id](Nanos t) {
-            play.world.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::declined, "", 0);
+        run_.deployment.at(run_.now, [&run = run_, id = request.id](Nanos t) {
+            run.deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::declined, "", 0);
         });
         return;
     }
     if (metrics_) metrics_->recordAccepted(requestClass);
-    requests_[ask.id] = {ask, play_.now, false, 0, {}};
-    if (isAffectedByDefect(RouterDefect::Kind::silent)) return;
-    events_.push_back([this, id = ask.id](Nanos now) {
+    requests_[request.id] = {request, run_.now, false, 0, {}};
+    if (drawDefect(RouterDefect::Kind::silent)) return;
+    events_.push_back([this, id = request.id](Nanos now) {
         const auto it = requests_.find(id);
         if (it == requests_.end()) return;
-        const ClientRequest& a = it->second.ask;
-        const Scenario& plan = play_.world.scenario();
-        const RequestClassPlan& requestClass = plan.requestClasses[static_cast<std::size_t>(a.requestClass)];
+        const ClientRequest& clientRequest = it->second.clientRequest;
+        const Scenario& plan = run_.deployment.scenario();
+        const RequestClassPlan& requestClass =
+            plan.requestClasses[static_cast<std::size_t>(clientRequest.requestClass)];
         const std::string_view tenant =
-            a.tenant < 0 ? std::string_view{} : plan.tenants[static_cast<std::size_t>(a.tenant)].name;
-        policy_.onRequest(now + kBase, {id, requestClass.requestClass.name, tenant, a.key, a.deadline + kBase,
-                                        requestClass.write});
+            clientRequest.tenant < 0 ? std::string_view{}
+                                     : plan.tenants[static_cast<std::size_t>(clientRequest.tenant)].name;
+        policy_.onRequest(now + kClockOffset, {id, requestClass.requestClass.name, tenant, clientRequest.key,
+                                               clientRequest.deadline + kClockOffset, requestClass.write});
     });
 }
 
 void SimulatedRouter::onClientDisconnected(RequestId id) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
-    if (metrics_ && !it->second.told) metrics_->recordAbandoned(verbOf(it->second));
-    it->second.told = true;
-    events_.push_back([this, id](Nanos now) { policy_.onClientDisconnected(now + kBase, id); });
-    if (!it->second.out) return void(requests_.erase(it));
-    if (it->second.out->written) return;
-    drop(play_.now, it->second.out->conn);
-    end(play_.now, id, AttemptOutcome::notSent);
+    if (metrics_ && !it->second.isClientDone) metrics_->recordAbandoned(requestClassName(it->second));
+    it->second.isClientDone = true;
+    events_.push_back([this, id](Nanos now) { policy_.onClientDisconnected(now + kClockOffset, id); });
+    if (!it->second.attempt) return void(requests_.erase(it));
+    if (it->second.attempt->isWritten) return;
+    closeConnection(run_.now, it->second.attempt->conn);
+    endAttempt(run_.now, id, AttemptOutcome::notSent);
 }
 
-void SimulatedRouter::listed(Nanos, EndpointUpdateKind kind, const EndpointListMessage& list) {
+void SimulatedRouter::onEndpointList(Nanos, EndpointUpdateKind kind, const EndpointListMessage& list) {
     std::vector<Endpoint> entries;
     for (const EndpointLine& line : list.lines) {
-        const EmulatedDeployment::Server& s = play_.world.servers()[static_cast<std::size_t>(line.server)];
-        entries.push_back({s.name, s.zone, s.origin ? "origin" : "cache", line.state,
-                           line.startedAt ? line.startedAt + kBase : 0,
-                           (s.plan ? s.plan->cores * s.plan->speed : 1) / (1 + line.heldCommands), s.cell});
+        const EmulatedDeployment::Server& server =
+            run_.deployment.servers()[static_cast<std::size_t>(line.server)];
+        entries.push_back(
+            {server.name, server.zone, server.origin ? "origin" : "cache", line.state,
+             line.startedAt ? line.startedAt + kClockOffset : 0,
+             (server.plan ? server.plan->cores * server.plan->speed : 1) / (1 + line.heldCommands),
+             server.cell});
         if (line.state == EndpointState::ready) continue;
-        for (const ConnectionId conn : std::exchange(idle_[s.door], {})) drop(play_.now, conn);
+        for (const ConnectionId conn : std::exchange(idleConnections_[server.door], {}))
+            closeConnection(run_.now, conn);
     }
-    if (kind != EndpointUpdateKind::failed) version_ = list.version;
+    if (kind != EndpointUpdateKind::failed) listVersion_ = list.version;
     events_.push_back(
-        [this, kind, entries](Nanos now) { policy_.onEndpointUpdate(now + kBase, kind, entries); });
+        [this, kind, entries](Nanos now) { policy_.onEndpointUpdate(now + kClockOffset, kind, entries); });
     if (kind == EndpointUpdateKind::failed) return;
-    play_.world.at(play_.now, [&play = play_, index = index_, slot = slot_, v = version_](Nanos now) {
-        if (SimulatedRouter* const router = play.at(slot); router && router->index_ == index)
-            router->startLongPoll(now, v);
-    });
+    run_.deployment.at(
+        run_.now, [&run = run_, index = index_, slot = slot_, version = listVersion_](Nanos now) {
+            if (SimulatedRouter* const router = run.routerAt(slot); router && router->index_ == index)
+                router->startLongPoll(now, version);
+        });
 }
 
 void SimulatedRouter::restartLongPoll(Nanos now) { startLongPoll(now, std::nullopt); }
 
-// One call at a time: a new one takes the place of what is out.
+// One poll at a time: a new poll replaces the one in flight.
 void SimulatedRouter::startLongPoll(Nanos now, std::optional<std::int64_t> after) {
-    play_.world.endPoll(endpointPoll_);
-    endpointPoll_ = play_.world.beginPoll(now, index_, after, play_.world.scenario().discovery.pollInterval);
+    run_.deployment.endPoll(endpointPoll_);
+    endpointPoll_ =
+        run_.deployment.beginPoll(now, index_, after, run_.deployment.scenario().discovery.pollInterval);
 }
 
-void SimulatedRouter::stop(Nanos now) { stopAt_ = now + kLeaving; }
+void SimulatedRouter::beginDraining(Nanos now) { stopAcceptingAt_ = now + kTerminationNotice; }
 
 void SimulatedRouter::runIteration(Nanos now) {
     do {
         for (auto& event : std::exchange(events_, {})) event(now);
-        policy_.reconcile(now + kBase);
+        policy_.reconcile(now + kClockOffset);
         for (const Action& action : std::exchange(actions_, {})) {
             const auto it = requests_.find(action.id);
             if (it == requests_.end()) continue;
-            if (const auto* tell = std::get_if<SendResponse>(&action.what)) {
-                const bool told = it->second.told;
-                if (metrics_ && !told && tell->how == EmulatedDeployment::ClientOutcome::declined)
-                    metrics_->recordRejected(verbOf(it->second),
-                                             it->second.attempts ? metrics::Rejection::afterAttempt
-                                                                 : metrics::Rejection::beforeFirstAttempt);
-                if (metrics_ && !told && tell->how == EmulatedDeployment::ClientOutcome::terminated)
-                    metrics_->recordFailed(verbOf(it->second));
+            if (const auto* response = std::get_if<SendResponse>(&action.operation)) {
+                const bool isClientDone = it->second.isClientDone;
+                if (metrics_ && !isClientDone &&
+                    response->outcome == EmulatedDeployment::ClientOutcome::declined)
+                    metrics_->recordRejected(requestClassName(it->second),
+                                             it->second.attemptCount
+                                                 ? metrics::Rejection::afterAttempt
+                                                 : metrics::Rejection::beforeFirstAttempt);
+                if (metrics_ && !isClientDone &&
+                    response->outcome == EmulatedDeployment::ClientOutcome::terminated)
+                    metrics_->recordFailed(requestClassName(it->second));
                 requests_.erase(it);
-                if (!told) play_.world.onClientOutcome(now, action.id, tell->how, "", tell->retryAfter);
+                if (!isClientDone)
+                    run_.deployment.onClientOutcome(now, action.id, response->outcome, "",
+                                                    response->retryAfter);
             } else {
-                send(now, action.id, it->second, std::get<StartAttempt>(action.what));
+                sendAttempt(now, action.id, it->second, std::get<StartAttempt>(action.operation));
             }
         }
     } while (!events_.empty());
-    if (std::exchange(pollRequested_, false))
-        startLongPoll(now, version_ ? std::optional(version_) : std::nullopt);
+    if (std::exchange(isPollRequested_, false))
+        startLongPoll(now, listVersion_ ? std::optional(listVersion_) : std::nullopt);
 }
 
-void SimulatedRouter::send(Nanos now, RequestId id, OpenRequest& held, const StartAttempt& what) {
-    EmulatedDeployment& world = play_.world;
-    const int number = held.attempts++;
-    const Nanos deadline = std::min(what.deadline, held.ask.deadline);
-    const auto server = world.serverNamed(what.cache);
+void SimulatedRouter::sendAttempt(Nanos now, RequestId id, OpenRequest& request,
+                                  const StartAttempt& attempt) {
+    EmulatedDeployment& deployment = run_.deployment;
+    const int number = request.attemptCount++;
+    const Nanos deadline = std::min(attempt.deadline, request.clientRequest.deadline);
+    const auto server = deployment.serverNamed(attempt.cache);
     if (!server || now >= deadline) {
         events_.push_back([this, id, number](Nanos t) {
-            policy_.onAttemptEnded(t + kBase, {id, number, AttemptOutcome::notSent, false, 0});
+            policy_.onAttemptEnded(t + kClockOffset, {id, number, AttemptOutcome::notSent, false, 0});
         });
         return;
     }
-    const int door = world.servers()[static_cast<std::size_t>(*server)].door;
-    if (metrics_) metrics_->recordAttempt(door == 0);
-    auto& idle = idle_[door];
+    const int address = deployment.servers()[static_cast<std::size_t>(*server)].door;
+    if (metrics_) metrics_->recordAttempt(address == 0);
+    auto& idle = idleConnections_[address];
     ConnectionId conn = 0;
     if (!idle.empty()) {
         conn = idle.back();
         idle.pop_back();
     } else {
-        conn = world.connect(now, index_, door);
-        ++opened_;
-        play_.owners[conn] = slot_;
-        links_[conn] = {door, 0, false};
-        world.at(now + world.scenario().routers.connectWithin, [&play = play_, conn, slot = slot_](Nanos) {
-            const auto it = play.owners.find(conn);
-            if (it != play.owners.end()) play.onConnectionOpened(conn, false), play.touch(slot);
-        });
-    }
-    UpstreamLink& link = links_.at(conn);
-    link.command = id;
-    held.out = AttemptInFlight{*server, conn, now, number};
-    if (link.up) write(now, conn, held);
-    for (const Nanos until : {what.latestStart, deadline}) {
+        conn = deployment.connect(now, index_, address);
+        ++openedCount_;
+        run_.connectionOwners[conn] = slot_;
+        connections_[conn] = {address, 0, false};
+        deployment.at(now + deployment.scenario().routers.connectWithin,
+                      [&run = run_, conn, slot = slot_](Nanos) {
+                          const auto it = run.connectionOwners.find(conn);
+                          if (it != run.connectionOwners.end())
+                              run.onConnectionOpened(conn, false), run.markDirty(slot);
+                      });
+    }
+    UpstreamConnection& connection = connections_.at(conn);
+    connection.requestId = id;
+    request.attempt = AttemptInFlight{*server, conn, now, number};
+    if (connection.isOpen) writeRequest(now, conn, request);
+    for (const Nanos until : {attempt.latestStart, deadline}) {
         if (until > deadline) continue;
-        world.at(until,
-                 [&play = play_, conn, id, number, index = slot_, unwritten = until < deadline](Nanos) {
-                     const auto it = play.owners.find(conn);
-                     if (it == play.owners.end()) return;
-                     play.touch(index);
-                     play.giveUp(index, conn, id, number, unwritten);
-                 });
+        deployment.at(
+            until, [&run = run_, conn, id, number, slot = slot_, onlyIfUnwritten = until < deadline](Nanos) {
+                const auto it = run.connectionOwners.find(conn);
+                if (it == run.connectionOwners.end()) return;
+                run.markDirty(slot);
+                run.abandonAttempt(slot, conn, id, number, onlyIfUnwritten);
+            });
     }
 }
 
-void SimulatedRouter::write(Nanos now, ConnectionId conn, OpenRequest& held) {
-    held.out->written = true;
+void SimulatedRouter::writeRequest(Nanos now, ConnectionId conn, OpenRequest& request) {
+    request.attempt->isWritten = true;
     const RequestClassPlan& requestClass =
-        play_.world.scenario().requestClasses[static_cast<std::size_t>(held.ask.requestClass)];
-    play_.world.call(
-        now, conn,
-        {held.ask.id, held.ask.key, requestClass.requestClass.name, held.ask.mark, requestClass.write});
+        run_.deployment.scenario()
+            .requestClasses[static_cast<std::size_t>(request.clientRequest.requestClass)];
+    run_.deployment.call(now, conn,
+                         {request.clientRequest.id, request.clientRequest.key, requestClass.requestClass.name,
+                          request.clientRequest.mark, requestClass.write});
 }
 
-// `unwritten`: only one that still waits for its connection.
-void SimulatedRouter::abandonAttempt(ConnectionId conn, RequestId id, int number, bool unwritten) {
+// `onlyIfUnwritten`: ends the attempt only if it still waits for its connection.
+void SimulatedRouter::abandonAttempt(ConnectionId conn, RequestId id, int number, bool onlyIfUnwritten) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || !it->second.out || it->second.out->conn != conn ||
-        it->second.out->number != number || (unwritten && it->second.out->written))
+    if (it == requests_.end() || !it->second.attempt || it->second.attempt->conn != conn ||
+        it->second.attempt->number != number || (onlyIfUnwritten && it->second.attempt->isWritten))
         return;
-    const AttemptOutcome ending =
-        it->second.out->written ? AttemptOutcome::timedOut : AttemptOutcome::connectFailed;
-    drop(play_.now, conn);
-    end(play_.now, id, ending);
+    const AttemptOutcome outcome =
+        it->second.attempt->isWritten ? AttemptOutcome::timedOut : AttemptOutcome::connectFailed;
+    closeConnection(run_.now, conn);
+    endAttempt(run_.now, id, outcome);
 }
 
-// A fetch at the origin that only adds to its load.
-void SimulatedRouter::retryNeedlessly(Nanos now, const OpenRequest& held) {
-    const ConnectionId conn = play_.world.connect(now, index_, 0);
-    ++opened_;
+// Sends a request to the origin whose answer is not used.
+void SimulatedRouter::retryNeedlessly(Nanos now, const OpenRequest& request) {
+    const ConnectionId conn = run_.deployment.connect(now, index_, 0);
+    ++openedCount_;
     if (metrics_) metrics_->recordAttempt(true);
-    play_.owners[conn] = slot_;
-    presses_[conn] = {held.ask.id, held.ask.key, std::string(verbOf(held)), "", false};
+    run_.connectionOwners[conn] = slot_;
+    needlessFetches_[conn] = {request.clientRequest.id, request.clientRequest.key,
+                              std::string(requestClassName(request)), "", false};
 }
 
-void SimulatedRouter::answered(Nanos now, RequestId id, const OpenRequest& held, const std::string& token) {
-    Nanos later = 0;
+void SimulatedRouter::answerClient(Nanos now, RequestId id, const OpenRequest& request,
+                                   const std::string& token) {
+    Nanos addedDelay = 0;
     if (defect_.kind == RouterDefect::Kind::slower) {
-        play_.struck();
-        later = static_cast<Nanos>(defect_.size * static_cast<double>(now - held.takenAt));
-    }
-    if (metrics_) metrics_->recordSucceeded(verbOf(held), now - held.takenAt + later);
-    if (isAffectedByDefect(RouterDefect::Kind::retriesNeedlessly)) retryNeedlessly(now, held);
-    if (later == 0)
-        return play_.world.onClientOutcome(now, id, EmulatedDeployment::ClientOutcome::answered, token, 0);
-    play_.world.at(now + later, [&world = play_.world, id, token](Nanos t) {
-        world.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::answered, token, 0);
+        run_.countAffectedRequest();
+        addedDelay = static_cast<Nanos>(defect_.size * static_cast<double>(now - request.acceptedAt));
+    }
+    if (metrics_) metrics_->recordSucceeded(requestClassName(request), now - request.acceptedAt + addedDelay);
+    if (drawDefect(RouterDefect::Kind::retriesNeedlessly)) retryNeedlessly(now, request);
+    if (addedDelay == 0)
+        return run_.deployment.onClientOutcome(now, id, EmulatedDeployment::ClientOutcome::answered, token,
+                                               0);
+    run_.deployment.at(now + addedDelay, [&deployment = run_.deployment, id, token](Nanos t) {
+        deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::answered, token, 0);
     });
 }
 
-void SimulatedRouter::opened(ConnectionId id, bool up) {
-    if (const auto press = presses_.find(id); press != presses_.end()) {
-        if (up) return play_.world.call(play_.now, id, press->second);
-        presses_.erase(press);
-        play_.owners.erase(id);
-        return play_.world.closed(play_.now, id);
-    }
-    const auto it = links_.find(id);
-    if (it == links_.end() || it->second.up) return;
-    const RequestId command = it->second.command;
-    const auto held = requests_.find(command);
-    if (up) {
-        it->second.up = true;
-        if (held != requests_.end() && held->second.out && held->second.out->conn == id)
-            return write(play_.now, id, held->second);
-        it->second.command = 0;
-        return rest(id, it->second);
-    }
-    drop(play_.now, id);
-    if (command) end(play_.now, command, AttemptOutcome::connectFailed);
+void SimulatedRouter::onConnectionOpened(ConnectionId id, bool isOpen) {
+    if (const auto fetch = needlessFetches_.find(id); fetch != needlessFetches_.end()) {
+        if (isOpen) return run_.deployment.call(run_.now, id, fetch->second);
+        needlessFetches_.erase(fetch);
+        run_.connectionOwners.erase(id);
+        return run_.deployment.closed(run_.now, id);
+    }
+    const auto it = connections_.find(id);
+    if (it == connections_.end() || it->second.isOpen) return;
+    const RequestId requestId = it->second.requestId;
+    const auto request = requests_.find(requestId);
+    if (isOpen) {
+        it->second.isOpen = true;
+        if (request != requests_.end() && request->second.attempt && request->second.attempt->conn == id)
+            return writeRequest(run_.now, id, request->second);
+        it->second.requestId = 0;
+        return returnToPool(id, it->second);
+    }
+    closeConnection(run_.now, id);
+    if (requestId) endAttempt(run_.now, requestId, AttemptOutcome::connectFailed);
 }
 
-void SimulatedRouter::reply(ConnectionId id, const Reply& reply) {
-    if (presses_.erase(id)) {
-        play_.owners.erase(id);
-        return play_.world.closed(play_.now, id);
+void SimulatedRouter::onReply(ConnectionId id, const Reply& reply) {
+    if (needlessFetches_.erase(id)) {
+        run_.connectionOwners.erase(id);
+        return run_.deployment.closed(run_.now, id);
     }
-    const auto it = links_.find(id);
-    if (it == links_.end() || it->second.command == 0) return;
-    const RequestId command = std::exchange(it->second.command, 0);
+    const auto it = connections_.find(id);
+    if (it == connections_.end() || it->second.requestId == 0) return;
+    const RequestId requestId = std::exchange(it->second.requestId, 0);
     using K = Reply::Kind;
     if (reply.kind == K::spoilt)
-        drop(play_.now, id);
+        closeConnection(run_.now, id);
     else
-        rest(id, it->second);
-    const Nanos now = play_.now;
+        returnToPool(id, it->second);
+    const Nanos now = run_.now;
     if (reply.kind == K::value) {
-        const auto held = requests_.find(command);
-        if (held != requests_.end() && !std::exchange(held->second.told, true))
-            answered(now, command, held->second, reply.token);
-    }
-    end(now, command,
-        reply.kind == K::value  ? AttemptOutcome::succeeded
-        : reply.kind == K::miss ? AttemptOutcome::cacheMiss
-        : reply.kind == K::busy ? AttemptOutcome::overloaded
-                                : AttemptOutcome::failed);
+        const auto request = requests_.find(requestId);
+        if (request != requests_.end() && !std::exchange(request->second.isClientDone, true))
+            answerClient(now, requestId, request->second, reply.token);
+    }
+    endAttempt(now, requestId,
+               reply.kind == K::value  ? AttemptOutcome::succeeded
+               : reply.kind == K::miss ? AttemptOutcome::cacheMiss
+               : reply.kind == K::busy ? AttemptOutcome::overloaded
+                                       : AttemptOutcome::failed);
 }
 
-// Kept as long as the program keeps it.
-void SimulatedRouter::rest(ConnectionId conn, UpstreamLink& link) {
-    if (isAffectedByDefect(RouterDefect::Kind::connections)) return drop(play_.now, conn);
-    link.idleAt = play_.now;
-    idle_[link.door].push_back(conn);
-    const Nanos kept = play_.world.scenario().routers.idle / 10 * 9;
-    play_.world.at(play_.now + kept, [&play = play_, conn, slot = slot_, since = play_.now](Nanos) {
-        play.idled(slot, conn, since);
+// Keeps the idle connection for as long as the router program does.
+void SimulatedRouter::returnToPool(ConnectionId conn, UpstreamConnection& connection) {
+    if (drawDefect(RouterDefect::Kind::connections)) return closeConnection(run_.now, conn);
+    connection.idleSince = run_.now;
+    idleConnections_[connection.address].push_back(conn);
+    const Nanos idleTimeout = run_.deployment.scenario().routers.idle / 10 * 9;
+    run_.deployment.at(run_.now + idleTimeout, [&run = run_, conn, slot = slot_, since = run_.now](Nanos) {
+        run.onIdleTimeout(slot, conn, since);
     });
 }
 
-void SimulatedRouter::idled(ConnectionId conn, Nanos since) {
-    const auto it = links_.find(conn);
-    if (it != links_.end() && it->second.command == 0 && it->second.idleAt == since) drop(play_.now, conn);
+void SimulatedRouter::onIdleTimeout(ConnectionId conn, Nanos since) {
+    const auto it = connections_.find(conn);
+    if (it != connections_.end() && it->second.requestId == 0 && it->second.idleSince == since)
+        closeConnection(run_.now, conn);
 }
 
 void SimulatedRouter::onConnectionBroken(ConnectionId id) {
-    if (presses_.erase(id)) return void(play_.owners.erase(id));
-    const auto it = links_.find(id);
-    if (it == links_.end()) return;
-    const RequestId command = it->second.command;
-    drop(play_.now, id);
-    const auto held = requests_.find(command);
-    if (command && held != requests_.end() && held->second.out)
-        end(play_.now, command,
-            held->second.out->written ? AttemptOutcome::connectionLost : AttemptOutcome::connectFailed);
+    if (needlessFetches_.erase(id)) return void(run_.connectionOwners.erase(id));
+    const auto it = connections_.find(id);
+    if (it == connections_.end()) return;
+    const RequestId requestId = it->second.requestId;
+    closeConnection(run_.now, id);
+    const auto request = requests_.find(requestId);
+    if (requestId && request != requests_.end() && request->second.attempt)
+        endAttempt(run_.now, requestId,
+                   request->second.attempt->isWritten ? AttemptOutcome::connectionLost
+                                                      : AttemptOutcome::connectFailed);
 }
 
-void SimulatedRouter::drop(Nanos now, ConnectionId conn) {
-    const auto it = links_.find(conn);
-    if (it == links_.end()) return;
-    std::erase(idle_[it->second.door], conn);
-    links_.erase(it);
-    play_.owners.erase(conn);
-    play_.world.closed(now, conn);
+void SimulatedRouter::closeConnection(Nanos now, ConnectionId conn) {
+    const auto it = connections_.find(conn);
+    if (it == connections_.end()) return;
+    std::erase(idleConnections_[it->second.address], conn);
+    connections_.erase(it);
+    run_.connectionOwners.erase(conn);
+    run_.deployment.closed(now, conn);
 }
 
-void SimulatedRouter::end(Nanos now, RequestId id, AttemptOutcome ending) {
+void SimulatedRouter::endAttempt(Nanos now, RequestId id, AttemptOutcome outcome) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || !it->second.out) return;
-    const AttemptInFlight out = *std::exchange(it->second.out, {});
-    if (metrics_) metrics_->recordAttemptEnded(ending, now - out.sentAt);
-    events_.push_back([this, id, out, ending, spent = now - out.sentAt, over = it->second.told](Nanos t) {
-        policy_.onAttemptEnded(t + kBase, {id, out.number, ending, over, spent});
+    if (it == requests_.end() || !it->second.attempt) return;
+    const AttemptInFlight attempt = *std::exchange(it->second.attempt, {});
+    if (metrics_) metrics_->recordAttemptEnded(outcome, now - attempt.sentAt);
+    events_.push_back([this, id, attempt, outcome, elapsed = now - attempt.sentAt,
+                       isClientDone = it->second.isClientDone](Nanos t) {
+        policy_.onAttemptEnded(t + kClockOffset, {id, attempt.number, outcome, isClientDone, elapsed});
     });
-    if (it->second.told) requests_.erase(it);
+    if (it->second.isClientDone) requests_.erase(it);
 }
 
-void SimulatedRouter::dropAll(Nanos now) {
+void SimulatedRouter::abortAllRequests(Nanos now) {
     std::vector<RequestId> ids;
-    for (const auto& [id, held] : requests_)
-        if (!held.told) ids.push_back(id);
+    for (const auto& [id, request] : requests_)
+        if (!request.isClientDone) ids.push_back(id);
     std::sort(ids.begin(), ids.end());
     for (const RequestId id : ids)
-        play_.world.onClientOutcome(now, id, EmulatedDeployment::ClientOutcome::unsent, "broken", 0);
+        run_.deployment.onClientOutcome(now, id, EmulatedDeployment::ClientOutcome::unsent, "broken", 0);
 }
 
 }  // namespace
 
-SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
-                            const SimulatedRunOptions& wanted) {
-    SimulatedRun play(scenario, seed, ledger, wanted);
-    const auto began = std::chrono::steady_clock::now();
-    play.run(wanted.progress);
-    if (wanted.duration) wanted.duration();
-    const std::chrono::duration<double> wall = std::chrono::steady_clock::now() - began;
-    return {play.now, wall.count()};
+SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                            const SimulatedRunOptions& options) {
+    SimulatedRun run(scenario, seed, eventLog, options);
+    const auto startedAt = std::chrono::steady_clock::now();
+    run.execute(options.progress);
+    if (options.onEnd) options.onEnd();
+    const std::chrono::duration<double> wall = std::chrono::steady_clock::now() - startedAt;
+    return {run.now, wall.count()};
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/simulated_run.hpp
+++ b/src/testbed/drivers/simulated/simulated_run.hpp
@@ -1,4 +1,5 @@
-// The world in virtual time round the decision module itself: hundreds of routers in one process, no socket.
+// Runs a scenario in virtual time against the routing policy itself: hundreds of routers in one process,
+// without sockets.
 #pragma once
 
 #include <functional>
@@ -11,50 +12,52 @@
 namespace poppyscale::testbed {
 
 struct SimulatedRunResult {
-    Nanos length = 0;        // of the scenario's time
-    double wallSeconds = 0;  // that it took
+    Nanos length = 0;        // in virtual time
+    double wallSeconds = 0;  // that the run took
 };
 
-// What a version of the router does worse than it should, to a share `size` of what it takes.
+// A defect of a router version, which affects a share `size` of its requests or attempts.
 struct RouterDefect {
     enum class Kind : std::uint8_t {
         none,
-        rejects,           // rejected at once
-        silent,            // never answered
-        slower,            // the answer comes later by this part of its time
-        connections,       // attempts on a connection of their own, that is closed behind them
-        retriesNeedlessly  // a fetch at the origin that nobody needs, beside the answer
+        rejects,           // rejects the request at once
+        silent,            // never answers the request
+        slower,            // delays every answer by `size` times the time that it took
+        connections,       // closes the connection after an attempt instead of reusing it
+        retriesNeedlessly  // sends a needless request to the origin after a successful answer
     };
     Kind kind = Kind::none;
     double size = 0;
 };
 
-// The routers of a play, counted as the program counts, some of them of a defective version.
+// The routers of a run, with the metrics that the router program keeps. Some may run a defective version.
 class SimulatedFleet {
   public:
     virtual ~SimulatedFleet() = default;
     virtual Nanos time() const = 0;
-    virtual void at(Nanos when, std::function<void(Nanos)> what) = 0;
-    // As the program's address tells them.
-    virtual nlohmann::json figures(int router) = 0;
-    // Another process takes the router's place, as by an upgrade: what the one before has taken it answers.
-    virtual void change(int router, bool harmful) = 0;
-    virtual void finish() = 0;  // the play is over
-    virtual long asked() const = 0;
-    virtual long affectedRequests() const = 0;  // commands that the harm was done to
+    virtual void schedule(Nanos when, std::function<void(Nanos)> callback) = 0;
+    // The router's metrics, as the router program reports them; null while the router is down.
+    virtual nlohmann::json metricsJson(int router) = 0;
+    // Replaces the router's process, as an upgrade does: the old process still answers the requests that
+    // it has accepted.
+    virtual void replaceRouter(int router, bool isDefective) = 0;
+    virtual void finish() = 0;  // ends the run after the current step
+    virtual long requestCount() const = 0;
+    virtual long affectedRequestCount() const = 0;  // requests that the defect affected
 };
 
 struct SimulatedRunOptions {
-    std::function<void(Nanos)> progress;  // told the time reached, about once a simulated second
-    // Called before the first command; from then on routers are counted.
-    std::function<void(SimulatedFleet&)> attach;
-    std::function<void()> duration;  // while the fleet is still there
+    std::function<void(Nanos)> progress;  // called with the time reached, about once per virtual second
+    // Called before the first request. Routers keep metrics only if this is set.
+    std::function<void(SimulatedFleet&)> onStart;
+    std::function<void()> onEnd;  // called after the run, while the fleet still exists
     RouterDefect defect;
-    // A known mistake: changes what the configuration says to each router, and to nobody else.
+    // A known misconfiguration: changes the policy settings of every router, while the deployment and the
+    // audit keep the right ones.
     std::function<void(PolicySettings&)> mistake = {};
 };
 
-SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& ledger,
-                            const SimulatedRunOptions& wanted = {});
+SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                            const SimulatedRunOptions& options = {});
 
 }  // namespace poppyscale::testbed
