--- a/tests/testbed_rollout_test.cpp
+++ b/tests/testbed_rollout_test.cpp
@@ -1,5 +1,6 @@
-// Staged changes on real processes: agents, coordinators and routers on the testbed's machines, with faults
-// between them. Every command is audited, and so is what the coordinator says against what each router runs.
+// Staged rollouts with real processes: agents, coordinators and routers on the testbed's machines, with
+// faults between them. The audit checks every request, and the coordinator's statements against what each
+// router runs.
 #include <doctest/doctest.h>
 #include <sys/wait.h>
 
@@ -15,71 +16,73 @@
 
 namespace {
 
-constexpr int kLate = 3;                                     // of the testbed: the run proves nothing
-constexpr std::uintmax_t kRoom = 4ULL * 1024 * 1024 * 1024;  // for five days' programs, copies and logs
+constexpr int kInconclusive = 3;  // exit code of a testbed that ran late: the run proves nothing
+constexpr std::uintmax_t kMinFreeMemory =
+    4ULL * 1024 * 1024 * 1024;  // programs, copies and logs of five scenarios
 
-struct Played {
+struct RunResult {
     std::string name;
-    int code = kLate;
-    std::string text, last, coordinator;
-    bool says(const std::string& words) const { return text.find(words) != std::string::npos; }
+    int code = kInconclusive;
+    std::string text, lastLine, coordinatorLog;
+    bool contains(const std::string& expected) const { return text.find(expected) != std::string::npos; }
 };
 
-// A day of roll-same with another change, and faults beside it.
-struct Day {
+// The scenario roll-same with another change and with faults.
+struct RolloutScenario {
     std::string name;
     std::string change = "same";
     std::string faults;
-    std::string more;  // of [roll]
+    std::string rollSettings;  // further lines of [roll]
 };
 
-std::string fault(const std::string& kind, int at, int length, const std::string& more = "") {
+std::string fault(const std::string& kind, int at, int length, const std::string& settings = "") {
     return "[[faults]]\nkind = \"" + kind + "\"\nat_ms = " + std::to_string(at) +
-           "\nfor_ms = " + std::to_string(length) + "\n" + more + "\n";
+           "\nfor_ms = " + std::to_string(length) + "\n" + settings + "\n";
 }
 
-class Days {
+class ScenarioRunner {
   public:
-    Days() {
-        // In memory where there is some: each day copies programs for its machines, and a testbed that waits
-        // for a disk to write them is late.
+    ScenarioRunner() {
+        // Files are kept in memory where enough is free: each scenario copies programs for its machines, and
+        // a testbed that waits for a disk to write them runs late.
         const std::filesystem::path memory = "/dev/shm";
-        std::error_code none;
-        const auto space = std::filesystem::space(memory, none);
-        const bool fits = !none && space.available > kRoom;
+        std::error_code error;
+        const auto space = std::filesystem::space(memory, error);
+        const bool fits = !error && space.available > kMinFreeMemory;
         std::string name =
             ((fits ? memory : std::filesystem::temp_directory_path()) / "poppyroll-XXXXXX").string();
         folder_ = mkdtemp(name.data());
     }
-    ~Days() { std::filesystem::remove_all(folder_); }
-    Days(const Days&) = delete;
-    Days& operator=(const Days&) = delete;
+    ~ScenarioRunner() { std::filesystem::remove_all(folder_); }
+    ScenarioRunner(const ScenarioRunner&) = delete;
+    ScenarioRunner& operator=(const ScenarioRunner&) = delete;
 
-    // Twenty routers, killed at random and upgraded in turn at once.
-    Played minute() const {
+    // Twenty routers that are killed at random while they are upgraded in turn.
+    RunResult runTwentyMinute() const {
         const std::string text = scenario(
             "twenty-minute", {{"per_second = 600", "per_second = 150"}, {"count = 60", "count = 24"}});
         return run("minute", text, " --operated");
     }
-    // All days and the minute, which comes last. Some at a time: each is a dozen processes, and a testbed
-    // that runs late proves nothing, in either way. What was late beside other days or other work of the
-    // machine is played once more beside fewer, and then alone; what proves something is never played again.
-    std::vector<Played> play(const std::vector<Day>& days) const {
-        std::vector<Played> all(days.size() + 1);
-        for (const int beside : {5, 2, 1}) {
-            std::counting_semaphore<> room(beside);
-            std::vector<std::future<void>> plays;
-            // The minute first, as it is the longest.
-            for (std::size_t i = days.size() + 1; i-- > 0;)
-                if (all[i].code == kLate)
-                    plays.push_back(std::async(std::launch::async, [&, i] {
-                        room.acquire();
-                        all[i] = i == days.size() ? minute() : one(days[i]);
-                        room.release();
+    // Runs all scenarios and runTwentyMinute, whose result comes last. Few run at a time: each has a dozen
+    // processes, and a testbed that runs late proves nothing either way. A run that was late, because of
+    // other runs or other work of the machine, is repeated with fewer other runs at a time, and then alone; a
+    // conclusive run is never repeated.
+    std::vector<RunResult> runAll(const std::vector<RolloutScenario>& rollouts) const {
+        std::vector<RunResult> results(rollouts.size() + 1);
+        for (const int concurrency : {5, 2, 1}) {
+            std::counting_semaphore<> slots(concurrency);
+            std::vector<std::future<void>> runs;
+            // runTwentyMinute starts first, as it takes longest.
+            for (std::size_t i = rollouts.size() + 1; i-- > 0;)
+                if (results[i].code == kInconclusive)
+                    runs.push_back(std::async(std::launch::async, [&, i] {
+                        slots.acquire();
+                        results[i] = i == rollouts.size() ? runTwentyMinute() : runRollout(rollouts[i]);
+                        slots.release();
                     }));
-            for (auto& play : plays) play.get();
+            for (auto& pending : runs) pending.get();
         }
-        return all;
+        return results;
     }
 
   private:
@@ -94,8 +97,8 @@
         }
         return text;
     }
-    Played one(const Day& day) const {
-        // Two machines and half of the load: what is built with sanitizers is slow.
+    RunResult runRollout(const RolloutScenario& rollout) const {
+        // Two machines and less load, as programs with sanitizers are slow.
         std::vector<std::pair<std::string, std::string>> changes{
             {"count = 4", "count = 2"},
             {"instances = 5", "instances = 3"},
@@ -105,29 +108,29 @@
             {"settle_ms = 2000", "settle_ms = 1000"},
             {"0.25", "0.34"},
             {"harm = 0.03", "harm = 0.05"},
-            {"change = \"same\"", "change = \"" + day.change + "\"\n" + day.more}};
-        if (day.change == "deaf") changes.emplace_back("[routers]", "list = \"file\"\n[routers]");
-        return run(day.name, scenario("roll-same", changes) + day.faults, " --ctl " POPPYCTL);
+            {"change = \"same\"", "change = \"" + rollout.change + "\"\n" + rollout.rollSettings}};
+        if (rollout.change == "deaf") changes.emplace_back("[routers]", "list = \"file\"\n[routers]");
+        return run(rollout.name, scenario("roll-same", changes) + rollout.faults, " --ctl " POPPYCTL);
     }
-    Played run(const std::string& name, const std::string& text, const std::string& words) const {
+    RunResult run(const std::string& name, const std::string& text, const std::string& arguments) const {
         const std::string path = folder_ + "/" + name + ".toml", out = folder_ + "/" + name;
         std::ofstream(path) << text;
-        Played played{name, -1, "", "", ""};
+        RunResult result{name, -1, "", "", ""};
         FILE* const pipe = popen((std::string(POPPYSCALE_TESTBED_PROGRAM " run ") + path +
-                                  " --program " POPPYSCALE_PROGRAM + words + " --out " + out + " 2>&1")
+                                  " --program " POPPYSCALE_PROGRAM + arguments + " --out " + out + " 2>&1")
                                      .c_str(),
                                  "r");
         std::array<char, 4096> buffer{};
         while (const std::size_t got = std::fread(buffer.data(), 1, buffer.size(), pipe))
-            played.text.append(buffer.data(), got);
+            result.text.append(buffer.data(), got);
         const int status = pclose(pipe);
-        played.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-        const auto end = played.text.find_last_not_of('\n');
-        played.last = played.text.substr(played.text.find_last_of('\n', end) + 1);
+        result.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+        const auto end = result.text.find_last_not_of('\n');
+        result.lastLine = result.text.substr(result.text.find_last_of('\n', end) + 1);
         std::ifstream log(out + "/coordinator.log");
-        played.coordinator.assign(std::istreambuf_iterator<char>(log), {});
-        played.text += played.coordinator;
-        return played;
+        result.coordinatorLog.assign(std::istreambuf_iterator<char>(log), {});
+        result.text += result.coordinatorLog;
+        return result;
     }
 
     std::string folder_;
@@ -135,23 +138,26 @@
 
 }  // namespace
 
+// Guards against a harmful change that spreads, a harmless one that faults stop, and a rollback that is
+// reported as complete although a full or read-only disk, or the loss of the old program, prevents it.
 TEST_CASE(
-    "staged changes on machines: what harms is stopped and undone, what does not goes through all troubles") {
-    struct Expected : Day {
-        std::string outcome;  // in the line of figures
-        std::string word;     // that the coordinators' log holds
+    "Stops and rolls back harmful changes, and completes harmless ones despite faults of the machines") {
+    struct Expected : RolloutScenario {
+        std::string outcome;  // expected in the line of results
+        std::string logText;  // expected in the coordinators' log
     };
-    const std::string went = " went=1 stopped=0 undone=0", undone = " went=0 stopped=1 undone=1";
-    const std::string notUndone = " went=0 stopped=1 undone=0";
+    const std::string completed = " went=1 stopped=0 undone=0", rolledBack = " went=0 stopped=1 undone=1";
+    const std::string rollbackIncomplete = " went=0 stopped=1 undone=0";
     const std::string killed =
         fault("coordinator_kill", 5500, 1000) + fault("agent_kill", 9000, 800, "machine = 1");
-    const std::string twice =
+    const std::string twoCoordinators =
         fault("coordinator_twice", 6000, 1) + fault("machine_lost", 9000, 2000, "machine = 1");
-    const std::string cut = fault("machine_cut", 6000, 6000, "machine = 0\nway = \"from\"") +
-                            fault("agent_stop", 9000, 5000, "machine = 1");
-    // Each coordinator on a machine, which are cut from one another: the later one waits until it hears all.
-    const std::string apart = fault("machine_cut", 5000, 6000, "machine = 0\nothers = [1]") +
-                              fault("coordinator_twice", 6000, 1, "machine = 1");
+    const std::string cutFrom = fault("machine_cut", 6000, 6000, "machine = 0\nway = \"from\"") +
+                                fault("agent_stop", 9000, 5000, "machine = 1");
+    // The coordinators run on two machines that are cut off from each other: the later one waits until it
+    // reaches all agents.
+    const std::string machinesCut = fault("machine_cut", 5000, 6000, "machine = 0\nothers = [1]") +
+                                    fault("coordinator_twice", 6000, 1, "machine = 1");
     const std::string clocks = fault("clock_rate", 3000, 30000, "by = 1.08\nmachine = 0") +
                                fault("clock_rate", 3000, 30000, "by = 0.92\nmachine = 1") +
                                fault("clock_jump", 7000, 5000, "by = 3600000\nmachine = 0") +
@@ -163,42 +169,44 @@
                                 fault("drain", 10500, 3000, "count = 4") +
                                 fault("drain", 14000, 3000, "count = 4");
     const std::vector<Expected> all{
-        {{"coordinator-killed", "same", killed, ""}, went, "number=2"},
-        {{"two-coordinators", "same", twice, ""}, went, "overtaken"},
-        {{"cut-from", "same", cut, ""}, went, "stage holds"},
-        {{"apart", "same", apart, "machine = 0\n"}, went, "overtaken"},
-        {{"clocks", "same", clocks, ""}, went, "stage holds"},
-        {{"disks", "same", disks, ""}, went, "stage holds"},
+        {{"coordinator-killed", "same", killed, ""}, completed, "number=2"},
+        {{"two-coordinators", "same", twoCoordinators, ""}, completed, "overtaken"},
+        {{"cut-from", "same", cutFrom, ""}, completed, "stage holds"},
+        {{"apart", "same", machinesCut, "machine = 0\n"}, completed, "overtaken"},
+        {{"clocks", "same", clocks, ""}, completed, "stage holds"},
+        {{"disks", "same", disks, ""}, completed, "stage holds"},
         {{"machine-killed", "same", fault("machine_kill", 7000, 1500, "machine = 0"), ""},
-         went,
+         completed,
          "stage holds"},
-        {{"ends", "ends", "", ""}, undone, "ends by themselves"},
-        {{"ends-in-drain", "ends", "", "size = 0.3\n"}, undone, "ends by themselves"},
-        {{"slower", "slower", "", "size = 0.6\n"}, undone, "why=slower"},
-        {{"lossy", "lossy", "", "size = 0.05\n"}, undone, "answered"},
-        {{"drains", "drains", drained, ""}, undone, "relays"},
-        {{"deaf", "deaf", "", ""}, undone, "stops"},
-        {{"disk-full", "same", fault("disk_full", 6000, 38000, "machine = 0"), ""}, notUndone, "can't write"},
+        {{"ends", "ends", "", ""}, rolledBack, "ends by themselves"},
+        {{"ends-in-drain", "ends", "", "size = 0.3\n"}, rolledBack, "ends by themselves"},
+        {{"slower", "slower", "", "size = 0.6\n"}, rolledBack, "why=slower"},
+        {{"lossy", "lossy", "", "size = 0.05\n"}, rolledBack, "answered"},
+        {{"drains", "drains", drained, ""}, rolledBack, "relays"},
+        {{"deaf", "deaf", "", ""}, rolledBack, "stops"},
+        {{"disk-full", "same", fault("disk_full", 6000, 38000, "machine = 0"), ""},
+         rollbackIncomplete,
+         "can't write"},
         {{"read-only", "same", fault("disk_read_only", 6000, 38000, "machine = 0"), ""},
-         notUndone,
+         rollbackIncomplete,
          "Read-only file system"},
         {{"way-back-gone", "slower", fault("program_gone", 5500, 500, "machine = 0"), "size = 0.6\n"},
-         notUndone,
+         rollbackIncomplete,
          "can't run"}};
-    const Days days;
-    const auto played = days.play({all.begin(), all.end()});
-    const Played& twenty = played.back();
+    const ScenarioRunner runner;
+    const auto results = runner.runAll({all.begin(), all.end()});
+    const RunResult& twenty = results.back();
     CHECK_MESSAGE(twenty.code == 0, twenty.text);
-    CHECK(twenty.last.starts_with("verdict: kept"));
+    CHECK(twenty.lastLine.starts_with("verdict: kept"));
     for (std::size_t i = 0; i < all.size(); ++i) {
-        const Played& p = played[i];
-        CAPTURE(p.name);
-        CHECK_MESSAGE(p.code == 0, p.text);
-        CHECK(p.last.starts_with("verdict: kept"));
-        CHECK_MESSAGE(p.says(all[i].outcome), p.text);
-        CHECK_MESSAGE(p.coordinator.find(all[i].word) != std::string::npos, p.coordinator);
-        // Of what harms a third stage never comes.
-        if (all[i].outcome != went)
-            CHECK_MESSAGE(p.coordinator.find("stage=3") == std::string::npos, p.coordinator);
+        const RunResult& result = results[i];
+        CAPTURE(result.name);
+        CHECK_MESSAGE(result.code == 0, result.text);
+        CHECK(result.lastLine.starts_with("verdict: kept"));
+        CHECK_MESSAGE(result.contains(all[i].outcome), result.text);
+        CHECK_MESSAGE(result.coordinatorLog.find(all[i].logText) != std::string::npos, result.coordinatorLog);
+        // A harmful change never reaches the third stage.
+        if (all[i].outcome != completed)
+            CHECK_MESSAGE(result.coordinatorLog.find("stage=3") == std::string::npos, result.coordinatorLog);
     }
 }
