--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -1,6 +1,6 @@
-// Which system calls of a process fail, how often and how: what the testbed writes down for the preloaded
-// library, and what that counts. Both sides map the same file; every field is an atomic, so neither waits for
-// the other.
+// The plan of injected system call failures of a process: which calls fail, how and how often. The testbed
+// writes the plan and the preloaded library counts the failures in it. Both map the same file. Every field
+// that changes is an atomic, so neither side waits for the other.
 #pragma once
 
 #include <atomic>
@@ -11,7 +11,7 @@
 
 namespace poppyscale::testbed::fault_injection {
 
-constexpr const char* kPlanVariable = "POPPYSCALE_FAULT_INJECTION";  // the file's path, to the process
+constexpr const char* kPlanVariable = "POPPYSCALE_FAULT_INJECTION";  // holds the path of the plan's file
 constexpr std::uint32_t kFormat = 1;
 
 enum class SystemCall : std::uint32_t {
@@ -23,7 +23,7 @@
     read,      // read, readv, recv, recvmsg of sockets
     write,     // write, writev, send, sendmsg of sockets
     pollWait,  // epoll_wait, epoll_pwait
-    open,      // for writing
+    open,      // for writing only
     fileWrite,
     sync,
     rename,
@@ -32,7 +32,7 @@
 };
 constexpr std::size_t kSystemCalls = static_cast<std::size_t>(SystemCall::count);
 
-// What becomes of a call that is drawn to fail.
+// How a call fails.
 enum class FaultEffect : std::uint32_t {
     none,
     interrupted,  // EINTR
@@ -47,12 +47,12 @@
     tryAgain,     // EAGAIN
     noSpace,      // ENOSPC
     inputOutput,  // EIO
-    partial,      // a part of what was asked for: 1 to 7 bytes, of a file half
+    partial,      // transfers less than asked for: 1 to 7 bytes, or half of a write to a file
     count,
 };
 constexpr std::size_t kFaultEffects = static_cast<std::size_t>(FaultEffect::count);
 
-// As scenarios and reports name them, in the order of the enumerations.
+// Names in scenarios and reports, in the order of the enumerations.
 constexpr std::string_view kSystemCallNames[kSystemCalls]{"accept", "socket", "connect", "bind", "listen",
                                                           "read",   "write",  "poll",    "open", "file_write",
                                                           "sync",   "rename", "random"};
@@ -71,18 +71,19 @@
     return std::nullopt;
 }
 
-constexpr std::uint32_t kOne = 1U << 20;  // a share of one
+constexpr std::uint32_t kOne = 1U << 20;  // stands for a share of 1
 
 struct FaultPlan {
     std::uint32_t format = kFormat;
     std::atomic<std::uint32_t> seed{1};
-    // Of the calls of each kind, the share that ends in each way, in parts of kOne.
+    // Share of the calls of each kind that end in each effect, in parts of kOne.
     std::atomic<std::uint32_t> share[kSystemCalls][kFaultEffects]{};
-    // How often each has happened: a fault that never happened proves nothing.
+    // How often each failure has happened: a test whose fault never happened proves nothing.
     std::atomic<std::uint64_t> occurrences[kSystemCalls][kFaultEffects]{};
-    // The wall clock's step, in ns; monotonic clocks are left alone.
+    // Offset of the wall clock in ns. Monotonic clocks keep the true time.
     std::atomic<std::int64_t> wallStep{0};
-    // A turn of the loop is held up for up to so many ns before it polls, by a share of turns.
+    // Share of event loop iterations, in parts of kOne, that are delayed by up to `maxDelay` ns before
+    // polling.
     std::atomic<std::uint32_t> delayShare{0};
     std::atomic<std::int64_t> maxDelay{0};
     std::atomic<std::uint64_t> delays{0};
--- a/src/testbed/host_emulation/host_state.hpp
+++ b/src/testbed/host_emulation/host_state.hpp
@@ -1,5 +1,5 @@
-// What the testbed says of a machine's clock and disk, in a file that the machine's processes map: the
-// testbed writes it, `seen.cpp` reads it within them. One writer; a reader that meets a write reads again.
+// The emulated clock and disk of a machine, in a file that the machine's processes map: the testbed writes
+// it, and preload.cpp reads it in these processes. There is one writer; a reader retries if a write overlaps.
 #pragma once
 
 #include <atomic>
@@ -13,17 +13,17 @@
 
 struct HostState {
     std::uint32_t format;
-    std::atomic<std::uint32_t> turn;  // odd while it is written
-    // Clocks that don't jump show `shownAt` at the true time `trueAt`, and go `rate` times as fast. Those
-    // that go on while a machine sleeps are ahead of them by `slept`, the wall clock by `wallLead` beside
-    // what the rate does. All in ns.
+    std::atomic<std::uint32_t> turn;  // sequence number, odd during a write
+    // Monotonic clocks show `shownAt` at the true time `trueAt` and run at `rate` times the true speed. The
+    // boot-time clock, which goes on while the machine sleeps, is ahead of them by `slept`. The wall clock is
+    // offset by `wallLead`, beyond what rate and sleep cause. All in ns.
     double rate;
     std::int64_t trueAt, shownAt, slept, wallLead;
-    // The disk is all below `folder`.
+    // The disk is everything below `folder`.
     char folder[kLongestFolder];
     std::uint32_t readOnly;
-    std::int64_t syncTakes;                // ns
-    std::atomic<std::uint32_t> syncsFail;  // so many of the next ones, with EIO
+    std::int64_t syncTakes;                // added to each sync, in ns
+    std::atomic<std::uint32_t> syncsFail;  // number of next syncs that fail with EIO
 };
 
 }  // namespace poppyscale::testbed
