--- a/src/testbed/defective_variants/defect.hpp
+++ b/src/testbed/defective_variants/defect.hpp
@@ -1,32 +1,32 @@
-// Harmful versions of the router: the program itself but for one harm, so that what stops a staged change is
-// that harm and nothing else.
+// Defective versions of the router: the router's own code with one defect, so that a staged rollout can only
+// be stopped by that defect.
 #pragma once
 
 #include <string>
 
 namespace poppyscale::testbed {
 
-// What a defective version does, to a share `size` of what it takes where that says something.
+// The defect, with a `size` for those kinds that name one or a share.
 struct DefectiveVariant {
     enum class Kind : std::uint8_t {
         none,
-        failsToStart,  // ends at its start
-        hangs,         // before it is ready
-        ends,          // `size` seconds after it was made, 3 without it
-        rejects,       // rejected at once
-        slower,        // an attempt's answer comes later by this part of its time
-        lossy,         // never answered
-        leaks,         // keeps so many kB of each command
-        connections,   // opens one for each attempt
-        drains         // goes on sending to what leaves
+        failsToStart,          // exits at its start
+        hangs,                 // never becomes ready
+        exitsEarly,            // exits `size` seconds after its start; 3 s if `size` is 0
+        rejects,               // rejects this share of requests at once
+        slower,                // delays a successful response by `size` times the attempt's duration
+        dropsRequests,         // never answers this share of requests
+        leaksMemory,           // leaks `size` KiB per request
+        connectionPerAttempt,  // opens a connection for each attempt
+        ignoresDraining        // goes on sending to servers that are draining
     };
     Kind kind = Kind::none;
     double size = 0;
 };
-// Throws std::runtime_error for an unknown name.
+// The kind of that outer name. Throws std::runtime_error for an unknown name.
 DefectiveVariant::Kind defectiveVariantNamed(const std::string& name);
 
-// As the program is started, by its command line. The exit code.
-int runDefectiveVariant(int argc, char** argv, const DefectiveVariant& harm);
+// Runs the defective router with the router's own command line and returns the exit code.
+int runDefectiveVariant(int argc, char** argv, const DefectiveVariant& variant);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/defective_variants/main.cpp
+++ b/src/testbed/defective_variants/main.cpp
@@ -1,5 +1,4 @@
-// The router but for one harm, which $POPPYSCALE_TESTBED_PROGRAM_HARM names; started by an agent as the
-// router is.
+// The router with one defect, which $POPPYSCALE_TESTBED_PROGRAM_HARM names. Agents start it like the router.
 #include <cstdlib>
 #include <exception>
 #include <iostream>
