--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The usual calls; CMake does the work. PACKAGES are Debian's.
+# Shortcuts for the usual commands; the build itself is CMake's. PACKAGES are Debian packages.
 PACKAGES = g++ cmake make libuv1-dev libhttp-parser-dev libfmt-dev nlohmann-json3-dev pkg-config doctest-dev \
     libcli11-dev libtomlplusplus-dev libxxhash-dev gnuplot-nox libboost-dev libspdlog-dev clang-format-14 cppcheck python3
 SOURCES = $(shell git ls-files 'src/*.cpp' 'src/*.hpp' 'tests/*.cpp' 'tests/*.hpp')
@@ -11,7 +11,7 @@
 
 demo: install-packages build
 	build/poppyscale_testbed run scenarios/demo.toml --program build/poppyscale --out demo-report
-	@echo "the report: demo-report/report.html"
+	@echo "Report written to demo-report/report.html"
 
 test: install-packages
 	cmake -B build-test -DPOPPYSCALE_TESTS=ON -DCMAKE_BUILD_TYPE=Debug
@@ -25,7 +25,7 @@
 	tools/check_names.py
 	tools/check_layers.py
 
-# Needs Debian's graphviz.
+# Needs the Debian package graphviz.
 drawings:
 	dot -Tsvg docs/drawings/architecture.dot -o docs/drawings/architecture.svg
 
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""Holds the includes of src/ against the layers of docs/ARCHITECTURE.md: each folder names the folders that it may include."""
+"""Checks the includes of src/ against the layers of docs/ARCHITECTURE.md: ALLOWED lists for each
+folder the folders that it may include."""
 
 import pathlib
 import re
@@ -7,7 +8,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# A folder may always include itself. Longer paths go before shorter ones.
+# For each folder of src/ the folders that it may include besides itself.
 ALLOWED = {
     "base": [],
     "policy": ["base"],
@@ -36,25 +37,25 @@
     return path.split("/", 1)[0]
 
 
-def problems() -> list[str]:
+def find_problems() -> list[str]:
     found = []
     for file in sorted((ROOT / "src").rglob("*.[ch]pp")):
         relative = file.relative_to(ROOT / "src").as_posix()
         folder = folder_of(relative)
         if folder == "testbed":
-            continue  # the top layer: it may include all below
+            continue  # the top layer, which may include all others
         if folder not in ALLOWED:
-            found.append(f"src/{relative}: no layer is known for the folder {folder}")
+            found.append(f"src/{relative}: folder {folder} has no entry in ALLOWED of tools/check_layers.py")
             continue
         for included in INCLUDE.findall(file.read_text()):
             target = folder_of(included)
             if target != folder and target not in ALLOWED[folder]:
-                found.append(f"src/{relative}: may not include {included}")
+                found.append(f"src/{relative}: includes {included}, which folder {folder} may not include")
     return found
 
 
 def main() -> int:
-    found = problems()
+    found = find_problems()
     print("\n".join(found) if found else "layers: clean")
     return 1 if found else 0
 
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Fails on withdrawn identifiers in src/ and tests/ (tools/withdrawn_names.txt), and on withdrawn words in log lines.
+"""Fails if src/ or tests/ use an identifier that tools/withdrawn_names.txt lists, or if a log line
+of src/ outside of src/testbed/ contains a word that LOG_WORDS matches.
 
-Identifiers are looked for outside of string literals and comments: what is read and written outside of the process keeps
-its words."""
+Identifiers in string literals and comments are ignored: keys of files, words of protocols and other
+names that leave the process keep their wording."""
 
 import pathlib
 import re
@@ -24,7 +25,8 @@
 )
 
 
-def withdrawn() -> list[tuple[str, str]]:
+def read_withdrawn_names() -> list[tuple[str, str]]:
+    """Pairs of a name and a part of the paths to which it is restricted, empty for all paths."""
     names = []
     for line in (ROOT / "tools" / "withdrawn_names.txt").read_text().splitlines():
         words = line.split("#")[0].split()
@@ -33,39 +35,41 @@
     return names
 
 
-def blanked(text: str) -> str:
-    """The text with literals and comments replaced by spaces, so that lines keep their numbers."""
+def blank_literals_and_comments(text: str) -> str:
+    """Replaces literals and comments by spaces. Line breaks stay, so that line numbers do too."""
     return LITERAL_OR_COMMENT.sub(lambda match: re.sub(r"[^\n]", " ", match.group()), text)
 
 
-def line_of(text: str, offset: int) -> int:
+def line_number(text: str, offset: int) -> int:
     return text.count("\n", 0, offset) + 1
 
 
-def problems() -> list[str]:
-    names = dict()
-    for name, path in withdrawn():
-        names.setdefault(name, []).append(path)
+def find_problems() -> list[str]:
+    paths_by_name = dict()
+    for name, path in read_withdrawn_names():
+        paths_by_name.setdefault(name, []).append(path)
     found = []
     for top in ("src", "tests"):
         for file in sorted((ROOT / top).rglob("*.[ch]pp")):
             relative = file.relative_to(ROOT).as_posix()
             text = file.read_text()
-            for match in IDENTIFIER.finditer(blanked(text)):
-                paths = names.get(match.group())
+            for match in IDENTIFIER.finditer(blank_literals_and_comments(text)):
+                paths = paths_by_name.get(match.group())
                 if paths and any(path in relative for path in paths):
-                    found.append(f"{relative}:{line_of(text, match.start())}: {match.group()} is a withdrawn name")
+                    line = line_number(text, match.start())
+                    found.append(f"{relative}:{line}: identifier '{match.group()}' is listed in tools/withdrawn_names.txt")
             if top != "src" or relative.startswith("src/testbed/"):
                 continue
             for call in LOG_CALL.finditer(text):
                 word = LOG_WORDS.search(call.group(1))
                 if word:
-                    found.append(f"{relative}:{line_of(text, call.start())}: '{word.group()}' in a log line is a withdrawn word")
+                    line = line_number(text, call.start())
+                    found.append(f"{relative}:{line}: log line contains the withdrawn word '{word.group()}'")
     return found
 
 
 def main() -> int:
-    found = problems()
+    found = find_problems()
     print("\n".join(found) if found else "names: clean")
     return 1 if found else 0
 
