--- a/src/testbed/stub_routers/list_image.hpp
+++ b/src/testbed/stub_routers/list_image.hpp
@@ -1,4 +1,5 @@
-// What a stub router was handed of the list, as a digest that can be compared with discovery's.
+// A copy of the list that a stub router has received, with a digest comparable with that of
+// discovery's list.
 #pragma once
 
 #include <algorithm>
@@ -11,46 +12,46 @@
 
 namespace poppyscale::testbed::stub_routers {
 
-class ListImage {
+class EndpointListImage {
   public:
-    void apply(EndpointUpdateKind kind, const protocol::EndpointList& roster) {
+    void apply(EndpointUpdateKind kind, const protocol::EndpointList& list) {
         if (kind != EndpointUpdateKind::delta) {
-            entries_.clear();
-            presences_.clear();
+            digests_.clear();
+            states_.clear();
             digest_ = 0;
         }
-        for (const protocol::EndpointEntry& place : roster.entries) set(place);
+        for (const protocol::EndpointEntry& entry : list.entries) set(entry);
     }
     std::uint64_t digest() const { return digest_; }
-    // Whether the decision module believes in the same servers.
-    bool agrees(const std::vector<EndpointStatus>& beliefs) const {
-        std::size_t present = 0;
-        for (const EndpointStatus& belief : beliefs) {
-            if (belief.state == EndpointState::removed) continue;
-            ++present;
-            const std::size_t number = scale::entryNumber(belief.name);
-            if (number >= presences_.size() || presences_[number] != belief.state) return false;
+    // Whether the decision module has the same servers in the same states.
+    bool matches(const std::vector<EndpointStatus>& statuses) const {
+        std::size_t listedCount = 0;
+        for (const EndpointStatus& status : statuses) {
+            if (status.state == EndpointState::removed) continue;
+            ++listedCount;
+            const std::size_t number = scale::entryNumber(status.name);
+            if (number >= states_.size() || states_[number] != status.state) return false;
         }
-        const auto gone = std::count(presences_.begin(), presences_.end(), EndpointState::removed);
-        return present + static_cast<std::size_t>(gone) == presences_.size();
+        const auto removedCount = std::count(states_.begin(), states_.end(), EndpointState::removed);
+        return listedCount + static_cast<std::size_t>(removedCount) == states_.size();
     }
 
   private:
-    void set(const protocol::EndpointEntry& place) {
-        const std::size_t number = scale::entryNumber(place.endpoint.name);
-        if (number >= entries_.size()) {
-            entries_.resize(number + 1);
-            presences_.resize(number + 1, EndpointState::removed);
+    void set(const protocol::EndpointEntry& entry) {
+        const std::size_t number = scale::entryNumber(entry.endpoint.name);
+        if (number >= digests_.size()) {
+            digests_.resize(number + 1);
+            states_.resize(number + 1, EndpointState::removed);
         }
-        std::uint64_t& entry = entries_[number];
-        digest_ -= entry;
-        entry = scale::entryDigest(place.endpoint.name, place.endpoint.state, place.startedMs);
-        digest_ += entry;
-        presences_[number] = place.endpoint.state;
+        std::uint64_t& digest = digests_[number];
+        digest_ -= digest;
+        digest = scale::entryDigest(entry.endpoint.name, entry.endpoint.state, entry.startedMs);
+        digest_ += digest;
+        states_[number] = entry.endpoint.state;
     }
 
-    std::vector<std::uint64_t> entries_;    // digests by the servers' numbers; 0 for what is not listed
-    std::vector<EndpointState> presences_;  // by the same numbers
+    std::vector<std::uint64_t> digests_;  // digests by server number; 0 if not listed
+    std::vector<EndpointState> states_;   // by server number
     std::uint64_t digest_ = 0;
 };
 
--- a/src/testbed/stub_routers/socket_meter.cpp
+++ b/src/testbed/stub_routers/socket_meter.cpp
@@ -1,6 +1,6 @@
 #include "testbed/stub_routers/socket_meter.hpp"
 
-// The kernel's header: the C library's tcp_info ends before the counts of bytes.
+// The kernel's header, because the C library's tcp_info lacks the byte counts.
 #include <linux/tcp.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -12,32 +12,33 @@
 
 namespace poppyscale::testbed::stub_routers {
 
-void SocketMeter::begin(Nanos now) {
-    last_ = carried();
-    lastAt_ = now;
+void SocketMeter::reset(Nanos now) {
+    lastCounts_ = readByteCounts();
+    lastSampleAt_ = now;
     bytesIn_ = bytesOut_ = 0;
-    peak_ = 0;
+    peakBytesPerSecond_ = 0;
 }
 
-void SocketMeter::look(Nanos now) {
-    const double seconds = std::max(static_cast<double>(now - lastAt_) / 1e9, 1e-3);
-    Connections present = carried();
-    for (const auto& [inode, total] : present) {
-        const auto before = last_.find(inode);
-        const Carried from = before == last_.end() ? Carried{} : before->second;
-        const std::uint64_t in = total.in - from.in;
-        const std::uint64_t out = total.out - from.out;
+void SocketMeter::sample(Nanos now) {
+    const double seconds = std::max(static_cast<double>(now - lastSampleAt_) / 1e9, 1e-3);
+    ByteCountsByInode counts = readByteCounts();
+    for (const auto& [inode, total] : counts) {
+        const auto found = lastCounts_.find(inode);
+        const ByteCounts previous = found == lastCounts_.end() ? ByteCounts{} : found->second;
+        const std::uint64_t in = total.in - previous.in;
+        const std::uint64_t out = total.out - previous.out;
         bytesIn_ += in;
         bytesOut_ += out;
-        // The last look of a run may come right after the one before.
-        if (seconds > 0.5) peak_ = std::max(peak_, static_cast<double>(in + out) / seconds);
+        // The last sample of a run may follow the one before too closely for a meaningful rate.
+        if (seconds > 0.5)
+            peakBytesPerSecond_ = std::max(peakBytesPerSecond_, static_cast<double>(in + out) / seconds);
     }
-    last_ = std::move(present);
-    lastAt_ = now;
+    lastCounts_ = std::move(counts);
+    lastSampleAt_ = now;
 }
 
-SocketMeter::Connections SocketMeter::carried() {
-    Connections all;
+SocketMeter::ByteCountsByInode SocketMeter::readByteCounts() {
+    ByteCountsByInode all;
     for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) {
         const int descriptor = std::atoi(entry.path().filename().c_str());
         struct stat status {};
--- a/src/testbed/stub_routers/socket_meter.hpp
+++ b/src/testbed/stub_routers/socket_meter.hpp
@@ -1,4 +1,4 @@
-// Bytes that this process's TCP connections have carried, as the kernel counts them: payload without headers.
+// Counts the payload bytes of this process's TCP connections from the kernel's TCP_INFO.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,32 @@
 
 namespace poppyscale::testbed::stub_routers {
 
-// Looks at all connections from time to time. What one that is closed carried since the last look is missed.
+// Samples all open connections. Bytes that a connection carried between the last sample and its end
+// are missed.
 class SocketMeter {
   public:
-    // Counts from here on.
-    void begin(Nanos now);
-    void look(Nanos now);
+    // Resets the counts; bytes are counted from now on.
+    void reset(Nanos now);
+    void sample(Nanos now);
 
     std::uint64_t bytesIn() const { return bytesIn_; }
     std::uint64_t bytesOut() const { return bytesOut_; }
-    // Of one connection between two looks.
-    double peakBytesPerSecond() const { return peak_; }
+    // The highest rate of one connection between two samples, both directions together.
+    double peakBytesPerSecond() const { return peakBytesPerSecond_; }
 
   private:
-    struct Carried {
+    struct ByteCounts {
         std::uint64_t in = 0;
         std::uint64_t out = 0;
     };
-    using Connections = std::map<std::uint64_t, Carried>;  // by the socket's inode
-    static Connections carried();
+    using ByteCountsByInode = std::map<std::uint64_t, ByteCounts>;  // by socket inode
+    static ByteCountsByInode readByteCounts();
 
-    Connections last_;
-    Nanos lastAt_ = 0;
+    ByteCountsByInode lastCounts_;
+    Nanos lastSampleAt_ = 0;
     std::uint64_t bytesIn_ = 0;
     std::uint64_t bytesOut_ = 0;
-    double peak_ = 0;
+    double peakBytesPerSecond_ = 0;
 };
 
 }  // namespace poppyscale::testbed::stub_routers
--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -9,74 +9,84 @@
 namespace poppyscale::testbed::stub_routers {
 namespace {
 
-// As `poppyscale` bounds a call's wait, its connections and the longest list (src/program/program.cpp).
-constexpr Nanos kLeastWait = 1'000 * kMillisecond;
-constexpr Nanos kMostWait = 20'000 * kMillisecond;
-constexpr std::size_t kListPart = 32;  // of the memory, for a list, as in a router
+// The limits of `poppyscale` for a poll's wait, its connections and the longest list
+// (src/process/data_path.cpp
+// and resource_limits.cpp).
+constexpr Nanos kMinPollWait = 1'000 * kMillisecond;
+constexpr Nanos kMaxPollWait = 20'000 * kMillisecond;
+constexpr std::size_t kListMemoryDivisor = 32;  // a list may take up to 1/32 of the router's memory
 
 void ignoreLog(std::string_view /*text*/) {}
 
-std::size_t mostConnections(const protocol::StartupConfig& start) { return start.maxDescriptors * 2 / 5; }
+std::size_t maxServerConnections(const protocol::StartupConfig& config) {
+    return config.maxDescriptors * 2 / 5;
+}
 
 }  // namespace
 
 ObservedDispatcher::ObservedDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
-                                       const protocol::StartupConfig& start, int loseEveryList,
-                                       std::uint64_t listsBefore)
-    : proxy::RequestDispatcher(loop, pool, start, mostConnections(start), ignoreLog),
-      loseEveryList_(loseEveryList),
-      lists_(listsBefore) {}
+                                       const protocol::StartupConfig& config, int dropEveryNthDelta,
+                                       std::uint64_t initialDeltaCount)
+    : proxy::RequestDispatcher(loop, pool, config, maxServerConnections(config), ignoreLog),
+      dropEveryNthDelta_(dropEveryNthDelta),
+      deltaCount_(initialDeltaCount) {}
 
-void ObservedDispatcher::onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster) {
-    const bool hasChanges = kind == EndpointUpdateKind::delta && !roster.entries.empty();
-    if (hasChanges) ++lists_;
-    const bool isTurn = loseEveryList_ > 0 && lists_ % static_cast<std::uint64_t>(loseEveryList_) == 0;
-    if (hasChanges && isTurn) return;
-    RequestDispatcher::onEndpointList(kind, roster);
-    image_.apply(kind, roster);
-    version_ = roster.version;
+void ObservedDispatcher::onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& list) {
+    const bool hasChanges = kind == EndpointUpdateKind::delta && !list.entries.empty();
+    if (hasChanges) ++deltaCount_;
+    const bool isDropped =
+        dropEveryNthDelta_ > 0 && deltaCount_ % static_cast<std::uint64_t>(dropEveryNthDelta_) == 0;
+    if (hasChanges && isDropped) return;
+    RequestDispatcher::onEndpointList(kind, list);
+    image_.apply(kind, list);
+    version_ = list.version;
 }
 
-StubRouter::StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t number,
-                       protocol::StartupConfig start, const std::vector<std::string>& sources,
-                       int loseEveryList)
-    : loop_(loop), pool_(pool), number_(number), start_(std::move(start)), loseEveryList_(loseEveryList) {
+StubRouter::StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t routerNumber,
+                       protocol::StartupConfig config, const std::vector<std::string>& sources,
+                       int dropEveryNthDelta)
+    : loop_(loop),
+      pool_(pool),
+      routerNumber_(routerNumber),
+      config_(std::move(config)),
+      dropEveryNthDelta_(dropEveryNthDelta) {
     for (const std::string& source : sources) {
         const auto address = transport::parseAddress(source);
-        if (!address) throw std::runtime_error("not an address and port: " + source);
+        if (!address) throw std::runtime_error("--upstream: expected ADDRESS:PORT, found '" + source + "'");
         sources_.push_back({*address, source});
     }
-    this->start();
+    connect();
 }
 
-void StubRouter::start() {
-    core_ = std::make_unique<ObservedDispatcher>(loop_, pool_, start_, loseEveryList_, number_);
+void StubRouter::connect() {
+    dispatcher_ =
+        std::make_unique<ObservedDispatcher>(loop_, pool_, config_, dropEveryNthDelta_, routerNumber_);
     discovery::EndpointWatcher::Settings settings;
     settings.sources = sources_;
-    settings.sourceSeed = settings.seed = start_.policy.seed;
-    settings.maxPollWait = std::clamp(start_.pollWait, kLeastWait, kMostWait);
-    settings.routerCount = start_.policy.routerCount;
-    settings.maxListBytes = start_.memoryLimitBytes / kListPart;
-    watch_ =
-        std::make_unique<discovery::EndpointWatcher>(loop_, pool_, *core_, std::move(settings), ignoreLog);
-    core_->requestPoll = [this] { watch_->start(); };
+    settings.sourceSeed = settings.seed = config_.policy.seed;
+    settings.maxPollWait = std::clamp(config_.pollWait, kMinPollWait, kMaxPollWait);
+    settings.routerCount = config_.policy.routerCount;
+    settings.maxListBytes = config_.memoryLimitBytes / kListMemoryDivisor;
+    watcher_ = std::make_unique<discovery::EndpointWatcher>(loop_, pool_, *dispatcher_, std::move(settings),
+                                                            ignoreLog);
+    dispatcher_->requestPoll = [this] { watcher_->start(); };
 }
 
 void StubRouter::restart() {
-    callsBefore_ += watch_->pollCount();
-    watch_.reset();
-    core_.reset();
-    inForce_ = 0;
-    start();
+    pollsBeforeRestart_ += watcher_->pollCount();
+    watcher_.reset();
+    dispatcher_.reset();
+    currentVersion_ = 0;
+    connect();
 }
 
-std::optional<scale::PropagationRecord> StubRouter::turn() {
-    core_->runIteration();
-    if (core_->version() == inForce_) return std::nullopt;
-    inForce_ = core_->version();
-    if (inForce_ < highest_) ++fallen_;
-    highest_ = std::max(highest_, inForce_);
-    return scale::PropagationRecord{number_, 0, inForce_, core_->digest(),
+std::optional<scale::PropagationRecord> StubRouter::runIteration() {
+    dispatcher_->runIteration();
+    if (dispatcher_->version() == currentVersion_) return std::nullopt;
+    currentVersion_ = dispatcher_->version();
+    if (currentVersion_ < highestVersion_) ++versionDecreases_;
+    highestVersion_ = std::max(highestVersion_, currentVersion_);
+    return scale::PropagationRecord{routerNumber_, 0, currentVersion_, dispatcher_->digest(),
                                     static_cast<std::int64_t>(uv_hrtime())};
 }
 
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -1,4 +1,5 @@
-// A stub router: the list watch, the core and the decision module of a real one, without clients.
+// A stub router: the endpoint watcher, request dispatcher and decision module of a real router,
+// without clients.
 #pragma once
 
 #include <cstdint>
@@ -18,60 +19,63 @@
 
 namespace poppyscale::testbed::stub_routers {
 
-// The core itself, and what it was handed.
+// A request dispatcher that keeps a copy of the lists it receives.
 class ObservedDispatcher : public proxy::RequestDispatcher {
   public:
-    // By a known mistake every `loseEveryList`th list of changes is lost, 0 for none. `listsBefore` of them
-    // are taken as counted, so that not all routers lose the same.
+    // Defective variant: every `dropEveryNthDelta`th list of changes is dropped; 0 drops none. The
+    // count of lists starts at `initialDeltaCount`, so that routers drop different ones.
     ObservedDispatcher(transport::EventLoop& loop, transport::BufferPool& pool,
-                       const protocol::StartupConfig& start, int loseEveryList, std::uint64_t listsBefore);
+                       const protocol::StartupConfig& config, int dropEveryNthDelta,
+                       std::uint64_t initialDeltaCount);
 
-    void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& roster) override;
+    void onEndpointList(EndpointUpdateKind kind, const protocol::EndpointList& list) override;
 
-    // Of the list that was handed over last; 0 without one.
+    // The version of the last list received; 0 if none was.
     std::int64_t version() const { return version_; }
     std::uint64_t digest() const { return image_.digest(); }
-    // Whether the decision module holds the servers that it was handed.
-    bool moduleAgrees() { return image_.agrees(endpointStatuses()); }
+    // Whether the decision module's servers are those of the lists received.
+    bool moduleMatchesList() { return image_.matches(endpointStatuses()); }
 
   private:
-    ListImage image_;
+    EndpointListImage image_;
     std::int64_t version_ = 0;
-    int loseEveryList_;
-    std::uint64_t lists_;
+    int dropEveryNthDelta_;
+    std::uint64_t deltaCount_;
 };
 
 class StubRouter {
   public:
-    // `sources` are discovery alone or distributors, each ADDRESS:PORT.
-    StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t number,
-               protocol::StartupConfig start, const std::vector<std::string>& sources, int loseEveryList);
+    // `sources`: ADDRESS:PORT of discovery or of distributors.
+    StubRouter(transport::EventLoop& loop, transport::BufferPool& pool, std::uint32_t routerNumber,
+               protocol::StartupConfig config, const std::vector<std::string>& sources,
+               int dropEveryNthDelta);
 
-    // Forgets its list and connects anew, as a new process does.
+    // Drops the list and reconnects, as a new process does.
     void restart();
-    // What a turn of a real router's loop does. A record where another list is in force after it.
-    std::optional<scale::PropagationRecord> turn();
+    // Does what one iteration of a real router's event loop does. Returns a record if another list
+    // version is in force afterwards.
+    std::optional<scale::PropagationRecord> runIteration();
 
-    bool hasList() const { return inForce_ > 0; }
-    bool moduleAgrees() { return core_->moduleAgrees(); }
-    std::uint64_t versionsFallen() const { return fallen_; }
-    std::uint64_t calls() const { return callsBefore_ + watch_->pollCount(); }
+    bool hasList() const { return currentVersion_ > 0; }
+    bool moduleMatchesList() { return dispatcher_->moduleMatchesList(); }
+    std::uint64_t versionDecreases() const { return versionDecreases_; }
+    std::uint64_t pollCount() const { return pollsBeforeRestart_ + watcher_->pollCount(); }
 
   private:
-    void start();
+    void connect();
 
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
-    std::uint32_t number_;
-    protocol::StartupConfig start_;
+    std::uint32_t routerNumber_;
+    protocol::StartupConfig config_;
     std::vector<discovery::DiscoveryAddress> sources_;
-    int loseEveryList_;
-    std::unique_ptr<ObservedDispatcher> core_;
-    std::unique_ptr<discovery::EndpointWatcher> watch_;
-    std::int64_t inForce_ = 0;  // version
-    std::int64_t highest_ = 0;
-    std::uint64_t fallen_ = 0;
-    std::uint64_t callsBefore_ = 0;
+    int dropEveryNthDelta_;
+    std::unique_ptr<ObservedDispatcher> dispatcher_;
+    std::unique_ptr<discovery::EndpointWatcher> watcher_;
+    std::int64_t currentVersion_ = 0;  // version of the list in force; 0: none
+    std::int64_t highestVersion_ = 0;  // highest version that was in force, also before restarts
+    std::uint64_t versionDecreases_ = 0;
+    std::uint64_t pollsBeforeRestart_ = 0;
 };
 
 }  // namespace poppyscale::testbed::stub_routers
