--- a/src/testbed/scale/capacity.hpp
+++ b/src/testbed/scale/capacity.hpp
@@ -1,5 +1,6 @@
-// The capacity table: what each role costs at a target, by slopes that runs gave, beside its budget and the
-// mechanism that carries it.
+// The capacity table: for each role, its estimated cost at a target fleet (extrapolated from
+// measured slopes), the budget for that cost, and the mechanism that keeps the cost within the
+// budget.
 #pragma once
 
 #include <optional>
@@ -10,22 +11,25 @@
 
 namespace poppyscale::testbed::scale {
 
-// A figure and what it rests on.
+// An estimated figure and the measurements that it is computed from.
 struct Estimate {
-    std::optional<double> value;    // none: not measured, or a slope that may not be used so far out
-    double factor = 0;              // times the largest size measured; 0 rests on no run
-    std::vector<std::string> runs;  // the slopes' names
-    std::string missing;            // why there is no value
-    std::string basis() const;
+    // No value: a slope was not measured, or may not be extrapolated to this count.
+    std::optional<double> value;
+    double sizeRatio = 0;                 // count / largest measured size; 0 if no slope is used
+    std::vector<std::string> slopeNames;  // names of the slopes used
+    std::string missingReason;            // the reason if there is no value
+    std::string basis() const;            // the table's "rests on" column
 };
 
-Estimate reasoned(double value);
-// The line of a slope at a count; at the largest size measured, the median that was measured there.
+// A figure computed from the target alone, without a measured slope.
+Estimate withoutSlope(double value);
+// The value of a slope's line at `count`. At the largest measured size it is the median measured
+// there.
 Estimate estimate(const Slopes& slopes, std::string_view name, double count);
 Estimate operator*(Estimate estimate, double by);
 Estimate operator+(Estimate left, const Estimate& right);
 
-// What carries a row. The missing ones are named by their issue.
+// The mechanism that a row of the table depends on.
 enum class Mechanism {
     none,
     listWatch,
@@ -40,7 +44,8 @@
     hotKeys,
 };
 
-std::string_view nameOf(Mechanism mechanism);  // with "built" or "missing" and its issue
+// The label in the table, with "built", or with "missing" and the title of the issue.
+std::string_view nameOf(Mechanism mechanism);
 bool isBuilt(Mechanism mechanism);
 
 enum class Verdict { noBudget, ok, over, noPath, unknown };
@@ -50,31 +55,34 @@
     Estimate estimate;
     std::string unit;
     std::optional<double> budget;
-    std::string budgetText;  // whose budget it is
+    std::string budgetText;  // what the budget applies to
     Mechanism mechanism = Mechanism::none;
-    bool noPath = false;  // nothing in the program does this at all
+    bool hasNoPath = false;  // the program has no way at all to do this
 
     Verdict verdict() const;
-    double timesOver() const;  // of the budget; 0 without one
+    double budgetRatio() const;  // the estimate divided by the budget; 0 if either is missing
 };
 
 std::vector<Row> capacityTable(const Target& target, const Slopes& slopes);
 
-struct Absence {
+// A mechanism that is not built, and the budgets that are exceeded without it.
+struct MissingMechanism {
     Mechanism mechanism = Mechanism::none;
-    int broken = 0;        // rows over their budget, or with no path
-    int noPath = 0;        // of these
-    int unknown = 0;       // rows with a budget and no figure
-    double worstOver = 0;  // times the budget
-    std::string worst;     // where
+    int exceededBudgets = 0;  // rows over their budget or without a path
+    int noPathCount = 0;      // those of them without a path
+    int unknownCount = 0;     // rows with a budget but no estimate
+    double worstRatio = 0;    // largest ratio of estimate to budget
+    std::string worstRow;     // the row with that ratio
 };
 
-// The missing mechanisms, the one whose absence breaks most budgets first, then by the worst factor.
-std::vector<Absence> absences(const std::vector<Row>& rows);
+// The missing mechanisms, sorted by the number of exceeded budgets, then by the largest ratio to a
+// budget, both descending.
+std::vector<MissingMechanism> missingMechanisms(const std::vector<Row>& rows);
 
 std::string capacityMarkdown(const Target& target, const Slopes& slopes);
 
-// Reads both files and prints the table; throws BadInput with the problems of both.
+// Reads both files and returns the table as Markdown. Throws BadInput with the problems of both
+// files.
 std::string capacityOfFiles(const std::string& targetFile, const std::string& slopesFile);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -9,24 +9,24 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-constexpr double kSecondsOfDay = 86'400;
-constexpr double kLeastCount = 1;
-constexpr double kMostCount = 1e12;
-constexpr double kMostSize = 1e12;
+constexpr double kSecondsPerDay = 86'400;
+constexpr double kMinCount = 1;
+constexpr double kMaxCount = 1e12;
+constexpr double kMaxValue = 1e12;
 
 double count(config::TomlTable& table, std::string_view key) {
-    return table.number(key, std::nullopt, kLeastCount, kMostCount);
+    return table.number(key, std::nullopt, kMinCount, kMaxCount);
 }
 
-// `{ value = 32, unit = "MB" }`: a bound in another unit is an error and not silently a thousand times as
-// large.
-double bounded(config::TomlTable& table, std::string_view key, std::string_view unit) {
+// Reads `{ value = 32, unit = "MB" }`. The unit is required, so that a bound given in another unit
+// is an error instead of being off by a factor of a thousand.
+double boundInUnit(config::TomlTable& table, std::string_view key, std::string_view unit) {
     double value = 0;
     table.one(key, true, [&](config::TomlTable& bound) {
-        value = bound.number("value", std::nullopt, 1e-9, kMostSize);
-        const std::string told = bound.string("unit", std::nullopt);
-        if (!told.empty() && told != unit)
-            bound.problem("unit", fmt::format("is '{}' where '{}' is expected", told, unit));
+        value = bound.number("value", std::nullopt, 1e-9, kMaxValue);
+        const std::string found = bound.string("unit", std::nullopt);
+        if (!found.empty() && found != unit)
+            bound.problem("unit", fmt::format("is '{}' where '{}' is expected", found, unit));
     });
     return value;
 }
@@ -54,16 +54,16 @@
         t.partitionHours = failures.number("partition_hours", std::nullopt, 0, 1000);
     });
     root.one("bounds", true, [&](config::TomlTable& bounds) {
-        t.purgeSeconds = bounded(bounds, "purge", "s");
-        t.inForceSeconds = bounded(bounds, "in_force", "s");
-        t.routerProcessorPercent = bounded(bounds, "router_processor", "% of a core");
-        t.routerMegabytes = bounded(bounds, "router_memory", "MB");
-        t.routerKilobytesPerSecond = bounded(bounds, "router_bytes", "KB/s");
-        t.controlMachines = bounded(bounds, "control", "machines");
+        t.maxPurgeSeconds = boundInUnit(bounds, "purge", "s");
+        t.maxPropagationSeconds = boundInUnit(bounds, "in_force", "s");
+        t.maxRouterProcessorPercent = boundInUnit(bounds, "router_processor", "% of a core");
+        t.maxRouterMegabytes = boundInUnit(bounds, "router_memory", "MB");
+        t.maxRouterKilobytesPerSecond = boundInUnit(bounds, "router_bytes", "KB/s");
+        t.controlMachines = boundInUnit(bounds, "control", "machines");
     });
     root.one("assumed", true, [&](config::TomlTable& assumed) {
-        t.controlProcessorPercent = bounded(assumed, "control_processor", "% of a core");
-        t.descriptors = count(assumed, "descriptors");
+        t.maxControlProcessorPercent = boundInUnit(assumed, "control_processor", "% of a core");
+        t.maxDescriptors = count(assumed, "descriptors");
         t.connectionBytes = count(assumed, "connection_bytes");
         t.purgeBytes = count(assumed, "purge_bytes");
         t.callBytes = count(assumed, "call_bytes");
@@ -85,31 +85,30 @@
     return value;
 }
 
-void mustBe(config::TomlTable& table, std::string_view key, std::string_view told,
-            std::string_view expected) {
-    if (told.empty() || told == expected) return;
-    table.problem(key, fmt::format("is '{}' where '{}' is expected", told, expected));
+void requireEqual(config::TomlTable& table, std::string_view key, std::string_view found,
+                  std::string_view expected) {
+    if (found.empty() || found == expected) return;
+    table.problem(key, fmt::format("is '{}' where '{}' is expected", found, expected));
 }
 
 Slope readSlope(config::TomlTable& table) {
     Slope s;
     s.name = nonEmpty(table, "name");
     s.unit = nonEmpty(table, "unit");
-    s.of = nonEmpty(table, "of");
-    s.base = table.number("base", std::nullopt, -kMostSize, kMostSize);
-    s.value = table.number("value", std::nullopt, -kMostSize, kMostSize);
+    s.variedQuantity = nonEmpty(table, "of");
+    s.base = table.number("base", std::nullopt, -kMaxValue, kMaxValue);
+    s.valuePerCount = table.number("value", std::nullopt, -kMaxValue, kMaxValue);
     s.spread = table.number("spread", std::nullopt, 0, 100);
-    s.largest = count(table, "largest");
+    s.largestSize = count(table, "largest");
     s.run = nonEmpty(table, "run");
     if (table.has("at_largest"))
-        s.atLargest = table.number("at_largest", std::nullopt, -kMostSize, kMostSize);
-    s.used = table.boolean("used", true);
+        s.atLargest = table.number("at_largest", std::nullopt, -kMaxValue, kMaxValue);
+    s.canExtrapolate = table.boolean("used", true);
     const KnownSlope* known = knownSlope(s.name);
-    if (!known && !s.name.empty())
-        table.problem("name", "'" + s.name + "' is not a slope that is known here");
+    if (!known && !s.name.empty()) table.problem("name", "'" + s.name + "' is not a known slope");
     if (!known) return s;
-    mustBe(table, "unit", s.unit, known->unit);
-    mustBe(table, "of", s.of, known->of);
+    requireEqual(table, "unit", s.unit, known->unit);
+    requireEqual(table, "of", s.variedQuantity, known->variedQuantity);
     return s;
 }
 
@@ -129,7 +128,7 @@
 
 }  // namespace
 
-double Target::changesPerSecond() const { return changesPerDay / kSecondsOfDay; }
+double Target::changesPerSecond() const { return changesPerDay / kSecondsPerDay; }
 
 const std::vector<KnownSlope>& knownSlopes() {
     static const std::vector<KnownSlope> all = {
@@ -160,7 +159,7 @@
         root.each("slope", true, [&](config::TomlTable& table) {
             const Slope slope = readSlope(table);
             const bool added = slopes.emplace(slope.name, slope).second;
-            if (!added && !slope.name.empty()) table.problem("name", "'" + slope.name + "' is there twice");
+            if (!added && !slope.name.empty()) table.problem("name", "'" + slope.name + "' is defined twice");
         });
         return slopes;
     });
--- a/src/testbed/scale/capacity_input.hpp
+++ b/src/testbed/scale/capacity_input.hpp
@@ -1,4 +1,4 @@
-// What the capacity table is computed from: the target that operators set, and the slopes that runs gave.
+// The input of the capacity table: the operators' target and the slopes measured by runs.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace poppyscale::testbed::scale {
 
-// All problems of a file, one "FILE:LINE: KEY: what is wrong" a line.
+// All problems of a file, one per line: "FILE:LINE: KEY: what is wrong".
 struct BadInput : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -21,47 +21,50 @@
     double requestsPerSecond = 0, terabitsPerSecond = 0, objects = 0;
     double purgesPerSecond = 0, changesPerDay = 0;
     double failuresPerDay = 0, restartsPerDay = 0, partitionHours = 0;
-    double purgeSeconds = 0, inForceSeconds = 0;
-    double routerProcessorPercent = 0;  // of one core, for control
-    double routerMegabytes = 0, routerKilobytesPerSecond = 0;
+    double maxPurgeSeconds = 0, maxPropagationSeconds = 0;
+    double maxRouterProcessorPercent = 0;  // of one core; control work only, as are the next two
+    double maxRouterMegabytes = 0, maxRouterKilobytesPerSecond = 0;
     double controlMachines = 0;
-    // Not told by the operators; each is named as an assumption where it is used.
-    double controlProcessorPercent = 0;  // of a core that one control process may use
-    double descriptors = 0;              // of one process
-    double connectionBytes = 0;          // that an idle connection holds
+    // Assumptions that the operators did not state, marked as assumed in the table's budgets.
+    double maxControlProcessorPercent = 0;  // limit of one control process, of one core
+    double maxDescriptors = 0;              // limit of one process
+    double connectionBytes = 0;             // memory of an idle connection
     double purgeBytes = 0, callBytes = 0;
     double releaseHours = 0, rackCaches = 0;
 
     double changesPerSecond() const;
-    double routersOfZone() const { return routers / zones; }
-    double cachesOfZone() const { return caches / zones; }
-    double routersOfRegion() const { return routers / regions; }
-    double requestsOfRouter() const { return requestsPerSecond / routers; }
-    double requestsOfCache() const { return requestsPerSecond / caches; }
+    double routersPerZone() const { return routers / zones; }
+    double cachesPerZone() const { return caches / zones; }
+    double routersPerRegion() const { return routers / regions; }
+    double requestsPerRouter() const { return requestsPerSecond / routers; }
+    double requestsPerCache() const { return requestsPerSecond / caches; }
 };
 
 // Throws BadInput.
 Target readTarget(std::string_view toml, const std::string& file);
 
-// A figure that a run gave, as a line over what was varied.
+// A measured cost as a linear function of the quantity that the runs varied.
 struct Slope {
-    std::string name, unit, of;
-    double base = 0, value = 0;       // base + value x count
-    double spread = 0;                // (largest - smallest) / median of the repeats, the worst size's
-    double largest = 0;               // measured
-    std::optional<double> atLargest;  // the median measured there
-    bool used = true;                 // past `largest`; false where the prediction failed or none was tested
+    std::string name, unit, variedQuantity;  // `variedQuantity` is "of" in the file
+    double base = 0, valuePerCount = 0;      // cost = base + valuePerCount x count
+    double spread = 0;                       // largest (max - min) / median of a size's repeats
+    double largestSize = 0;                  // largest measured size
+    std::optional<double> atLargest;         // the median measured at `largestSize`
+    // Whether the line may be used beyond `largestSize`: false if its prediction failed or was not
+    // tested.
+    bool canExtrapolate = true;
     std::string run;
 };
 
 struct KnownSlope {
-    std::string_view name, unit, of, what;
+    std::string_view name, unit, variedQuantity, what;
 };
 const std::vector<KnownSlope>& knownSlopes();
 
 using Slopes = std::map<std::string, Slope, std::less<>>;
 
-// Throws BadInput: also for a slope without a run, in a unit of its own or of an unknown name.
+// Throws BadInput, also for a slope without a run, with an unknown name, or with another unit or
+// varied quantity than the known slope of that name.
 Slopes readSlopes(std::string_view toml, const std::string& file);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/capacity_page.cpp
+++ b/src/testbed/scale/capacity_page.cpp
@@ -9,13 +9,13 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-// Three digits and commas, as a person reads them.
-std::string number(double value) {
+// Three significant digits; whole numbers from 1,000 on.
+std::string formatNumber(double value) {
     if (value >= 1000) return fmt::format("{:.0f}", value);
     return fmt::format("{:.3g}", value);
 }
 
-std::string_view textOf(Verdict verdict) {
+std::string_view verdictLabel(Verdict verdict) {
     switch (verdict) {
         case Verdict::noBudget:
             return "no budget told";
@@ -31,56 +31,58 @@
     return "";
 }
 
-std::string verdictOf(const Row& row) {
-    std::string text(textOf(row.verdict()));
-    if (row.verdict() == Verdict::over) text += fmt::format(" {:.1f} times", row.timesOver());
+std::string verdictText(const Row& row) {
+    std::string text(verdictLabel(row.verdict()));
+    if (row.verdict() == Verdict::over) text += fmt::format(" {:.1f} times", row.budgetRatio());
     return text;
 }
 
-std::string figureOf(const Row& row) {
-    return row.estimate.value ? number(*row.estimate.value) + " " + row.unit : row.estimate.missing;
+std::string figureText(const Row& row) {
+    return row.estimate.value ? formatNumber(*row.estimate.value) + " " + row.unit
+                              : row.estimate.missingReason;
 }
 
-std::string budgetOf(const Row& row) {
-    return row.budget ? fmt::format("{} {} ({})", number(*row.budget), row.unit, row.budgetText) : "";
+std::string budgetCell(const Row& row) {
+    return row.budget ? fmt::format("{} {} ({})", formatNumber(*row.budget), row.unit, row.budgetText) : "";
 }
 
-std::string rowsOf(const std::vector<Row>& rows) {
+std::string rowsMarkdown(const std::vector<Row>& rows) {
     std::string out =
         "| situation | role | quantity | at the target | rests on | slope x count | budget | | carried by |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for (const Row& row : rows)
         out += fmt::format("| {} | {} | {} | {} | {} | {} | {} | {} | {} |\n", row.situation, row.role,
-                           row.quantity, figureOf(row), row.estimate.basis(), row.formula, budgetOf(row),
-                           verdictOf(row), nameOf(row.mechanism));
+                           row.quantity, figureText(row), row.estimate.basis(), row.formula, budgetCell(row),
+                           verdictText(row), nameOf(row.mechanism));
     return out;
 }
 
-std::string absencesOf(const std::vector<Row>& rows) {
+std::string missingMechanismsMarkdown(const std::vector<Row>& rows) {
     std::string out =
         "| missing mechanism | budgets its absence breaks | of these no path at all | worst factor over | "
         "where "
         "| with a budget, not known |\n"
         "| --- | --- | --- | --- | --- | --- |\n";
-    for (const Absence& a : absences(rows))
-        out += fmt::format("| {} | {} | {} | {} | {} | {} |\n", nameOf(a.mechanism), a.broken, a.noPath,
-                           a.worstOver > 0 ? fmt::format("{:.1f}", a.worstOver) : "", a.worst, a.unknown);
+    for (const MissingMechanism& a : missingMechanisms(rows))
+        out += fmt::format("| {} | {} | {} | {} | {} | {} |\n", nameOf(a.mechanism), a.exceededBudgets,
+                           a.noPathCount, a.worstRatio > 0 ? fmt::format("{:.1f}", a.worstRatio) : "",
+                           a.worstRow, a.unknownCount);
     return out;
 }
 
-std::string slopesOf(const Slopes& slopes) {
+std::string slopesMarkdown(const Slopes& slopes) {
     std::string out =
         "| slope | base | of one more | unit | of | spread | largest measured | there | past it | run |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for (const auto& [name, s] : slopes)
         out += fmt::format("| {} | {:.4g} | {:.4g} | {} | {} | {:.0f}% | {:g} | {} | {} | {} |\n", name,
-                           s.base, s.value, s.unit, s.of, 100 * s.spread, s.largest,
+                           s.base, s.valuePerCount, s.unit, s.variedQuantity, 100 * s.spread, s.largestSize,
                            s.atLargest ? fmt::format("{:.4g}", *s.atLargest) : "",
-                           s.used ? "used" : "not used", s.run);
+                           s.canExtrapolate ? "used" : "not used", s.run);
     return out;
 }
 
-std::string readWhole(const std::string& file) {
+std::string readFile(const std::string& file) {
     std::ifstream in(file, std::ios::binary);
     if (!in) throw BadInput(file + ":1: can't be read");
     std::ostringstream text;
@@ -91,19 +93,19 @@
 }  // namespace
 
 std::string Estimate::basis() const {
-    if (!value) return runs.empty() ? "" : runs.front();
-    if (runs.empty()) return "reasoned";
+    if (!value) return slopeNames.empty() ? "" : slopeNames.front();
+    if (slopeNames.empty()) return "reasoned";
     std::string names;
-    for (const std::string& run : runs) names += (names.empty() ? "" : ", ") + run;
-    constexpr double kNearlyOne = 1.01;
-    if (factor <= kNearlyOne) return "measured: " + names;
-    return fmt::format("extrapolated by {:.3g}: {}", factor, names);
+    for (const std::string& run : slopeNames) names += (names.empty() ? "" : ", ") + run;
+    constexpr double kMaxMeasuredRatio = 1.01;
+    if (sizeRatio <= kMaxMeasuredRatio) return "measured: " + names;
+    return fmt::format("extrapolated by {:.3g}: {}", sizeRatio, names);
 }
 
 std::string capacityMarkdown(const Target& target, const Slopes& slopes) {
     const std::vector<Row> rows = capacityTable(target, slopes);
     return fmt::format("Target: {}.\n\n{}\nMissing mechanisms:\n\n{}\nSlopes:\n\n{}", target.name,
-                       rowsOf(rows), absencesOf(rows), slopesOf(slopes));
+                       rowsMarkdown(rows), missingMechanismsMarkdown(rows), slopesMarkdown(slopes));
 }
 
 std::string capacityOfFiles(const std::string& targetFile, const std::string& slopesFile) {
@@ -113,12 +115,12 @@
     const auto attempt = [&](auto read) {
         try {
             read();
-        } catch (const BadInput& problem) {
-            problems += (problems.empty() ? "" : "\n") + std::string(problem.what());
+        } catch (const BadInput& error) {
+            problems += (problems.empty() ? "" : "\n") + std::string(error.what());
         }
     };
-    attempt([&] { target = readTarget(readWhole(targetFile), targetFile); });
-    attempt([&] { slopes = readSlopes(readWhole(slopesFile), slopesFile); });
+    attempt([&] { target = readTarget(readFile(targetFile), targetFile); });
+    attempt([&] { slopes = readSlopes(readFile(slopesFile), slopesFile); });
     if (!problems.empty()) throw BadInput(problems);
     return capacityMarkdown(target, slopes);
 }
--- a/src/testbed/scale/command.cpp
+++ b/src/testbed/scale/command.cpp
@@ -17,50 +17,64 @@
 constexpr int kKept = 0;
 constexpr int kBroken = 1;
 constexpr int kUsage = 2;
-constexpr double kMostApart = 0.1;  // of a stubs router's figure from a real one's
-constexpr Nanos kIdleSpan = 5'000 * kMillisecond;
+// The largest accepted relative difference between the figures of stub and real routers.
+constexpr double kMaxRelativeDifference = 0.1;
+constexpr Nanos kMinIdleLength = 5'000 * kMillisecond;
 
 void showProgress(std::string_view phase, Nanos at) {
-    const bool watched = isatty(fileno(stderr)) != 0;
-    fmt::print(stderr, "{}{} {} s{}", watched ? "\r" : "", phase, at / 1'000'000'000, watched ? "   " : "\n");
+    const bool isTerminal = isatty(fileno(stderr)) != 0;
+    fmt::print(stderr, "{}{} {} s{}", isTerminal ? "\r" : "", phase, at / 1'000'000'000,
+               isTerminal ? "   " : "\n");
 }
 
-void printBroken(const Result& result) {
-    for (const std::string& bound : result.broken) fmt::print("broken: {}\n", bound);
+void printViolations(const Result& result) {
+    for (const std::string& violation : result.violations) fmt::print("broken: {}\n", violation);
 }
 
-// Prints both figures and their ratio; whether they are as near as they have to be.
-bool compareFigure(const char* name, double real, double stubs) {
-    const double ratio = real > 0 ? stubs / real : 0;
-    const bool near = std::abs(ratio - 1) <= kMostApart;
-    fmt::print("{}: real {:.6g}, hollow {:.6g}, ratio {:.3f}{}\n", name, real, stubs, ratio,
-               near ? "" : ", over 10% apart");
-    return near;
+// Prints both figures and their ratio. Returns whether they differ by 10% at most.
+bool printComparison(const char* name, double real, double stub) {
+    const double ratio = real > 0 ? stub / real : 0;
+    const bool isClose = std::abs(ratio - 1) <= kMaxRelativeDifference;
+    fmt::print("{}: real {:.6g}, hollow {:.6g}, ratio {:.3f}{}\n", name, real, stub, ratio,
+               isClose ? "" : ", over 10% apart");
+    return isClose;
 }
 
 }  // namespace
 
 Command::Command(CLI::App& app) {
-    scale_ = app.add_subcommand("scale", "many routers before a list that changes, and what that costs");
-    scale_->add_option("file", file_, "the scenario: events and bounds")->required();
-    scale_->add_option("--routers", options_.stubRouters, "hollow ones")->check(CLI::Range(0, 100'000));
-    scale_->add_option("--real", options_.realRouters, "beside them")->check(CLI::Range(0, 1'000));
-    scale_->add_option("--caches", options_.caches, "cache servers")->check(CLI::Range(1, 100'000));
-    scale_->add_option("--zones", options_.zones, "1 without it")->check(CLI::Range(1, 1'000));
-    scale_->add_option("--changes-per-second", options_.changesPerSecond, "of the list")
+    scale_ = app.add_subcommand(
+        "scale", "run many routers against a changing endpoint list and measure what that costs");
+    scale_->add_option("file", file_, "scenario file with events and bounds")->required();
+    scale_->add_option("--routers", options_.stubRouters, "number of stub routers")
+        ->check(CLI::Range(0, 100'000));
+    scale_->add_option("--real", options_.realRouters, "number of real routers beside the stub routers")
+        ->check(CLI::Range(0, 1'000));
+    scale_->add_option("--caches", options_.caches, "number of cache servers in the list")
+        ->check(CLI::Range(1, 100'000));
+    scale_->add_option("--zones", options_.zones, "number of zones; 1 by default")
+        ->check(CLI::Range(1, 1'000));
+    scale_->add_option("--changes-per-second", options_.changesPerSecond, "changes of the list per second")
         ->check(CLI::Range(0.0, 1'000.0));
-    scale_->add_option("--purges-per-second", purgesPerSecond_, "0: nothing carries purges yet");
-    scale_->add_option("--distributors", options_.distributors, "0: routers ask discovery itself")
+    scale_->add_option("--purges-per-second", purgesPerSecond_, "must be 0: purges are not built");
+    scale_
+        ->add_option("--distributors", options_.distributors,
+                     "number of endpoint distributors; 0: routers poll discovery")
         ->check(CLI::Range(0, 100));
-    scale_->add_option("--seconds", seconds_, "that are measured")->check(CLI::Range(0.1, 86'400.0));
-    scale_->add_option("--out", options_.folder, "a folder for the run's files")->required();
-    scale_->add_option("--seed", options_.seed, "everything drawn follows from it");
-    scale_->add_option("--without", options_.without, "a known mistake that has to be found: apply, order");
-    scale_->add_option("--compare", compared_, "that many real, then as many hollow routers")
+    scale_->add_option("--seconds", seconds_, "length of the measured time in seconds")
+        ->check(CLI::Range(0.1, 86'400.0));
+    scale_->add_option("--out", options_.folder, "folder for the run's files")->required();
+    scale_->add_option("--seed", options_.seed, "seed of all random draws");
+    scale_->add_option("--without", options_.without,
+                       "defective variant that the run has to detect: apply, order");
+    scale_
+        ->add_option(
+            "--compare", comparedRouters_,
+            "run with this many real routers, then with as many stub routers, and compare their costs")
         ->check(CLI::Range(1, 1'000));
-    scale_->add_flag("--json", json_, "all figures as JSON instead of the last line");
+    scale_->add_flag("--json", json_, "print all figures as JSON instead of one line of the main ones");
 
-    discovery_ = app.add_subcommand("scale-discovery", "the discovery of a scale run")->group("");
+    discovery_ = app.add_subcommand("scale-discovery", "the discovery service of a scale run")->group("");
     discovery_->add_option("--folder", discoveryOptions_.folder)->required();
     discovery_->add_option("--caches", discoveryOptions_.caches);
     discovery_->add_option("--zones", discoveryOptions_.zones);
@@ -68,7 +82,7 @@
     discovery_->add_option("--changes-per-second", discoveryOptions_.changesPerSecond);
     discovery_->add_option("--seed", discoveryOptions_.seed);
     discovery_->add_option("--slow", discoveryOptions_.slow);
-    discovery_->add_flag("--tell-older", discoveryOptions_.tellsOlder);
+    discovery_->add_flag("--tell-older", discoveryOptions_.sendsOlderVersions);
 }
 
 std::optional<int> Command::run() {
@@ -79,7 +93,7 @@
 
 int Command::runScale() {
     if (purgesPerSecond_ != 0) {
-        fmt::print(stderr, "poppyscale_testbed: --purges-per-second {}: no mechanism carries purges yet\n",
+        fmt::print(stderr, "poppyscale_testbed: --purges-per-second {}: must be 0, purges are not built\n",
                    purgesPerSecond_);
         return kUsage;
     }
@@ -93,46 +107,47 @@
     }
     options_.length = static_cast<Nanos>(seconds_ * 1e9);
     options_.progress = showProgress;
-    if (compared_ > 0) return compare(options_);
+    if (comparedRouters_ > 0) return compareRouterKinds(options_);
     const Result result = runScaleTest(options_);
-    printBroken(result);
+    printViolations(result);
     fmt::print("{}\n", json_ ? jsonOf(result) : lineOf(result));
-    return result.broken.empty() ? kKept : kBroken;
+    return result.violations.empty() ? kKept : kBroken;
 }
 
-// What a router uses without any change is its loop's and not the list's: it is measured apart and taken off.
-int Command::compare(const Options& options) {
+// The processor time of a router without list changes is that of its event loop. It is measured in
+// a separate run and subtracted, so that only the handling of the list is compared.
+int Command::compareRouterKinds(const Options& options) {
     struct Side {
-        Result day;
+        Result result;
         double listProcessorShare = 0;
     };
-    const auto playSide = [&](bool real) {
+    const auto measureSide = [&](bool real) {
         Options side = options;
-        side.realRouters = real ? compared_ : 0;
-        side.stubRouters = real ? 0 : compared_;
+        side.realRouters = real ? comparedRouters_ : 0;
+        side.stubRouters = real ? 0 : comparedRouters_;
         side.folder = options.folder + (real ? "/real" : "/hollow");
         Options idle = side;
         idle.folder += "-idle";
         idle.changesPerSecond = 0;
-        idle.length = std::max(options.length / 2, kIdleSpan);
+        idle.length = std::max(options.length / 2, kMinIdleLength);
         idle.events.clear();
-        Side played;
-        played.listProcessorShare -= runScaleTest(idle).routerProcessorShare;
-        played.day = runScaleTest(side);
-        played.listProcessorShare += played.day.routerProcessorShare;
-        return played;
+        Side measured;
+        measured.listProcessorShare -= runScaleTest(idle).routerProcessorShare;
+        measured.result = runScaleTest(side);
+        measured.listProcessorShare += measured.result.routerProcessorShare;
+        return measured;
     };
-    const Side real = playSide(true);
-    const Side stubs = playSide(false);
-    bool near = compareFigure("control bytes a second of a router", real.day.routerBytesPerSecond,
-                              stubs.day.routerBytesPerSecond);
-    near &= compareFigure("control messages a second of a router", real.day.routerMessagesPerSecond,
-                          stubs.day.routerMessagesPerSecond);
-    near &= compareFigure("processor share of the list's handling", real.listProcessorShare,
-                          stubs.listProcessorShare);
-    for (const Side* side : {&real, &stubs}) printBroken(side->day);
-    fmt::print("real: {}\nhollow: {}\n", lineOf(real.day), lineOf(stubs.day));
-    return near && real.day.broken.empty() && stubs.day.broken.empty() ? kKept : kBroken;
+    const Side real = measureSide(true);
+    const Side stub = measureSide(false);
+    bool isClose = printComparison("control bytes a second of a router", real.result.routerBytesPerSecond,
+                                   stub.result.routerBytesPerSecond);
+    isClose &= printComparison("control messages a second of a router", real.result.routerMessagesPerSecond,
+                               stub.result.routerMessagesPerSecond);
+    isClose &= printComparison("processor share of the list's handling", real.listProcessorShare,
+                               stub.listProcessorShare);
+    for (const Side* side : {&real, &stub}) printViolations(side->result);
+    fmt::print("real: {}\nhollow: {}\n", lineOf(real.result), lineOf(stub.result));
+    return isClose && real.result.violations.empty() && stub.result.violations.empty() ? kKept : kBroken;
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/command.hpp
+++ b/src/testbed/scale/command.hpp
@@ -14,12 +14,13 @@
   public:
     explicit Command(CLI::App& app);
 
-    // The exit code, where one of the two was called.
+    // Runs whichever of the two sub-commands was given and returns the exit code; nothing if
+    // neither was.
     std::optional<int> run();
 
   private:
     int runScale();
-    int compare(const Options& options);
+    int compareRouterKinds(const Options& options);
 
     CLI::App* scale_;
     CLI::App* discovery_;
@@ -27,7 +28,7 @@
     Options options_;
     double seconds_ = 0;
     double purgesPerSecond_ = 0;
-    int compared_ = 0;  // routers of each kind
+    int comparedRouters_ = 0;  // number of routers of each kind to compare; 0 for an ordinary run
     bool json_ = false;
     DiscoveryOptions discoveryOptions_;
 };
--- a/src/testbed/scale/discovery.cpp
+++ b/src/testbed/scale/discovery.cpp
@@ -32,10 +32,11 @@
 
 using transport::EventLoop;
 
-constexpr std::size_t kPoolBuffers = 16 * 1024;  // 256 MiB of answers that callers have not read
+constexpr std::size_t kPoolBuffers = 16 * 1024;  // 256 MiB of unread responses
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr std::size_t kMostUnread = 64 * 1024;  // bytes of calls
-constexpr int kOlderEvery = 20;                 // answers, by the known mistake
+constexpr std::size_t kMaxUnreadBytes = 64 * 1024;  // bytes of requests buffered for a connection
+// The defective variant "order" gives an older version in every 20th response.
+constexpr int kOlderResponseInterval = 20;
 
 std::int64_t unixMs() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -43,29 +44,30 @@
         .count();
 }
 
-// As the stub routers note it: without the loop's own offset.
-std::int64_t monotonicNow() { return static_cast<std::int64_t>(uv_hrtime()); }
+// CLOCK_MONOTONIC in ns, without the event loop's own offset, comparable with the stub routers'
+// records.
+std::int64_t monotonicNanos() { return static_cast<std::int64_t>(uv_hrtime()); }
 
 template <class T>
-T numberOr(std::string_view text, T otherwise) {
-    T value = otherwise;
+T parseNumber(std::string_view text, T defaultValue) {
+    T value = defaultValue;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
 }
 
-SlowPeriod slowPeriodOf(const std::string& text) {
+SlowPeriod parseSlowPeriod(const std::string& text) {
     double at = 0;
     double length = 0;
     double delay = 0;
     if (std::sscanf(text.c_str(), "%lf:%lf:%lf", &at, &length, &delay) != 3)
-        throw std::runtime_error("a slow period is AT:LENGTH:DELAY in ms, not " + text);
-    const auto nanos = [](double ms) { return static_cast<Nanos>(ms * kMillisecond); };
-    return {nanos(at), nanos(length), nanos(delay)};
+        throw std::runtime_error("--slow: expected AT:LENGTH:DELAY in ms, found '" + text + "'");
+    const auto toNanos = [](double ms) { return static_cast<Nanos>(ms * kMillisecond); };
+    return {toNanos(at), toNanos(length), toNanos(delay)};
 }
 
 struct Traffic {
-    std::uint64_t calls = 0;
-    std::uint64_t messages = 0;  // answers
+    std::uint64_t polls = 0;
+    std::uint64_t responses = 0;
     std::uint64_t bytesIn = 0;
     std::uint64_t bytesOut = 0;
     std::uint64_t bytesThisSecond = 0;
@@ -84,35 +86,35 @@
 
 class Discovery;
 
-// A caller: one call after the other on a connection.
+// A connection that sends polls, which are answered one after the other.
 class PollConnection : private transport::Connection::Handler {
   public:
     static constexpr int kNoRouter = -1;
     PollConnection(Discovery& discovery, int realRouter);
 
     bool accept(const std::function<bool(transport::Connection&)>& finish);
-    void listChanged();
-    std::list<std::unique_ptr<PollConnection>>::iterator self;
+    void onListChanged();
+    std::list<std::unique_ptr<PollConnection>>::iterator position;
 
   private:
-    enum class State : std::uint8_t { reading, waiting, heldBack, dropped };
+    enum class State : std::uint8_t { reading, waiting, delayed, closed };
 
     void onData(std::string_view bytes) override;
     void onClosed() override;
     void onDrained() override;
-    void readCalls();
-    void called();
-    void answer();
-    void send();
-    void timeIsUp();
-    void drop();
+    void parseRequests();
+    void onRequest();
+    void respond();
+    void sendResponse();
+    void onTimer();
+    void close();
 
     Discovery& discovery_;
     int realRouter_;
     transport::Connection connection_;
-    transport::Timer alarm_;
-    HttpRequestParser call_;
-    std::string unread_;
+    transport::Timer timer_;
+    HttpRequestParser parser_;
+    std::string unparsed_;
     std::string body_;
     std::int64_t after_ = 0;
     State state_ = State::reading;
@@ -126,50 +128,51 @@
     EventLoop& loop() { return loop_; }
     transport::BufferPool& pool() { return pool_; }
     std::int64_t version() const { return list_.version(); }
-    const std::string& answerFor(std::int64_t after);
+    const std::string& responseFor(std::int64_t after);
     Nanos delay() const;
-    void heard(int realRouter, std::size_t bytes);
-    void called(int realRouter, std::int64_t after);
-    void answered(int realRouter, std::size_t bytes);
-    void drop(PollConnection& caller);
+    void countReceived(int realRouter, std::size_t bytes);
+    void countPoll(int realRouter, std::int64_t after);
+    void countResponse(int realRouter, std::size_t bytes);
+    void removeConnection(PollConnection& connection);
 
   private:
     void listen(int realRouter);
-    void begin();
-    void end();
-    void nextChange();
+    void beginMeasurement();
+    void endMeasurement();
+    void scheduleNextChange();
     void change();
-    void noteVersion(std::string_view kind);
-    void eachSecond();
+    void recordVersion(std::string_view kind);
+    void onSecond();
     void finish();
-    nlohmann::json totalsOf(const Traffic& traffic) const;
-    Nanos sinceBegin() const { return EventLoop::now() - beganAt_; }
+    nlohmann::json totalsJson(const Traffic& traffic) const;
+    Nanos sinceMeasurementStart() const { return EventLoop::now() - measurementStart_; }
 
     DiscoveryOptions options_;
-    std::vector<SlowPeriod> slow_;
+    std::vector<SlowPeriod> slowPeriods_;
     EventLoop loop_;
     transport::BufferPool pool_{kPoolBuffers};
     ServerList list_;
     Random random_;
-    std::ofstream changes_;
-    std::ofstream records_;
+    std::ofstream changesFile_;
+    std::ofstream recordsFile_;
     std::vector<std::unique_ptr<transport::Listener>> listeners_;
-    std::list<std::unique_ptr<PollConnection>> callers_;
-    std::list<std::unique_ptr<PollConnection>> dropped_;
-    std::map<std::int64_t, std::string> answers_;  // of the present version, by what they follow
-    std::string older_;                            // the whole list as it was, for the known mistake
-    std::uint64_t told_ = 0;
-    std::vector<std::int64_t> saidByReal_;  // the version of each real router's last call
-    int realReady_ = 0;
+    std::list<std::unique_ptr<PollConnection>> connections_;
+    std::list<std::unique_ptr<PollConnection>> removed_;
+    std::map<std::int64_t, std::string> responses_;  // responses of the current version, by `after`
+    // The complete list at the start of the measured time, for the defective variant.
+    std::string olderList_;
+    std::uint64_t responseCount_ = 0;
+    std::vector<std::int64_t> reportedByReal_;  // `after` of each real router's last poll
+    int readyRealRouters_ = 0;
     Traffic all_;
     std::vector<Traffic> real_;
-    bool measuring_ = false;
-    Nanos beganAt_ = 0;
-    double processorAtBegin_ = 0;
-    double processorUsed_ = 0;
-    Nanos measured_ = 0;
-    transport::Timer changeAlarm_;
-    transport::Timer secondAlarm_;
+    bool isMeasuring_ = false;
+    Nanos measurementStart_ = 0;
+    double processorSecondsAtStart_ = 0;
+    double processorSecondsUsed_ = 0;
+    Nanos measuredDuration_ = 0;
+    transport::Timer changeTimer_;
+    transport::Timer secondTimer_;
     transport::Signal beginSignal_;
     transport::Signal endSignal_;
     transport::Signal finishSignal_;
@@ -179,7 +182,7 @@
     : discovery_(discovery),
       realRouter_(realRouter),
       connection_(discovery.loop(), discovery.pool(), *this),
-      alarm_(discovery.loop(), [this] { timeIsUp(); }) {}
+      timer_(discovery.loop(), [this] { onTimer(); }) {}
 
 bool PollConnection::accept(const std::function<bool(transport::Connection&)>& finish) {
     if (!finish(connection_)) return false;
@@ -188,100 +191,100 @@
 }
 
 void PollConnection::onData(std::string_view bytes) {
-    if (state_ == State::dropped) return;
-    discovery_.heard(realRouter_, bytes.size());
-    unread_.append(bytes);
-    if (unread_.size() > kMostUnread) connection_.setReading(false);
-    readCalls();
+    if (state_ == State::closed) return;
+    discovery_.countReceived(realRouter_, bytes.size());
+    unparsed_.append(bytes);
+    if (unparsed_.size() > kMaxUnreadBytes) connection_.setReading(false);
+    parseRequests();
 }
 
-void PollConnection::onDrained() { readCalls(); }
+void PollConnection::onDrained() { parseRequests(); }
 
-// A caller that does not read its answers gets no further one: what it asks stays unread.
-void PollConnection::readCalls() {
-    while (state_ == State::reading && !unread_.empty() && connection_.unsentBytes() == 0) {
-        std::string_view rest = unread_;
-        const HttpRequestParser::State state = call_.feed(rest);
-        unread_.erase(0, unread_.size() - rest.size());
-        if (state == HttpRequestParser::State::malformed) return drop();
-        if (state == HttpRequestParser::State::complete) called();
+// While a response is unsent because the peer does not read, no further request is parsed.
+void PollConnection::parseRequests() {
+    while (state_ == State::reading && !unparsed_.empty() && connection_.unsentBytes() == 0) {
+        std::string_view rest = unparsed_;
+        const HttpRequestParser::State state = parser_.feed(rest);
+        unparsed_.erase(0, unparsed_.size() - rest.size());
+        if (state == HttpRequestParser::State::malformed) return close();
+        if (state == HttpRequestParser::State::complete) onRequest();
     }
-    if (state_ != State::dropped && unread_.empty()) connection_.setReading(true);
+    if (state_ != State::closed && unparsed_.empty()) connection_.setReading(true);
 }
 
-void PollConnection::called() {
-    after_ = numberOr<std::int64_t>(call_.query("after"), 0);
-    const Nanos wait = numberOr<std::int64_t>(call_.query("wait_ms"), 0) * kMillisecond;
-    call_.clear();
-    discovery_.called(realRouter_, after_);
-    if (after_ != discovery_.version() || wait == 0) return answer();
+void PollConnection::onRequest() {
+    after_ = parseNumber<std::int64_t>(parser_.query("after"), 0);
+    const Nanos wait = parseNumber<std::int64_t>(parser_.query("wait_ms"), 0) * kMillisecond;
+    parser_.clear();
+    discovery_.countPoll(realRouter_, after_);
+    if (after_ != discovery_.version() || wait == 0) return respond();
     state_ = State::waiting;
-    alarm_.start(EventLoop::now() + wait);
+    timer_.start(EventLoop::now() + wait);
 }
 
-void PollConnection::listChanged() {
+void PollConnection::onListChanged() {
     if (state_ != State::waiting) return;
-    answer();
-    readCalls();
+    respond();
+    parseRequests();
 }
 
-void PollConnection::timeIsUp() {
-    if (state_ == State::heldBack)
-        send();
+void PollConnection::onTimer() {
+    if (state_ == State::delayed)
+        sendResponse();
     else
-        answer();
-    readCalls();
+        respond();
+    parseRequests();
 }
 
-void PollConnection::answer() {
-    body_ = discovery_.answerFor(after_);
+void PollConnection::respond() {
+    body_ = discovery_.responseFor(after_);
     const Nanos delay = discovery_.delay();
-    if (delay == 0) return send();
-    state_ = State::heldBack;
-    alarm_.start(EventLoop::now() + delay);
+    if (delay == 0) return sendResponse();
+    state_ = State::delayed;
+    timer_.start(EventLoop::now() + delay);
 }
 
-void PollConnection::send() {
-    alarm_.stop();
+void PollConnection::sendResponse() {
+    timer_.stop();
     state_ = State::reading;
     const std::string text = httpAnswer(200, "Content-Type: application/json\r\n", body_);
     body_ = {};
-    discovery_.answered(realRouter_, text.size());
-    if (!connection_.write(text)) drop();
+    discovery_.countResponse(realRouter_, text.size());
+    if (!connection_.write(text)) close();
 }
 
-void PollConnection::onClosed() { drop(); }
+void PollConnection::onClosed() { close(); }
 
-void PollConnection::drop() {
-    if (state_ == State::dropped) return;
-    state_ = State::dropped;
-    alarm_.stop();
+void PollConnection::close() {
+    if (state_ == State::closed) return;
+    state_ = State::closed;
+    timer_.stop();
     connection_.setReading(false);
-    discovery_.drop(*this);
+    discovery_.removeConnection(*this);
 }
 
 Discovery::Discovery(const DiscoveryOptions& options)
     : options_(options),
       list_(options.caches, options.zones, options.seed, unixMs()),
       random_(options.seed + 1),
-      changes_(options.folder + "/changes.tsv"),
-      records_(options.folder + "/real.records", std::ios::binary),
-      saidByReal_(static_cast<std::size_t>(options.realRouters)),
+      changesFile_(options.folder + "/changes.tsv"),
+      recordsFile_(options.folder + "/real.records", std::ios::binary),
+      reportedByReal_(static_cast<std::size_t>(options.realRouters)),
       real_(static_cast<std::size_t>(options.realRouters)),
-      changeAlarm_(loop_, [this] { change(); }),
-      secondAlarm_(loop_, [this] { eachSecond(); }),
-      beginSignal_(loop_, SIGUSR1, [this] { begin(); }),
-      endSignal_(loop_, SIGUSR2, [this] { end(); }),
+      changeTimer_(loop_, [this] { change(); }),
+      secondTimer_(loop_, [this] { onSecond(); }),
+      beginSignal_(loop_, SIGUSR1, [this] { beginMeasurement(); }),
+      endSignal_(loop_, SIGUSR2, [this] { endMeasurement(); }),
       finishSignal_(loop_, SIGTERM, [this] { finish(); }) {
-    for (const std::string& text : options.slow) slow_.push_back(slowPeriodOf(text));
-    noteVersion("start");
+    for (const std::string& text : options.slow) slowPeriods_.push_back(parseSlowPeriod(text));
+    recordVersion("start");
     for (int router = PollConnection::kNoRouter; router < options.realRouters; ++router) listen(router);
     std::string ports;
     for (const auto& listener : listeners_) {
-        sockaddr_in at{};
-        socklen_t size = sizeof at;
-        getsockname(listener->descriptor(), reinterpret_cast<sockaddr*>(&at), &size);
-        ports += fmt::format("{}\n", ntohs(at.sin_port));
+        sockaddr_in boundAddress{};
+        socklen_t size = sizeof boundAddress;
+        getsockname(listener->descriptor(), reinterpret_cast<sockaddr*>(&boundAddress), &size);
+        ports += fmt::format("{}\n", ntohs(boundAddress.sin_port));
     }
     std::ofstream(options.folder + "/discovery.ports.new") << ports;
     std::rename((options.folder + "/discovery.ports.new").c_str(),
@@ -289,145 +292,148 @@
 }
 
 void Discovery::listen(int realRouter) {
-    auto admit = [this, realRouter](const auto& finish) {
-        callers_.push_back(std::make_unique<PollConnection>(*this, realRouter));
-        PollConnection& caller = *callers_.back();
-        caller.self = std::prev(callers_.end());
-        if (!caller.accept(finish)) callers_.pop_back();
+    auto acceptConnection = [this, realRouter](const auto& finish) {
+        connections_.push_back(std::make_unique<PollConnection>(*this, realRouter));
+        PollConnection& connection = *connections_.back();
+        connection.position = std::prev(connections_.end());
+        if (!connection.accept(finish)) connections_.pop_back();
     };
-    listeners_.push_back(std::make_unique<transport::Listener>(loop_, admit));
-    transport::Address any{};
-    any.sin_family = AF_INET;
-    any.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const std::string problem = listeners_.back()->listen(any);
-    if (!problem.empty()) throw std::runtime_error("discovery can't listen: " + problem);
+    listeners_.push_back(std::make_unique<transport::Listener>(loop_, acceptConnection));
+    transport::Address address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    const std::string problem = listeners_.back()->listen(address);
+    if (!problem.empty())
+        throw std::runtime_error("discovery cannot listen on the loopback interface: " + problem);
 }
 
 int Discovery::run() {
-    loop_.onIteration([this] { dropped_.clear(); });
+    loop_.onIteration([this] { removed_.clear(); });
     loop_.run();
     return 0;
 }
 
-void Discovery::begin() {
-    beganAt_ = EventLoop::now();
-    processorAtBegin_ = ownProcessorSeconds();
-    measuring_ = true;
-    older_ = list_.whole();
-    secondAlarm_.start(beganAt_ + kSecond);
-    nextChange();
+void Discovery::beginMeasurement() {
+    measurementStart_ = EventLoop::now();
+    processorSecondsAtStart_ = ownProcessorSeconds();
+    isMeasuring_ = true;
+    olderList_ = list_.completeJson();
+    secondTimer_.start(measurementStart_ + kSecond);
+    scheduleNextChange();
 }
 
-void Discovery::end() {
-    if (!measuring_) return;
-    measured_ = sinceBegin();
-    processorUsed_ = ownProcessorSeconds() - processorAtBegin_;
-    measuring_ = false;
-    changeAlarm_.stop();
-    secondAlarm_.stop();
+void Discovery::endMeasurement() {
+    if (!isMeasuring_) return;
+    measuredDuration_ = sinceMeasurementStart();
+    processorSecondsUsed_ = ownProcessorSeconds() - processorSecondsAtStart_;
+    isMeasuring_ = false;
+    changeTimer_.stop();
+    secondTimer_.stop();
 }
 
-void Discovery::nextChange() {
+void Discovery::scheduleNextChange() {
     if (options_.changesPerSecond <= 0) return;
     const double jitter = 0.5 + random_.fraction();
-    changeAlarm_.start(EventLoop::now() + static_cast<Nanos>(jitter * 1e9 / options_.changesPerSecond));
+    changeTimer_.start(EventLoop::now() + static_cast<Nanos>(jitter * 1e9 / options_.changesPerSecond));
 }
 
 void Discovery::change() {
-    nextChange();
+    scheduleNextChange();
     const std::string_view kind = list_.change(unixMs());
-    noteVersion(kind);
-    answers_.clear();
-    for (auto it = callers_.begin(); it != callers_.end();) {
-        PollConnection& caller = **it;
-        ++it;  // it may be dropped
-        caller.listChanged();
+    recordVersion(kind);
+    responses_.clear();
+    for (auto it = connections_.begin(); it != connections_.end();) {
+        PollConnection& connection = **it;
+        ++it;  // first, as `onListChanged` may remove the connection from the list
+        connection.onListChanged();
     }
 }
 
-void Discovery::noteVersion(std::string_view kind) {
-    changes_ << fmt::format("{}\t{}\t{}\t{}\n", list_.version(), monotonicNow(), list_.digest(), kind);
+void Discovery::recordVersion(std::string_view kind) {
+    changesFile_ << fmt::format("{}\t{}\t{}\t{}\n", list_.version(), monotonicNanos(), list_.digest(), kind);
 }
 
-const std::string& Discovery::answerFor(std::int64_t after) {
-    if (options_.tellsOlder && measuring_) {
-        if (after == 0) return older_;
-        if (++told_ % kOlderEvery == 0) {
-            std::string& answer = answers_[-1];
-            answer = fmt::format(R"({{"version":{},"full":false,"servers":[]}})", after - 1);
-            return answer;
+const std::string& Discovery::responseFor(std::int64_t after) {
+    if (options_.sendsOlderVersions && isMeasuring_) {
+        if (after == 0) return olderList_;
+        if (++responseCount_ % kOlderResponseInterval == 0) {
+            std::string& response = responses_[-1];
+            response = fmt::format(R"({{"version":{},"full":false,"servers":[]}})", after - 1);
+            return response;
         }
     }
-    std::string& answer = answers_[after];
-    if (answer.empty()) answer = list_.changesSince(after);
-    return answer;
+    std::string& response = responses_[after];
+    if (response.empty()) response = list_.changesSince(after);
+    return response;
 }
 
 Nanos Discovery::delay() const {
-    if (!measuring_) return 0;
-    const Nanos now = sinceBegin();
-    for (const SlowPeriod& slow : slow_)
-        if (now >= slow.at && now < slow.at + slow.length) return slow.delay;
+    if (!isMeasuring_) return 0;
+    const Nanos now = sinceMeasurementStart();
+    for (const SlowPeriod& period : slowPeriods_)
+        if (now >= period.at && now < period.at + period.length) return period.delay;
     return 0;
 }
 
-void Discovery::heard(int realRouter, std::size_t bytes) {
-    if (!measuring_) return;
+void Discovery::countReceived(int realRouter, std::size_t bytes) {
+    if (!isMeasuring_) return;
     all_.add(bytes, 0);
     if (realRouter != PollConnection::kNoRouter) real_[static_cast<std::size_t>(realRouter)].add(bytes, 0);
 }
 
-void Discovery::called(int realRouter, std::int64_t after) {
-    if (measuring_) ++all_.calls;
+void Discovery::countPoll(int realRouter, std::int64_t after) {
+    if (isMeasuring_) ++all_.polls;
     if (realRouter == PollConnection::kNoRouter) return;
     const auto index = static_cast<std::size_t>(realRouter);
-    if (measuring_) ++real_[index].calls;
-    std::int64_t& said = saidByReal_[index];
-    if (after == said) return;
-    if (said == 0 && ++realReady_ == options_.realRouters)
-        std::ofstream(options_.folder + "/real.ready") << realReady_ << '\n';
-    said = after;
-    const PropagationRecord record{static_cast<std::uint32_t>(realRouter), 0, after, 0, monotonicNow()};
-    records_.write(reinterpret_cast<const char*>(&record), sizeof record);
+    if (isMeasuring_) ++real_[index].polls;
+    std::int64_t& reported = reportedByReal_[index];
+    if (after == reported) return;
+    if (reported == 0 && ++readyRealRouters_ == options_.realRouters)
+        std::ofstream(options_.folder + "/real.ready") << readyRealRouters_ << '\n';
+    reported = after;
+    const PropagationRecord record{static_cast<std::uint32_t>(realRouter), 0, after, 0, monotonicNanos()};
+    recordsFile_.write(reinterpret_cast<const char*>(&record), sizeof record);
 }
 
-void Discovery::answered(int realRouter, std::size_t bytes) {
-    if (!measuring_) return;
-    ++all_.messages;
+void Discovery::countResponse(int realRouter, std::size_t bytes) {
+    if (!isMeasuring_) return;
+    ++all_.responses;
     all_.add(0, bytes);
     if (realRouter == PollConnection::kNoRouter) return;
     Traffic& traffic = real_[static_cast<std::size_t>(realRouter)];
-    ++traffic.messages;
+    ++traffic.responses;
     traffic.add(0, bytes);
 }
 
-// Whoever calls this may be within a call of it: it goes in the loop's next turn.
-void Discovery::drop(PollConnection& caller) { dropped_.splice(dropped_.end(), callers_, caller.self); }
+// The caller may be a method of the connection, so it is destroyed in the loop's next iteration.
+void Discovery::removeConnection(PollConnection& connection) {
+    removed_.splice(removed_.end(), connections_, connection.position);
+}
 
-void Discovery::eachSecond() {
-    secondAlarm_.start(EventLoop::now() + kSecond);
+void Discovery::onSecond() {
+    secondTimer_.start(EventLoop::now() + kSecond);
     for (Traffic& traffic : real_) traffic.endSecond();
     all_.endSecond();
 }
 
-nlohmann::json Discovery::totalsOf(const Traffic& traffic) const {
-    return {{"calls", traffic.calls},
-            {"messages", traffic.messages},
+nlohmann::json Discovery::totalsJson(const Traffic& traffic) const {
+    return {{"calls", traffic.polls},
+            {"messages", traffic.responses},
             {"bytes_in", traffic.bytesIn},
             {"bytes_out", traffic.bytesOut},
             {"peak_bytes_per_second", traffic.peakBytesPerSecond}};
 }
 
 void Discovery::finish() {
-    end();
-    changes_.flush();
-    records_.flush();
-    nlohmann::json totals = totalsOf(all_);
-    totals["seconds"] = static_cast<double>(measured_) / 1e9;
-    totals["processor_seconds"] = processorUsed_;
+    endMeasurement();
+    changesFile_.flush();
+    recordsFile_.flush();
+    nlohmann::json totals = totalsJson(all_);
+    totals["seconds"] = static_cast<double>(measuredDuration_) / 1e9;
+    totals["processor_seconds"] = processorSecondsUsed_;
     totals["memory_kib"] = residentKibOf(::getpid());
     totals["real"] = nlohmann::json::array();
-    for (const Traffic& traffic : real_) totals["real"].push_back(totalsOf(traffic));
+    for (const Traffic& traffic : real_) totals["real"].push_back(totalsJson(traffic));
     std::ofstream(options_.folder + "/discovery.json") << totals.dump(1) << '\n';
     loop_.stop();
 }
@@ -435,7 +441,7 @@
 }  // namespace
 
 int serveDiscovery(const DiscoveryOptions& options) {
-    std::signal(SIGPIPE, SIG_IGN);  // a caller that has gone shows in what the write returns
+    std::signal(SIGPIPE, SIG_IGN);  // a closed connection is reported by the write's result
     return Discovery(options).run();
 }
 
--- a/src/testbed/scale/discovery.hpp
+++ b/src/testbed/scale/discovery.hpp
@@ -1,12 +1,13 @@
-// The discovery of a scale run, a process of its own so that its processor time can be told apart.
+// The discovery service of a scale run. It is a separate process so that its processor time can be
+// measured.
 //
-// It answers GET /api/targets[?after=V&wait_ms=W]. With SIGUSR1 the measured time begins and the list
-// changes; with SIGUSR2 it ends; with SIGTERM the totals are written and the process ends. In its folder it
-// writes
-//   discovery.ports   once it listens: the port for all stub routers and distributors, then one a real
-//   router changes.tsv       version, CLOCK_MONOTONIC ns, digest of the list, kind: one line a version
-//   real.records      `ForceRecord`s: a real router has a list in force by its next call
-//   real.ready        once every real router has said a version
+// It answers GET /api/targets[?after=V&wait_ms=W]. SIGUSR1 starts the measured time and the changes
+// of the list, SIGUSR2 ends both, SIGTERM writes the totals and ends the process. Files written to
+// its folder:
+//   discovery.ports   once listening: the port for stub routers and distributors, then one per real
+//   changes.tsv       per version: version, CLOCK_MONOTONIC ns, digest of the list, kind of change
+//   real.records      `PropagationRecord`s of real routers, whose next poll tells their version
+//   real.ready        once every real router has polled with a version
 //   discovery.json    totals
 #pragma once
 
@@ -21,7 +22,7 @@
 struct SlowPeriod {
     Nanos at = 0;  // since the measured time began
     Nanos length = 0;
-    Nanos delay = 0;  // of each answer
+    Nanos delay = 0;  // added to each response
 };
 
 struct DiscoveryOptions {
@@ -31,8 +32,8 @@
     int realRouters = 0;
     double changesPerSecond = 0;
     std::uint64_t seed = 1;
-    std::vector<std::string> slow;  // "AT:LENGTH:DELAY" in ms
-    bool tellsOlder = false;        // a known mistake: now and then an older version, also of the whole list
+    std::vector<std::string> slow;    // "AT:LENGTH:DELAY" in ms
+    bool sendsOlderVersions = false;  // defective variant: some responses carry an older version
 };
 
 // Runs until SIGTERM; returns the exit code.
--- a/src/testbed/scale/fit.cpp
+++ b/src/testbed/scale/fit.cpp
@@ -12,14 +12,18 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-// The 1% points of F with 1 and n degrees of freedom, for n = 1, 2 ...; past the table the last one is used,
-// which is a little too strict.
-constexpr std::array<double, 20> kFOnePercent = {4052,  98.5,  34.12, 21.20, 16.26, 13.75, 12.25,
-                                                 11.26, 10.56, 10.04, 9.65,  9.33,  9.07,  8.86,
-                                                 8.68,  8.53,  8.40,  8.29,  8.18,  8.10};
-constexpr double kJudgedAt = 4;  // times the largest size: as far as a line is meant to reach
-
-struct Quadratic {  // about the mean size, in units of the largest distance from it
+// Critical values at 1% of the F distribution with 1 and n degrees of freedom, for n = 1, 2 ... For
+// larger n the last one is used, which is slightly too large.
+constexpr std::array<double, 20> kCriticalF = {4052,  98.5,  34.12, 21.20, 16.26, 13.75, 12.25,
+                                               11.26, 10.56, 10.04, 9.65,  9.33,  9.07,  8.86,
+                                               8.68,  8.53,  8.40,  8.29,  8.18,  8.10};
+// The curvature is judged at this multiple of the largest size, up to which a line is meant to be
+// used.
+constexpr double kCurvatureCheckFactor = 4;
+
+// A quadratic in x = (size - center) / scale: center is the mean size, scale the largest distance
+// from it.
+struct Quadratic {
     std::array<double, 3> coefficients{};
     double residualSum = 0;
     double center = 0;
@@ -30,7 +34,7 @@
     }
 };
 
-// Gaussian elimination with pivoting of the 3 x 4 normal equations.
+// Solves the normal equations, a 3 x 4 matrix, by Gaussian elimination with pivoting.
 std::array<double, 3> solve(std::array<std::array<double, 4>, 3> m) {
     for (int column = 0; column < 3; ++column) {
         int pivot = column;
@@ -78,31 +82,31 @@
     const std::size_t parameters = 3;
     if (samples.size() <= parameters) return;
     const Quadratic quadratic = fitQuadratic(samples, meanSize);
-    const std::size_t freedom = samples.size() - parameters;
-    const double noise = quadratic.residualSum / static_cast<double>(freedom);
+    const std::size_t degreesOfFreedom = samples.size() - parameters;
+    const double noise = quadratic.residualSum / static_cast<double>(degreesOfFreedom);
     const double gain = lineResidualSum - quadratic.residualSum;
-    const double tiny = 1e-18 * std::max(lineResidualSum, 1e-300);
-    fit.curvatureF = std::max(gain, 0.0) / std::max(noise, tiny);
-    const double critical = kFOnePercent[std::min(freedom, kFOnePercent.size()) - 1];
-    const double far = kJudgedAt * fit.largestSize;
-    const double moved = std::abs(quadratic.at(far) - fit.at(far));
-    const double tolerated = kPredictionTolerance * std::abs(fit.at(far));
-    fit.curved = fit.curvatureF > critical && moved > tolerated;
+    const double minNoise = 1e-18 * std::max(lineResidualSum, 1e-300);
+    fit.curvatureF = std::max(gain, 0.0) / std::max(noise, minNoise);
+    const double critical = kCriticalF[std::min(degreesOfFreedom, kCriticalF.size()) - 1];
+    const double checkedSize = kCurvatureCheckFactor * fit.largestSize;
+    const double deviation = std::abs(quadratic.at(checkedSize) - fit.at(checkedSize));
+    const double toleratedDeviation = kPredictionTolerance * std::abs(fit.at(checkedSize));
+    fit.isCurved = fit.curvatureF > critical && deviation > toleratedDeviation;
 }
 
 }  // namespace
 
 double medianOf(std::vector<double> values) {
-    if (values.empty()) throw std::invalid_argument("no values to take a median of");
+    if (values.empty()) throw std::invalid_argument("median of no values");
     std::sort(values.begin(), values.end());
     const std::size_t middle = values.size() / 2;
     return values.size() % 2 == 1 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
 }
 
 double spreadOf(const std::vector<double>& values) {
-    const auto [least, most] = std::minmax_element(values.begin(), values.end());
+    const auto [min, max] = std::minmax_element(values.begin(), values.end());
     const double median = medianOf(values);
-    return median == 0 ? 0 : (*most - *least) / std::abs(median);
+    return median == 0 ? 0 : (*max - *min) / std::abs(median);
 }
 
 LineFit fitLine(const std::vector<Sample>& samples) {
@@ -111,12 +115,15 @@
     double meanValue = 0;
     for (const Sample& s : samples) {
         if (!std::isfinite(s.size) || !std::isfinite(s.value))
-            throw std::invalid_argument("a sample is not finite");
+            throw std::invalid_argument(
+                fmt::format("sample is not finite: size {}, value {}", s.size, s.value));
         sizes.insert(s.size);
         meanSize += s.size / static_cast<double>(samples.size());
         meanValue += s.value / static_cast<double>(samples.size());
     }
-    if (sizes.size() < 3) throw std::invalid_argument("a fit needs three different sizes");
+    if (sizes.size() < 3)
+        throw std::invalid_argument(
+            fmt::format("a fit needs at least three different sizes, found {}", sizes.size()));
     double sizeSquares = 0;
     double products = 0;
     for (const Sample& s : samples) {
@@ -129,20 +136,21 @@
     fit.largestSize = *sizes.rbegin();
     double residualSum = 0;
     for (const Sample& s : samples) residualSum += std::pow(s.value - fit.at(s.size), 2);
-    fit.residual = std::sqrt(residualSum / static_cast<double>(samples.size()));
-    fit.residualShare = meanValue == 0 ? 0 : fit.residual / std::abs(meanValue);
+    fit.rmsResidual = std::sqrt(residualSum / static_cast<double>(samples.size()));
+    fit.relativeResidual = meanValue == 0 ? 0 : fit.rmsResidual / std::abs(meanValue);
     fit.spread = worstSpread(samples);
     testCurvature(samples, meanSize, residualSum, fit);
     return fit;
 }
 
-Prediction compare(const LineFit& fit, double size, std::vector<double> measured) {
+Prediction checkPrediction(const LineFit& fit, double size, std::vector<double> measured) {
     Prediction p;
     p.size = size;
     p.predicted = fit.at(size);
     p.measured = medianOf(std::move(measured));
-    p.off = p.measured == 0 ? (p.predicted == 0 ? 0 : HUGE_VAL) : (p.predicted - p.measured) / p.measured;
-    p.used = std::abs(p.off) <= kPredictionTolerance;
+    p.relativeError =
+        p.measured == 0 ? (p.predicted == 0 ? 0 : HUGE_VAL) : (p.predicted - p.measured) / p.measured;
+    p.isWithinTolerance = std::abs(p.relativeError) <= kPredictionTolerance;
     return p;
 }
 
@@ -150,14 +158,14 @@
     return fmt::format(
         "fit {}: {:.6g} + {:.6g} x size ({}); residual {:.3g} ({:.1f}% of the mean); spread {:.1f}%; "
         "curvature F={:.1f} {}",
-        name, fit.intercept, fit.slope, unit, fit.residual, 100 * fit.residualShare, 100 * fit.spread,
-        fit.curvatureF, fit.curved ? "curved" : "straight");
+        name, fit.intercept, fit.slope, unit, fit.rmsResidual, 100 * fit.relativeResidual, 100 * fit.spread,
+        fit.curvatureF, fit.isCurved ? "curved" : "straight");
 }
 
 std::string describe(const std::string& name, const Prediction& p, const std::string& unit) {
     return fmt::format("prediction {}: size {:g}: predicted {:.5g} {}, measured {:.5g} {}, off {:+.1f}%: {}",
-                       name, p.size, p.predicted, unit, p.measured, unit, 100 * p.off,
-                       p.used ? "used" : "not used");
+                       name, p.size, p.predicted, unit, p.measured, unit, 100 * p.relativeError,
+                       p.isWithinTolerance ? "used" : "not used");
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/fit.hpp
+++ b/src/testbed/scale/fit.hpp
@@ -1,5 +1,5 @@
-// Least squares over a measured series: the line, how far the samples lie off it, whether they bend, and a
-// prediction for a larger size that a measurement there can refute.
+// Least-squares fit of a measured series: the line, its residuals, a test for curvature, and a
+// prediction for a larger size that is checked against a measurement there.
 #pragma once
 
 #include <string>
@@ -8,19 +8,21 @@
 namespace poppyscale::testbed::scale {
 
 struct Sample {
-    double size = 0;  // of what was varied: caches, routers, changes a second
+    double size = 0;  // the varied quantity: caches, routers or changes per second
     double value = 0;
 };
 
 struct LineFit {
     double intercept = 0;
-    double slope = 0;          // of one more in size
-    double residual = 0;       // root mean square, in the value's unit
-    double residualShare = 0;  // of the mean value
-    double curvatureF = 0;     // F statistic of a quadratic term; 0 where there are too few samples
-    bool curved = false;       // significant at 1%, and four times as far over 15% off the line
-    double largestSize = 0;    // measured
-    double spread = 0;         // worst over the sizes: (largest - smallest) / median
+    double slope = 0;
+    double rmsResidual = 0;       // root mean square, in the value's unit
+    double relativeResidual = 0;  // residual / mean value
+    double curvatureF = 0;        // F statistic of a quadratic term; 0 if there are too few samples
+    // The quadratic term is significant at 1%, and its curve at 4 x `largestSize` is over 15% off the
+    // line.
+    bool isCurved = false;
+    double largestSize = 0;  // largest measured size
+    double spread = 0;       // largest over all sizes of (max - min) / median
     double at(double size) const { return intercept + slope * size; }
 };
 
@@ -31,19 +33,20 @@
     double size = 0;
     double predicted = 0;
     double measured = 0;
-    double off = 0;     // (predicted - measured) / measured
-    bool used = false;  // within the tolerance, so the slope may be used past the sizes measured
+    double relativeError = 0;  // (predicted - measured) / measured
+    // Within `kPredictionTolerance`, so that the slope may be used beyond the measured sizes.
+    bool isWithinTolerance = false;
 };
 
 constexpr double kPredictionTolerance = 0.15;
 
-// `measured` are the repeats at one size; their median is compared.
-Prediction compare(const LineFit& fit, double size, std::vector<double> measured);
+// Compares the prediction with the median of `measured`, the repeats at `size`.
+Prediction checkPrediction(const LineFit& fit, double size, std::vector<double> measured);
 
 double medianOf(std::vector<double> values);
-double spreadOf(const std::vector<double>& values);  // (largest - smallest) / median
+double spreadOf(const std::vector<double>& values);  // (max - min) / median
 
-// One line each, for a person.
+// One line of text each.
 std::string describe(const std::string& name, const LineFit& fit, const std::string& unit);
 std::string describe(const std::string& name, const Prediction& prediction, const std::string& unit);
 
--- a/src/testbed/scale/in_force.hpp
+++ b/src/testbed/scale/in_force.hpp
@@ -1,7 +1,9 @@
-// The judge of a scale run: when each change was in force at each router, from the processes' records alone.
+// Evaluates a scale run: when each change took effect at each router, computed from the processes'
+// records alone.
 //
-// A router has a change in force from the first list on that contains it and after which it decided by no
-// list without it. A list whose content is not that of discovery's version counts as the last one that was.
+// A change is in force at a router from the first list that contains it, provided that the router
+// used no list without it afterwards. A list whose content differs from discovery's list of that
+// version is ignored: the last list that matched counts as still in force.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +16,13 @@
 
 struct Change {
     std::int64_t version = 0;
-    std::int64_t at = 0;  // CLOCK_MONOTONIC, ns: when discovery had it
+    std::int64_t at = 0;  // CLOCK_MONOTONIC in ns when discovery made the change
     std::uint64_t digest = 0;
 };
 
-// The versions that discovery had, the first one included.
+// All versions of discovery's list, including the initial one.
 std::vector<Change> readChanges(const std::string& path);
-// By router, each in the order of time; numbers start at `first`.
+// The records of each router in order of time. Element 0 belongs to router number `first`.
 std::vector<std::vector<PropagationRecord>> readRecords(const std::string& path, std::uint32_t first,
                                                         int routers);
 
@@ -32,21 +34,21 @@
 
     struct PerChange {
         std::int64_t at = 0;
-        std::vector<float> milliseconds;  // of the routers where it came into force
-        std::uint64_t lost = 0;
+        std::vector<float> milliseconds;  // propagation time to each router reached
+        std::uint64_t lost = 0;           // routers where it never came into force
     };
     const std::vector<PerChange>& changes() const { return changes_; }
     std::uint64_t delivered() const { return delivered_; }
     std::uint64_t lost() const { return lost_; }
     std::uint64_t stale() const { return stale_; }
-    // Of all pairs of a router and a change; 0 without any.
-    double quantileMs(double part) const;
+    // Quantile of the propagation time over all (router, change) pairs; 0 if there are none.
+    double quantileMs(double fraction) const;
 
   private:
-    bool isKnown(const PropagationRecord& record) const;
+    bool matchesDiscovery(const PropagationRecord& record) const;
 
     std::vector<Change> versions_;    // versions_[i].version == i + 1
-    std::vector<PerChange> changes_;  // of versions_[i + 1]
+    std::vector<PerChange> changes_;  // changes_[i] belongs to versions_[i + 1]
     std::uint64_t delivered_ = 0;
     std::uint64_t lost_ = 0;
     std::uint64_t stale_ = 0;
--- a/src/testbed/scale/limits.hpp
+++ b/src/testbed/scale/limits.hpp
@@ -1,19 +1,19 @@
-// What a scale run would take of the machine, reckoned before anything is started.
+// The resources that a scale run needs, estimated before any process is started.
 #pragma once
 
 #include "testbed/scale/scale.hpp"
 
 namespace poppyscale::testbed::scale {
 
-struct Demand {
+struct ResourceDemand {
     double memoryKib = 0;
-    int descriptors = 0;  // of the process that holds most
+    int descriptors = 0;  // file descriptors of the process that needs the most
 };
 
-Demand demandOf(const Options& options);
+ResourceDemand resourceDemandOf(const Options& options);
 
-// Throws std::runtime_error for options that make no sense, for what is not built, and where the run would
-// take over half of the machine's memory or more descriptors than a process may have.
-void rejectImpossible(const Options& options);
+// Throws std::runtime_error if the options are invalid, need something that is not built, or if the
+// run would need over half of the machine's memory or more descriptors than a process may open.
+void validateOptions(const Options& options);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -18,18 +18,18 @@
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-// The module reads 0 as long ago, so its clock starts far from it.
+// The module takes times near 0 as long ago, so its clock starts far above 0.
 constexpr Nanos kClockStart = 1'000'000 * kSecond;
-constexpr Nanos kAnswerTime = 2 * kMillisecond;
-constexpr Nanos kLatencyTarget = 100 * kMillisecond;
+constexpr Nanos kResponseTime = 2 * kMillisecond;
+constexpr Nanos kLatencyObjective = 100 * kMillisecond;
 constexpr Nanos kTimeout = 1 * kSecond;
 constexpr int kKeys = 200'000;
 constexpr int kHotKeys = 100;
-constexpr double kHotShare = 0.3;  // of requests that go to the hot keys
-constexpr double kSkew = 0.9;      // Zipf exponent of the others
-constexpr int kRepeatsOfList = 5;
+constexpr double kHotShare = 0.3;      // share of the requests that go to the hot keys
+constexpr double kZipfExponent = 0.9;  // Zipf exponent of the other keys
+constexpr int kListRepeats = 5;
 
-double threadMicros() {
+double threadCpuMicros() {
     timespec now{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
     return static_cast<double>(now.tv_sec) * 1e6 + static_cast<double>(now.tv_nsec) / 1e3;
@@ -37,18 +37,19 @@
 
 double heapKib() { return static_cast<double>(mallinfo2().uordblks) / 1024; }
 
-// Keeps the last attempt, which the caller ends.
+// Notes whether the policy started an attempt, which the caller then completes, and counts requests
+// that were rejected or failed.
 class RespondingHost : public PolicyHost {
   public:
-    void startAttempt(RequestId, std::string_view, Nanos, Nanos) override { attempted = true; }
-    void reject(RequestId, Nanos) override { ++refused; }
-    void fail(RequestId) override { ++refused; }
+    void startAttempt(RequestId, std::string_view, Nanos, Nanos) override { wasAttempted = true; }
+    void reject(RequestId, Nanos) override { ++unserved; }
+    void fail(RequestId) override { ++unserved; }
     void scheduleWakeup(Nanos) override {}
     void pollEndpoints() override {}
     void log(std::string_view) override {}
 
-    bool attempted = false;
-    int refused = 0;
+    bool wasAttempted = false;
+    int unserved = 0;
 };
 
 std::string zoneName(int cache, int zones) { return fmt::format("zone-{:02}", cache % zones); }
@@ -63,45 +64,45 @@
     return listed;
 }
 
-std::vector<Endpoint> wholeList(const ModuleOptions& o) {
+std::vector<Endpoint> completeList(const ModuleOptions& options) {
     std::vector<Endpoint> list;
-    for (int i = 0; i < o.caches; ++i) list.push_back(endpoint(i, o.zones));
+    for (int i = 0; i < options.caches; ++i) list.push_back(endpoint(i, options.zones));
     return list;
 }
 
-PolicySettings settingsOf(const ModuleOptions& o) {
-    PolicySettings terms;
-    terms.seed = o.seed;
-    terms.routerCount = o.routers;
-    terms.zone = zoneName(0, o.zones);
-    terms.crossZoneCost = 0.05;
-    terms.retryAfterAllowed = true;
-    terms.maxAttempts = 3;
-    terms.maxRetryAfter = kSecond;
-    terms.pollInterval = 5 * kSecond;
-    terms.rampDuration = 30 * kSecond;
-    terms.initialFraction = 0.1;
-    terms.overloadMultiple = 2;
-    terms.overloadWindow = kSecond;
+PolicySettings policySettingsOf(const ModuleOptions& options) {
+    PolicySettings settings;
+    settings.seed = options.seed;
+    settings.routerCount = options.routers;
+    settings.zone = zoneName(0, options.zones);
+    settings.crossZoneCost = 0.05;
+    settings.retryAfterAllowed = true;
+    settings.maxAttempts = 3;
+    settings.maxRetryAfter = kSecond;
+    settings.pollInterval = 5 * kSecond;
+    settings.rampDuration = 30 * kSecond;
+    settings.initialFraction = 0.1;
+    settings.overloadMultiple = 2;
+    settings.overloadWindow = kSecond;
     RequestClass read;
     read.name = "read";
     read.idempotency = Idempotency::safe;
-    read.latencyObjective = kLatencyTarget;
+    read.latencyObjective = kLatencyObjective;
     read.timeout = kTimeout;
-    terms.requestClasses = {read};
-    return terms;
+    settings.requestClasses = {read};
+    return settings;
 }
 
-std::vector<std::string> drawKeys(const ModuleOptions& o) {
-    std::mt19937_64 random(o.seed);
+std::vector<std::string> drawKeys(const ModuleOptions& options) {
+    std::mt19937_64 random(options.seed);
     std::vector<double> cumulative(kKeys);
     double sum = 0;
-    for (int i = 0; i < kKeys; ++i) cumulative[i] = sum += std::pow(i + 1, -kSkew);
+    for (int i = 0; i < kKeys; ++i) cumulative[i] = sum += std::pow(i + 1, -kZipfExponent);
     std::uniform_real_distribution<double> zipf(0, sum);
     std::bernoulli_distribution hot(kHotShare);
     std::uniform_int_distribution<int> hotKey(0, kHotKeys - 1);
     std::vector<std::string> keys;
-    for (int i = 0; i < o.requests; ++i) {
+    for (int i = 0; i < options.requests; ++i) {
         const auto rank = std::lower_bound(cumulative.begin(), cumulative.end(), zipf(random));
         const auto key = hot(random) ? hotKey(random) : kHotKeys + (rank - cumulative.begin());
         keys.push_back(fmt::format("object/{:016x}", key));
@@ -109,35 +110,36 @@
     return keys;
 }
 
-// A router's module that is asked one request after another.
+// A routing policy that handles one request after another in virtual time.
 class PolicyUnderLoad {
   public:
-    explicit PolicyUnderLoad(const ModuleOptions& o)
-        : gap_(static_cast<Nanos>(1e9 / o.requestsPerSecond)), router_(settingsOf(o), host_, now_) {}
+    explicit PolicyUnderLoad(const ModuleOptions& options)
+        : gap_(static_cast<Nanos>(1e9 / options.requestsPerSecond)),
+          router_(policySettingsOf(options), host_, now_) {}
 
-    void request(std::string_view key) {
+    void handleRequest(std::string_view key) {
         now_ += gap_;
-        IncomingRequest arrival;
-        arrival.id = ++id_;
-        arrival.requestClass = "read";
-        arrival.key = key;
-        arrival.deadline = now_ + kTimeout;
-        host_.attempted = false;
-        router_.onRequest(now_, arrival);
+        IncomingRequest request;
+        request.id = ++id_;
+        request.requestClass = "read";
+        request.key = key;
+        request.deadline = now_ + kTimeout;
+        host_.wasAttempted = false;
+        router_.onRequest(now_, request);
         router_.reconcile(now_);
-        if (!host_.attempted) return;
+        if (!host_.wasAttempted) return;
         AttemptResult end;
         end.id = id_;
         end.requestCompleted = true;
-        end.duration = kAnswerTime;
+        end.duration = kResponseTime;
         router_.onAttemptEnded(now_, end);
         router_.reconcile(now_);
     }
-    void news(EndpointUpdateKind kind, const std::vector<Endpoint>& entries) {
+    void updateEndpoints(EndpointUpdateKind kind, const std::vector<Endpoint>& entries) {
         router_.onEndpointUpdate(now_, kind, entries);
         router_.reconcile(now_);
     }
-    int refused() const { return host_.refused; }
+    int unservedCount() const { return host_.unserved; }
 
   private:
     Nanos gap_;
@@ -162,67 +164,72 @@
     return json + "]}";
 }
 
-void measureList(const ModuleOptions& o, const std::vector<Endpoint>& list, ModuleCost& cost) {
+void measureList(const ModuleOptions& options, const std::vector<Endpoint>& list, ModuleCost& cost) {
     const std::string json = endpointListJson(list, true);
     cost.listBytes = static_cast<double>(json.size());
-    std::vector<double> parsing;
-    std::vector<double> taking;
-    for (int i = 0; i < kRepeatsOfList; ++i) {
-        const double start = threadMicros();
-        const protocol::EndpointList roster = protocol::readEndpointList(json);
-        parsing.push_back(threadMicros() - start);
-        if (roster.entries.size() != list.size()) throw std::logic_error("the list was not read whole");
-        PolicyUnderLoad asked(o);
-        const double taken = threadMicros();
-        asked.news(EndpointUpdateKind::complete, list);
-        asked.request("object/first");
-        taking.push_back(threadMicros() - taken);
+    std::vector<double> parseTimes;
+    std::vector<double> loadTimes;
+    for (int i = 0; i < kListRepeats; ++i) {
+        const double start = threadCpuMicros();
+        const protocol::EndpointList parsed = protocol::readEndpointList(json);
+        parseTimes.push_back(threadCpuMicros() - start);
+        if (parsed.entries.size() != list.size()) throw std::logic_error("endpoint list parsed incompletely");
+        PolicyUnderLoad policy(options);
+        const double loadStart = threadCpuMicros();
+        policy.updateEndpoints(EndpointUpdateKind::complete, list);
+        policy.handleRequest("object/first");
+        loadTimes.push_back(threadCpuMicros() - loadStart);
     }
-    cost.parseMillis = medianOf(parsing) / 1e3;
-    cost.wholeListMillis = medianOf(taking) / 1e3;
+    cost.parseMillis = medianOf(parseTimes) / 1e3;
+    cost.wholeListMillis = medianOf(loadTimes) / 1e3;
 }
 
-// The same server leaves and comes back in turn, so that the fleet keeps its size.
-double measureChanges(const ModuleOptions& o, const std::vector<std::string>& keys, double requestMicros,
-                      PolicyUnderLoad& asked) {
+// Each server is removed and added again before the next, so that the list keeps its size.
+double measureChanges(const ModuleOptions& options, const std::vector<std::string>& keys,
+                      double requestMicros, PolicyUnderLoad& policy) {
     std::vector<double> times;
-    for (int i = 0; i < o.changes; ++i) {
-        Endpoint changed = endpoint(i / 2 % o.caches, o.zones);
-        changed.state = i % 2 == 0 ? EndpointState::removed : EndpointState::ready;
-        const double start = threadMicros();
-        asked.news(EndpointUpdateKind::delta, {changed});
-        asked.request(keys[i % keys.size()]);
-        times.push_back(threadMicros() - start);
+    for (int i = 0; i < options.changes; ++i) {
+        Endpoint changedEndpoint = endpoint(i / 2 % options.caches, options.zones);
+        changedEndpoint.state = i % 2 == 0 ? EndpointState::removed : EndpointState::ready;
+        const double start = threadCpuMicros();
+        policy.updateEndpoints(EndpointUpdateKind::delta, {changedEndpoint});
+        policy.handleRequest(keys[i % keys.size()]);
+        times.push_back(threadCpuMicros() - start);
     }
     return std::max(medianOf(times) - requestMicros, 0.0);
 }
 
 }  // namespace
 
-ModuleCost measureModule(const ModuleOptions& o) {
-    if (o.caches < 2 || o.zones < 1 || o.requests < 1 || o.changes < 1 || !(o.requestsPerSecond > 0))
-        throw std::invalid_argument("two caches, a zone, a request and a change are the least to measure");
+ModuleCost measureModule(const ModuleOptions& options) {
+    if (options.caches < 2 || options.zones < 1 || options.requests < 1 || options.changes < 1 ||
+        !(options.requestsPerSecond > 0))
+        throw std::invalid_argument(
+            "a measurement needs at least two caches, one zone, one request, one change and a request rate "
+            "above 0");
     ModuleCost cost;
-    const std::vector<Endpoint> list = wholeList(o);
-    measureList(o, list, cost);
-    const std::vector<std::string> keys = drawKeys(o);
+    const std::vector<Endpoint> list = completeList(options);
+    measureList(options, list, cost);
+    const std::vector<std::string> keys = drawKeys(options);
     const double before = heapKib();
-    PolicyUnderLoad asked(o);
-    asked.news(EndpointUpdateKind::complete, list);
-    asked.request(keys.front());
+    PolicyUnderLoad policy(options);
+    policy.updateEndpoints(EndpointUpdateKind::complete, list);
+    policy.handleRequest(keys.front());
     cost.listMemoryKib = heapKib() - before;
-    const double start = threadMicros();
-    for (const std::string& key : keys) asked.request(key);
-    cost.requestMicros = (threadMicros() - start) / o.requests;
+    const double start = threadCpuMicros();
+    for (const std::string& key : keys) policy.handleRequest(key);
+    cost.requestMicros = (threadCpuMicros() - start) / options.requests;
     cost.usedMemoryKib = heapKib() - before;
-    // A refused request costs less than one that is served: then the figure would flatter.
-    if (asked.refused() > o.requests / 100)
-        throw std::runtime_error(fmt::format("{} of {} requests were refused", asked.refused(), o.requests));
-    cost.changeMicros = measureChanges(o, keys, cost.requestMicros, asked);
+    // A request that is not served costs less than one that is: with over 1% of them the figure is
+    // too low.
+    if (policy.unservedCount() > options.requests / 100)
+        throw std::runtime_error(fmt::format("{} of {} requests were rejected or failed, over 1%",
+                                             policy.unservedCount(), options.requests));
+    cost.changeMicros = measureChanges(options, keys, cost.requestMicros, policy);
     return cost;
 }
 
-bool measureSeries(const ModuleSeries& wanted) {
+bool measureSeries(const ModuleSeries& series) {
     using Column = Quantity<ModuleCost>;
     static const std::array<Column, 7> columns = {{{"request", "us", &ModuleCost::requestMicros},
                                                    {"change", "us", &ModuleCost::changeMicros},
@@ -232,13 +239,13 @@
                                                    {"list_memory", "KiB", &ModuleCost::listMemoryKib},
                                                    {"used_memory", "KiB", &ModuleCost::usedMemoryKib}}};
     const auto measure = [&](double size, std::uint64_t seed) {
-        ModuleOptions options = wanted.options;
+        ModuleOptions options = series.options;
         options.caches = static_cast<int>(size);
         options.seed = seed;
         return measureModule(options);
     };
-    const std::vector<double> sizes(wanted.sizes.begin(), wanted.sizes.end());
-    return runSeries<ModuleCost>("caches", sizes, wanted.seeds, wanted.factor,
+    const std::vector<double> sizes(series.sizes.begin(), series.sizes.end());
+    return runSeries<ModuleCost>("caches", sizes, series.seeds, series.factor,
                                  std::vector<Column>(columns.begin(), columns.end()), measure);
 }
 
--- a/src/testbed/scale/measure.hpp
+++ b/src/testbed/scale/measure.hpp
@@ -1,5 +1,6 @@
-// What the decision module costs by the number of caches: the module alone, with a host that answers each
-// attempt at once, in virtual time at one router's part of the target's peak.
+// Measures the cost of the decision module by the number of caches. The module runs alone in
+// virtual time, with a host that completes each attempt at once, at one router's share of the
+// target's peak request rate.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +14,37 @@
 struct ModuleOptions {
     int caches = 100;
     int zones = 10;
-    int routers = 12'000;  // the module's terms name them
+    int routers = 12'000;  // only passed to the module as a setting
     int requests = 40'000;
     int changes = 300;
     std::uint64_t seed = 1;
     double requestsPerSecond = 1167;
 };
 
-// Processor time is the thread's own, so that other jobs on the machine count little.
+// Times are processor time of the measuring thread, so that other load on the machine has little
+// influence.
 struct ModuleCost {
     double requestMicros = 0;    // arrival, choice and end of one request
-    double changeMicros = 0;     // one entry that changed, with the survey that the next request makes for it
-    double wholeListMillis = 0;  // a list taken in by an empty module, with the first survey
-    double parseMillis = 0;      // the same list out of discovery's JSON
-    double listBytes = 0;        // of that JSON
-    double listMemoryKib = 0;    // that the module holds after the list
-    double usedMemoryKib = 0;    // and after the requests: windows and hints too
+    double changeMicros = 0;     // one changed entry, with its extra work in the next request
+    double wholeListMillis = 0;  // a complete list and the first request, in an empty module
+    double parseMillis = 0;      // parsing the same list from discovery's JSON
+    double listBytes = 0;        // size of that JSON
+    double listMemoryKib = 0;    // heap of the module after the list
+    double usedMemoryKib = 0;    // heap of the module after the requests, with windows and hints
 };
 
-// Throws std::invalid_argument for what can't be measured.
+// Throws std::invalid_argument if the options are too small to measure anything.
 ModuleCost measureModule(const ModuleOptions& options);
 
 struct ModuleSeries {
     std::vector<int> sizes = {100, 200, 400, 600, 775};
     int seeds = 3;
-    int factor = 4;  // of the largest size, for the prediction; 0 leaves it out
+    int factor = 4;  // predicted size / largest measured size; 0: no prediction
     ModuleOptions options;
 };
 
-// Prints the samples, each quantity's fit and its prediction beside what was measured there. True where every
-// prediction held.
+// Prints the samples, each quantity's fit, and its prediction beside the measurement at that size.
+// Returns whether every prediction held.
 bool measureSeries(const ModuleSeries& series);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/processes.cpp
+++ b/src/testbed/scale/processes.cpp
@@ -14,19 +14,19 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-constexpr int kRouterMemoryMb = 256;  // of which 1/128 is the longest list that a router takes
+constexpr int kRouterMemoryMb = 256;  // a router accepts lists of up to 1/32 of it
 constexpr int kRouterDescriptors = 256;
-constexpr int kDistributorWaitMs = 3'000;  // as by default
+constexpr int kDistributorWaitMs = 3'000;  // the distributor's default
 constexpr int kDistributorBatchMs = 50;
-constexpr std::int64_t kAskWithinUs = 5'000'000;
+constexpr std::int64_t kPollIntervalUs = 5'000'000;
 
-double millis(Nanos nanos) { return static_cast<double>(nanos) / kMillisecond; }
+double toMillis(Nanos nanos) { return static_cast<double>(nanos) / kMillisecond; }
 
 std::string restartArguments(const Options& options) {
     std::string arguments;
     for (const Event& event : options.events)
         if (event.kind == EventKind::restartRouters)
-            arguments += fmt::format(" --restart {}:{}", millis(event.at), event.part);
+            arguments += fmt::format(" --restart {}:{}", toMillis(event.at), event.fraction);
     return arguments;
 }
 
@@ -44,15 +44,15 @@
     const auto folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
     const auto path = folder / name;
     if (!std::filesystem::exists(path))
-        throw std::runtime_error(fmt::format("{} is not built: it is not beside this program", name));
+        throw std::runtime_error(fmt::format("program {} not found in the folder of this program", name));
     return path.string();
 }
 
 std::string routerConfiguration(const Options& options, int router, const std::string& listen,
                                 const std::string& discovery) {
     using nlohmann::json;
-    const json read{{"name", "read"},           {"effect", "free"}, {"responseGoalUs", 30'000},
-                    {"timeLimitUs", 2'000'000}, {"utility", 1.0},   {"lateUtility", 0.3}};
+    const json readClass{{"name", "read"},           {"effect", "free"}, {"responseGoalUs", 30'000},
+                         {"timeLimitUs", 2'000'000}, {"utility", 1.0},   {"lateUtility", 0.3}};
     const json settings{{"replicasOfMe", std::max(options.stubRouters + options.realRouters, 1)},
                         {"membershipMode", "on_request"},
                         {"shapes", {"cache", "origin"}},
@@ -65,7 +65,7 @@
                           {"maxRetryAfterUs", 1'000'000},
                           {"retryAfter", true}}},
                         {"rules",
-                         {{"askWithinUs", kAskWithinUs},
+                         {{"askWithinUs", kPollIntervalUs},
                           {"fallUs", 1'000'000},
                           {"rampTimeUs", 10'000'000},
                           {"startCapacity", 0.3},
@@ -73,7 +73,7 @@
                         {"myZone", fmt::format("zone-{}", router % options.zones)},
                         {"costs", {{"crossZone", 0.1}}},
                         {"weights", "nominal"},
-                        {"verbs", json::array({read})}};
+                        {"verbs", json::array({readClass})}};
     const json configuration{
         {"name", fmt::format("router-{}", router)},
         {"listen", listen},
@@ -92,38 +92,38 @@
         options.changesPerSecond, options.realRouters, options.seed);
     for (const Event& event : options.events)
         if (event.kind == EventKind::slowDiscovery)
-            command +=
-                fmt::format(" --slow {}:{}:{}", millis(event.at), millis(event.length), millis(event.delay));
+            command += fmt::format(" --slow {}:{}:{}", toMillis(event.at), toMillis(event.duration),
+                                   toMillis(event.delay));
     if (options.without == "order") command += " --tell-older";
     return std::make_unique<ChildProcess>(command, std::vector<std::pair<std::string, std::string>>{},
                                           options.folder + "/discovery.log");
 }
 
 std::vector<StubProcess> startStubRouters(const Options& options, const std::vector<int>& ports) {
-    std::vector<StubProcess> all;
-    if (options.stubRouters == 0) return all;
+    std::vector<StubProcess> processes;
+    if (options.stubRouters == 0) return processes;
     const std::string configuration = options.folder + "/hollow-router.json";
     std::ofstream(configuration) << routerConfiguration(options, 0, "127.0.0.1:0", "") << '\n';
-    std::string shared = fmt::format(" --config '{}' --folder '{}' --zones {} --seed {}", configuration,
-                                     options.folder, options.zones, options.seed);
-    for (const int port : ports) shared += fmt::format(" --upstream 127.0.0.1:{}", port);
-    shared += restartArguments(options);
-    if (options.without == "apply") shared += " --without apply";
-    for (int first = 0; first < options.stubRouters; first += kRoutersPerProcess) {
-        const int routers = std::min(kRoutersPerProcess, options.stubRouters - first);
-        const auto index = all.size();
+    std::string sharedArguments = fmt::format(" --config '{}' --folder '{}' --zones {} --seed {}",
+                                              configuration, options.folder, options.zones, options.seed);
+    for (const int port : ports) sharedArguments += fmt::format(" --upstream 127.0.0.1:{}", port);
+    sharedArguments += restartArguments(options);
+    if (options.without == "apply") sharedArguments += " --without apply";
+    for (int first = 0; first < options.stubRouters; first += kMaxRoutersPerProcess) {
+        const int routers = std::min(kMaxRoutersPerProcess, options.stubRouters - first);
+        const auto index = processes.size();
         const std::string command =
             fmt::format("'{}'{} --index {} --first {} --routers {}", programPath("poppyscale_stub_routers"),
-                        shared, index, first, routers);
-        all.push_back(
+                        sharedArguments, index, first, routers);
+        processes.push_back(
             {std::make_unique<ChildProcess>(command, std::vector<std::pair<std::string, std::string>>{},
                                             fmt::format("{}/hollow-{}.log", options.folder, index)),
              first, routers});
     }
-    return all;
+    return processes;
 }
 
-std::unique_ptr<ChildProcess> startReal(const Options& options, int router, int port) {
+std::unique_ptr<ChildProcess> startRealRouter(const Options& options, int router, int port) {
     const std::string path = fmt::format("{}/real-{}.json", options.folder, router);
     const std::string listen = fmt::format("127.0.0.1:{}", freePort());
     std::ofstream(path) << routerConfiguration(options, router, listen, fmt::format("127.0.0.1:{}", port))
@@ -154,19 +154,20 @@
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address = loopback(0);
     socklen_t size = sizeof address;
-    const bool bound = ::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), size) == 0;
+    const bool isBound = ::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), size) == 0;
     ::getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size);
     ::close(descriptor);
-    if (!bound) throw std::runtime_error("no free port on the loopback interface");
+    if (!isBound) throw std::runtime_error("cannot bind a free port of the loopback interface");
     return ntohs(address.sin_port);
 }
 
 bool isListening(int port) {
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = loopback(port);
-    const bool open = ::connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+    const bool isAccepted =
+        ::connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
     ::close(descriptor);
-    return open;
+    return isAccepted;
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/processes.hpp
+++ b/src/testbed/scale/processes.hpp
@@ -1,4 +1,4 @@
-// The processes of a scale run: how each is started, and what it needs in its folder.
+// Starts the processes of a scale run and writes the files that they need.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace poppyscale::testbed::scale {
 
-// One process holds that many stub routers at most: each turn of its loop looks at all of them.
-constexpr int kRoutersPerProcess = 250;
+// The most stub routers in one process. Each iteration of its event loop goes through all of them.
+constexpr int kMaxRoutersPerProcess = 250;
 
 struct StubProcess {
     std::unique_ptr<ChildProcess> process;
@@ -22,26 +22,28 @@
 struct Distributor {
     std::unique_ptr<ChildProcess> process;
     int port = 0;
-    double processorBefore =
-        0;  // of the time that is measured: what was used before it, below 0 after a kill
+    // Processor seconds used before the measured time, subtracted from the final reading. 0 for a
+    // process that was started within the measured time.
+    double processorSecondsBefore = 0;
 };
 
-// Paths of the programs, beside the one that runs now. Throws where one is missing.
+// The path of a program in the folder of the running one. Throws std::runtime_error if it is
+// missing.
 std::string programPath(const std::string& name);
 
-// The configuration of a router, as poppyscale reads it: no clients, nothing known of the list.
+// The startup configuration of a router as JSON, without any endpoints.
 std::string routerConfiguration(const Options& options, int router, const std::string& listen,
                                 const std::string& discovery);
 
 std::unique_ptr<ChildProcess> startDiscovery(const Options& options);
 std::vector<StubProcess> startStubRouters(const Options& options, const std::vector<int>& ports);
-std::unique_ptr<ChildProcess> startReal(const Options& options, int router, int port);
+std::unique_ptr<ChildProcess> startRealRouter(const Options& options, int router, int port);
 std::unique_ptr<ChildProcess> startDistributor(const Options& options, int index, int port,
                                                int discoveryPort);
 
-// A port of the loopback interface that nobody listens on.
+// A free port of the loopback interface.
 int freePort();
-// Whether something accepts connections there.
+// Whether a process accepts connections on that loopback port.
 bool isListening(int port);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/report.hpp
+++ b/src/testbed/scale/report.hpp
@@ -1,4 +1,4 @@
-// The page of a scale run.
+// The HTML report of a scale run.
 #pragma once
 
 #include "testbed/scale/in_force.hpp"
@@ -6,9 +6,10 @@
 
 namespace poppyscale::testbed::scale {
 
-// Writes report.html into the run's folder: when the changes came into force over the measured time, with the
-// events marked, and the figures. `beganAt` is on the clock of the changes.
-void writeScaleReport(const Options& options, const Result& result, const PropagationStatistics& judged,
-                      std::int64_t beganAt);
+// Writes report.html to the run's folder: a plot of the changes' propagation times with the events
+// marked, and a table of the figures. `measurementStart` is the start of the measured time,
+// CLOCK_MONOTONIC in ns.
+void writeScaleReport(const Options& options, const Result& result, const PropagationStatistics& statistics,
+                      std::int64_t measurementStart);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -27,10 +27,10 @@
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 constexpr Nanos kPollInterval = 5 * kMillisecond;
-constexpr Nanos kReadyWithin = 60 * kSecond;
-constexpr Nanos kStopWithin = 20 * kSecond;
-constexpr Nanos kSettleTime = 5 * kSecond;  // after the last change, for what is still under way
-constexpr int kCallsOfSlowReader = 1'000;   // more answers than the kernel buffers take
+constexpr Nanos kReadyTimeout = 60 * kSecond;
+constexpr Nanos kStopTimeout = 20 * kSecond;
+constexpr Nanos kSettleTime = 5 * kSecond;  // for changes under way at the end of the measured time
+constexpr int kSlowReaderRequests = 1'000;  // their responses exceed the kernel's socket buffers
 
 std::int64_t monotonicNow() {
     timespec now{};
@@ -42,11 +42,11 @@
 
 nlohmann::json readJson(const std::string& path) {
     std::ifstream file(path);
-    if (!file) throw std::runtime_error("a process left no totals: " + path);
+    if (!file) throw std::runtime_error("a process has not written its totals: " + path);
     return nlohmann::json::parse(file);
 }
 
-// A connection that asks for the whole list again and again and reads nothing.
+// A connection that sends many requests for the complete list and reads no response.
 class SlowReader {
   public:
     explicit SlowReader(int port) : descriptor_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -55,10 +55,10 @@
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         address.sin_port = htons(static_cast<std::uint16_t>(port));
         if (::connect(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return;
-        std::string calls;
-        for (int i = 0; i < kCallsOfSlowReader; ++i)
-            calls += "GET /api/targets HTTP/1.1\r\nHost: slow\r\n\r\n";
-        (void)::send(descriptor_, calls.data(), calls.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+        std::string requests;
+        for (int i = 0; i < kSlowReaderRequests; ++i)
+            requests += "GET /api/targets HTTP/1.1\r\nHost: slow\r\n\r\n";
+        (void)::send(descriptor_, requests.data(), requests.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     }
     ~SlowReader() { ::close(descriptor_); }
     SlowReader(const SlowReader&) = delete;
@@ -71,39 +71,39 @@
 class ScaleRun {
   public:
     explicit ScaleRun(const Options& options) : options_(options) {}
-    Result play();
+    Result run();
 
   private:
-    // Something that the driver does itself at a time of the run.
+    // An action of the driver at a time since the start of the measured time.
     struct Step {
         Nanos at;
-        std::function<void()> act;
+        std::function<void()> action;
     };
 
     void prepare();
     void startAll();
-    void awaitReady();
+    void waitUntilReady();
     void planEvents();
     void planDistributorLoss(const Event& event, Distributor& distributor);
     void killDistributor(Distributor& distributor);
     void measure();
-    void awaitSettled();
+    void waitUntilSettled();
     void stopAll();
     Result evaluate();
-    void addDiscovery(Result& result) const;
-    void addStubRouters(Result& result) const;
-    void addReal(Result& result) const;
-    void addControl(Result& result) const;
-    void judgeBounds(Result& result, const PropagationStatistics& judged) const;
+    void addDiscoveryTotals(Result& result) const;
+    void addStubRouterTotals(Result& result) const;
+    void addRealRouterTotals(Result& result) const;
+    void addDistributorTotals(Result& result) const;
+    void checkBounds(Result& result, const PropagationStatistics& statistics) const;
 
-    void signalMeasured(int number);
+    void signalMeasuringProcesses(int signalNumber);
     void checkAlive();
-    void await(const char* what, Nanos within, const std::function<bool()>& done);
-    void tell(std::string_view phase, Nanos at) {
+    void waitFor(const char* what, Nanos timeout, const std::function<bool()>& done);
+    void reportProgress(std::string_view phase, Nanos at) {
         if (options_.progress) options_.progress(phase, at);
     }
     std::string path(const std::string& name) const { return options_.folder + "/" + name; }
-    bool isThroughLoss(std::int64_t at) const;
+    bool isDuringDistributorOutage(std::int64_t at) const;
 
     Options options_;
     std::unique_ptr<ChildProcess> discovery_;
@@ -112,51 +112,54 @@
     std::vector<Distributor> distributors_;
     std::vector<StubProcess> stubRouters_;
     std::vector<std::unique_ptr<ChildProcess>> real_;
-    std::vector<double> realProcessor_;  // at the begin, then what was used
+    // Processor seconds of each real router: up to the start of the measured time, then, once that
+    // has ended, those used within it.
+    std::vector<double> realProcessorSeconds_;
     double realMemoryKib_ = 0;
-    double distributorProcessor_ = 0;
+    double distributorProcessorSeconds_ = 0;
     double distributorMemoryKib_ = 0;
     std::unique_ptr<SlowReader> slowReader_;
     std::vector<Step> steps_;
-    std::int64_t beganAt_ = 0;
-    double seconds_ = 0;
+    std::int64_t measurementStart_ = 0;
+    double measuredSeconds_ = 0;
 };
 
-Result ScaleRun::play() {
-    rejectImpossible(options_);
+Result ScaleRun::run() {
+    validateOptions(options_);
     prepare();
     startAll();
-    awaitReady();
+    waitUntilReady();
     planEvents();
     measure();
-    awaitSettled();
+    waitUntilSettled();
     stopAll();
     return evaluate();
 }
 
 void ScaleRun::prepare() {
-    if (options_.folder.empty()) throw std::runtime_error("a run needs a folder for its files");
+    if (options_.folder.empty()) throw std::runtime_error("a scale run needs a folder for its files (--out)");
     std::filesystem::create_directories(options_.folder);
     options_.folder = std::filesystem::absolute(options_.folder).string();
     if (options_.folder.find('\'') != std::string::npos)
-        throw std::runtime_error("a folder's name may not have a quote in it");
-    // What an earlier run left would pass for this one's.
+        throw std::runtime_error("--out: a folder's path may not contain a single quote: " + options_.folder);
+    // Files left by an earlier run would be taken for those of this run.
     for (const auto& entry : std::filesystem::directory_iterator(options_.folder)) {
         const auto extension = entry.path().extension();
-        const bool ours = extension == ".records" || extension == ".ready" || extension == ".ports" ||
-                          extension == ".log" || extension == ".tsv" || extension == ".json";
-        if (ours && entry.is_regular_file()) std::filesystem::remove(entry.path());
+        const bool isRunFile = extension == ".records" || extension == ".ready" || extension == ".ports" ||
+                               extension == ".log" || extension == ".tsv" || extension == ".json";
+        if (isRunFile && entry.is_regular_file()) std::filesystem::remove(entry.path());
     }
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
-    const auto wanted = static_cast<rlim_t>(demandOf(options_).descriptors);
+    const auto wanted = static_cast<rlim_t>(resourceDemandOf(options_).descriptors);
     files.rlim_cur = std::max(files.rlim_cur, std::min(wanted, files.rlim_max));
     setrlimit(RLIMIT_NOFILE, &files);
 }
 
 void ScaleRun::startAll() {
     discovery_ = startDiscovery(options_);
-    await("discovery", kReadyWithin, [this] { return std::filesystem::exists(path("discovery.ports")); });
+    waitFor("discovery to listen", kReadyTimeout,
+            [this] { return std::filesystem::exists(path("discovery.ports")); });
     std::ifstream file(path("discovery.ports"));
     file >> discoveryPort_;
     for (int port = 0; file >> port;) realPorts_.push_back(port);
@@ -169,42 +172,42 @@
         upstreams.push_back(distributors_.back().port);
     }
     for (const Distributor& distributor : distributors_)
-        await("a distributor", kReadyWithin, [&] { return isListening(distributor.port); });
+        waitFor("a distributor to listen", kReadyTimeout, [&] { return isListening(distributor.port); });
     if (upstreams.empty()) upstreams.push_back(discoveryPort_);
     stubRouters_ = startStubRouters(options_, upstreams);
     for (int i = 0; i < options_.realRouters; ++i)
-        real_.push_back(startReal(options_, i, realPorts_[static_cast<std::size_t>(i)]));
+        real_.push_back(startRealRouter(options_, i, realPorts_[static_cast<std::size_t>(i)]));
 }
 
-void ScaleRun::awaitReady() {
-    tell("routers start", 0);
+void ScaleRun::waitUntilReady() {
+    reportProgress("routers start", 0);
     for (std::size_t i = 0; i < stubRouters_.size(); ++i)
-        await("the hollow routers' first list", kReadyWithin,
-              [&] { return std::filesystem::exists(path(fmt::format("hollow-{}.ready", i))); });
+        waitFor("the stub routers' first list", kReadyTimeout,
+                [&] { return std::filesystem::exists(path(fmt::format("hollow-{}.ready", i))); });
     if (real_.empty()) return;
-    await("the real routers' first list", kReadyWithin,
-          [this] { return std::filesystem::exists(path("real.ready")); });
+    waitFor("the real routers' first list", kReadyTimeout,
+            [this] { return std::filesystem::exists(path("real.ready")); });
 }
 
 void ScaleRun::planEvents() {
-    std::size_t next = 0;  // distributors are lost in turn
+    std::size_t nextDistributor = 0;  // the distributor for the next loss event, round-robin
     for (const Event& event : options_.events) {
         switch (event.kind) {
             case EventKind::killDistributor:
             case EventKind::stopDistributor:
-                planDistributorLoss(event, distributors_[next++ % distributors_.size()]);
+                planDistributorLoss(event, distributors_[nextDistributor++ % distributors_.size()]);
                 break;
             case EventKind::slowReader: {
                 const int port = distributors_.empty() ? discoveryPort_ : distributors_.front().port;
                 steps_.push_back(
                     {event.at, [this, port] { slowReader_ = std::make_unique<SlowReader>(port); }});
-                steps_.push_back({event.at + event.length, [this] { slowReader_.reset(); }});
+                steps_.push_back({event.at + event.duration, [this] { slowReader_.reset(); }});
                 break;
             }
-            case EventKind::restartRouters:  // the stubs processes and discovery were told at their start
-            case EventKind::slowDiscovery:
-            case EventKind::cutZone:  // refused before
-            case EventKind::loseRack:
+            case EventKind::restartRouters:  // passed to the stub processes on their command line
+            case EventKind::slowDiscovery:   // passed to discovery on its command line
+            case EventKind::cutZone:         // rejected before the run as not built
+            case EventKind::loseRack:        // the same
                 break;
         }
     }
@@ -214,59 +217,62 @@
 void ScaleRun::planDistributorLoss(const Event& event, Distributor& distributor) {
     if (event.kind == EventKind::stopDistributor) {
         steps_.push_back({event.at, [&distributor] { distributor.process->signal(SIGSTOP); }});
-        steps_.push_back({event.at + event.length, [&distributor] { distributor.process->signal(SIGCONT); }});
+        steps_.push_back(
+            {event.at + event.duration, [&distributor] { distributor.process->signal(SIGCONT); }});
         return;
     }
     steps_.push_back({event.at, [this, &distributor] { killDistributor(distributor); }});
-    steps_.push_back({event.at + event.length, [this, &distributor] {
+    steps_.push_back({event.at + event.duration, [this, &distributor] {
                           const auto index = static_cast<int>(&distributor - distributors_.data());
                           distributor.process =
                               startDistributor(options_, index, distributor.port, discoveryPort_);
-                          distributor.processorBefore = 0;
+                          distributor.processorSecondsBefore = 0;
                       }});
 }
 
 void ScaleRun::killDistributor(Distributor& distributor) {
-    distributorProcessor_ += processorSecondsOf(distributor.process->pid()) - distributor.processorBefore;
-    distributor.process.reset();  // by SIGKILL
+    distributorProcessorSeconds_ +=
+        processorSecondsOf(distributor.process->pid()) - distributor.processorSecondsBefore;
+    distributor.process.reset();  // sends SIGKILL
 }
 
-void ScaleRun::signalMeasured(int number) {
-    for (const StubProcess& stubs : stubRouters_) stubs.process->signal(number);
-    discovery_->signal(number);
+void ScaleRun::signalMeasuringProcesses(int signalNumber) {
+    for (const StubProcess& stubs : stubRouters_) stubs.process->signal(signalNumber);
+    discovery_->signal(signalNumber);
 }
 
 void ScaleRun::measure() {
-    beganAt_ = monotonicNow();
-    signalMeasured(SIGUSR1);
-    for (const auto& real : real_) realProcessor_.push_back(processorSecondsOf(real->pid()));
+    measurementStart_ = monotonicNow();
+    signalMeasuringProcesses(SIGUSR1);
+    for (const auto& real : real_) realProcessorSeconds_.push_back(processorSecondsOf(real->pid()));
     for (Distributor& distributor : distributors_)
-        distributor.processorBefore = processorSecondsOf(distributor.process->pid());
-    Nanos told = 0;
-    std::size_t step = 0;
-    for (Nanos now = 0; now < options_.length; now = monotonicNow() - beganAt_) {
-        for (; step < steps_.size() && steps_[step].at <= now; ++step) steps_[step].act();
-        if (now - told >= kSecond) tell("measured", told = now);
+        distributor.processorSecondsBefore = processorSecondsOf(distributor.process->pid());
+    Nanos lastProgress = 0;
+    std::size_t nextStep = 0;
+    for (Nanos now = 0; now < options_.length; now = monotonicNow() - measurementStart_) {
+        for (; nextStep < steps_.size() && steps_[nextStep].at <= now; ++nextStep) steps_[nextStep].action();
+        if (now - lastProgress >= kSecond) reportProgress("measured", lastProgress = now);
         checkAlive();
         pause();
     }
-    for (; step < steps_.size(); ++step) steps_[step].act();
-    signalMeasured(SIGUSR2);
-    seconds_ = static_cast<double>(monotonicNow() - beganAt_) / 1e9;
+    for (; nextStep < steps_.size(); ++nextStep) steps_[nextStep].action();
+    signalMeasuringProcesses(SIGUSR2);
+    measuredSeconds_ = static_cast<double>(monotonicNow() - measurementStart_) / 1e9;
     for (std::size_t i = 0; i < real_.size(); ++i) {
-        realProcessor_[i] = processorSecondsOf(real_[i]->pid()) - realProcessor_[i];
+        realProcessorSeconds_[i] = processorSecondsOf(real_[i]->pid()) - realProcessorSeconds_[i];
         realMemoryKib_ += residentKibOf(real_[i]->pid()) / static_cast<double>(real_.size());
     }
     for (const Distributor& distributor : distributors_) {
-        distributorProcessor_ += processorSecondsOf(distributor.process->pid()) - distributor.processorBefore;
+        distributorProcessorSeconds_ +=
+            processorSecondsOf(distributor.process->pid()) - distributor.processorSecondsBefore;
         distributorMemoryKib_ += residentKibOf(distributor.process->pid());
     }
 }
 
-void ScaleRun::awaitSettled() {
-    tell("settles", 0);
-    const std::int64_t until = monotonicNow() + kSettleTime;
-    while (monotonicNow() < until) {
+void ScaleRun::waitUntilSettled() {
+    reportProgress("settles", 0);
+    const std::int64_t deadline = monotonicNow() + kSettleTime;
+    while (monotonicNow() < deadline) {
         checkAlive();
         pause();
     }
@@ -274,22 +280,22 @@
 
 void ScaleRun::stopAll() {
     slowReader_.reset();
-    const auto ends = [this](ChildProcess& process) {
+    const auto stopAndWait = [this](ChildProcess& process) {
         process.signal(SIGTERM);
-        await("the end of a process", kStopWithin, [&process] { return process.hasExited(); });
+        waitFor("a process to exit", kStopTimeout, [&process] { return process.hasExited(); });
     };
     for (const StubProcess& stubs : stubRouters_) stubs.process->signal(SIGTERM);
-    for (const StubProcess& stubs : stubRouters_) ends(*stubs.process);
+    for (const StubProcess& stubs : stubRouters_) stopAndWait(*stubs.process);
     real_.clear();
     distributors_.clear();
-    ends(*discovery_);
+    stopAndWait(*discovery_);
 }
 
 void ScaleRun::checkAlive() {
     const auto check = [this](ChildProcess& process, const std::string& name) {
         if (process.hasExited())
-            throw std::runtime_error(
-                fmt::format("{} ended by itself with {}: {}", name, process.exitCode(), path(name + ".log")));
+            throw std::runtime_error(fmt::format("{} exited unexpectedly with code {}, see {}", name,
+                                                 process.exitCode(), path(name + ".log")));
     };
     check(*discovery_, "discovery");
     for (std::size_t i = 0; i < stubRouters_.size(); ++i)
@@ -299,61 +305,59 @@
         if (distributors_[i].process) check(*distributors_[i].process, fmt::format("distributor-{}", i));
 }
 
-void ScaleRun::await(const char* what, Nanos within, const std::function<bool()>& done) {
-    const std::int64_t until = monotonicNow() + within;
+void ScaleRun::waitFor(const char* what, Nanos timeout, const std::function<bool()>& done) {
+    const std::int64_t deadline = monotonicNow() + timeout;
     while (!done()) {
-        if (monotonicNow() > until)
-            throw std::runtime_error(fmt::format("waited {} s in vain for {}; see the logs in {}",
-                                                 within / kSecond, what, options_.folder));
-        if (within == kReadyWithin) checkAlive();
+        if (monotonicNow() > deadline)
+            throw std::runtime_error(fmt::format("waited {} s for {} without success, see the logs in {}",
+                                                 timeout / kSecond, what, options_.folder));
+        if (timeout == kReadyTimeout) checkAlive();
         pause();
     }
 }
 
-// ---- what was measured
-
-bool ScaleRun::isThroughLoss(std::int64_t at) const {
-    const Nanos since = at - beganAt_;
+bool ScaleRun::isDuringDistributorOutage(std::int64_t at) const {
+    const Nanos since = at - measurementStart_;
     for (const Event& event : options_.events) {
-        const bool loses =
+        const bool isOutage =
             event.kind == EventKind::killDistributor || event.kind == EventKind::stopDistributor;
-        // A change just before it may be caught on its way.
-        const Nanos from = event.at - options_.bounds.inForce;
-        if (loses && since >= from && since < event.at + event.length) return true;
+        // A change shortly before the event may still be under way when it begins.
+        const Nanos from = event.at - options_.bounds.maxPropagationTime;
+        if (isOutage && since >= from && since < event.at + event.duration) return true;
     }
     return false;
 }
 
 Result ScaleRun::evaluate() {
-    PropagationStatistics judged(readChanges(path("changes.tsv")));
+    PropagationStatistics statistics(readChanges(path("changes.tsv")));
     for (std::size_t i = 0; i < stubRouters_.size(); ++i) {
         const auto routers =
             readRecords(path(fmt::format("hollow-{}.records", i)),
                         static_cast<std::uint32_t>(stubRouters_[i].first), stubRouters_[i].routers);
-        for (const auto& records : routers) judged.add(records);
+        for (const auto& records : routers) statistics.add(records);
     }
     for (const auto& records : readRecords(path("real.records"), 0, options_.realRouters))
-        judged.add(records);
+        statistics.add(records);
     Result result;
     result.routers = options_.stubRouters + options_.realRouters;
     result.caches = options_.caches;
-    result.measuredSeconds = seconds_;
-    result.inForceP50Ms = judged.quantileMs(0.5);
-    result.inForceMaxMs = judged.quantileMs(1);
-    result.delivered = judged.delivered();
-    result.lost = judged.lost();
-    result.stale = judged.stale();
-    addDiscovery(result);
-    addReal(result);
-    addStubRouters(result);
-    addControl(result);
-    judgeBounds(result, judged);
-    writeScaleReport(options_, result, judged, beganAt_);
+    result.measuredSeconds = measuredSeconds_;
+    result.propagationP50Ms = statistics.quantileMs(0.5);
+    result.propagationMaxMs = statistics.quantileMs(1);
+    result.delivered = statistics.delivered();
+    result.lost = statistics.lost();
+    result.stale = statistics.stale();
+    addDiscoveryTotals(result);
+    addRealRouterTotals(result);
+    addStubRouterTotals(result);
+    addDistributorTotals(result);
+    checkBounds(result, statistics);
+    writeScaleReport(options_, result, statistics, measurementStart_);
     std::ofstream(path("result.json")) << jsonOf(result) << '\n';
     return result;
 }
 
-void ScaleRun::addDiscovery(Result& result) const {
+void ScaleRun::addDiscoveryTotals(Result& result) const {
     const auto totals = readJson(path("discovery.json"));
     const double seconds = std::max(totals.at("seconds").get<double>(), 1e-3);
     result.controlProcessorShare = totals.at("processor_seconds").get<double>() / seconds;
@@ -361,19 +365,19 @@
     result.controlMessagesPerSecond = totals.at("messages").get<double>() / seconds;
     const auto real = static_cast<double>(options_.realRouters);
     if (options_.realRouters == 0) return;
-    for (const auto& one : totals.at("real")) {
-        const double bytes = one.at("bytes_in").get<double>() + one.at("bytes_out").get<double>();
+    for (const auto& router : totals.at("real")) {
+        const double bytes = router.at("bytes_in").get<double>() + router.at("bytes_out").get<double>();
         result.realBytesPerSecond += bytes / seconds / real;
-        result.realMessagesPerSecond += one.at("messages").get<double>() / seconds / real;
+        result.realMessagesPerSecond += router.at("messages").get<double>() / seconds / real;
         result.routerPeakBytesPerSecond =
-            std::max(result.routerPeakBytesPerSecond, one.at("peak_bytes_per_second").get<double>());
+            std::max(result.routerPeakBytesPerSecond, router.at("peak_bytes_per_second").get<double>());
     }
 }
 
-void ScaleRun::addReal(Result& result) const {
+void ScaleRun::addRealRouterTotals(Result& result) const {
     if (options_.realRouters == 0) return;
-    for (const double used : realProcessor_)
-        result.realProcessorShare += used / seconds_ / static_cast<double>(options_.realRouters);
+    for (const double used : realProcessorSeconds_)
+        result.realProcessorShare += used / measuredSeconds_ / static_cast<double>(options_.realRouters);
     result.realMemoryKib = realMemoryKib_;
     if (options_.stubRouters > 0) return;
     result.routerBytesPerSecond = result.realBytesPerSecond;
@@ -382,7 +386,7 @@
     result.routerMessagesPerSecond = result.realMessagesPerSecond;
 }
 
-void ScaleRun::addStubRouters(Result& result) const {
+void ScaleRun::addStubRouterTotals(Result& result) const {
     const auto routers = static_cast<double>(options_.stubRouters);
     for (std::size_t i = 0; i < stubRouters_.size(); ++i) {
         const auto totals = readJson(path(fmt::format("hollow-{}.json", i)));
@@ -396,73 +400,75 @@
         result.routerMessagesPerSecond += totals.at("calls").get<double>() / seconds / routers;
         result.routerPeakBytesPerSecond =
             std::max(result.routerPeakBytesPerSecond, totals.at("peak_bytes_per_second").get<double>());
-        result.modulesDisagreeing += totals.at("modules_disagreeing").get<int>();
+        result.moduleMismatches += totals.at("modules_disagreeing").get<int>();
     }
 }
 
-void ScaleRun::addControl(Result& result) const {
+void ScaleRun::addDistributorTotals(Result& result) const {
     if (options_.distributors == 0) return;
-    result.controlProcessorShare += distributorProcessor_ / seconds_;
+    result.controlProcessorShare += distributorProcessorSeconds_ / measuredSeconds_;
     result.controlMemoryKib += distributorMemoryKib_;
-    // Each call of a router is answered once.
+    // Each poll of a router has one response.
     result.controlMessagesPerSecond +=
         result.routerMessagesPerSecond * static_cast<double>(options_.stubRouters);
 }
 
-void ScaleRun::judgeBounds(Result& result, const PropagationStatistics& judged) const {
-    double normal = 0;
-    for (const PropagationStatistics::PerChange& change : judged.changes()) {
+void ScaleRun::checkBounds(Result& result, const PropagationStatistics& statistics) const {
+    double maxOutsideOutage = 0;
+    for (const PropagationStatistics::PerChange& change : statistics.changes()) {
         if (change.milliseconds.empty()) continue;
         const auto slowest =
             static_cast<double>(*std::max_element(change.milliseconds.begin(), change.milliseconds.end()));
-        double& most = isThroughLoss(change.at) ? result.inForceThroughLossMaxMs : normal;
-        most = std::max(most, slowest);
+        double& max =
+            isDuringDistributorOutage(change.at) ? result.propagationMaxMsDuringOutage : maxOutsideOutage;
+        max = std::max(max, slowest);
     }
     const auto check = [&result](double measured, double bound, const char* what, const char* unit) {
         if (bound > 0 && measured > bound)
-            result.broken.push_back(
+            result.violations.push_back(
                 fmt::format("{}: {:.6g} {}, over the bound of {:.6g}", what, measured, unit, bound));
     };
     const Bounds& bounds = options_.bounds;
     const auto millis = [](Nanos nanos) { return static_cast<double>(nanos) / kMillisecond; };
-    check(normal, millis(bounds.inForce), "in force at the slowest router", "ms");
-    check(result.inForceThroughLossMaxMs, millis(bounds.inForceThroughLoss),
-          "in force at the slowest router while a distributor was lost", "ms");
-    check(result.routerBytesPerSecond, bounds.routerBytesPerSecond, "control bytes of a router",
-          "bytes a second");
-    check(result.routerProcessorShare, bounds.routerProcessorShare, "processor time of a router",
+    check(maxOutsideOutage, millis(bounds.maxPropagationTime), "longest propagation time", "ms");
+    check(result.propagationMaxMsDuringOutage, millis(bounds.maxPropagationTimeDuringOutage),
+          "longest propagation time during a distributor outage", "ms");
+    check(result.routerBytesPerSecond, bounds.maxRouterBytesPerSecond, "control traffic of a router",
+          "bytes per second");
+    check(result.routerProcessorShare, bounds.maxRouterProcessorShare, "processor time of a router",
           "of a core");
-    check(result.routerMemoryKib, bounds.routerMemoryKib, "memory of a router", "KiB");
+    check(result.routerMemoryKib, bounds.maxRouterMemoryKib, "memory of a router", "KiB");
     if (result.lost > 0)
-        result.broken.push_back(
-            fmt::format("{} pairs of a router and a change never came into force", result.lost));
-    if (result.modulesDisagreeing > 0)
-        result.broken.push_back(fmt::format(
-            "the decision modules of {} routers hold other servers than listed", result.modulesDisagreeing));
+        result.violations.push_back(
+            fmt::format("{} (router, change) pairs where the change never came into force", result.lost));
+    if (result.moduleMismatches > 0)
+        result.violations.push_back(fmt::format(
+            "{} stub routers: the decision module's servers differ from the list", result.moduleMismatches));
     if (result.stale > 0)
-        result.broken.push_back(fmt::format("versions fell at routers, {} times", result.stale));
+        result.violations.push_back(
+            fmt::format("{} lists used by a router after it had used a newer version", result.stale));
 }
 
 }  // namespace
 
-Result runScaleTest(const Options& options) { return ScaleRun(options).play(); }
+Result runScaleTest(const Options& options) { return ScaleRun(options).run(); }
 
 std::string lineOf(const Result& result) {
     return fmt::format(
         "routers={} caches={} in_force_p50_ms={:.2f} in_force_max_ms={:.2f} bytes_per_second_router={:.1f} "
         "cpu_share_router={:.6f} memory_kb_router={:.0f} cpu_share_control={:.4f} "
         "messages_per_second_control={:.1f} stale={} lost={}",
-        result.routers, result.caches, result.inForceP50Ms, result.inForceMaxMs, result.routerBytesPerSecond,
-        result.routerProcessorShare, result.routerMemoryKib, result.controlProcessorShare,
-        result.controlMessagesPerSecond, result.stale, result.lost);
+        result.routers, result.caches, result.propagationP50Ms, result.propagationMaxMs,
+        result.routerBytesPerSecond, result.routerProcessorShare, result.routerMemoryKib,
+        result.controlProcessorShare, result.controlMessagesPerSecond, result.stale, result.lost);
 }
 
 std::string jsonOf(const Result& result) {
     const nlohmann::json json{{"routers", result.routers},
                               {"caches", result.caches},
-                              {"in_force_p50_ms", result.inForceP50Ms},
-                              {"in_force_max_ms", result.inForceMaxMs},
-                              {"in_force_through_loss_max_ms", result.inForceThroughLossMaxMs},
+                              {"in_force_p50_ms", result.propagationP50Ms},
+                              {"in_force_max_ms", result.propagationMaxMs},
+                              {"in_force_through_loss_max_ms", result.propagationMaxMsDuringOutage},
                               {"bytes_per_second_router", result.routerBytesPerSecond},
                               {"peak_bytes_per_second_router", result.routerPeakBytesPerSecond},
                               {"messages_per_second_router", result.routerMessagesPerSecond},
@@ -477,10 +483,10 @@
                               {"messages_per_second_control", result.controlMessagesPerSecond},
                               {"delivered", result.delivered},
                               {"stale", result.stale},
-                              {"modules_disagreeing", result.modulesDisagreeing},
+                              {"modules_disagreeing", result.moduleMismatches},
                               {"lost", result.lost},
                               {"measured_seconds", result.measuredSeconds},
-                              {"broken", result.broken}};
+                              {"broken", result.violations}};
     return json.dump();
 }
 
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -1,5 +1,5 @@
-// A scale run: many stub routers and some real ones before a list that changes, through the real list code
-// and real sockets on loopback, and what that costs each role.
+// A scale run: many stub routers and some real ones poll a changing endpoint list with the
+// product's list code over loopback sockets. The run measures what that costs each role.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,30 @@
 namespace poppyscale::testbed::scale {
 
 enum class EventKind : std::uint8_t {
-    killDistributor,  // SIGKILL, started again after `length`
-    stopDistributor,  // SIGSTOP for `length`
-    restartRouters,   // a part of the stub routers forget their list and connect anew at once
-    cutZone,          // the routers of one zone reach nothing for `length`
-    slowDiscovery,    // each answer of discovery is held back for `delay`
-    loseRack,         // a distributor is killed together with the routers of one zone, for `length`
-    slowReader,       // a connection that asks and never reads its answers
+    killDistributor,  // a distributor gets SIGKILL and is started again after `duration`
+    stopDistributor,  // a distributor is stopped with SIGSTOP for `duration`
+    restartRouters,   // a fraction of the stub routers drop their list and reconnect at once
+    cutZone,          // the routers of one zone are cut off the network for `duration`
+    slowDiscovery,    // discovery delays each response by `delay`
+    loseRack,         // a distributor and the routers of one zone are killed for `duration`
+    slowReader,       // a connection sends requests but never reads the responses
 };
 
 struct Event {
     EventKind kind = EventKind::killDistributor;
     Nanos at = 0;  // since the start of the measured time
-    Nanos length = 0;
+    Nanos duration = 0;
     Nanos delay = 0;
-    double part = 0.1;  // of the routers
+    double fraction = 0.1;  // fraction of the routers of each stub process
 };
 
-// Bounds that a run has to keep; 0 leaves one out.
+// Upper bounds that a run must stay within; 0: no bound.
 struct Bounds {
-    Nanos inForce = 0;             // the slowest router and change
-    Nanos inForceThroughLoss = 0;  // the same while a distributor is lost
-    double routerBytesPerSecond = 0;
-    double routerProcessorShare = 0;  // of one core
-    double routerMemoryKib = 0;
+    Nanos maxPropagationTime = 0;              // longest propagation time of a change to a router
+    Nanos maxPropagationTimeDuringOutage = 0;  // the same for changes during a distributor outage
+    double maxRouterBytesPerSecond = 0;
+    double maxRouterProcessorShare = 0;  // of one core
+    double maxRouterMemoryKib = 0;
 };
 
 struct Options {
@@ -44,52 +44,56 @@
     int realRouters = 0;
     int caches = 0;
     int zones = 1;
-    int distributors = 0;  // 0: routers ask discovery itself
+    int distributors = 0;  // 0: routers poll discovery directly
     double changesPerSecond = 0;
     Nanos length = 0;
     std::uint64_t seed = 1;
-    std::string folder;  // for the run's files; kept
+    std::string folder;  // for the run's files, which are kept after the run
     std::vector<Event> events;
     Bounds bounds;
-    std::string without;  // a known mistake that has to be found: "apply" or "order"
+    std::string without;  // defective variant that the run has to detect: "apply" or "order"
     std::function<void(std::string_view phase, Nanos at)> progress;  // about every second
 };
 
-// What was measured; means over the measured time unless a name says otherwise.
+// The measured figures: means over the measured time unless the name says otherwise. The
+// `router...` figures are those of stub routers, or of real routers if there are no stub routers.
 struct Result {
-    int routers = 0;  // hollow and real
+    int routers = 0;  // stub and real routers
     int caches = 0;
-    double inForceP50Ms = 0;  // from the moment discovery had a change until a router decides by it
-    double inForceMaxMs = 0;
-    double routerBytesPerSecond = 0;      // control bytes in and out of one router
-    double routerPeakBytesPerSecond = 0;  // the worst router's worst second
+    // Propagation time: from the change at discovery until a router uses a list with it.
+    double propagationP50Ms = 0;
+    double propagationMaxMs = 0;
+    double routerBytesPerSecond = 0;      // control traffic of one router, both directions
+    double routerPeakBytesPerSecond = 0;  // largest figure of any router in any second
     double routerProcessorShare = 0;      // of one core
     double routerMemoryKib = 0;
     double controlProcessorShare = 0;  // discovery and distributors together, of one core
     double controlMemoryKib = 0;
-    double controlMessagesPerSecond = 0;  // answers of discovery and distributors
-    std::uint64_t delivered = 0;          // pairs of a router and a change that came into force there
-    std::uint64_t stale = 0;              // versions that fell at a router
-    std::uint64_t lost = 0;               // pairs of a router and a change that never came into force
-    std::vector<std::string> broken;      // bounds that were not kept, each in words
+    double controlMessagesPerSecond = 0;  // responses of discovery and distributors
+    std::uint64_t delivered = 0;          // (router, change) pairs where the change came into force
+    std::uint64_t stale = 0;              // lists used at a router after a newer one
+    std::uint64_t lost = 0;               // (router, change) pairs where it never came into force
+    std::vector<std::string> violations;  // a message for each bound or rule that was violated
 
-    // Beside the above, where they are of stub routers if there are any: what real routers cost.
+    // Costs of the real routers; the same as the `router...` figures if there are no stub routers.
     double realBytesPerSecond = 0;
-    double realMessagesPerSecond = 0;  // answers to one router
+    double realMessagesPerSecond = 0;  // responses to one router
     double realProcessorShare = 0;
     double realMemoryKib = 0;
-    double routerMessagesPerSecond = 0;  // calls of one stub router
-    double inForceThroughLossMaxMs = 0;  // of changes made while a distributor was lost
+    double routerMessagesPerSecond = 0;       // polls of one stub router
+    double propagationMaxMsDuringOutage = 0;  // for changes made during a distributor outage
     double measuredSeconds = 0;
-    int modulesDisagreeing = 0;  // stub routers whose decision module held other servers than it was handed
+    int moduleMismatches = 0;  // stub routers whose module's servers differ from the list
 };
 
-// Throws std::runtime_error, before anything is started, for what the machine can't hold and for what is not
-// built. Starts poppyscale_testbed, poppyscale_stub_routers, poppyscale and poppyscale_endpoint_distributor
-// of the caller's own folder.
+// Starts poppyscale_testbed, poppyscale_stub_routers, poppyscale and
+// poppyscale_endpoint_distributor from the folder of the running program. Throws std::runtime_error
+// before it starts anything if the options are invalid, need something that is not built, or exceed
+// the machine's memory or descriptors; also if a process ends unexpectedly or is not ready or
+// stopped in time.
 Result runScaleTest(const Options& options);
 
-// `name=value ...`, the last line of a run.
+// The last line of a run's output: `name=value ...`.
 std::string lineOf(const Result& result);
 std::string jsonOf(const Result& result);
 
--- a/src/testbed/scale/scenario.cpp
+++ b/src/testbed/scale/scenario.cpp
@@ -27,18 +27,18 @@
     event.kind = table.word("kind", eventNames(), std::optional<EventKind>{});
     event.at = table.millis("at_ms", std::nullopt);
     const bool hasLength = event.kind != EventKind::restartRouters;
-    if (hasLength) event.length = table.millis("length_ms", std::nullopt);
+    if (hasLength) event.duration = table.millis("length_ms", std::nullopt);
     if (event.kind == EventKind::slowDiscovery) event.delay = table.millis("delay_ms", std::nullopt);
-    if (event.kind == EventKind::restartRouters) event.part = table.fraction("part", 0.1);
+    if (event.kind == EventKind::restartRouters) event.fraction = table.fraction("part", 0.1);
     scenario.events.push_back(event);
 }
 
 void readBounds(TomlTable& table, Bounds& bounds) {
-    bounds.inForce = table.millis("in_force_ms", 0.0);
-    bounds.inForceThroughLoss = table.millis("in_force_through_loss_ms", 0.0);
-    bounds.routerBytesPerSecond = table.number("router_bytes_per_second", 0.0);
-    bounds.routerProcessorShare = table.fraction("router_cpu_share", 0.0);
-    bounds.routerMemoryKib = table.number("router_memory_kib", 0.0);
+    bounds.maxPropagationTime = table.millis("in_force_ms", 0.0);
+    bounds.maxPropagationTimeDuringOutage = table.millis("in_force_through_loss_ms", 0.0);
+    bounds.maxRouterBytesPerSecond = table.number("router_bytes_per_second", 0.0);
+    bounds.maxRouterProcessorShare = table.fraction("router_cpu_share", 0.0);
+    bounds.maxRouterMemoryKib = table.number("router_memory_kib", 0.0);
 }
 
 }  // namespace
--- a/src/testbed/scale/scenario.hpp
+++ b/src/testbed/scale/scenario.hpp
@@ -1,4 +1,4 @@
-// The file of a scale run: events and bounds.
+// The scenario file of a scale run: events and bounds.
 #pragma once
 
 #include <string>
@@ -13,7 +13,8 @@
     Bounds bounds;
 };
 
-// Throws BadScenario with all that is wrong with it, one line each: "FILE:LINE: KEY: what is wrong".
+// Throws ScenarioError with all problems of the file, one per line: "FILE:LINE: KEY: what is
+// wrong".
 ScaleScenario readScaleScenario(const std::string& path);
 
 std::string_view nameOf(EventKind kind);
--- a/src/testbed/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -1,4 +1,5 @@
-// One quantity after another over growing sizes: samples, fit, prediction, and the measurement that tests it.
+// Measures quantities at growing sizes, fits a line to each, predicts their values at a larger size
+// and checks the predictions by a measurement there.
 #pragma once
 
 #include <fmt/format.h>
@@ -24,9 +25,9 @@
 using Measure = std::function<Cost(double size, std::uint64_t seed)>;
 
 template <class Cost>
-void printSamples(const std::string& what, double size, const std::vector<Quantity<Cost>>& quantities,
+void printSamples(const std::string& variedName, double size, const std::vector<Quantity<Cost>>& quantities,
                   const std::vector<Cost>& costs) {
-    fmt::print("{}={:g}", what, size);
+    fmt::print("{}={:g}", variedName, size);
     for (const auto& q : quantities) {
         std::vector<double> values;
         for (const Cost& cost : costs) values.push_back(cost.*q.value);
@@ -37,17 +38,19 @@
     std::fflush(stdout);
 }
 
-// True where every prediction held. `factor` 0 leaves the predictions out.
+// Returns whether every prediction held. The prediction is for `factor` times the largest size;
+// with 0 there is no prediction.
 template <class Cost>
-bool runSeries(const std::string& what, const std::vector<double>& sizes, int seeds, int factor,
+bool runSeries(const std::string& variedName, const std::vector<double>& sizes, int seeds, int factor,
                const std::vector<Quantity<Cost>>& quantities, const Measure<Cost>& measure) {
     std::vector<std::vector<Sample>> samples(quantities.size());
     std::vector<std::vector<Cost>> costs(sizes.size());
-    // Sizes within seeds: what else the machine does for a while must not fall on one size.
+    // All sizes for one seed, then the next seed: a passing load on the machine must not affect one
+    // size alone.
     for (int seed = 1; seed <= seeds; ++seed)
         for (std::size_t i = 0; i < sizes.size(); ++i) costs[i].push_back(measure(sizes[i], seed));
     for (std::size_t i = 0; i < sizes.size(); ++i) {
-        printSamples(what, sizes[i], quantities, costs[i]);
+        printSamples(variedName, sizes[i], quantities, costs[i]);
         for (std::size_t q = 0; q < quantities.size(); ++q)
             for (const Cost& cost : costs[i]) samples[q].push_back({sizes[i], cost.*quantities[q].value});
     }
@@ -57,24 +60,24 @@
         fmt::print("{}\n", describe(quantities[q].name, fits[q], quantities[q].unit));
     }
     if (factor == 0) return true;
-    // The predictions stand printed before the size that can refute them is measured.
+    // Printed before the measurement that tests the predictions.
     const double largest = factor * fits.front().largestSize;
     for (std::size_t q = 0; q < quantities.size(); ++q)
-        fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, what, largest,
+        fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, variedName, largest,
                    fits[q].at(largest), quantities[q].unit);
     std::fflush(stdout);
-    std::vector<Cost> tested;
-    for (int seed = 1; seed <= seeds; ++seed) tested.push_back(measure(largest, seed));
-    printSamples(what, largest, quantities, tested);
-    bool all = true;
+    std::vector<Cost> measuredCosts;
+    for (int seed = 1; seed <= seeds; ++seed) measuredCosts.push_back(measure(largest, seed));
+    printSamples(variedName, largest, quantities, measuredCosts);
+    bool allHeld = true;
     for (std::size_t q = 0; q < quantities.size(); ++q) {
         std::vector<double> values;
-        for (const Cost& cost : tested) values.push_back(cost.*quantities[q].value);
-        const Prediction p = compare(fits[q], largest, values);
-        fmt::print("{}\n", describe(quantities[q].name, p, quantities[q].unit));
-        all = all && p.used;
+        for (const Cost& cost : measuredCosts) values.push_back(cost.*quantities[q].value);
+        const Prediction prediction = checkPrediction(fits[q], largest, values);
+        fmt::print("{}\n", describe(quantities[q].name, prediction, quantities[q].unit));
+        allHeld = allHeld && prediction.isWithinTolerance;
     }
-    return all;
+    return allHeld;
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -9,14 +9,15 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-// Of all changes: the part of each kind. Drains and ends take turns, so that as many end as are drained.
-constexpr double kRestarts = 0.4;
-constexpr double kNew = 0.2;
-// A caller that is further behind is told the whole list.
-constexpr std::int64_t kMostVersionsBehind = 5'000;
-
-constexpr std::string_view stateOf(EndpointState presence) {
-    switch (presence) {
+// Shares of all changes. The rest are drains and removals in about equal numbers, as drained
+// servers are removed.
+constexpr double kRestartShare = 0.4;
+constexpr double kAdditionShare = 0.2;
+// A poll that is further behind is answered with the complete list.
+constexpr std::int64_t kMaxVersionsBehind = 5'000;
+
+constexpr std::string_view stateName(EndpointState state) {
+    switch (state) {
         case EndpointState::ready:
             return "Ready";
         case EndpointState::draining:
@@ -33,7 +34,7 @@
     : caches_(caches), zones_(zones), random_(seed) {
     for (int i = 0; i < caches; ++i) add(startedMs - random_.below(1'000'000'000));
     version_ = 1;
-    for (Server& server : servers_) server.changedIn = version_;
+    for (Server& server : servers_) server.lastChangedVersion = version_;
 }
 
 std::size_t ServerList::add(std::int64_t startedMs) {
@@ -41,30 +42,30 @@
     const auto zone = number % static_cast<std::size_t>(zones_);
     Server server;
     server.id = fmt::format("cache-{:08x}-{}", random_.randomWord() >> 32, number);
-    server.fixed = fmt::format(
+    server.fixedJson = fmt::format(
         R"({{"id":"{}","addr":"10.{}.{}.{}:6379","zone":"zone-{}","kind":"cache","cell":{},"weight":1.0)",
         server.id, zone % 250, number / 250 % 250, number % 250 + 1, zone, number);
-    server.presence = EndpointState::removed;
+    server.state = EndpointState::removed;
     servers_.push_back(std::move(server));
-    set(number, EndpointState::ready, startedMs);
+    setState(number, EndpointState::ready, startedMs);
     return number;
 }
 
-void ServerList::set(std::size_t index, EndpointState presence, std::int64_t startedMs) {
+void ServerList::setState(std::size_t index, EndpointState state, std::int64_t startedMs) {
     Server& server = servers_[index];
-    digest_ -= entryDigest(server.id, server.presence, server.startedMs);
-    present_ -= server.presence != EndpointState::removed ? 1 : 0;
-    server.presence = presence;
+    digest_ -= entryDigest(server.id, server.state, server.startedMs);
+    listedCount_ -= server.state != EndpointState::removed ? 1 : 0;
+    server.state = state;
     server.startedMs = startedMs;
-    digest_ += entryDigest(server.id, server.presence, server.startedMs);
-    present_ += server.presence != EndpointState::removed ? 1 : 0;
+    digest_ += entryDigest(server.id, server.state, server.startedMs);
+    listedCount_ += server.state != EndpointState::removed ? 1 : 0;
 }
 
-std::size_t ServerList::anyReady() {
+std::size_t ServerList::randomReadyServer() {
     std::size_t index = 0;
     do {
         index = static_cast<std::size_t>(random_.below(static_cast<int>(servers_.size())));
-    } while (servers_[index].presence != EndpointState::ready);
+    } while (servers_[index].state != EndpointState::ready);
     return index;
 }
 
@@ -72,41 +73,42 @@
     std::size_t index = 0;
     std::string_view kind;
     const double drawn = random_.fraction();
-    const bool few = present_ < static_cast<std::size_t>(caches_);
-    if (drawn < kRestarts) {
+    const bool isBelowInitialSize = listedCount_ < static_cast<std::size_t>(caches_);
+    if (drawn < kRestartShare) {
         kind = "restart";
-        index = anyReady();
-        set(index, EndpointState::ready, std::max(nowMs, servers_[index].startedMs + 1));
-    } else if (drawn < kRestarts + kNew && few) {
+        index = randomReadyServer();
+        setState(index, EndpointState::ready, std::max(nowMs, servers_[index].startedMs + 1));
+    } else if (drawn < kRestartShare + kAdditionShare && isBelowInitialSize) {
         kind = "new";
         index = add(nowMs);
-    } else if (!draining_.empty() && (drawn > (1 + kRestarts + kNew) / 2 || draining_.size() > 1)) {
+    } else if (!draining_.empty() &&
+               (drawn > (1 + kRestartShare + kAdditionShare) / 2 || draining_.size() > 1)) {
         kind = "gone";
         index = draining_.front();
         draining_.erase(draining_.begin());
-        set(index, EndpointState::removed, servers_[index].startedMs);
+        setState(index, EndpointState::removed, servers_[index].startedMs);
     } else {
         kind = "drain";
-        index = anyReady();
-        set(index, EndpointState::draining, servers_[index].startedMs);
+        index = randomReadyServer();
+        setState(index, EndpointState::draining, servers_[index].startedMs);
         draining_.push_back(index);
     }
     ++version_;
-    servers_[index].changedIn = version_;
-    changed_.push_back(index);
+    servers_[index].lastChangedVersion = version_;
+    changedServers_.push_back(index);
     return kind;
 }
 
 std::string ServerList::entryJson(const Server& server) const {
-    return fmt::format(R"({},"state":"{}","started_ms":{}}})", server.fixed, stateOf(server.presence),
+    return fmt::format(R"({},"state":"{}","started_ms":{}}})", server.fixedJson, stateName(server.state),
                        server.startedMs);
 }
 
-std::string ServerList::whole() const {
+std::string ServerList::completeJson() const {
     std::string json = fmt::format(R"({{"version":{},"full":true,"servers":[)", version_);
     bool first = true;
     for (const Server& server : servers_) {
-        if (server.presence == EndpointState::removed) continue;
+        if (server.state == EndpointState::removed) continue;
         if (!first) json += ',';
         first = false;
         json += entryJson(server);
@@ -116,12 +118,12 @@
 }
 
 std::string ServerList::changesSince(std::int64_t after) const {
-    if (after < 1 || after > version_ || version_ - after > kMostVersionsBehind) return whole();
+    if (after < 1 || after > version_ || version_ - after > kMaxVersionsBehind) return completeJson();
     std::string json = fmt::format(R"({{"version":{},"full":false,"servers":[)", version_);
     bool first = true;
     for (std::int64_t version = after + 1; version <= version_; ++version) {
-        const Server& server = servers_[changed_[static_cast<std::size_t>(version - 2)]];
-        if (server.changedIn != version) continue;  // a later change of it is told
+        const Server& server = servers_[changedServers_[static_cast<std::size_t>(version - 2)]];
+        if (server.lastChangedVersion != version) continue;  // only its last change is sent
         if (!first) json += ',';
         first = false;
         json += entryJson(server);
--- a/src/testbed/scale/server_list.hpp
+++ b/src/testbed/scale/server_list.hpp
@@ -1,5 +1,5 @@
-// The list of cache servers that a scale run's discovery tells: what is in it, how it changes, and its JSON.
-// No sockets and no clock.
+// The list of cache servers that a scale run's discovery serves: its entries, random changes and
+// JSON. Uses no sockets and no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,42 +17,44 @@
   public:
     ServerList(int caches, int zones, std::uint64_t seed, std::int64_t startedMs);
 
-    // One cache drains, is gone, is new or was restarted: a version of its own. Returns a word for it.
+    // Makes a new version by one random change: a cache starts draining, is removed, added or
+    // restarted. Returns the kind of change: "drain", "gone", "new" or "restart".
     std::string_view change(std::int64_t nowMs);
 
     std::int64_t version() const { return version_; }
-    // Sum of `entryDigest` over the entries of this version.
+    // The sum of `entryDigest` over the entries of the current version.
     std::uint64_t digest() const { return digest_; }
-    std::size_t size() const { return present_; }
+    std::size_t size() const { return listedCount_; }
 
-    // What a call is answered with: all of the list, or what has changed since the version `after`, where
-    // that can still be told.
-    std::string whole() const;
+    // The JSON of the complete list.
+    std::string completeJson() const;
+    // The JSON of the changes since version `after`; of the complete list if `after` is unknown or
+    // too old.
     std::string changesSince(std::int64_t after) const;
 
   private:
     struct Server {
         std::string id;
-        std::string fixed;  // the part of its JSON that never changes
-        EndpointState presence = EndpointState::ready;
+        std::string fixedJson;  // the constant part of its JSON
+        EndpointState state = EndpointState::ready;
         std::int64_t startedMs = 0;
-        std::int64_t changedIn = 0;  // version
+        std::int64_t lastChangedVersion = 0;  // version of its last change
     };
 
     std::size_t add(std::int64_t startedMs);
-    void set(std::size_t index, EndpointState presence, std::int64_t startedMs);
-    std::size_t anyReady();
+    void setState(std::size_t index, EndpointState state, std::int64_t startedMs);
+    std::size_t randomReadyServer();
     std::string entryJson(const Server& server) const;
 
     int caches_;
     int zones_;
     Random random_;
-    std::vector<Server> servers_;        // by number; those that are gone stay
-    std::vector<std::size_t> draining_;  // the longest first
-    std::vector<std::size_t> changed_;   // server of each version after the first
+    std::vector<Server> servers_;              // by number; removed servers stay
+    std::vector<std::size_t> draining_;        // server numbers, longest draining first
+    std::vector<std::size_t> changedServers_;  // the server changed in each version after the first
     std::int64_t version_ = 0;
     std::uint64_t digest_ = 0;
-    std::size_t present_ = 0;
+    std::size_t listedCount_ = 0;
 };
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/slopes.cpp
+++ b/src/testbed/scale/slopes.cpp
@@ -7,17 +7,18 @@
 namespace poppyscale::testbed::scale {
 namespace {
 
-// Processor shares as percent, so that they read as the bounds do.
+// The figures of a run that get slopes. Processor figures are in percent of a core, as the bounds
+// are.
 struct Figures {
-    double inForceP50Ms = 0, inForceMaxMs = 0;
+    double propagationP50Ms = 0, propagationMaxMs = 0;
     double routerBytes = 0, routerProcessor = 0, routerMemory = 0;
     double controlProcessor = 0, controlMemory = 0, controlMessages = 0;
 };
 
 Figures figuresOf(const Result& result) {
     Figures f;
-    f.inForceP50Ms = result.inForceP50Ms;
-    f.inForceMaxMs = result.inForceMaxMs;
+    f.propagationP50Ms = result.propagationP50Ms;
+    f.propagationMaxMs = result.propagationMaxMs;
     f.routerBytes = result.routerBytesPerSecond;
     f.routerProcessor = 100 * result.routerProcessorShare;
     f.routerMemory = result.routerMemoryKib;
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-std::vector<double> usualSizes(Varied varied) {
+std::vector<double> defaultSizes(Varied varied) {
     switch (varied) {
         case Varied::routers:
             return {50, 100, 150, 200, 250};
@@ -65,21 +66,21 @@
     return options;
 }
 
-bool runSlopes(const SlopeSeries& series, const RunFunction& play) {
+bool runSlopes(const SlopeSeries& series, const RunFunction& run) {
     const std::vector<Quantity<Figures>> quantities = {
         {"control_processor", "% of a core", &Figures::controlProcessor},
         {"control_memory", "KiB", &Figures::controlMemory},
         {"control_messages", "1/s", &Figures::controlMessages},
-        {"in_force_p50", "ms", &Figures::inForceP50Ms},
-        {"in_force_max", "ms", &Figures::inForceMaxMs},
+        {"in_force_p50", "ms", &Figures::propagationP50Ms},
+        {"in_force_max", "ms", &Figures::propagationMaxMs},
         {"router_bytes", "bytes/s", &Figures::routerBytes},
         {"router_processor", "% of a core", &Figures::routerProcessor},
         {"router_memory", "KiB", &Figures::routerMemory},
     };
     const auto measure = [&](double size, std::uint64_t seed) {
-        return figuresOf(play(optionsAt(series, size, seed)));
+        return figuresOf(run(optionsAt(series, size, seed)));
     };
-    const auto sizes = series.sizes.empty() ? usualSizes(series.varied) : series.sizes;
+    const auto sizes = series.sizes.empty() ? defaultSizes(series.varied) : series.sizes;
     return runSeries<Figures>(nameOf(series.varied), sizes, series.seeds, series.factor, quantities, measure);
 }
 
--- a/src/testbed/scale/slopes.hpp
+++ b/src/testbed/scale/slopes.hpp
@@ -1,5 +1,5 @@
-// The slopes of scale runs: the same run at growing sizes of one option, a line through each figure, and a
-// prediction for a size that is then played.
+// Slopes of scale runs: repeats a run at growing values of one option, fits a line to each figure,
+// and checks its prediction by a run at a larger value.
 #pragma once
 
 #include <functional>
@@ -14,20 +14,20 @@
 
 struct SlopeSeries {
     Varied varied = Varied::routers;
-    std::vector<double> sizes;  // the usual ones of what is varied where empty
+    std::vector<double> sizes;  // if empty, the default sizes of `varied`
     int seeds = 3;
-    int factor = 4;  // of the largest size, for the prediction; 0 leaves it out
+    int factor = 4;  // predicted size / largest measured size; 0: no prediction
     Options options;
 };
 
 using RunFunction = std::function<Result(const Options&)>;
 
-std::vector<double> usualSizes(Varied varied);
+std::vector<double> defaultSizes(Varied varied);
 const char* nameOf(Varied varied);
-// The options of one run.
+// The options of the run at one size.
 Options optionsAt(const SlopeSeries& series, double size, std::uint64_t seed);
 
-// Prints samples, fits and predictions; true where every prediction held.
-bool runSlopes(const SlopeSeries& series, const RunFunction& play);
+// Prints samples, fits and predictions. Returns whether every prediction held.
+bool runSlopes(const SlopeSeries& series, const RunFunction& run);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/usage.cpp
+++ b/src/testbed/scale/usage.cpp
@@ -20,8 +20,8 @@
 }
 
 double processorSecondsOf(pid_t pid) {
-    // The scheduler's own account, in ns: /proc/PID/stat counts in hundredths of a second, which is as much
-    // as a quiet router uses in one.
+    // schedstat has the scheduler's account in ns. /proc/PID/stat is too coarse: it counts in
+    // hundredths of a second, as much as an idle router uses in one second.
     std::error_code problem;
     double nanos = 0;
     for (const auto& thread :
--- a/src/testbed/scale/usage.hpp
+++ b/src/testbed/scale/usage.hpp
@@ -1,4 +1,4 @@
-// What this process, or one that it started, has used of the machine.
+// Processor time and memory of this process and of others.
 #pragma once
 
 #include <sys/types.h>
@@ -7,7 +7,7 @@
 
 // User and system time of this process so far, in seconds.
 double ownProcessorSeconds();
-// The same of another process, over all its threads; 0 once it has ended.
+// Processor time of another process, summed over its live threads; 0 once it has ended.
 double processorSecondsOf(pid_t pid);
 // Resident memory of a process in KiB; 0 once it has ended.
 double residentKibOf(pid_t pid);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,4 +1,4 @@
-// Slopes, predictions and the capacity table: arithmetic that is worked out by hand here.
+// Tests of line fits, predictions and the capacity table against values computed by hand.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "testbed/scale/capacity.hpp"
 
@@ -22,25 +22,25 @@
 using namespace poppyscale::testbed;
 using doctest::Approx;
 
-TEST_CASE("a line is found with its slope, and nothing is left over") {
+TEST_CASE("Fits an exact line with its slope and intercept and no residual") {
     const scale::LineFit fit = scale::fitLine({{1, 5}, {2, 7}, {3, 9}, {4, 11}, {5, 13}});
     CHECK(fit.slope == Approx(2));
     CHECK(fit.intercept == Approx(3));
-    CHECK(fit.residual == Approx(0));
-    CHECK_FALSE(fit.curved);
+    CHECK(fit.rmsResidual == Approx(0));
+    CHECK_FALSE(fit.isCurved);
     CHECK(fit.largestSize == 5);
 }
 
-TEST_CASE("least squares as worked out by hand") {
-    // Mean (2, 4); products 1 x 2 + 0 + 1 x 1 = 3 over squares 2: slope 1.5, intercept 1.
-    // Residuals -0.5, 1, -0.5: root of 1.5 / 3.
+TEST_CASE("Fits noisy samples by least squares, as computed by hand") {
+    // Mean (2, 4); sum of products 1 x 2 + 0 + 1 x 1 = 3, sum of squares 2: slope 1.5, intercept 1.
+    // Residuals -0.5, 1, -0.5: root mean square sqrt(1.5 / 3).
     const scale::LineFit fit = scale::fitLine({{1, 2}, {2, 5}, {3, 5}});
     CHECK(fit.slope == Approx(1.5));
     CHECK(fit.intercept == Approx(1));
-    CHECK(fit.residual == Approx(std::sqrt(0.5)));
+    CHECK(fit.rmsResidual == Approx(std::sqrt(0.5)));
 }
 
-TEST_CASE("growth with the square is told from a line, noise is not taken for it") {
+TEST_CASE("Detects quadratic growth as curvature, but not noise around a line") {
     std::vector<scale::Sample> square;
     std::vector<scale::Sample> noisy;
     const double noise[] = {0.3, -0.4, 0.1};
@@ -49,27 +49,27 @@
             square.push_back({1.0 * size, 1e-4 * size * size + noise[seed]});
             noisy.push_back({1.0 * size, 0.05 * size + noise[(seed + size / 100) % 3]});
         }
-    CHECK(scale::fitLine(square).curved);
-    CHECK_FALSE(scale::fitLine(noisy).curved);
+    CHECK(scale::fitLine(square).isCurved);
+    CHECK_FALSE(scale::fitLine(noisy).isCurved);
 }
 
-TEST_CASE("a prediction off by over 15% is not used") {
+TEST_CASE("A prediction holds only within 15% of the measured median") {
     const scale::LineFit fit = scale::fitLine({{1, 1}, {2, 2}, {3, 3}});
-    CHECK(scale::compare(fit, 100, {114, 100, 90}).used);
-    CHECK(scale::compare(fit, 100, {100}).off == Approx(0));
-    CHECK(scale::compare(fit, 100, {88, 88, 500}).used);
-    CHECK_FALSE(scale::compare(fit, 100, {86}).used);
-    CHECK_FALSE(scale::compare(fit, 100, {120}).used);
-    CHECK_FALSE(scale::compare(fit, 100, {0}).used);
+    CHECK(scale::checkPrediction(fit, 100, {114, 100, 90}).isWithinTolerance);
+    CHECK(scale::checkPrediction(fit, 100, {100}).relativeError == Approx(0));
+    CHECK(scale::checkPrediction(fit, 100, {88, 88, 500}).isWithinTolerance);
+    CHECK_FALSE(scale::checkPrediction(fit, 100, {86}).isWithinTolerance);
+    CHECK_FALSE(scale::checkPrediction(fit, 100, {120}).isWithinTolerance);
+    CHECK_FALSE(scale::checkPrediction(fit, 100, {0}).isWithinTolerance);
 }
 
-TEST_CASE("too few sizes and values that are no numbers are refused") {
+TEST_CASE("Rejects a fit of fewer than three sizes or of NaN, and the median of no values") {
     CHECK_THROWS_AS(scale::fitLine({{1, 1}, {2, 2}, {2, 3}}), std::invalid_argument);
     CHECK_THROWS_AS(scale::fitLine({{1, 1}, {2, NAN}, {3, 3}}), std::invalid_argument);
     CHECK_THROWS_AS(scale::medianOf({}), std::invalid_argument);
 }
 
-TEST_CASE("the module is measured with the list whole and its bytes counted") {
+TEST_CASE("Measures the decision module's request time and the size of the list's JSON") {
     scale::ModuleOptions options;
     options.caches = 20;
     options.requests = 500;
@@ -122,7 +122,7 @@
 
 scale::Target target() { return scale::readTarget(contentOf(kTargetFile), kTargetFile); }
 
-// One slope as the file writes it; round figures to work with by hand.
+// One slope in the format of the slopes file.
 std::string slopeText(const std::string& name, const std::string& unit, const std::string& of, double base,
                       double value, double largest, const std::string& more = "") {
     return fmt::format(
@@ -150,7 +150,7 @@
 
 }  // namespace
 
-TEST_CASE("the page's table is what the command prints") {
+TEST_CASE("The table in docs/CAPACITY.md equals the output of the capacity command") {
     const std::string page = contentOf(DOCS "/CAPACITY.md");
     const std::string begin = "<!-- capacity: begin -->\n";
     const std::string end = "<!-- capacity: end -->";
@@ -162,63 +162,66 @@
           scale::capacityOfFiles(kTargetFile, kSlopesFile));
 }
 
-TEST_CASE("rows as worked out by hand") {
+TEST_CASE("Computes the rows of the capacity table, as computed by hand") {
     const auto rows = scale::capacityTable(target(), slopesByHand());
-    // 50 + 100 x 3,100 of list and 250 of call, at 23,000 bytes a second.
+    // List of 50 + 100 x 3,100 bytes and request of 250 bytes, at 23,000 bytes per second.
     const scale::Row& restart = rowOf(rows, "restart wave", "router", "time until its list is whole");
     CHECK(*restart.estimate.value == Approx(310'300.0 / 23'000));
     CHECK(restart.verdict() == scale::Verdict::over);
-    CHECK(restart.timesOver() == Approx(310'300.0 / 23'000 / 5));
-    // 64,000 a day are 0.7407 a second, each of 150 and 250 bytes.
+    CHECK(restart.budgetRatio() == Approx(310'300.0 / 23'000 / 5));
+    // 64,000 changes per day are 0.7407 per second, each with 150 bytes of list and 250 of request.
     const scale::Row& bytes = rowOf(rows, "ordinary second", "router", "list bytes");
     CHECK(*bytes.estimate.value == Approx(64'000.0 / 86'400 * 400 / 1000));
     CHECK(bytes.verdict() == scale::Verdict::ok);
-    // 2 + 0.01 x 3,100 = 33 us, 1,166.7 times a second: 3.85% of a core.
+    // 2 + 0.01 x 3,100 = 33 us, 1,166.7 times per second: 3.85% of a core.
     const scale::Row& choice = rowOf(rows, "ordinary second", "router", "processor, choice of a cache");
     CHECK(*choice.estimate.value == Approx(33.0 * 14e6 / 12'000 / 1e4));
     CHECK(choice.verdict() == scale::Verdict::over);
-    // (1 + 0.02 x 12,000) at one change a second, of which there are 0.7407; 48 times the largest size.
+    // (1 + 0.02 x 12,000)% at one change per second, times 0.7407; 48 times the largest measured
+    // size.
     const scale::Row& control = rowOf(rows, "ordinary second", "discovery, no distributors", "processor");
     CHECK(*control.estimate.value == Approx(241 * 64'000.0 / 86'400));
     CHECK(control.estimate.basis() == "extrapolated by 48: scale.control_processor");
-    // 170 purges of 100 bytes; an hour of them at 23,000 bytes a second.
+    // 170 purges per second of 100 bytes; those of an hour at 23,000 bytes per second.
     CHECK(*rowOf(rows, "ordinary second", "router", "purge bytes, each once").estimate.value == Approx(17));
     const scale::Row& purges = rowOf(rows, "partition's end", "router", "time of the missed purges' bytes");
     CHECK(*purges.estimate.value == Approx(612'000.0 * 100 / 23'000));
     CHECK(purges.estimate.basis() == "reasoned");
     CHECK(*rowOf(rows, "ordinary second", "all", "connections, full mesh").estimate.value == Approx(37.2));
-    // 3,100 x 8,192 bytes.
+    // 3,100 connections of 8,192 bytes.
     CHECK(*rowOf(rows, "ordinary second", "router", "memory, connections to caches").estimate.value ==
           Approx(25.3952));
-    // 4,516 requests a cache; those of 36.05 caches go to the 87.95 that are left of a region's 124.
+    // 4,516 requests/s per cache; those of the zone's 36.05 caches go to the other 87.95 of the
+    // region's 124.
     CHECK(*rowOf(rows, "zone lost", "cache", "requests, if its region takes all").estimate.value ==
           Approx(14e6 / 3100 * 124 / (124 - 3100.0 / 86)));
 }
 
-TEST_CASE("what no run gave is not known, and no budget counts as kept by it") {
+TEST_CASE("A row whose slope was not measured is unknown, not within its budget") {
     const auto rows = scale::capacityTable(target(), {});
     const scale::Row& row = rowOf(rows, "ordinary second", "router", "memory, list");
     CHECK(row.verdict() == scale::Verdict::unknown);
-    CHECK(row.estimate.missing == "not measured: module.list_memory");
+    CHECK(row.estimate.missingReason == "not measured: module.list_memory");
 }
 
-TEST_CASE("a slope whose prediction failed gives nothing past its largest size") {
+TEST_CASE("A slope whose prediction failed is used up to its largest measured size only") {
     const auto slopes = scale::readSlopes(
         slopeText("module.request", "us", "caches", 2, 0.01, 775, "used = false\n"), "slopes.toml");
     CHECK_FALSE(scale::estimate(slopes, "module.request", 3100).value);
-    CHECK(scale::estimate(slopes, "module.request", 3100).missing == "prediction failed: module.request");
+    CHECK(scale::estimate(slopes, "module.request", 3100).missingReason ==
+          "prediction failed: module.request");
     CHECK(*scale::estimate(slopes, "module.request", 500).value == Approx(7));
     CHECK(scale::estimate(slopes, "module.request", 500).basis() == "measured: module.request");
 }
 
-TEST_CASE("at the largest size measured the median there counts and not the line") {
+TEST_CASE("Uses the measured median instead of the line at the largest measured size") {
     const auto slopes = scale::readSlopes(
         slopeText("module.request", "us", "caches", 2, 0.01, 3100, "at_largest = 40\n"), "slopes.toml");
     CHECK(*scale::estimate(slopes, "module.request", 3100).value == 40);
     CHECK(*scale::estimate(slopes, "module.request", 6200).value == Approx(64));
 }
 
-TEST_CASE("the mechanism whose absence breaks most budgets comes first, then the worst factor") {
+TEST_CASE("Sorts missing mechanisms by the number of exceeded budgets, then by the worst factor") {
     scale::Row row;
     row.situation = "s";
     row.role = "r";
@@ -227,26 +230,26 @@
     const auto with = [&](scale::Mechanism mechanism, double value) {
         scale::Row r = row;
         r.mechanism = mechanism;
-        r.estimate = scale::reasoned(value);
+        r.estimate = scale::withoutSlope(value);
         return r;
     };
     scale::Row noPath = row;
     noPath.mechanism = scale::Mechanism::copies;
-    noPath.noPath = true;
-    const auto all = scale::absences(
+    noPath.hasNoPath = true;
+    const auto all = scale::missingMechanisms(
         {with(scale::Mechanism::scopedView, 20), with(scale::Mechanism::purgeStream, 30),
          with(scale::Mechanism::listWatch, 990), noPath, with(scale::Mechanism::listDistributors, 11),
          with(scale::Mechanism::listDistributors, 12), with(scale::Mechanism::listDistributors, 9)});
-    REQUIRE(all.size() == 4);  // what is built breaks no budget by its absence
+    REQUIRE(all.size() == 4);  // without listWatch, which is built
     CHECK(all[0].mechanism == scale::Mechanism::listDistributors);
-    CHECK(all[0].broken == 2);
-    CHECK(all[0].worstOver == Approx(1.2));
+    CHECK(all[0].exceededBudgets == 2);
+    CHECK(all[0].worstRatio == Approx(1.2));
     CHECK(all[1].mechanism == scale::Mechanism::purgeStream);
     CHECK(all[2].mechanism == scale::Mechanism::scopedView);
-    CHECK(all[3].noPath == 1);
+    CHECK(all[3].noPathCount == 1);
 }
 
-TEST_CASE("a slope without a run, in another unit, twice or unknown is found, all at once") {
+TEST_CASE("Reports all slopes that lack a run, have a wrong unit, are unknown or defined twice") {
     const std::string text =
         replaced(slopeText("module.request", "us", "caches", 2, 1, 3100), "run = \"by hand\"\n", "") +
         slopeText("module.change", "ms", "caches", 2, 1, 3100) +
@@ -255,8 +258,8 @@
     const std::string problems = slopesProblems(text);
     CHECK(has(problems, "slopes.toml:1: slope[0].run: is missing"));
     CHECK(has(problems, "slopes.toml:11: slope[1].unit: is 'ms' where 'us' is expected"));
-    CHECK(has(problems, "slope[2].name: 'module.request' is there twice"));
-    CHECK(has(problems, "slope[3].name: 'module.speed' is not a slope that is known here"));
+    CHECK(has(problems, "slope[2].name: 'module.request' is defined twice"));
+    CHECK(has(problems, "slope[3].name: 'module.speed' is not a known slope"));
     CHECK(has(problems, "slope[3].colour: is not a key that is known here"));
     CHECK(has(slopesProblems(slopeText("module.change", "us", "caches", 2, 1, 0)), "slope[0].largest"));
     const std::string named = slopeText("module.change", "us", "caches", 2, 1, 3100);
@@ -264,7 +267,7 @@
     CHECK(slopesProblems(named).empty());
 }
 
-TEST_CASE("a budget off by its unit, nonsense and unknown keys in the target are found, all at once") {
+TEST_CASE("Reports all wrong units, invalid values and unknown keys of a target file") {
     std::string text = contentOf(kTargetFile);
     CHECK(targetProblems(text).empty());
     text = replaced(text, "value = 32, unit = \"MB\"", "value = 32, unit = \"GB\"");
@@ -281,7 +284,7 @@
     CHECK(has(targetProblems("name = "), "target.toml:1"));
 }
 
-TEST_CASE("ten times as many routers are another target") {
+TEST_CASE("The number of routers in the target scales the rows that depend on it") {
     const auto text = replaced(contentOf(kTargetFile), "routers = 12000", "routers = 120000");
     const auto rows = scale::capacityTable(scale::readTarget(text, "target.toml"), slopesByHand());
     const scale::Row& row = rowOf(rows, "ordinary second", "cache", "connections from routers");
@@ -289,7 +292,7 @@
     CHECK(row.verdict() == scale::Verdict::over);
 }
 
-TEST_CASE("a series varies its one option, and predicts before it plays the size that tests it") {
+TEST_CASE("A slope series varies one option and tests its prediction at 4 times the largest size") {
     scale::SlopeSeries series;
     series.options.realRouters = 2;
     series.options.caches = 300;
--- a/tests/testbed_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -1,4 +1,5 @@
-// Scale runs: small ones as a program, the known mistakes that they have to find, and their judge by itself.
+// Tests of scale runs: the computation of propagation times, the endpoint list that discovery
+// serves, and small runs of the program, also with the defective variants that a run has to detect.
 #include <doctest/doctest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -45,7 +46,7 @@
     return output;
 }
 
-// A folder for the files of a test, removed with it.
+// A temporary folder, removed at the end of the test.
 class Folder {
   public:
     Folder() {
@@ -88,7 +89,7 @@
         std::count(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>(), '\n'));
 }
 
-// Content of version v is 100 + v.
+// Versions 1 to `count`, one per second; the digest of version v is 100 + v.
 std::vector<Change> versions(int count) {
     std::vector<Change> all;
     for (int v = 1; v <= count; ++v)
@@ -96,89 +97,90 @@
     return all;
 }
 
-PropagationRecord holds(std::int64_t version, std::int64_t atMs) {
+PropagationRecord recordOf(std::int64_t version, std::int64_t atMs) {
     return {0, 0, version, static_cast<std::uint64_t>(100 + version), atMs * kMillisecond};
 }
 
 }  // namespace
 
-TEST_CASE("scale judge: a change is in force from the first list with it") {
-    PropagationStatistics judged(versions(3));
-    judged.add({holds(1, 1'010), holds(2, 2'030), holds(3, 3'005)});
-    CHECK(judged.delivered() == 2);
-    CHECK(judged.lost() == 0);
-    CHECK(judged.stale() == 0);
-    CHECK(judged.quantileMs(1) == doctest::Approx(30));
-    CHECK(judged.quantileMs(0.5) == doctest::Approx(5));
+TEST_CASE("scale propagation: a change is in force from the first list that contains it") {
+    PropagationStatistics statistics(versions(3));
+    statistics.add({recordOf(1, 1'010), recordOf(2, 2'030), recordOf(3, 3'005)});
+    CHECK(statistics.delivered() == 2);
+    CHECK(statistics.lost() == 0);
+    CHECK(statistics.stale() == 0);
+    CHECK(statistics.quantileMs(1) == doctest::Approx(30));
+    CHECK(statistics.quantileMs(0.5) == doctest::Approx(5));
 }
 
-TEST_CASE("scale judge: a list of two changes at once brings both into force") {
-    PropagationStatistics judged(versions(3));
-    judged.add({holds(1, 1'010), holds(3, 3'005)});
-    CHECK(judged.delivered() == 2);
-    CHECK(judged.quantileMs(1) == doctest::Approx(1'005));
+TEST_CASE("scale propagation: a list with two new changes brings both into force") {
+    PropagationStatistics statistics(versions(3));
+    statistics.add({recordOf(1, 1'010), recordOf(3, 3'005)});
+    CHECK(statistics.delivered() == 2);
+    CHECK(statistics.quantileMs(1) == doctest::Approx(1'005));
 }
 
-TEST_CASE("scale judge: a lost list is found although later versions are told") {
-    PropagationStatistics judged(versions(4));
-    PropagationRecord third = holds(3, 3'010);
-    third.digest = 7;  // without what version 2 brought
-    PropagationRecord fourth = holds(4, 4'010);
+// A router that dropped a list still reports later versions. The digest of its list shows the loss.
+TEST_CASE("scale propagation: detects a dropped list although later versions arrive") {
+    PropagationStatistics statistics(versions(4));
+    PropagationRecord third = recordOf(3, 3'010);
+    third.digest = 7;  // lacks the change of version 2
+    PropagationRecord fourth = recordOf(4, 4'010);
     fourth.digest = 8;
-    judged.add({holds(1, 1'010), third, fourth});
-    CHECK(judged.delivered() == 0);
-    CHECK(judged.lost() == 3);
+    statistics.add({recordOf(1, 1'010), third, fourth});
+    CHECK(statistics.delivered() == 0);
+    CHECK(statistics.lost() == 3);
 }
 
-TEST_CASE("scale judge: a list that is mended later counts from then on") {
-    PropagationStatistics judged(versions(4));
-    PropagationRecord third = holds(3, 3'010);
+TEST_CASE("scale propagation: changes missing from a list are in force from the next correct list on") {
+    PropagationStatistics statistics(versions(4));
+    PropagationRecord third = recordOf(3, 3'010);
     third.digest = 7;
-    judged.add({holds(1, 1'010), third, holds(4, 4'020)});
-    CHECK(judged.lost() == 0);
-    CHECK(judged.quantileMs(1) == doctest::Approx(2'020));
+    statistics.add({recordOf(1, 1'010), third, recordOf(4, 4'020)});
+    CHECK(statistics.lost() == 0);
+    CHECK(statistics.quantileMs(1) == doctest::Approx(2'020));
 }
 
-TEST_CASE("scale judge: an older list again is stale, and the change is in force only after it") {
-    PropagationStatistics judged(versions(3));
-    judged.add({holds(1, 1'010), holds(3, 3'005), holds(2, 4'000), holds(3, 5'000)});
-    CHECK(judged.stale() == 1);
-    CHECK(judged.lost() == 0);
-    CHECK(judged.quantileMs(1) == doctest::Approx(2'000));
-
-    PropagationStatistics never(versions(3));
-    never.add({holds(1, 1'010), holds(3, 3'005), holds(2, 4'000)});
-    CHECK(never.stale() == 1);
-    CHECK(never.lost() == 1);
+TEST_CASE("scale propagation: an older list is stale, and takes newer changes out of force") {
+    PropagationStatistics statistics(versions(3));
+    statistics.add({recordOf(1, 1'010), recordOf(3, 3'005), recordOf(2, 4'000), recordOf(3, 5'000)});
+    CHECK(statistics.stale() == 1);
+    CHECK(statistics.lost() == 0);
+    CHECK(statistics.quantileMs(1) == doctest::Approx(2'000));
+
+    PropagationStatistics notRestored(versions(3));
+    notRestored.add({recordOf(1, 1'010), recordOf(3, 3'005), recordOf(2, 4'000)});
+    CHECK(notRestored.stale() == 1);
+    CHECK(notRestored.lost() == 1);
 }
 
-TEST_CASE("scale judge: a new process with the newest list takes nothing out of force") {
-    PropagationStatistics judged(versions(3));
-    judged.add({holds(1, 1'010), holds(3, 3'005), holds(3, 9'000)});
-    CHECK(judged.stale() == 0);
-    CHECK(judged.quantileMs(1) == doctest::Approx(1'005));
+TEST_CASE("scale propagation: receiving the newest list again leaves all changes in force") {
+    PropagationStatistics statistics(versions(3));
+    statistics.add({recordOf(1, 1'010), recordOf(3, 3'005), recordOf(3, 9'000)});
+    CHECK(statistics.stale() == 0);
+    CHECK(statistics.quantileMs(1) == doctest::Approx(1'005));
 }
 
-TEST_CASE("scale judge: a router without any list has lost all changes") {
-    PropagationStatistics judged(versions(3));
-    judged.add({});
-    CHECK(judged.lost() == 2);
-    CHECK(judged.delivered() == 0);
+TEST_CASE("scale propagation: a router without any list has lost all changes") {
+    PropagationStatistics statistics(versions(3));
+    statistics.add({});
+    CHECK(statistics.lost() == 2);
+    CHECK(statistics.delivered() == 0);
 }
 
-TEST_CASE("scale discovery: its changes make of any earlier list the present one") {
+TEST_CASE("scale discovery: the changes since any earlier version yield the current list") {
     ServerList list(40, 3, 5, 1'700'000'000'000);
     std::vector<std::unordered_map<std::string, std::uint64_t>> held;
     std::vector<std::int64_t> since;
-    const auto apply = [](const protocol::EndpointList& roster,
+    const auto apply = [](const protocol::EndpointList& list,
                           std::unordered_map<std::string, std::uint64_t>& to) {
-        if (roster.isComplete) to.clear();
-        for (const auto& place : roster.entries)
-            to[place.endpoint.name] = entryDigest(place.endpoint.name, place.endpoint.state, place.startedMs);
+        if (list.isComplete) to.clear();
+        for (const auto& entry : list.entries)
+            to[entry.endpoint.name] = entryDigest(entry.endpoint.name, entry.endpoint.state, entry.startedMs);
     };
     for (int i = 0; i < 400; ++i) {
         if (i % 50 == 0) {
-            apply(protocol::readEndpointList(list.whole()), held.emplace_back());
+            apply(protocol::readEndpointList(list.completeJson()), held.emplace_back());
             since.push_back(list.version());
         }
         CHECK_FALSE(list.change(1'700'000'000'000 + i).empty());
@@ -199,7 +201,7 @@
     CHECK(list.size() <= 40);
 }
 
-TEST_CASE("scale: small runs, and the known mistakes that they find") {
+TEST_CASE("scale: small runs stay within their bounds, and detect the defective variants") {
     const Folder folder;
     const std::string plain = folder.write("plain.toml", "[bounds]\nin_force_ms = 5000\n");
     const std::string tight = folder.write("tight.toml", "[bounds]\nin_force_ms = 0.001\n");
@@ -222,27 +224,28 @@
     const auto start = [&](const std::string& file, const std::string& name, const std::string& more) {
         return std::async(std::launch::async, shell, scaleCommand(file, folder / name, more));
     };
-    auto kept = start(plain, "kept", "--routers 30 --real 2 --changes-per-second 10 --seconds 3");
+    auto plainRun = start(plain, "kept", "--routers 30 --real 2 --changes-per-second 10 --seconds 3");
     auto apply = start(plain, "apply", "--routers 100 --changes-per-second 10 --seconds 3 --without apply");
-    auto order = start(plain, "order", "--routers 10 --changes-per-second 30 --seconds 3 --without order");
-    auto bound = start(tight, "tight", "--routers 5 --changes-per-second 5 --seconds 1");
-    auto disturbed = start(events, "events", "--routers 20 --real 1 --changes-per-second 10 --seconds 3");
+    auto orderVariant =
+        start(plain, "order", "--routers 10 --changes-per-second 30 --seconds 3 --without order");
+    auto tightRun = start(tight, "tight", "--routers 5 --changes-per-second 5 --seconds 1");
+    auto eventsRun = start(events, "events", "--routers 20 --real 1 --changes-per-second 10 --seconds 3");
 
-    const Output good = kept.get();
-    CHECK_MESSAGE(good.code == 0, good.text);
+    const Output plainOutput = plainRun.get();
+    CHECK_MESSAGE(plainOutput.code == 0, plainOutput.text);
     for (const char* name : {"in_force_p50_ms", "bytes_per_second_router", "cpu_share_router",
                              "memory_kb_router", "cpu_share_control", "messages_per_second_control"})
-        CHECK_MESSAGE(figure(good.lastLine, name) > 0, good.lastLine);
-    CHECK(figure(good.lastLine, "routers") == 32);
-    CHECK(figure(good.lastLine, "caches") == 100);
-    CHECK(figure(good.lastLine, "lost") == 0);
-    CHECK(figure(good.lastLine, "stale") == 0);
-    CHECK(figure(good.lastLine, "in_force_max_ms") < 5'000);
+        CHECK_MESSAGE(figure(plainOutput.lastLine, name) > 0, plainOutput.lastLine);
+    CHECK(figure(plainOutput.lastLine, "routers") == 32);
+    CHECK(figure(plainOutput.lastLine, "caches") == 100);
+    CHECK(figure(plainOutput.lastLine, "lost") == 0);
+    CHECK(figure(plainOutput.lastLine, "stale") == 0);
+    CHECK(figure(plainOutput.lastLine, "in_force_max_ms") < 5'000);
     const auto result = resultIn(folder / "kept");
     const std::size_t changes = linesOf(folder / "kept/changes.tsv") - 1;
     CHECK(changes >= 10);
     CHECK(result.at("delivered").get<std::size_t>() == 32 * changes);
-    // The socket's own count at the stub routers, discovery's at the real ones.
+    // The bytes of stub routers are counted by TCP_INFO, those of real routers by discovery.
     const double ratio =
         result.at("bytes_per_second_router").get<double>() / result.at("bytes_per_second_real").get<double>();
     CHECK_MESSAGE((ratio > 0.9 && ratio < 1.1), result.dump());
@@ -251,25 +254,27 @@
     const Output lost = apply.get();
     CHECK_MESSAGE(lost.code == 1, lost.text);
     CHECK_MESSAGE(figure(lost.lastLine, "lost") > 0, lost.text);
-    CHECK_MESSAGE(lost.text.find("never came into force") != std::string::npos, lost.text);
-
-    const Output older = order.get();
-    CHECK_MESSAGE(older.code == 1, older.text);
-    CHECK_MESSAGE(figure(older.lastLine, "stale") > 0, older.text);
-    CHECK_MESSAGE(older.text.find("versions fell") != std::string::npos, older.text);
-
-    const Output slower = bound.get();
-    CHECK_MESSAGE(slower.code == 1, slower.text);
-    CHECK_MESSAGE(slower.text.find("over the bound of 0.001") != std::string::npos, slower.text);
-
-    const Output eventful = disturbed.get();
-    CHECK_MESSAGE(eventful.code == 0, eventful.text);
-    CHECK_MESSAGE(figure(eventful.lastLine, "lost") == 0, eventful.text);
-    // What changes while discovery holds each answer back by that long.
-    CHECK_MESSAGE(figure(eventful.lastLine, "in_force_max_ms") >= 400, eventful.text);
+    CHECK_MESSAGE(lost.text.find("where the change never came into force") != std::string::npos, lost.text);
+
+    const Output orderOutput = orderVariant.get();
+    CHECK_MESSAGE(orderOutput.code == 1, orderOutput.text);
+    CHECK_MESSAGE(figure(orderOutput.lastLine, "stale") > 0, orderOutput.text);
+    CHECK_MESSAGE(orderOutput.text.find("lists used by a router after it had used a newer version") !=
+                      std::string::npos,
+                  orderOutput.text);
+
+    const Output tightOutput = tightRun.get();
+    CHECK_MESSAGE(tightOutput.code == 1, tightOutput.text);
+    CHECK_MESSAGE(tightOutput.text.find("over the bound of 0.001") != std::string::npos, tightOutput.text);
+
+    const Output eventsOutput = eventsRun.get();
+    CHECK_MESSAGE(eventsOutput.code == 0, eventsOutput.text);
+    CHECK_MESSAGE(figure(eventsOutput.lastLine, "lost") == 0, eventsOutput.text);
+    // Changes made while discovery delays each response by 400 ms.
+    CHECK_MESSAGE(figure(eventsOutput.lastLine, "in_force_max_ms") >= 400, eventsOutput.text);
 }
 
-TEST_CASE("scale: what can't be is refused before anything is started") {
+TEST_CASE("scale: rejects invalid options and runs beyond the machine's limits before starting anything") {
     const Folder folder;
     const std::string plain = folder.write("plain.toml", "");
     const auto isRefused = [&](const std::string& command, const std::string& why) {
@@ -281,29 +286,33 @@
     const auto refused = [&](const std::string& file, const std::string& more, const std::string& why) {
         isRefused(scaleCommand(file, folder / "out", "--seconds 1 " + more), why);
     };
-    refused(plain, "--routers 2 --purges-per-second 3", "no mechanism carries purges yet");
-    refused(plain, "--routers 0", "a run needs a router");
+    refused(plain, "--routers 2 --purges-per-second 3", "must be 0, purges are not built");
+    refused(plain, "--routers 0", "a scale run needs at least one router");
     isRefused(std::string(POPPYSCALE_TESTBED_PROGRAM) + " scale " + plain +
                   " --routers 100000 --caches 100000 --seconds 1 --out " + (folder / "out"),
               "over half of the machine's");
-    refused(plain, "--routers 2 --without sense", "no known mistake is called 'sense'");
-    refused(plain, "--routers 2 --real 1 --distributors 1", "not built");
+    refused(plain, "--routers 2 --without sense", "unknown defective variant 'sense'");
+    refused(plain, "--routers 2 --real 1 --distributors 1", "--real with --distributors is not built");
     const auto event = [&](const std::string& kind, const std::string& more) {
         return folder.write(kind + ".toml", "[[events]]\nkind = \"" + kind + "\"\nat_ms = 100\n" + more);
     };
-    refused(event("cut_zone", "length_ms = 10"), "--routers 2", "event cut_zone: not built");
-    refused(event("lose_rack", "length_ms = 10"), "--routers 2", "event lose_rack: not built");
-    refused(event("kill_distributor", "length_ms = 10"), "--routers 2", "there is no distributor");
-    refused(event("slow_reader", "length_ms = 1000"), "--routers 2", "after the measured 1.0 s");
-    refused(event("restart_routers", ""), "--routers 0 --real 1", "there is no hollow router");
+    refused(event("cut_zone", "length_ms = 10"), "--routers 2",
+            "event cut_zone: this kind of event is not built");
+    refused(event("lose_rack", "length_ms = 10"), "--routers 2",
+            "event lose_rack: this kind of event is not built");
+    refused(event("kill_distributor", "length_ms = 10"), "--routers 2",
+            "needs a distributor, but --distributors is 0");
+    refused(event("slow_reader", "length_ms = 1000"), "--routers 2", "after the measured time of 1.0 s");
+    refused(event("restart_routers", ""), "--routers 0 --real 1", "needs a stub router, but --routers is 0");
 
     const Output few =
         shell("ulimit -n 100; " + scaleCommand(plain, folder / "out", "--routers 200 --seconds 1"));
     CHECK_MESSAGE(few.code == 2, few.text);
-    CHECK_MESSAGE(few.text.find("descriptors of a process, over its 100") != std::string::npos, few.text);
+    CHECK_MESSAGE(few.text.find("descriptors in one process, over its limit of 100") != std::string::npos,
+                  few.text);
 }
 
-TEST_CASE("scale: all that is wrong with a scenario is said at once, with its lines") {
+TEST_CASE("scale: reports all problems of a scenario file at once, with file, line and key") {
     const Folder folder;
     const std::string file = folder.write("bad.toml", R"([bounds]
 in_force_ms = "soon"
