--- a/src/ctl/agent_endpoint.cpp
+++ b/src/ctl/agent_endpoint.cpp
@@ -65,7 +65,7 @@
         const rollout::Order order = rollout::readOrder(request);
         const rollout::AgentState& state = agent_.state();
         // The program and the template of a repeated order are stored already.
-        if (order.digest == state.digest && !state.change.none()) {
+        if (order.digest == state.digest && !state.change.isEmpty()) {
             applyOrder({client, order, state.change, ""});
             return;
         }
@@ -87,10 +87,11 @@
                                                          const rollout::Version& before) {
     PreparedOrder prepared{client, order, before, ""};
     try {
-        if (before.none())
+        if (before.isEmpty())
             throw std::runtime_error("the current version could not be stored, so no rollback is possible");
         if (!order.program.empty()) prepared.version.program = versions.storeProgram(order.program);
-        if (!order.form.empty()) prepared.version.templateDigest = versions.storeTemplate(order.form);
+        if (!order.templateText.empty())
+            prepared.version.templateDigest = versions.storeTemplate(order.templateText);
         if (!order.programDigest.empty() && order.programDigest != prepared.version.program)
             throw std::runtime_error(order.program + " differs from the coordinator's program of that path");
     } catch (const std::exception& problem) {
--- a/src/ctl/fleet_host.cpp
+++ b/src/ctl/fleet_host.cpp
@@ -120,7 +120,7 @@
 }
 
 // Stores the program and template that the description names, so that a rollout can be rolled back to them.
-// Returns the version none() if they can't be stored.
+// Returns an empty version if they can't be stored.
 Version FleetHost::storeDescribedVersion() {
     try {
         return {versions_.storeProgram(description_.program),
@@ -166,7 +166,7 @@
         status_.recordEvent(instance, "found");
         const Version& version = agent_.versionOf(instance);
         const std::string program = versions_.digestIn(programOf(status.pid));
-        const bool isOtherProgram = !version.none() && !program.empty() && program != version.program;
+        const bool isOtherProgram = !version.isEmpty() && !program.empty() && program != version.program;
         if (!installer_.isInstalling(instance) && isOtherProgram)
             agent_.onVersionMismatch(monotonicNow(), instance);
     } catch (const std::exception&) {
@@ -250,7 +250,7 @@
     std::string program = description_.program;
     std::string templateText = description_.templateText;
     try {
-        if (!version.none()) {
+        if (!version.isEmpty()) {
             templateText = versions_.templateText(version.templateDigest);
             versions_.checkProgram(version.program);
             program = versions_.programPath(version.program);
@@ -283,8 +283,8 @@
 
 void FleetHost::upgrade(int instance) {
     const Version& version = agent_.versionOf(instance);
-    installer_.startUpgrade(instance,
-                            version.none() ? description_.program : versions_.programPath(version.program));
+    installer_.startUpgrade(
+        instance, version.isEmpty() ? description_.program : versions_.programPath(version.program));
 }
 
 void FleetHost::persist(const rollout::AgentState& state) { agentStore_.save(state); }
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -102,7 +102,7 @@
             controller_.onReport(now, agent, rollout::readReport(answer));
         } catch (const std::exception& problem) {
             log_.info("invalid answer", {{"agent", name}, {"why", problem.what()}});
-            controller_.onRefused(now, agent, problem.what());
+            controller_.onRejected(now, agent, problem.what());
         }
     }
 
@@ -114,7 +114,7 @@
         if (error.isBusy) return;
         const auto& name = plan_.agents[static_cast<std::size_t>(agent)].name;
         log_.info("refused", {{"agent", name}, {"why", error.problem}});
-        controller_.onRefused(now, agent, error.problem);
+        controller_.onRejected(now, agent, error.problem);
     }
 
     void report(std::string_view what, const json& fields) override { log_.info(what, fields); }
--- a/src/discovery/endpoint_poll.cpp
+++ b/src/discovery/endpoint_poll.cpp
@@ -10,7 +10,7 @@
 namespace poppyscale::discovery {
 
 EndpointPoll::EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& handler,
-                           DiscoveryAddress source, std::size_t maxListBytes)
+                           EndpointSource source, std::size_t maxListBytes)
     : loop_(loop),
       pool_(pool),
       handler_(handler),
--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -14,7 +14,7 @@
 namespace poppyscale::discovery {
 
 // A source of the endpoint list: discovery, or a distributor that speaks its protocol.
-struct DiscoveryAddress {
+struct EndpointSource {
     transport::Address address;
     std::string host;  // for the Host header and the log
 };
@@ -46,13 +46,13 @@
     enum class Phase : std::uint8_t { connecting, waiting, reading };
 
     EndpointPoll(transport::EventLoop& loop, transport::BufferPool& pool, Handler& handler,
-                 DiscoveryAddress source, std::size_t maxListBytes);
+                 EndpointSource source, std::size_t maxListBytes);
 
     // Returns false if connecting or writing fails at once; the poll has to be destroyed then.
     bool start(const Request& request);
 
     const Request& request() const { return request_; }
-    const DiscoveryAddress& source() const { return source_; }
+    const EndpointSource& source() const { return source_; }
     // Status and body of the response; valid from `onResponse` on.
     int status() const { return response_.status(); }
     std::string_view body() { return response_.body(); }
@@ -77,7 +77,7 @@
     transport::EventLoop& loop_;
     transport::BufferPool& pool_;
     Handler& handler_;
-    const DiscoveryAddress source_;
+    const EndpointSource source_;
     Request request_;
     Phase phase_ = Phase::connecting;
     Nanos startedAt_ = 0;
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -18,7 +18,7 @@
 // Pause before the next attempt to poll while kMaxConcurrentPolls are in flight.
 constexpr Nanos kPauseAtMaxPolls = 200 * kMillisecond;
 
-bool isSameSource(const DiscoveryAddress& a, const DiscoveryAddress& b) {
+bool isSameSource(const EndpointSource& a, const EndpointSource& b) {
     return transport::sameAddress(a.address, b.address);
 }
 
@@ -37,11 +37,11 @@
       isPushed_(settings.isPushed),
       pacing_(settings.routerCount, settings.seed, false),
       nextPoll_(loop, [this] { onPollDue(); }),
-      lastHeardAt_(transport::EventLoop::now()) {
+      lastResponseAt_(transport::EventLoop::now()) {
     replaceSources(std::move(settings.sources));
 }
 
-void EndpointWatcher::replaceSources(std::vector<DiscoveryAddress> sources) {
+void EndpointWatcher::replaceSources(std::vector<EndpointSource> sources) {
     sourceSet_.reset();
     std::size_t first = 0;
     if (sources.size() > 1) {
@@ -53,28 +53,28 @@
     pacing_.setMayBeOverloaded(!isPushed_ && !sourceSet_);
 }
 
-void EndpointWatcher::start() {
+void EndpointWatcher::pollNow() {
     if (awaitedPoll_ || (nextPoll_.isActive() && (sourceSet_ || pacing_.isOverloaded()))) return;
     beginPoll();
 }
 
-void EndpointWatcher::setSources(std::vector<DiscoveryAddress> sources) {
-    if (sourceSet_ && std::equal(sources.begin(), sources.end(), sourceSet_->addresses.begin(),
-                                 sourceSet_->addresses.end(), isSameSource))
+void EndpointWatcher::setSources(std::vector<EndpointSource> sources) {
+    if (sourceSet_ && std::equal(sources.begin(), sources.end(), sourceSet_->sources.begin(),
+                                 sourceSet_->sources.end(), isSameSource))
         return;
-    const auto current = std::find_if(sources.begin(), sources.end(), [&](const DiscoveryAddress& source) {
+    const auto current = std::find_if(sources.begin(), sources.end(), [&](const EndpointSource& source) {
         return isSameSource(source, source_);
     });
     if (current != sources.end()) {
-        const DiscoveryAddress address = *current;
+        const EndpointSource kept = *current;
         const auto index = static_cast<std::size_t>(current - sources.begin());
         replaceSources(std::move(sources));
-        source_ = address;
+        source_ = kept;
         if (sourceSet_) sourceSet_->selector.resumeAt(index);
         // Only the polls of the current source stay in flight.
         for (std::size_t i = polls_.size(); i > 0; --i)
             if (!isSameSource(polls_[i - 1]->source(), source_)) removePoll(*polls_[i - 1]);
-        start();
+        pollNow();
         return;
     }
     replaceSources(std::move(sources));
@@ -85,7 +85,7 @@
     polls_.clear();
     nextPoll_.stop();
     dispatcher_.onDiscoveryMoved();
-    start();
+    pollNow();
 }
 
 EndpointPoll::Request EndpointWatcher::nextRequest() {
@@ -176,7 +176,7 @@
 
 void EndpointWatcher::retryAfterPause() {
     const Nanos now = transport::EventLoop::now();
-    nextPoll_.start(now + pacing_.pauseAfterFailure(now - lastHeardAt_));
+    nextPoll_.start(now + pacing_.pauseAfterFailure(now - lastResponseAt_));
 }
 
 void EndpointWatcher::pollLater(EndpointPoll& poll) {
@@ -209,7 +209,7 @@
     if (!sourceSet_ && request.after && list.version < request.known)
         throw protocol::ParseError(
             fmt::format("version {} is older than the known version {}", list.version, request.known));
-    lastHeardAt_ = transport::EventLoop::now();
+    lastResponseAt_ = transport::EventLoop::now();
     const bool isRecovered = !lastFailure_.empty();
     lastFailure_.clear();
     if (isRecovered)
@@ -250,7 +250,7 @@
 void EndpointWatcher::recordFailure(std::string_view reason, const EndpointPoll& poll) {
     lastFailure_ = sourceSet_ ? fmt::format("{}: {}", poll.source().host, reason) : std::string(reason);
     if (sourceSet_) return;  // logged with the move to the next source
-    const auto ageMs = (transport::EventLoop::now() - lastHeardAt_) / kMillisecond;
+    const auto ageMs = (transport::EventLoop::now() - lastResponseAt_) / kMillisecond;
     log_(fmt::format("endpoint list unavailable from discovery: {}; last usable response {} ms ago; {}",
                      reason, ageMs, poll.progress()));
 }
@@ -274,17 +274,17 @@
 void EndpointWatcher::resumeAtSourceOf(const EndpointPoll& poll) {
     if (isSameSource(poll.source(), source_)) return;
     const auto source =
-        std::find_if(sourceSet_->addresses.begin(), sourceSet_->addresses.end(),
-                     [&](const DiscoveryAddress& one) { return isSameSource(one, poll.source()); });
-    if (source == sourceSet_->addresses.end()) return;
+        std::find_if(sourceSet_->sources.begin(), sourceSet_->sources.end(),
+                     [&](const EndpointSource& one) { return isSameSource(one, poll.source()); });
+    if (source == sourceSet_->sources.end()) return;
     source_ = *source;
-    sourceSet_->selector.resumeAt(static_cast<std::size_t>(source - sourceSet_->addresses.begin()));
+    sourceSet_->selector.resumeAt(static_cast<std::size_t>(source - sourceSet_->sources.begin()));
 }
 
 void EndpointWatcher::moveToNextSource(std::string_view reason) {
     const std::string failure = fmt::format("{}: {}", source_.host, reason);
     const Attempt next = sourceSet_->selector.onFailed(transport::EventLoop::now());
-    source_ = sourceSet_->addresses[next.source];
+    source_ = sourceSet_->sources[next.source];
     nextPoll_.start(next.at);
     logMove(failure);
 }
@@ -307,7 +307,7 @@
     log_(
         fmt::format("polls endpoint list source {} next, after a failure of {}; "
                     "last usable response {} ms ago{}",
-                    source_.host, reason, (now - lastHeardAt_) / kMillisecond, unlogged));
+                    source_.host, reason, (now - lastResponseAt_) / kMillisecond, unlogged));
 }
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -25,12 +25,12 @@
 class EndpointWatcher : private EndpointPoll::Handler {
   public:
     struct Settings {
-        std::vector<DiscoveryAddress> sources;  // at least one
-        std::uint64_t sourceSeed = 0;           // for the random order of several sources
-        std::int64_t version = 0;               // of the list that is known at the start
-        Nanos maxPollWait = 0;                  // how long a long poll may wait at its source
-        std::uint64_t seed = 0;                 // for random pauses
-        std::int64_t routerCount = 1;           // routers in the fleet
+        std::vector<EndpointSource> sources;  // at least one
+        std::uint64_t sourceSeed = 0;         // for the random order of several sources
+        std::int64_t version = 0;             // of the list that is known at the start
+        Nanos maxPollWait = 0;                // how long a long poll may wait at its source
+        std::uint64_t seed = 0;               // for random pauses
+        std::int64_t routerCount = 1;         // routers in the fleet
         std::size_t maxListBytes = 0;
         // A change counts as known to the router as soon as the source has it, even without a poll
         // in flight.
@@ -43,28 +43,28 @@
     // Polls now, unless the newest poll still awaits its response, or the next poll is scheduled
     // and the source is overloaded or one of several. Nothing is polled before the first call;
     // after it, the watcher repeats its polls without further calls.
-    void start();
+    void pollNow();
     // Replaces the sources. If the current source is among the new ones, its polls stay in flight.
     // Otherwise polls at once for the complete list, as the new sources may number their versions
     // differently.
-    void setSources(std::vector<DiscoveryAddress> sources);
+    void setSources(std::vector<EndpointSource> sources);
     void setRouterCount(std::int64_t routers) { pacing_.setRouterCount(routers); }
 
     // The source in use, or the next one to be polled.
     const std::string& currentSource() const { return source_.host; }
-    std::size_t sourceCount() const { return sourceSet_ ? sourceSet_->addresses.size() : 1; }
+    std::size_t sourceCount() const { return sourceSet_ ? sourceSet_->sources.size() : 1; }
     // Number of polls sent since the start.
     std::uint64_t pollCount() const { return pollsSent_; }
     // Why the list is unavailable, from the first failure until the next usable response; empty
     // while it is available.
     const std::string& lastFailure() const { return lastFailure_; }
     // When the last usable response arrived, on the loop's clock.
-    Nanos lastHeardAt() const { return lastHeardAt_; }
+    Nanos lastResponseAt() const { return lastResponseAt_; }
 
   private:
     // The state of choosing among several sources.
     struct SourceSet {
-        std::vector<DiscoveryAddress> addresses;
+        std::vector<EndpointSource> sources;
         SourceSelector selector;
         Nanos logWindowStart = 0;         // start of the current kMoveLogWindow
         int loggedMoves = 0;              // within the current window
@@ -75,7 +75,7 @@
     void onFailed(EndpointPoll& poll, std::string_view reason) override;
     void onRequestSent() override { ++pollsSent_; }
 
-    void replaceSources(std::vector<DiscoveryAddress> sources);
+    void replaceSources(std::vector<EndpointSource> sources);
     // True while one of several sources is tried: it has not responded since it became current.
     bool isProbing() const { return sourceSet_ && !sourceSet_->selector.isConfirmed(); }
     EndpointPoll::Request nextRequest();
@@ -108,7 +108,7 @@
     const std::uint64_t sourceSeed_;
     const std::size_t maxListBytes_;
     proxy::Log log_;
-    DiscoveryAddress source_;
+    EndpointSource source_;
     std::unique_ptr<SourceSet> sourceSet_;  // null with a single source
     std::int64_t version_;
     bool needsCompleteList_ = false;  // the next poll requests the complete list, without a wait
@@ -121,7 +121,7 @@
     const EndpointPoll* awaitedPoll_ = nullptr;
     std::uint64_t pollsSent_ = 0;
     std::string lastFailure_;
-    Nanos lastHeardAt_;
+    Nanos lastResponseAt_;
 };
 
 }  // namespace poppyscale::discovery
--- a/src/discovery/server_start_times.cpp
+++ b/src/discovery/server_start_times.cpp
@@ -20,7 +20,7 @@
     clockOffsets_.push_back({offset, now});
 }
 
-Nanos ServerStartTimes::startOf(std::string_view server, std::int64_t startedMs, Nanos now) {
+Nanos ServerStartTimes::startTimeOf(std::string_view server, std::int64_t startedMs, Nanos now) {
     KnownStart& start = starts_[std::string(server)];
     if (startedMs <= 0) {
         start = {};
--- a/src/discovery/server_start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -39,7 +39,7 @@
     void recordClockOffset(Nanos now, Nanos offset);
     // When the server started, on the monotonic clock; 0 for long ago. `startedMs`: Unix time in
     // milliseconds; 0 or less for a start long ago.
-    Nanos startOf(std::string_view server, std::int64_t startedMs, Nanos now);
+    Nanos startTimeOf(std::string_view server, std::int64_t startedMs, Nanos now);
     void forget(const std::string& server) { starts_.erase(server); }
 
   private:
--- a/src/endpoint_distribution/distributor.cpp
+++ b/src/endpoint_distribution/distributor.cpp
@@ -34,15 +34,15 @@
 void Distributor::pollUpstream(Nanos now) {
     if (options_.isEnabled(Safeguard::aheadCheck)) aheadVersions_.beginCheck(now);
     std::optional<Version> version;
-    if (list_.isKnown()) version = list_.version();
+    if (list_.hasList()) version = list_.version();
     poller_.poll(now, version, !aheadVersions_.isChecking());
 }
 
 void Distributor::onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge) {
     if (!poller_.isPolling() || schedule_.isShuttingDown()) return;
-    if (!list_.isKnown() && !update.isComplete)
+    if (!list_.hasList() && !update.isComplete)
         return poller_.fail(now, Failure::malformed, "expected a complete list, got changes");
-    const bool isOlder = list_.isKnown() && update.version < list_.version();
+    const bool isOlder = list_.hasList() && update.version < list_.version();
     if (isOlder && options_.isEnabled(Safeguard::olderList)) return rejectOlder(now, std::move(update));
     accept(now, std::move(update));
     poller_.recordResponse(now, upstreamAge);
@@ -61,7 +61,7 @@
 void Distributor::accept(Nanos now, ListUpdate update) {
     epochs_.recordCurrentList();
     // A version identifies one state of the list, so an equal version means no change.
-    const bool hasChanged = !list_.isKnown() || update.version != list_.version();
+    const bool hasChanged = !list_.hasList() || update.version != list_.version();
     if (!hasChanged) return;
     list_.apply(std::move(update));
     epochs_.recordVersion(list_.version());
@@ -170,7 +170,7 @@
     ListResponse response;
     response.listAgeMs = poller_.listAge(now) / kMillisecond;
     response.closesConnection = schedule_.isShuttingDown() || reader.isRejected();
-    if (!reader.isRejected() && list_.isKnown()) {
+    if (!reader.isRejected() && list_.hasList()) {
         response.body = bodyFor(now, reader);
         return response;
     }
--- a/src/endpoint_distribution/list_state.cpp
+++ b/src/endpoint_distribution/list_state.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 void ListState::apply(ListUpdate update) {
-    if (!isKnown_) return restart(std::move(update));
+    if (!hasList_) return restart(std::move(update));
     const Version newer = update.version;
     if (update.isComplete)
         applyCompleteList(std::move(update));
@@ -46,7 +46,7 @@
     gaps_.clear();
     liveById_.clear();
     tombstoneById_.clear();
-    isKnown_ = true;
+    hasList_ = true;
     version_ = list.version;
     oldestBase_ = list.version;
     apply(std::move(list));
--- a/src/endpoint_distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -37,8 +37,8 @@
     explicit ListState(std::size_t maxTombstones, RetainedBounds bounds = {true, true})
         : maxTombstones_(maxTombstones), retainedBounds_(bounds) {}
 
-    // Whether there is a list.
-    bool isKnown() const { return isKnown_; }
+    // Whether a list has been received.
+    bool hasList() const { return hasList_; }
     Version version() const { return version_; }
     // The number of servers in the list.
     std::size_t entries() const { return live_.size(); }
@@ -82,7 +82,7 @@
 
     std::size_t maxTombstones_;
     RetainedBounds retainedBounds_;
-    bool isKnown_ = false;
+    bool hasList_ = false;
     Version version_ = 0;
     Version oldestBase_ = 0;  // the changes since older versions are not known
     RetainedEntries live_;
--- a/src/endpoint_distribution/response_schedule.cpp
+++ b/src/endpoint_distribution/response_schedule.cpp
@@ -9,7 +9,7 @@
     : options_(options), list_(list), epochs_(epochs), aheadVersions_(aheadVersions) {}
 
 void ResponseSchedule::recordRequest(Nanos now, const ReaderRequest& request) {
-    const bool isAhead = request.after && list_.isKnown() && *request.after > list_.version();
+    const bool isAhead = request.after && list_.hasList() && *request.after > list_.version();
     if (isAhead) aheadVersions_.recordPoll(now, *request.after);
 }
 
@@ -20,7 +20,7 @@
 }
 
 Nanos ResponseSchedule::dueAt(const Reader& reader) const {
-    const bool isImmediate = reader.isRejected() || !list_.isKnown() || isShuttingDown_;
+    const bool isImmediate = reader.isRejected() || !list_.hasList() || isShuttingDown_;
     if (isImmediate) return reader.stateSince;
     if (!reader.request.after) return std::max(reader.stateSince, reader.earliestResponseAt);
     const Version after = *reader.request.after;
--- a/src/process/data_path.cpp
+++ b/src/process/data_path.cpp
@@ -67,13 +67,13 @@
     settings.maxListBytes = maxEndpointListBytes(startup);
     endpointWatcher_.emplace(loop_, pool_, *dispatcher_, std::move(settings),
                              logTo(logger, kDiscoveryLog, LogLevel::warning));
-    dispatcher_->requestPoll = [this] { endpointWatcher_->start(); };
+    dispatcher_->onPollRequested = [this] { endpointWatcher_->pollNow(); };
 }
 
 void DataPath::applyConfig() {
     const protocol::StartupConfig& startup = config_.startup();
     dispatcher_->applyConfig(startup);
-    clientListener_.setMaxRequestTimeout(2 * startup.serverIdleTimeout);
+    clientListener_.setMaxUnreadDuration(2 * startup.serverIdleTimeout);
     if (!endpointWatcher_) {
         dispatcher_->onEndpointList(EndpointUpdateKind::complete, startup.knownEndpoints);
         return;
--- a/src/process/instance_config.cpp
+++ b/src/process/instance_config.cpp
@@ -54,8 +54,8 @@
     return *address;
 }
 
-std::vector<discovery::DiscoveryAddress> endpointSources(const InstanceConfig& config) {
-    std::vector<discovery::DiscoveryAddress> sources;
+std::vector<discovery::EndpointSource> endpointSources(const InstanceConfig& config) {
+    std::vector<discovery::EndpointSource> sources;
     for (const std::string& distributor : config.operatorConfig.distributors)
         sources.push_back({parseAddressSetting(distributor, "distributor"), distributor});
     const std::string& discovery = config.startup.discovery;
--- a/src/process/instance_config.hpp
+++ b/src/process/instance_config.hpp
@@ -29,6 +29,6 @@
 // The sources that are polled for endpoint lists: the distributors if any are configured, else
 // discovery. Empty when the list is in the operator's file. Throws protocol::ParseError for an
 // invalid address.
-std::vector<discovery::DiscoveryAddress> endpointSources(const InstanceConfig& config);
+std::vector<discovery::EndpointSource> endpointSources(const InstanceConfig& config);
 
 }  // namespace poppyscale::process
--- a/src/process/status_report.cpp
+++ b/src/process/status_report.cpp
@@ -95,7 +95,7 @@
     auto list = nlohmann::json::object();
     const auto* const watcher = dataPath_.endpointWatcher();
     if (!watcher) return list;
-    list["age_ms"] = toMillis(transport::EventLoop::now() - watcher->lastHeardAt());
+    list["age_ms"] = toMillis(transport::EventLoop::now() - watcher->lastResponseAt());
     list["trouble"] = watcher->lastFailure();
     if (!config_.operatorConfig().distributors.empty()) {
         list["source"] = watcher->currentSource();
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -356,7 +356,7 @@
     sentBytesAtLastCheck_ = connection_.sentBytes();
     if (requestBegunAt_ && isReadingAllowed_) return timer_.start(requestReadDeadline());
     if (!hasUnsent) return timer_.stop();
-    Nanos maxUnreadDuration = owner_.maxRequestTimeout();
+    Nanos maxUnreadDuration = owner_.maxUnreadDuration();
     if (pipeline_.isStreaming()) maxUnreadDuration = std::min(maxUnreadDuration, kMaxStreamUnreadDuration);
     timer_.start(unreadSince_ + maxUnreadDuration);
 }
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -48,7 +48,7 @@
         // Whether health checks (PING) fail.
         virtual bool isStandby() const = 0;
         // How long a client may leave responses unread.
-        virtual Nanos maxRequestTimeout() const = 0;
+        virtual Nanos maxUnreadDuration() const = 0;
         // The number of the current event-loop iteration.
         virtual std::uint64_t iteration() const = 0;
 
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -28,13 +28,13 @@
 
 ClientListener::ClientListener(transport::EventLoop& loop, transport::BufferPool& buffers,
                                RequestDispatcher& dispatcher, std::size_t maxClients,
-                               std::size_t maxBufferedBytes, Nanos maxRequestTimeout)
+                               std::size_t maxBufferedBytes, Nanos maxUnreadDuration)
     : loop_(loop),
       buffers_(buffers),
       dispatcher_(dispatcher),
       maxClients_(maxClients),
       maxBufferedBytes_(maxBufferedBytes),
-      maxRequestTimeout_(maxRequestTimeout),
+      maxUnreadDuration_(maxUnreadDuration),
       listener_(
           std::make_unique<transport::Listener>(loop, [this](const auto& finish) { onAccept(finish); })) {
     listener_->onExhausted([this](std::string_view reason) { reportExhaustion(reason); });
@@ -193,7 +193,7 @@
     for (auto it = clients_.begin(); it != clients_.end();) {
         ClientConnection& client = **it;
         ++it;
-        const bool hasResponseSinceDrain = client.lastResponseAt() >= drain_->since;
+        const bool hasResponseSinceDrain = client.lastResponseAt() >= drain_->startedAt;
         const bool isRequestTooLate = !acceptsRequests(0) && !client.hasOutstandingResponses() &&
                                       !client.isEnding() && client.partialRequestBytes() > 0;
         const bool isDue =
--- a/src/proxy/client_listener.hpp
+++ b/src/proxy/client_listener.hpp
@@ -27,10 +27,10 @@
     using DrainSchedule = proxy::DrainSchedule;
 
     // `maxBufferedBytes` limits the responses that wait to be written and, separately, the
-    // incomplete requests, each over all clients. `maxRequestTimeout` is how long a client may
+    // incomplete requests, each over all clients. `maxUnreadDuration` is how long a client may
     // leave responses unread.
     ClientListener(transport::EventLoop& loop, transport::BufferPool& buffers, RequestDispatcher& dispatcher,
-                   std::size_t maxClients, std::size_t maxBufferedBytes, Nanos maxRequestTimeout);
+                   std::size_t maxClients, std::size_t maxBufferedBytes, Nanos maxUnreadDuration);
     ~ClientListener() override;
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
@@ -53,7 +53,7 @@
     // While on standby, health checks of clients fail.
     void setStandby(bool standby) { isStandby_ = standby; }
     void setLimits(std::size_t maxClients, std::size_t maxBufferedBytes);
-    void setMaxRequestTimeout(Nanos timeout) { maxRequestTimeout_ = timeout; }
+    void setMaxUnreadDuration(Nanos duration) { maxUnreadDuration_ = duration; }
 
     std::size_t count() const { return clients_.size(); }
     // Called in each event-loop iteration. Closes the connections that are due, and resumes those
@@ -68,7 +68,7 @@
     // ClientConnection::Owner
     bool acceptsRequests(Nanos timeout) const override;
     bool isStandby() const override { return isStandby_; }
-    Nanos maxRequestTimeout() const override { return maxRequestTimeout_; }
+    Nanos maxUnreadDuration() const override { return maxUnreadDuration_; }
     std::uint64_t iteration() const override { return iteration_; }
     void onActive(ClientConnection& client) override;
     void onFirstValidRequest() override { ++clientsWithValidRequest_; }
@@ -102,7 +102,7 @@
     RequestDispatcher& dispatcher_;
     std::size_t maxClients_;
     std::size_t maxBufferedBytes_;
-    Nanos maxRequestTimeout_;
+    Nanos maxUnreadDuration_;
     std::size_t unsentBytes_ = 0;          // of responses, over all clients
     std::size_t partialRequestBytes_ = 0;  // of incomplete requests, over all clients
     std::size_t clientsWithValidRequest_ = 0;
--- a/src/proxy/drain_schedule.hpp
+++ b/src/proxy/drain_schedule.hpp
@@ -11,7 +11,7 @@
 // outstanding. The closing of idle connections is spread over an interval, so that few of them are
 // closed while a request is on its way. All times are absolute, on the monotonic clock.
 struct DrainSchedule {
-    Nanos since = 0;        // start of the drain; connections with a later response may be closed
+    Nanos startedAt = 0;    // connections with a response from then on may be closed
     Nanos idleFrom = 0;     // when the first idle connections are closed
     Nanos idleUntil = 0;    // when the last idle connections are closed
     Nanos acceptUntil = 0;  // when requests are no longer accepted
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -202,7 +202,7 @@
         policy_.reconcile(transport::EventLoop::now());
         executeActions();
         const bool isPollRequested = std::exchange(isPollRequested_, false);
-        if (isPollRequested && requestPoll) requestPoll();
+        if (isPollRequested && onPollRequested) onPollRequested();
     }
 }
 
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -90,7 +90,7 @@
     // Discovery is polled at another address from now on, so that earlier failures no longer count.
     void onDiscoveryMoved();
     // Called when the policy wants the endpoint list to be polled.
-    std::function<void()> requestPoll;
+    std::function<void()> onPollRequested;
 
     // ---- Operation
 
--- a/src/proxy/upstream_registry.cpp
+++ b/src/proxy/upstream_registry.cpp
@@ -38,7 +38,7 @@
     startTimes_.recordClockOffset(now, clockOffset());
     for (const protocol::EndpointEntry& entry : list.entries) {
         Endpoint endpoint = entry.endpoint;
-        endpoint.startedAt = startTimes_.startOf(endpoint.name, entry.startedMs, now);
+        endpoint.startedAt = startTimes_.startTimeOf(endpoint.name, entry.startedMs, now);
         updateServer(endpoint, entry.address);
         endpoints.push_back(std::move(endpoint));
     }
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -17,7 +17,7 @@
     std::string program;         // digest
     std::string templateDigest;  // empty: none
     bool operator==(const Version&) const = default;
-    bool none() const { return program.empty(); }
+    bool isEmpty() const { return program.empty(); }
     // Shortened, for logs.
     std::string shown() const { return program.substr(0, 8) + "/" + templateDigest.substr(0, 8); }
 };
@@ -30,7 +30,7 @@
     std::string digest;         // identifies the change
     std::string program;        // path; empty where the program stays
     std::string programDigest;  // of the file at that path; empty if it was not read
-    std::string form;           // the configuration template's text; empty where it stays
+    std::string templateText;   // of the configuration template; empty where it stays
     std::set<int> changed;      // instances that are to have the change; all others are to be as before
     std::set<int> held;         // those of `changed` whose change stays without further orders
     Nanos holdDuration = 0;     // how long the change of the others stays after this order arrived
--- a/src/rollout/messages_codec.cpp
+++ b/src/rollout/messages_codec.cpp
@@ -105,7 +105,7 @@
             {"digest", order.digest},
             {"program", order.program},
             {"program_digest", order.programDigest},
-            {"form", order.form},
+            {"form", order.templateText},
             {"changed", order.changed},
             {"held", order.held},
             {"keep_ms", order.holdDuration / kMillisecond},
@@ -121,7 +121,7 @@
     order.digest = input.at("digest").get<std::string>();
     order.program = input.at("program").get<std::string>();
     order.programDigest = input.value("program_digest", "");
-    order.form = input.at("form").get<std::string>();
+    order.templateText = input.at("form").get<std::string>();
     order.changed = input.at("changed").get<std::set<int>>();
     order.held = input.at("held").get<std::set<int>>();
     order.holdDuration = input.at("keep_ms").get<std::int64_t>() * kMillisecond;
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -41,7 +41,7 @@
     end(RolloutOutcome::notPossible);
 }
 
-void RolloutController::onRefused(Nanos now, int agent, std::string_view reason) {
+void RolloutController::onRejected(Nanos now, int agent, std::string_view reason) {
     fleet_.recordRejection(now, agent, reason);
 }
 
@@ -73,7 +73,7 @@
     order.step = lastStep_;
     order.digest = digest_;
     order.program = plan_.program;
-    order.form = plan_.templateText;
+    order.templateText = plan_.templateText;
     order.holdDuration = plan_.agentHoldDuration;
     order.batch = phase_ == Phase::rollingBack ? plan_.rollbackBatchSize : plan_.batchSize;
     order.isFinished = phase_ == Phase::finishing;
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -55,7 +55,7 @@
     // The agent obeys a coordinator with a higher number. `successor`: that number, or the agent's answer.
     void onSuperseded(Nanos now, int agent, std::string_view successor);
     // The agent answers but can't carry out its orders.
-    void onRefused(Nanos now, int agent, std::string_view reason);
+    void onRejected(Nanos now, int agent, std::string_view reason);
     // The operator stops the rollout.
     void abandon(Nanos now);
 
--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -59,7 +59,7 @@
     settings.maxListBytes = start_.memoryLimitBytes / kListPart;
     watch_ =
         std::make_unique<discovery::EndpointWatcher>(loop_, pool_, *core_, std::move(settings), ignoreLog);
-    core_->requestPoll = [this] { watch_->start(); };
+    core_->onPollRequested = [this] { watch_->pollNow(); };
 }
 
 void StubRouter::restart() {
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -64,7 +64,7 @@
     transport::BufferPool& pool_;
     std::uint32_t number_;
     protocol::StartupConfig start_;
-    std::vector<discovery::DiscoveryAddress> sources_;
+    std::vector<discovery::EndpointSource> sources_;
     int loseEveryList_;
     std::unique_ptr<ObservedDispatcher> core_;
     std::unique_ptr<discovery::EndpointWatcher> watch_;
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -82,7 +82,7 @@
     order.digest = "d1";
     order.program = "/opt/poppyscale";
     order.programDigest = "p1";
-    order.form = "[log]\n";
+    order.templateText = "[log]\n";
     order.changed = {0, 2};
     order.held = {2};
     order.holdDuration = 60'000 * kMillisecond;
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -32,7 +32,7 @@
     void stepWallClock(Nanos by) { wallClockShift += by; }
     void receiveList() { sampleOffset(); }
     Nanos ageOf(const char* server, std::int64_t startedMs) {
-        return now - times.startOf(server, startedMs, now);
+        return now - times.startTimeOf(server, startedMs, now);
     }
 };
 
