--- a/tests/attempt_deadline_test.cpp
+++ b/tests/attempt_deadline_test.cpp
@@ -20,7 +20,7 @@
 constexpr int kResponseDelayMs = 300;  // before a server responds or accepts
 
 nlohmann::json startWithLongTimeouts() {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["settings"]["allowed"]["connectTimeoutUs"] = 5'000'000;
     for (auto& requestClass : start["settings"]["verbs"]) {
         requestClass["responseGoalUs"] = 3'000'000;
@@ -45,7 +45,7 @@
 
 // Reads the forwarded timeout at the origin, and checks that the rest of the info list is unchanged.
 long readTimeoutAtOrigin(Socket& origin, const std::string& key, const std::string& requestClass) {
-    for (const auto& line : origin.head()) {
+    for (const auto& line : origin.readHead()) {
         const std::string name = "X-Call-Info: ";
         if (!line.starts_with(name)) continue;
         const std::string info = line.substr(name.size());
@@ -57,78 +57,78 @@
 }
 
 long readTimeoutAtCache(Socket& cache) {
-    const auto words = cache.command();
+    const auto words = cache.readCommand();
     return words.size() < 4 ? -1 : forwardedTimeout(words[3]);
 }
 
 }  // namespace
 
 TEST_CASE("Forwards the remaining time to the origin after a slow cache miss") {
-    Stage stage(1, startWithLongTimeouts());
-    Socket client = stage.client();
-    client.say(get("k", infoOf("read", "k")));
-    Socket cache = stage.caches[0].accept();
+    RouterFixture fixture(1, startWithLongTimeouts());
+    Socket client = fixture.client();
+    client.send(get("k", infoOf("read", "k")));
+    Socket cache = fixture.caches[0].accept();
     const long first = readTimeoutAtCache(cache);
     const auto arrivedAt = Clock::now();
     CHECK(first > 0);
     CHECK(first <= kClientTimeoutMs);
     usleep(kResponseDelayMs * 1'000);
     const long elapsed = elapsedMsSince(arrivedAt);
-    cache.say(kMiss);
-    Socket origin = stage.origin.accept();
+    cache.send(kMiss);
+    Socket origin = fixture.origin.accept();
     const long forwarded = readTimeoutAtOrigin(origin, "k", "read");
     CHECK(forwarded > 0);
     CHECK(forwarded <= kClientTimeoutMs - elapsed);
-    origin.say(http(200, "V"));
-    CHECK(client.answer() == "V");
+    origin.send(http(200, "V"));
+    CHECK(client.readResponse() == "V");
 }
 
 TEST_CASE("Forwards the remaining time to another cache server, and to the origin, after a reset") {
-    Stage stage(2, startWithLongTimeouts());
-    Socket client = stage.client();
-    client.say(get("k", infoOf("read", "k")));
+    RouterFixture fixture(2, startWithLongTimeouts());
+    Socket client = fixture.client();
+    client.send(get("k", infoOf("read", "k")));
     // The router selects which of the two cache servers gets the first attempt.
-    const bool isSecondSelected = stage.caches[0].quiet(500);
-    Socket cache = stage.caches[isSecondSelected ? 1 : 0].accept();
+    const bool isSecondSelected = fixture.caches[0].isQuiet(500);
+    Socket cache = fixture.caches[isSecondSelected ? 1 : 0].accept();
     readTimeoutAtCache(cache);
     const auto arrivedAt = Clock::now();
     usleep(kResponseDelayMs * 1'000);
     long elapsed = elapsedMsSince(arrivedAt);
     cache.reset();
-    Socket other = stage.caches[isSecondSelected ? 0 : 1].accept();
+    Socket other = fixture.caches[isSecondSelected ? 0 : 1].accept();
     const long atCache = readTimeoutAtCache(other);
     CHECK(atCache > 0);
     CHECK(atCache <= kClientTimeoutMs - elapsed);
     usleep(kResponseDelayMs * 1'000);
     elapsed = elapsedMsSince(arrivedAt);
-    other.say(kMiss);
-    Socket origin = stage.origin.accept();
+    other.send(kMiss);
+    Socket origin = fixture.origin.accept();
     const long atOrigin = readTimeoutAtOrigin(origin, "k", "read");
     CHECK(atOrigin > 0);
     CHECK(atOrigin <= kClientTimeoutMs - elapsed);
-    origin.say(http(200, "V"));
-    CHECK(client.answer() == "V");
+    origin.send(http(200, "V"));
+    CHECK(client.readResponse() == "V");
 }
 
 TEST_CASE("Forwards the remaining time when a write is retried after the origin has rejected it") {
     for (const std::string requestClass : {"mark", "pay"}) {
         CAPTURE(requestClass);
-        Stage stage(1, startWithLongTimeouts());
-        Socket client = stage.client();
-        client.say(set("k", infoOf(requestClass, "k")));
-        Socket origin = stage.origin.accept();
+        RouterFixture fixture(1, startWithLongTimeouts());
+        Socket client = fixture.client();
+        client.send(set("k", infoOf(requestClass, "k")));
+        Socket origin = fixture.origin.accept();
         const long first = readTimeoutAtOrigin(origin, "k", requestClass);
         const auto arrivedAt = Clock::now();
         CHECK(first > 0);
         CHECK(first <= kClientTimeoutMs);
-        origin.bytes(1);
+        origin.readBytes(1);
         usleep(kResponseDelayMs * 1'000);
         const long elapsed = elapsedMsSince(arrivedAt);
-        origin.say(http(503, "", "X-Rejected: 1\r\nConnection: close\r\n"));
-        origin.hangUp();
+        origin.send(http(503, "", "X-Rejected: 1\r\nConnection: close\r\n"));
+        origin.close();
         // The policy may decide against a retry; a retry must forward the remaining time.
-        if (!client.quiet(300)) continue;
-        Socket again = stage.origin.accept();
+        if (!client.isQuiet(300)) continue;
+        Socket again = fixture.origin.accept();
         const long forwarded = readTimeoutAtOrigin(again, "k", requestClass);
         CHECK(forwarded > 0);
         CHECK(forwarded <= kClientTimeoutMs - elapsed);
@@ -136,25 +136,25 @@
 }
 
 TEST_CASE("Forwards the remaining time on connections that are established late") {
-    Stage stage(1, startWithLongTimeouts());
-    stage.caches[0].hold();
-    stage.origin.hold();
-    Socket reads = stage.client(), writes = stage.client();
+    RouterFixture fixture(1, startWithLongTimeouts());
+    fixture.caches[0].blockConnects();
+    fixture.origin.blockConnects();
+    Socket reads = fixture.client(), writes = fixture.client();
     // The response to PING shows that the router has read the requests that were sent before.
-    reads.say(get("r", infoOf("read", "r")));
-    writes.say(set("w", infoOf("mark", "w")));
-    Socket after = stage.client();
-    CHECK(after.say(array({"PING"})).answer() == "+PONG");
+    reads.send(get("r", infoOf("read", "r")));
+    writes.send(set("w", infoOf("mark", "w")));
+    Socket after = fixture.client();
+    CHECK(after.send(array({"PING"})).readResponse() == "+PONG");
     const auto arrivedAt = Clock::now();
     usleep(kResponseDelayMs * 1'000);
     const long elapsed = elapsedMsSince(arrivedAt);
-    stage.caches[0].let();
-    stage.origin.let();
-    Socket cache = stage.caches[0].accept();
+    fixture.caches[0].unblockConnects();
+    fixture.origin.unblockConnects();
+    Socket cache = fixture.caches[0].accept();
     const long atCache = readTimeoutAtCache(cache);
     CHECK(atCache > 0);
     CHECK(atCache <= kClientTimeoutMs - elapsed);
-    Socket origin = stage.origin.accept();
+    Socket origin = fixture.origin.accept();
     const long atOrigin = readTimeoutAtOrigin(origin, "w", "mark");
     CHECK(atOrigin > 0);
     CHECK(atOrigin <= kClientTimeoutMs - elapsed);
@@ -162,21 +162,21 @@
 
 TEST_CASE("Forwards the remaining time with a long value read after a miss or written on a late connection") {
     const std::string value(200'000, 'x');
-    Stage stage(1, startWithLongTimeouts());
-    stage.origin.hold();
-    Socket reads = stage.client(), writes = stage.client();
-    writes.say(set("w", infoOf("mark", "w"), value));
-    reads.say(get("r", infoOf("read", "r")));
-    Socket cache = stage.caches[0].accept();
+    RouterFixture fixture(1, startWithLongTimeouts());
+    fixture.origin.blockConnects();
+    Socket reads = fixture.client(), writes = fixture.client();
+    writes.send(set("w", infoOf("mark", "w"), value));
+    reads.send(get("r", infoOf("read", "r")));
+    Socket cache = fixture.caches[0].accept();
     readTimeoutAtCache(cache);
     const auto arrivedAt = Clock::now();
     usleep(kResponseDelayMs * 1'000);
     const long elapsed = elapsedMsSince(arrivedAt);
-    cache.say(kMiss);
-    stage.origin.let();
+    cache.send(kMiss);
+    fixture.origin.unblockConnects();
     for (int i = 0; i < 2; ++i) {
-        Socket origin = stage.origin.accept();
-        const auto head = origin.head();
+        Socket origin = fixture.origin.accept();
+        const auto head = origin.readHead();
         REQUIRE_FALSE(head.empty());
         const bool isWrite = head[0].starts_with("PUT");
         for (const auto& line : head) {
@@ -187,18 +187,18 @@
             // the connection, so some of its time must have passed.
             CHECK(forwarded <= kClientTimeoutMs - (isWrite ? 1 : elapsed));
         }
-        if (isWrite) CHECK(origin.bytes(value.size()).size() == value.size());
-        origin.say(http(200, isWrite ? "stored" : value));
+        if (isWrite) CHECK(origin.readBytes(value.size()).size() == value.size());
+        origin.send(http(200, isWrite ? "stored" : value));
     }
-    CHECK(reads.answer() == value);
-    CHECK(writes.answer() == "stored");
+    CHECK(reads.readResponse() == value);
+    CHECK(writes.readResponse() == "stored");
 }
 
 TEST_CASE("Responds to a request with less than a millisecond left, and does not forward it") {
-    Stage stage;
-    Socket client = stage.client();
-    client.say(get("k", "c=read,t=north,d=1"));
-    CHECK(client.answer().starts_with("-"));
-    CHECK(stage.caches[0].quiet(100));
-    CHECK(stage.origin.quiet(0));
+    RouterFixture fixture;
+    Socket client = fixture.client();
+    client.send(get("k", "c=read,t=north,d=1"));
+    CHECK(client.readResponse().starts_with("-"));
+    CHECK(fixture.caches[0].isQuiet(100));
+    CHECK(fixture.origin.isQuiet(0));
 }
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -38,7 +38,7 @@
 }
 
 nlohmann::json startWithLongConnectTimeout() {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["settings"]["allowed"]["connectTimeoutUs"] = 8'000'000;
     return start;
 }
@@ -46,36 +46,36 @@
 // Waits for a connection from the router and a request on it, whose key is stored in `key`.
 Socket acceptWithRequest(TestServer& server, std::string& key) {
     Socket connection = server.accept();
-    const auto words = connection.command();
+    const auto words = connection.readCommand();
     if (words.size() > 1) key = words[1];
     return connection;
 }
 
 // Returns the cache's end of an open, idle connection from the router.
-Socket warmUp(Stage& stage) {
-    Socket client = stage.client();
-    client.say(getWithLongTimeout("warm-up"));
+Socket warmUp(RouterFixture& fixture) {
+    Socket client = fixture.client();
+    client.send(getWithLongTimeout("warm-up"));
     std::string key;
-    Socket cache = acceptWithRequest(stage.caches[0], key);
-    cache.say(hit("V"));
-    CHECK(client.answer() == "V");
+    Socket cache = acceptWithRequest(fixture.caches[0], key);
+    cache.send(hit("V"));
+    CHECK(client.readResponse() == "V");
     return cache;
 }
 
 // Returns a client that has already got a response, so that the router reads its next requests at
 // once.
-Socket activeClient(const Stage& stage) {
-    Socket client = stage.client();
-    CHECK(client.say(array({"PING"})).answer() == "+PONG");
+Socket activeClient(const RouterFixture& fixture) {
+    Socket client = fixture.client();
+    CHECK(client.send(array({"PING"})).readResponse() == "+PONG");
     return client;
 }
 
 // Watches the test servers for the first bytes of attempts.
 class AttemptWatcher {
   public:
-    explicit AttemptWatcher(Stage& stage) {
-        for (TestServer& cache : stage.caches) servers_.push_back(&cache);
-        servers_.push_back(&stage.origin);
+    explicit AttemptWatcher(RouterFixture& fixture) {
+        for (TestServer& cache : fixture.caches) servers_.push_back(&cache);
+        servers_.push_back(&fixture.origin);
     }
     // Also watches a connection that is already open, on which further attempts may arrive.
     void add(Socket&& connection) { connections_.push_back(std::move(connection)); }
@@ -95,12 +95,12 @@
     // Whether bytes of an attempt have arrived; waits 1 ms if there are none.
     bool pollAttempts() {
         for (TestServer* server : servers_)
-            while (!server->quiet(0)) connections_.push_back(server->accept());
+            while (!server->isQuiet(0)) connections_.push_back(server->accept());
         bool hasAttempt = false;
         for (auto it = connections_.begin(); it != connections_.end();) {
-            const bool isReadable = !it->quiet(0);
-            const bool hasBytes = isReadable && it->waits() > 0;
-            if (hasBytes) it->drain();
+            const bool isReadable = !it->isQuiet(0);
+            const bool hasBytes = isReadable && it->unreadBytes() > 0;
+            if (hasBytes) it->discardUnread();
             hasAttempt = hasAttempt || hasBytes;
             // The router has closed a connection that is readable but has no bytes.
             it = isReadable && !hasBytes ? connections_.erase(it) : std::next(it);
@@ -123,19 +123,20 @@
 std::list<Socket> acceptAttempts(TestServer& server, std::size_t count) {
     std::list<Socket> attempts;
     std::string key;
-    while (attempts.size() < count && !server.quiet(200)) attempts.push_back(acceptWithRequest(server, key));
+    while (attempts.size() < count && !server.isQuiet(200))
+        attempts.push_back(acceptWithRequest(server, key));
     return attempts;
 }
 
 // Closes the client's connection, responds to all attempts after `delay`, and checks that no
 // attempt starts too late.
-void closeThenRespond(Stage& stage, Socket& client, std::list<Socket>& attempts, Milliseconds delay,
+void closeThenRespond(RouterFixture& fixture, Socket& client, std::list<Socket>& attempts, Milliseconds delay,
                       std::string_view answer = kMiss) {
-    AttemptWatcher watcher(stage);
+    AttemptWatcher watcher(fixture);
     const auto closedAt = Clock::now();
-    client.hangUp();
+    client.close();
     std::this_thread::sleep_until(closedAt + delay);
-    for (Socket& attempt : attempts) attempt.say(answer);
+    for (Socket& attempt : attempts) attempt.send(answer);
     for (Socket& attempt : attempts) watcher.add(std::move(attempt));
     checkNoLateAttempt(watcher, closedAt);
 }
@@ -145,24 +146,24 @@
 TEST_CASE("no late attempt after a client that is being read disconnects between the attempts of a request") {
     for (const Milliseconds delay : kDelays) {
         CAPTURE(delay.count());
-        Stage stage;
-        Socket client = activeClient(stage);
-        client.say(getWithLongTimeout("k"));
-        auto attempts = acceptAttempts(stage.caches[0], 1);
+        RouterFixture fixture;
+        Socket client = activeClient(fixture);
+        client.send(getWithLongTimeout("k"));
+        auto attempts = acceptAttempts(fixture.caches[0], 1);
         REQUIRE(attempts.size() == 1);
-        closeThenRespond(stage, client, attempts, delay);
+        closeThenRespond(fixture, client, attempts, delay);
     }
 }
 
 TEST_CASE("no late attempt after a client disconnects with several pipelined requests") {
     for (const Milliseconds delay : kDelays) {
         CAPTURE(delay.count());
-        Stage stage;
-        Socket client = activeClient(stage);
-        client.say(manyGets(6, "k"));
-        auto attempts = acceptAttempts(stage.caches[0], 6);
+        RouterFixture fixture;
+        Socket client = activeClient(fixture);
+        client.send(manyGets(6, "k"));
+        auto attempts = acceptAttempts(fixture.caches[0], 6);
         REQUIRE_FALSE(attempts.empty());
-        closeThenRespond(stage, client, attempts, delay);
+        closeThenRespond(fixture, client, attempts, delay);
     }
 }
 
@@ -172,30 +173,30 @@
         for (const Milliseconds delay : kDelays) {
             CAPTURE(answer);
             CAPTURE(delay.count());
-            Stage stage(1, startWithLongConnectTimeout());
-            Socket client = stage.client();
-            client.say(manyGets(1'000, "k"));
-            auto attempts = acceptAttempts(stage.caches[0], 1'000);
+            RouterFixture fixture(1, startWithLongConnectTimeout());
+            Socket client = fixture.client();
+            client.send(manyGets(1'000, "k"));
+            auto attempts = acceptAttempts(fixture.caches[0], 1'000);
             REQUIRE_FALSE(attempts.empty());
-            closeThenRespond(stage, client, attempts, delay, answer);
+            closeThenRespond(fixture, client, attempts, delay, answer);
         }
 }
 
 TEST_CASE(
     "no late attempt after a client disconnects while requests wait for a connection to be established") {
-    Stage stage(1, startWithLongConnectTimeout());
-    stage.caches[0].hold();
-    stage.origin.hold();
+    RouterFixture fixture(1, startWithLongConnectTimeout());
+    fixture.caches[0].blockConnects();
+    fixture.origin.blockConnects();
     std::map<std::string, Socket> clients;
     const auto sentAt = Clock::now();
     for (int i = 0; i < 8; ++i) {
         const std::string key = "k" + std::to_string(i);
-        Socket& client = clients.emplace(key, activeClient(stage)).first->second;
-        client.say(getWithLongTimeout(key));
+        Socket& client = clients.emplace(key, activeClient(fixture)).first->second;
+        client.send(getWithLongTimeout(key));
     }
     usleep(50'000);
-    stage.caches[0].let();
-    stage.origin.let();
+    fixture.caches[0].unblockConnects();
+    fixture.origin.unblockConnects();
     // The kernel tries to connect again 1 s after its first try. Clients close from 0.15 s before
     // that to just after it.
     std::map<std::string, Clock::time_point> closedAt;
@@ -203,29 +204,29 @@
     for (auto& [key, client] : clients) {
         std::this_thread::sleep_until(sentAt + closeAfter);
         closedAt[key] = Clock::now();
-        client.hangUp();
+        client.close();
         closeAfter += Milliseconds{25};
     }
     std::vector<Socket> connections;
     const auto until = Clock::now() + Milliseconds{700};
     while (Clock::now() < until) {
-        while (!stage.caches[0].quiet(0)) connections.push_back(stage.caches[0].accept());
+        while (!fixture.caches[0].isQuiet(0)) connections.push_back(fixture.caches[0].accept());
         for (Socket& connection : connections) {
-            if (connection.quiet(0)) continue;
+            if (connection.isQuiet(0)) continue;
             const auto startedAt = Clock::now();
-            const auto words = connection.command();
+            const auto words = connection.readCommand();
             if (words.size() < 2) {
-                connection.hangUp();
+                connection.close();
                 continue;
             }
             const auto delay = std::chrono::ceil<Milliseconds>(startedAt - closedAt[words[1]]);
             CHECK_MESSAGE(delay <= kMaxStartDelay, words[1], " started ", delay.count(),
                           " ms after the close");
         }
-        std::erase_if(connections, [](const Socket& connection) { return !connection.open(); });
+        std::erase_if(connections, [](const Socket& connection) { return !connection.isOpen(); });
         usleep(1'000);
     }
-    CHECK(stage.origin.quiet(0));
+    CHECK(fixture.origin.isQuiet(0));
 }
 
 TEST_CASE("no late attempt when request and close arrive while the router is suspended") {
@@ -234,17 +235,17 @@
     for (int round = 0; round < 3; ++round)
         for (const int suspendedMs : {101, 103, 105, 108, 112, 120, 150}) {
             CAPTURE(suspendedMs);
-            Stage stage;
-            AttemptWatcher watcher(stage);
-            watcher.add(warmUp(stage));
-            Socket client = activeClient(stage);
-            stage.program.signal(SIGSTOP);
+            RouterFixture fixture;
+            AttemptWatcher watcher(fixture);
+            watcher.add(warmUp(fixture));
+            Socket client = activeClient(fixture);
+            fixture.program.signal(SIGSTOP);
             usleep(1'000);
-            client.say(manyGets(2, "k"));
+            client.send(manyGets(2, "k"));
             const auto closedAt = Clock::now();
-            client.hangUp();
+            client.close();
             std::this_thread::sleep_until(closedAt + Milliseconds{suspendedMs});
-            stage.program.signal(SIGCONT);
+            fixture.program.signal(SIGCONT);
             // Any attempt that starts now is too late.
             const auto last = watcher.lastStart(closedAt, Clock::now() + Milliseconds{100});
             CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
@@ -257,23 +258,23 @@
         for (const int suspendedMs : {101, 110, 150}) {
             CAPTURE(closeFirst);
             CAPTURE(suspendedMs);
-            Stage stage;
-            Socket client = activeClient(stage);
-            client.say(manyGets(200, "k"));
-            auto attempts = acceptAttempts(stage.caches[0], 200);
+            RouterFixture fixture;
+            Socket client = activeClient(fixture);
+            client.send(manyGets(200, "k"));
+            auto attempts = acceptAttempts(fixture.caches[0], 200);
             REQUIRE_FALSE(attempts.empty());
-            AttemptWatcher watcher(stage);
-            stage.program.signal(SIGSTOP);
+            AttemptWatcher watcher(fixture);
+            fixture.program.signal(SIGSTOP);
             usleep(1'000);
             if (!closeFirst)
-                for (Socket& attempt : attempts) attempt.say(kMiss);
+                for (Socket& attempt : attempts) attempt.send(kMiss);
             const auto closedAt = Clock::now();
-            client.hangUp();
+            client.close();
             if (closeFirst)
-                for (Socket& attempt : attempts) attempt.say(kMiss);
+                for (Socket& attempt : attempts) attempt.send(kMiss);
             for (Socket& attempt : attempts) watcher.add(std::move(attempt));
             std::this_thread::sleep_until(closedAt + Milliseconds{suspendedMs});
-            stage.program.signal(SIGCONT);
+            fixture.program.signal(SIGCONT);
             const auto last = watcher.lastStart(closedAt, Clock::now() + kWatchDuration);
             CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
                           " ms after the close");
@@ -283,21 +284,21 @@
 TEST_CASE("no late attempt of a request behind a long write that times out while the router is suspended") {
     for (const int suspendedMs : {250, 400}) {
         CAPTURE(suspendedMs);
-        Stage stage(1, startWithLongConnectTimeout());
-        stage.origin.hold();
-        AttemptWatcher watcher(stage);
-        Socket client = activeClient(stage);
+        RouterFixture fixture(1, startWithLongConnectTimeout());
+        fixture.origin.blockConnects();
+        AttemptWatcher watcher(fixture);
+        Socket client = activeClient(fixture);
         // The write waits 0.2 s for a connection. Most of its value and the request behind it are
         // unread.
         const std::string write = set("w", "c=mark,t=north,d=200,k=w", std::string(kLongValueSize, 'x'));
-        client.say(write + getWithLongTimeout("behind"));
+        client.send(write + getWithLongTimeout("behind"));
         usleep(50'000);
-        stage.program.signal(SIGSTOP);
+        fixture.program.signal(SIGSTOP);
         usleep(1'000);
         const auto closedAt = Clock::now();
-        client.hangUp();
+        client.close();
         std::this_thread::sleep_until(closedAt + Milliseconds{suspendedMs});
-        stage.program.signal(SIGCONT);
+        fixture.program.signal(SIGCONT);
         const auto last = watcher.lastStart(closedAt, Clock::now() + kWatchDuration);
         CHECK_MESSAGE(!last, "an attempt started ", last.value_or(Milliseconds{0}).count(),
                       " ms after the close");
@@ -310,24 +311,24 @@
     for (const int ms : {0, 30, 60, 90, 110, 120, 130, 140, 150}) {
         const Milliseconds delay{ms};
         CAPTURE(delay.count());
-        Stage stage;
-        Socket client = activeClient(stage);
-        client.say(getWithLongTimeout("long"));
-        auto attempts = acceptAttempts(stage.caches[0], 1);
+        RouterFixture fixture;
+        Socket client = activeClient(fixture);
+        client.send(getWithLongTimeout("long"));
+        auto attempts = acceptAttempts(fixture.caches[0], 1);
         REQUIRE(attempts.size() == 1);
-        attempts.front().say(answer.substr(0, answer.size() - withheld));
-        CHECK(client.bytes(kLongValueSize - withheld).size() == kLongValueSize - withheld);
+        attempts.front().send(answer.substr(0, answer.size() - withheld));
+        CHECK(client.readBytes(kLongValueSize - withheld).size() == kLongValueSize - withheld);
         // More than the router reads in one iteration.
-        client.say(manyGets(600, "k"));
+        client.send(manyGets(600, "k"));
         usleep(50'000);
-        client.drain();
-        AttemptWatcher watcher(stage);
+        client.discardUnread();
+        AttemptWatcher watcher(fixture);
         // Ends only the sending side, so that no reset follows at once. This imitates a client on
         // another machine, whose reset takes as long to arrive as the rest of the response does.
         const auto closedAt = Clock::now();
         client.endSending();
         std::this_thread::sleep_until(closedAt + delay);
-        attempts.front().say(answer.substr(answer.size() - withheld));
+        attempts.front().send(answer.substr(answer.size() - withheld));
         watcher.add(std::move(attempts.front()));
         checkNoLateAttempt(watcher, closedAt);
     }
--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -194,7 +194,7 @@
     }
 
     void acceptAll(int within) {
-        if (!readable(listener_, within)) return;
+        if (!becomesReadable(listener_, within)) return;
         for (int accepted;
              (accepted = accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
             peers_.push_back(std::make_unique<Peer>(accepted));
@@ -217,7 +217,7 @@
         listener_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
         const int yes = 1;
         setsockopt(listener_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-        const auto at = loopback(port);
+        const auto at = loopbackAddress(port);
         return bind(listener_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
                listen(listener_, 128) == 0;
     }
@@ -226,7 +226,7 @@
     void fillBacklog() {
         listen(listener_, 0);
         filler_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-        const auto at = loopback(reservedPort_.port);
+        const auto at = loopbackAddress(reservedPort_.port);
         (void)!connect(filler_, reinterpret_cast<const sockaddr*>(&at), sizeof at);
     }
 
@@ -252,7 +252,7 @@
 
 // Settings that allow long waits of a poll and long pauses between polls.
 nlohmann::json startWithLongWaits(const std::string& membershipMode) {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["settings"]["membershipMode"] = membershipMode;
     start["settings"]["rules"]["askWithinUs"] = 20'000'000;
     start["settings"]["rules"]["drainGraceUs"] = 60'000'000;
@@ -271,7 +271,7 @@
     return nlohmann::json{{"version", kNextVersion}, {"full", true}, {"servers", servers}}.dump();
 }
 
-bool waitFor(const std::function<bool()>& condition, milliseconds within) {
+bool becomesTrue(const std::function<bool()>& condition, milliseconds within) {
     const auto until = Clock::now() + within;
     while (Clock::now() < until) {
         if (condition()) return true;
@@ -331,9 +331,9 @@
         trials.push_back(std::make_unique<Trial>(sequence, membershipMode));
     for (const auto& trial : trials) {
         CAPTURE(trial->name);
-        REQUIRE(waitFor([&] { return trial->discovery.serves(); }, 60s));
+        REQUIRE(becomesTrue([&] { return trial->discovery.serves(); }, 60s));
         // Waits longer than the limit, so that a failed check shows the delay.
-        REQUIRE(waitFor([&] { return !trial->discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
+        REQUIRE(becomesTrue([&] { return !trial->discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
         const auto delay = trial->discovery.delays().front();
         MESSAGE(trial->name << ": " << delay.count() << " ms");
         CHECK(delay < kMaxUpdateDelay);
@@ -370,7 +370,7 @@
             close(descriptor);
         }
         descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const auto at = loopback(port_);
+        const auto at = loopbackAddress(port_);
         if (connect(descriptor, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) return;
         ++opened_;
         // Bounds the rate of new connections: the test is about idle clients, and each needs time
@@ -432,8 +432,8 @@
         routers.push_back(std::make_unique<Program>(
             configuration(start, reservedPorts.back()->port, discovery.address(), {entryOf("c0", cache)})));
     }
-    REQUIRE(waitFor([&] { return discovery.serves(); }, 60s));
-    REQUIRE(waitFor([&] { return discovery.delays().size() >= kRouters; }, 4 * kMaxUpdateDelay));
+    REQUIRE(becomesTrue([&] { return discovery.serves(); }, 60s));
+    REQUIRE(becomesTrue([&] { return discovery.delays().size() >= kRouters; }, 4 * kMaxUpdateDelay));
     const auto delays = discovery.delays();
     const auto latest = *std::max_element(delays.begin(), delays.begin() + kRouters);
     MESSAGE("the last of " << kRouters << " routers received the list after " << latest.count() << " ms");
@@ -458,24 +458,25 @@
         program.emplace(configuration(start, reservedPort.port, discovery.address(),
                                       {entryOf("origin", origin, "origin"), entryOf("c0", oldCache)}));
     }
-    REQUIRE(waitFor([&] { return Socket(reservedPort.port).say(array({"PING"})).line() == "+PONG"; }, 10s));
+    REQUIRE(becomesTrue([&] { return Socket(reservedPort.port).send(array({"PING"})).readLine() == "+PONG"; },
+                        10s));
     IdleClients idleClients(reservedPort.port, 3 * kDescriptors);
-    const auto status = [&] { return Socket(consolePort.port).say("status\n").line("\n"); };
-    REQUIRE(waitFor([&] { return idleClients.opened() > 3 * kDescriptors; }, 10s));
+    const auto status = [&] { return Socket(consolePort.port).send("status\n").readLine("\n"); };
+    REQUIRE(becomesTrue([&] { return idleClients.opened() > 3 * kDescriptors; }, 10s));
     // 37 clients are as many as the descriptors allow beside connections to servers and the
     // router's own use.
-    CHECK(waitFor([&] { return status().starts_with("ACK serving; 37 clients"); }, 5s));
-    REQUIRE(waitFor([&] { return discovery.serves(); }, 20s));
-    REQUIRE(waitFor([&] { return !discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
+    CHECK(becomesTrue([&] { return status().starts_with("ACK serving; 37 clients"); }, 5s));
+    REQUIRE(becomesTrue([&] { return discovery.serves(); }, 20s));
+    REQUIRE(becomesTrue([&] { return !discovery.delays().empty(); }, 4 * kMaxUpdateDelay));
     MESSAGE("received the list after " << discovery.delays().front().count() << " ms");
     CHECK(discovery.delays().front() < kMaxUpdateDelay);
     // The idle clients are still connected.
     CHECK(status().starts_with("ACK serving; "));
     Socket client(reservedPort.port);
-    client.say(get("k"));
+    client.send(get("k"));
     Socket cache = newCache.accept();
-    CHECK(cache.command().size() == 4);
-    cache.say(hit("value"));
-    CHECK(client.answer() == "value");
-    CHECK(oldCache.quiet(0));
+    CHECK(cache.readCommand().size() == 4);
+    cache.send(hit("value"));
+    CHECK(client.readResponse() == "value");
+    CHECK(oldCache.isQuiet(0));
 }
--- a/tests/endpoint_distributor_fixture.hpp
+++ b/tests/endpoint_distributor_fixture.hpp
@@ -187,13 +187,13 @@
     }
 };
 
-inline HttpResponse readResponse(Socket& socket) {
+inline HttpResponse readHttpResponse(Socket& socket) {
     HttpResponse response;
-    response.head = socket.head();
+    response.head = socket.readHead();
     if (response.head.empty() || response.head[0].size() < 12) return response;
     response.status = std::stoi(response.head[0].substr(9));
     const std::string length = response.header("Content-Length");
-    if (!length.empty()) response.body = socket.bytes(std::stoul(length));
+    if (!length.empty()) response.body = socket.readBytes(std::stoul(length));
     return response;
 }
 
@@ -255,9 +255,9 @@
     Socket reader() const { return Socket(port); }
     HttpResponse get(const std::string& target) const {
         Socket socket(port);
-        if (!socket.open()) return {};
-        socket.say(request(target));
-        return readResponse(socket);
+        if (!socket.isOpen()) return {};
+        socket.send(request(target));
+        return readHttpResponse(socket);
     }
     json status() const {
         const json parsed = get("/status").list();
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -21,26 +21,26 @@
     const DistributorProcess second("d2", {discovery.address()});
     const DistributorProcess leaf("leaf", {first.address(), second.address()});
     Socket reader = leaf.reader();
-    reader.say(request("/api/targets"));
-    auto response = readResponse(reader);
+    reader.send(request("/api/targets"));
+    auto response = readHttpResponse(reader);
     CHECK(response.status == 200);
     CHECK(response.version() == discovery.version());
     CHECK(response.list()["full"] == true);
     CHECK(response.list()["servers"] == json::array({serverEntry("s0")}));
     CHECK(std::stoll(response.header("X-List-Age-Ms")) < 5'000);
     for (int change = 1; change <= 20; ++change) {
-        reader.say(request(afterTarget(response.version(), 10'000)));
+        reader.send(request(afterTarget(response.version(), 10'000)));
         discovery.set(serverEntry("s" + std::to_string(change)));
         const auto changedAt = Clock::now();
-        response = readResponse(reader);
+        response = readHttpResponse(reader);
         CHECK(Clock::now() - changedAt < kMaxPropagation);
         CHECK(response.version() == discovery.version());
         CHECK(response.list()["full"] == false);
         CHECK(response.list()["servers"] == json::array({serverEntry("s" + std::to_string(change))}));
     }
     // At the end of the wait the response has no changes.
-    reader.say(request(afterTarget(response.version(), 300)));
-    const auto unchanged = readResponse(reader);
+    reader.send(request(afterTarget(response.version(), 300)));
+    const auto unchanged = readHttpResponse(reader);
     CHECK(unchanged.version() == response.version());
     CHECK(unchanged.list()["servers"].empty());
     const json status = leaf.status();
@@ -53,7 +53,7 @@
 // The router has to reconnect to the restarted distributor and accept its list.
 TEST_CASE("A router follows discovery through a distributor, also after the distributor is killed") {
     Discovery discovery;
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     std::vector<TestServer> caches(2);
     TestServer origin;
     discovery.set(entryOf("origin", origin, "origin"));
@@ -67,7 +67,7 @@
                       {"servers", {entryOf("origin", origin, "origin"), entryOf("c0", caches[0])}}};
     const Program router(start.dump());
     for (int tries = 0;
-         tries < 200 && Socket(reservedPort.port).say("*1\r\n$4\r\nPING\r\n").line() != "+PONG"; ++tries)
+         tries < 200 && Socket(reservedPort.port).send("*1\r\n$4\r\nPING\r\n").readLine() != "+PONG"; ++tries)
         usleep(20'000);
     const auto migrateTo = [&](std::size_t to) {
         discovery.set(entryOf("c" + std::to_string(1 - to), caches[1 - to], "m", "Terminating"));
@@ -76,11 +76,11 @@
         const auto from = Clock::now();
         for (int n = 0; Clock::now() - from < kMaxPropagation; ++n) {
             Socket client(reservedPort.port);
-            client.say(get("k" + std::to_string(n)));
+            client.send(get("k" + std::to_string(n)));
             // The router may open a connection for a client that has disconnected, and send nothing
             // on it.
-            if (!caches[to].quiet(50) && caches[to].accept().command().size() == 4) return true;
-            while (!caches[1 - to].quiet(0)) caches[1 - to].accept();
+            if (!caches[to].isQuiet(50) && caches[to].accept().readCommand().size() == 4) return true;
+            while (!caches[1 - to].isQuiet(0)) caches[1 - to].accept();
         }
         MESSAGE(router.log());
         return false;
@@ -127,9 +127,9 @@
     const auto newest = discovery.version();
     CHECK(isPropagated(leaf, newest, Clock::now(), known));
     Socket reader = first.reader();
-    reader.say(request(afterTarget(newest, 0)));
+    reader.send(request(afterTarget(newest, 0)));
     first.signal(SIGCONT);
-    CHECK(readResponse(reader).version() >= newest);
+    CHECK(readHttpResponse(reader).version() >= newest);
     CHECK(isPropagated(first, newest, Clock::now(), newest));
 }
 
@@ -182,9 +182,9 @@
     for (int i = 0; i < 20; ++i) discovery.set(serverEntry("s" + std::to_string(i)));
     const DistributorProcess distributor("d1", {discovery.address()}, "wait_ms = 1000\n");
     Socket reader = distributor.reader();
-    reader.say(request(afterTarget(discovery.version(), 10'000)));
+    reader.send(request(afterTarget(discovery.version(), 10'000)));
     discovery.restart(serverEntry("new"));
-    const auto response = readResponse(reader);
+    const auto response = readHttpResponse(reader);
     CHECK(response.version() == 1);
     CHECK(response.list()["full"] == true);
     CHECK(response.list()["servers"] == json::array({serverEntry("new")}));
@@ -207,16 +207,16 @@
     std::vector<Socket> slow;
     for (int i = 0; i < 20; ++i) {
         slow.push_back(distributor.reader());
-        slow.back().say(request("/api/targets"));
-        slow.back().say(request("/api/targets"));
+        slow.back().send(request("/api/targets"));
+        slow.back().send(request("/api/targets"));
     }
     Socket reader = distributor.reader();
     auto known = discovery.version();
     const auto from = Clock::now();
     for (int change = 0; change < 20; ++change) {
         discovery.set(serverEntry("s0", change + 2));
-        reader.say(request(afterTarget(known, 5'000)));
-        known = readResponse(reader).version();
+        reader.send(request(afterTarget(known, 5'000)));
+        known = readHttpResponse(reader).version();
         CHECK(known == discovery.version());
         usleep(100'000);
     }
@@ -238,7 +238,7 @@
     auto known = discovery.version();
     for (std::size_t i = 0; i < kReaders; ++i) {
         readers.push_back(distributor.reader());
-        readers.back().say(request(afterTarget(known, 20'000)));
+        readers.back().send(request(afterTarget(known, 20'000)));
     }
     for (int tries = 0; tries < 200 && distributor.status()["readers"] < kReaders; ++tries) usleep(20'000);
     const auto rejected = distributor.get("/api/targets");
@@ -249,8 +249,8 @@
         const auto from = Clock::now();
         std::size_t current = 0;
         for (Socket& reader : readers) {
-            if (readResponse(reader).version() == discovery.version()) ++current;
-            reader.say(request(afterTarget(discovery.version(), 20'000)));
+            if (readHttpResponse(reader).version() == discovery.version()) ++current;
+            reader.send(request(afterTarget(discovery.version(), 20'000)));
         }
         CHECK(current == kReaders);
         CHECK(Clock::now() - from < kMaxPropagation);
@@ -269,12 +269,12 @@
     std::vector<Socket> readers;
     for (int i = 0; i < 20; ++i) {
         readers.push_back(distributor.reader());
-        readers.back().say(request(afterTarget(discovery.version() + (i % 2) * 7, 20'000)));
+        readers.back().send(request(afterTarget(discovery.version() + (i % 2) * 7, 20'000)));
     }
     for (int tries = 0; tries < 200 && distributor.status()["readers"] < 20; ++tries) usleep(20'000);
     distributor.signal(SIGTERM);
     for (int i = 0; i < 20; ++i) {
-        const auto response = readResponse(readers[static_cast<std::size_t>(i)]);
+        const auto response = readHttpResponse(readers[static_cast<std::size_t>(i)]);
         CHECK(response.status == 200);
         CHECK(response.header("Connection") == "close");
         CHECK(response.version() == discovery.version() + (i % 2) * 7);
@@ -291,21 +291,21 @@
     CHECK(distributor.get("/").status == 404);
     CHECK(distributor.get("/api/targets?after=x").status == 400);
     Socket malformed = distributor.reader();
-    malformed.say("nonsense\r\n\r\n");
-    CHECK(malformed.ended());
+    malformed.send("nonsense\r\n\r\n");
+    CHECK(malformed.isClosedByPeer());
     Socket endless = distributor.reader();
     const std::string header = "X-A: " + std::string(1'000, 'x') + "\r\n";
-    endless.say("GET /api/targets HTTP/1.1\r\n");
-    for (int i = 0; i < 1'000; ++i) endless.cram(header);
-    CHECK(endless.ended());
+    endless.send("GET /api/targets HTTP/1.1\r\n");
+    for (int i = 0; i < 1'000; ++i) endless.sendWithoutBlocking(header);
+    CHECK(endless.isClosedByPeer());
     // Several requests in one segment, the last one split, are answered in order.
     Socket pipelined = distributor.reader();
-    pipelined.say(request("/api/targets") + request(afterTarget(discovery.version(), 100)) + "GET /sta");
+    pipelined.send(request("/api/targets") + request(afterTarget(discovery.version(), 100)) + "GET /sta");
     usleep(50'000);
-    pipelined.say("tus HTTP/1.1\r\nHost: d\r\n\r\n");
-    CHECK(readResponse(pipelined).list()["full"] == true);
-    CHECK(readResponse(pipelined).list()["full"] == false);
-    CHECK(readResponse(pipelined).list()["name"] == "d1");
+    pipelined.send("tus HTTP/1.1\r\nHost: d\r\n\r\n");
+    CHECK(readHttpResponse(pipelined).list()["full"] == true);
+    CHECK(readHttpResponse(pipelined).list()["full"] == false);
+    CHECK(readHttpResponse(pipelined).list()["name"] == "d1");
 }
 
 namespace {
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -117,10 +117,10 @@
         if (killed_) {
             for (Peer& peer : peers_) peer.socket.reset();
             peers_.clear();
-            listener_.shut();
+            listener_.close();
             return;
         }
-        while (readable(listener_.descriptor(), 0)) {
+        while (becomesReadable(listener_.descriptor(), 0)) {
             const int descriptor = ::accept4(listener_.descriptor(), nullptr, nullptr, SOCK_CLOEXEC);
             if (descriptor < 0) break;
             peers_.push_back({Socket(descriptor), descriptor, ++connections_, {}, {}, false});
@@ -137,8 +137,8 @@
         published_ = false;
     }
     bool receive(Peer& peer) {
-        if (!readable(peer.descriptor, 0)) return true;
-        const auto head = peer.socket.head();
+        if (!becomesReadable(peer.descriptor, 0)) return true;
+        const auto head = peer.socket.readHead();
         if (head.empty()) return false;
         peer.after = numberIn(head[0], "after");
         const bool isOfOtherRun =
@@ -161,13 +161,13 @@
             servers = {entryOf("origin", origin_, "origin"), entryOf("c" + std::to_string(version_), cache_)};
         nlohmann::json list = {{"version", version_}, {"full", full}, {"servers", servers}};
         if (behaviour_ == Behaviour::rejects) {
-            peer.socket.say(http(503, ""));
+            peer.socket.send(http(503, ""));
             return;
         }
         if (behaviour_ == Behaviour::malformed) list["servers"] = {{{"id", 7}}};
         std::string response = http(200, list.dump());
         if (behaviour_ == Behaviour::truncates) response.resize(response.size() / 2);
-        peer.socket.say(response);
+        peer.socket.send(response);
     }
 
     TestServer listener_, origin_, cache_;
@@ -184,7 +184,7 @@
     std::thread thread_;
 };
 
-bool eventually(const std::function<bool()>& condition, milliseconds within = kStartWithin) {
+bool becomesTrue(const std::function<bool()>& condition, milliseconds within = kStartWithin) {
     const auto end = Clock::now() + within;
     while (Clock::now() < end) {
         if (condition()) return true;
@@ -208,20 +208,20 @@
         : program(configuration(name).dump(), kAdmin + operatorFile) {}
 
     nlohmann::json configuration(const std::string& name) const {
-        auto start = smallStart();
-        start["name"] = name.empty() ? "n" + std::to_string(place.port) : name;
-        start["listen"] = "127.0.0.1:" + std::to_string(place.port);
+        auto start = minimalStartConfig();
+        start["name"] = name.empty() ? "n" + std::to_string(reservedPort.port) : name;
+        start["listen"] = "127.0.0.1:" + std::to_string(reservedPort.port);
         start["discovery"] = discovery.address();
         start["known"] = {{"version", versionOf(7)}, {"full", true}, {"servers", nlohmann::json::array()}};
         return start;
     }
     void reload(const std::string& operatorFile) const {
-        program.operate(kAdmin + operatorFile);
+        program.writeOperatorFile(kAdmin + operatorFile);
         program.signal(SIGHUP);
     }
     std::string status(const std::string& option = "") const {
-        const std::string line =
-            std::string(POPPYCTL) + " --socket " + program.door() + " " + option + " status 2>&1";
+        const std::string line = std::string(POPPYCTL) + " --socket " + program.operatorSocketPath() + " " +
+                                 option + " status 2>&1";
         std::string out;
         FILE* const pipe = popen(line.c_str(), "r");
         for (int c = fgetc(pipe); c != EOF; c = fgetc(pipe)) out += static_cast<char>(c);
@@ -232,7 +232,7 @@
     bool logs(const std::string& text) const { return program.log().find(text) != std::string::npos; }
 
     TestServer discovery;
-    ReservedPort place;
+    ReservedPort reservedPort;
     Program program;
 };
 
@@ -252,7 +252,7 @@
 // next change.
 struct TwoSourceFixture {
     TwoSourceFixture() {
-        const bool hasPolled = eventually([&] { return a.requestCount() + b.requestCount() > 0; });
+        const bool hasPolled = becomesTrue([&] { return a.requestCount() + b.requestCount() > 0; });
         REQUIRE(hasPolled);
         REQUIRE(waitUntilSettled());
         const bool usesA = router.list().at("source") == a.address();
@@ -260,13 +260,13 @@
         other = usesA ? &b : &a;
         a.publish(8);
         b.publish(8);
-        REQUIRE(eventually([&] { return hasRequest(*used, after(8)); }));
+        REQUIRE(becomesTrue([&] { return hasRequest(*used, after(8)); }));
         otherRequestsBefore = other->requestCount();
     }
     // Waits until the router has a response from its current source. On a slow start the first
     // attempt may have timed out.
     bool waitUntilSettled() {
-        return eventually([&] {
+        return becomesTrue([&] {
             const auto list = router.list();
             return list.at("trouble") == "" && list.at("age_ms") < 1'000 &&
                    a.connectionCount() + b.connectionCount() == 1;
@@ -279,7 +279,7 @@
         const auto usedRequestsBefore = used->requestCount();
         other->publish(9);
         const bool isReceived =
-            eventually([&] { return hasRequest(*other, after(9), otherRequestsBefore); }, 2 * kChangeWithin);
+            becomesTrue([&] { return hasRequest(*other, after(9), otherRequestsBefore); }, 2 * kChangeWithin);
         const auto elapsed = Clock::now() - changed;
         CHECK(isReceived);
         CHECK(elapsed < kChangeWithin);
@@ -390,7 +390,7 @@
     RouterProcess router(
         distributorsSection({sources[0].address(), sources[1].address(), sources[2].address()}));
     const auto isConnected = [&](const StandInSource& source) { return source.connectionCount() > 0; };
-    REQUIRE(eventually([&] { return std::any_of(sources.begin(), sources.end(), isConnected); }));
+    REQUIRE(becomesTrue([&] { return std::any_of(sources.begin(), sources.end(), isConnected); }));
     std::this_thread::sleep_for(milliseconds(1'000));
     const auto used = std::find_if(sources.begin(), sources.end(), isConnected);
     REQUIRE(used != sources.end());
@@ -400,7 +400,7 @@
     const auto killed = Clock::now();
     used->kill();
     alive.publish(8);
-    CHECK(eventually([&] { return hasRequest(alive, after(8)); }, 2 * kChangeWithin));
+    CHECK(becomesTrue([&] { return hasRequest(alive, after(8)); }, 2 * kChangeWithin));
     const auto elapsed = Clock::now() - killed;
     CHECK(elapsed < kChangeWithin);
     MESSAGE("change received from the third source after ms: ",
@@ -416,8 +416,8 @@
     StandInSource source;
     Socket otherRouter(
         static_cast<std::uint16_t>(std::stoi(source.address().substr(source.address().find(':') + 1))));
-    otherRouter.say("GET /api/targets?after=9&wait_ms=0 HTTP/1.1\r\n\r\n");
-    CHECK(otherRouter.ended());
+    otherRouter.send("GET /api/targets?after=9&wait_ms=0 HTTP/1.1\r\n\r\n");
+    CHECK(otherRouter.isClosedByPeer());
     CHECK(source.requestCount() == 0);
 }
 
@@ -427,9 +427,9 @@
     TwoSourceFixture fixture;
     fixture.other->publish(5);
     fixture.used->publish(4);
-    CHECK(eventually([&] { return fixture.router.logs("every source offers an older one"); },
-                     2 * kChangeWithin));
-    CHECK(eventually([&] {
+    CHECK(becomesTrue([&] { return fixture.router.logs("every source offers an older one"); },
+                      2 * kChangeWithin));
+    CHECK(becomesTrue([&] {
         return hasRequest(*fixture.used, after(5)) || hasRequest(*fixture.other, after(5)) ||
                hasRequest(*fixture.used, after(4)) || hasRequest(*fixture.other, after(4));
     }));
@@ -461,8 +461,8 @@
     CHECK(moves <= 20);
     // The router applies the next newer list.
     fixture.other->publish(9);
-    CHECK(eventually([&] { return hasRequest(*fixture.other, after(9)); }, 2 * kChangeWithin));
-    CHECK(eventually([&] { return fixture.router.list().at("trouble") == ""; }));
+    CHECK(becomesTrue([&] { return hasRequest(*fixture.other, after(9)); }, 2 * kChangeWithin));
+    CHECK(becomesTrue([&] { return fixture.router.list().at("trouble") == ""; }));
 }
 
 TEST_CASE("stays with the source that it moved to when the first one is available again") {
@@ -482,45 +482,45 @@
     const auto connection = fixture.used->requests().back().connection;
     // With the source in use kept, no new poll begins.
     fixture.router.reload(distributorsSection({third.address(), fixture.used->address()}));
-    CHECK(eventually([&] { return fixture.router.logs("distributors: "); }));
+    CHECK(becomesTrue([&] { return fixture.router.logs("distributors: "); }));
     fixture.used->publish(9);
-    CHECK(eventually([&] { return hasRequest(*fixture.used, after(9)); }));
+    CHECK(becomesTrue([&] { return hasRequest(*fixture.used, after(9)); }));
     CHECK(fixture.used->requests().back().connection == connection);
     CHECK(third.requestCount() == 0);
     // Other sources are polled at once for the complete list.
     fixture.router.reload(distributorsSection({third.address(), fixture.other->address()}));
-    CHECK(eventually(
+    CHECK(becomesTrue(
         [&] { return hasRequest(third, kCompleteRequest) || hasRequest(*fixture.other, kCompleteRequest); }));
-    CHECK(eventually([&] { return fixture.used->connectionCount() == 0; }));
+    CHECK(becomesTrue([&] { return fixture.used->connectionCount() == 0; }));
     // An invalid file changes nothing.
     fixture.router.reload("[distributors]\naddresses = [\"nowhere\"]\n");
-    CHECK(eventually([&] { return fixture.router.logs("the old configuration stays in effect"); }));
+    CHECK(becomesTrue([&] { return fixture.router.logs("the old configuration stays in effect"); }));
     // Without the section, discovery is polled.
     fixture.router.reload("");
     Socket discovery = fixture.router.discovery.accept();
-    CHECK(discovery.head().at(0).starts_with(kCompleteRequest));
+    CHECK(discovery.readHead().at(0).starts_with(kCompleteRequest));
     CHECK_FALSE(fixture.router.list().contains("source"));
 }
 
 TEST_CASE("without a distributors section polls discovery, and the status has no entries for sources") {
     RouterProcess router("");
     Socket discovery = router.discovery.accept();
-    const std::string line = discovery.head().at(0);
+    const std::string line = discovery.readHead().at(0);
     REQUIRE(line.starts_with(after(7)));
     const int wait = std::stoi(line.substr(line.find("wait_ms=") + 8));
     CHECK(wait >= 5'000);
     CHECK(wait <= 10'000);
     const nlohmann::json empty = {
         {"version", versionOf(7)}, {"full", false}, {"servers", nlohmann::json::array()}};
-    discovery.say(http(200, empty.dump()));
-    CHECK(discovery.head().at(0).starts_with(after(7)));
-    REQUIRE(eventually([&] { return router.status().find("serving") != std::string::npos; }));
+    discovery.send(http(200, empty.dump()));
+    CHECK(discovery.readHead().at(0).starts_with(after(7)));
+    REQUIRE(becomesTrue([&] { return router.status().find("serving") != std::string::npos; }));
     CHECK_FALSE(router.list().contains("source"));
     CHECK_FALSE(router.list().contains("sources"));
     CHECK(router.status().find("distributors") == std::string::npos);
-    discovery.say(http(503, ""));
-    CHECK(
-        eventually([&] { return router.logs("endpoint list unavailable from discovery: HTTP status 503"); }));
+    discovery.send(http(503, ""));
+    CHECK(becomesTrue(
+        [&] { return router.logs("endpoint list unavailable from discovery: HTTP status 503"); }));
     CHECK_FALSE(router.logs("polls endpoint list source "));
 }
 
@@ -533,7 +533,7 @@
     std::vector<std::unique_ptr<RouterProcess>> routers;
     for (int i = 0; i < kRouters; ++i)
         routers.push_back(std::make_unique<RouterProcess>(section, "n" + std::to_string(i)));
-    REQUIRE(eventually([&] { return a.connectionCount() + b.connectionCount() == kRouters; }));
+    REQUIRE(becomesTrue([&] { return a.connectionCount() + b.connectionCount() == kRouters; }));
     // The first poll of each router doesn't wait at the source; the long polls after it do.
     std::this_thread::sleep_for(milliseconds(2'500));
     REQUIRE(a.connectionCount() + b.connectionCount() == kRouters);
@@ -550,7 +550,7 @@
             if (!before.contains(request.connection)) first.emplace(request.connection, request.at);
         return first;
     };
-    CHECK(eventually([&] { return arrivals().size() >= lost; }, kChangeWithin));
+    CHECK(becomesTrue([&] { return arrivals().size() >= lost; }, kChangeWithin));
     std::vector<Clock::time_point> times;
     for (const auto& [connection, at] : arrivals()) times.push_back(at);
     REQUIRE(times.size() >= lost);
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -1,4 +1,5 @@
-// Fixtures of the tests: sockets, servers and the programs, each with one bound on every wait.
+// Test fixtures: sockets, servers, processes of the program, and a router with its servers. Every
+// wait for a socket is bounded.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,173 +29,190 @@
 
 namespace poppyscale::test {
 
-constexpr int kSoon = 5'000;  // ms: what must happen has happened by then, sanitizers and all
+constexpr int kWaitTimeoutMs = 5'000;  // long enough for runs with sanitizers
 
-inline bool readable(int descriptor, int within) {
-    pollfd p{descriptor, POLLIN, 0};
-    return poll(&p, 1, within) == 1;
+inline bool becomesReadable(int descriptor, int timeoutMs) {
+    pollfd polled{descriptor, POLLIN, 0};
+    return poll(&polled, 1, timeoutMs) == 1;
 }
 
-inline sockaddr_in loopback(std::uint16_t port) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    return at;
+inline sockaddr_in loopbackAddress(std::uint16_t port) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return address;
 }
 
-// One end of a connection; what doesn't come soon reads as nothing.
+// One end of a connection. When the expected bytes do not arrive within kWaitTimeoutMs, or the peer
+// closes the connection, the functions that read return what has arrived until then.
 class Socket {
   public:
     explicit Socket(int descriptor) : descriptor_(descriptor) {}
     explicit Socket(std::uint16_t port) : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-        const auto at = loopback(port);
-        if (connect(descriptor_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) hangUp();
+        const auto address = loopbackAddress(port);
+        if (connect(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) close();
     }
     Socket(Socket&& other) noexcept
-        : descriptor_(std::exchange(other.descriptor_, -1)), in_(std::move(other.in_)) {}
+        : descriptor_(std::exchange(other.descriptor_, -1)), received_(std::move(other.received_)) {}
     Socket& operator=(Socket&& other) noexcept {
         std::swap(descriptor_, other.descriptor_);
-        std::swap(in_, other.in_);
-        return ended_ = false, *this;
+        std::swap(received_, other.received_);
+        return isClosedByPeer_ = false, *this;
     }
-    ~Socket() { hangUp(); }
+    ~Socket() { close(); }
 
-    bool open() const { return descriptor_ >= 0; }
-    void hangUp() {
-        if (open()) close(std::exchange(descriptor_, -1));
+    bool isOpen() const { return descriptor_ >= 0; }
+    void close() {
+        if (isOpen()) ::close(std::exchange(descriptor_, -1));
     }
-    // The end alone: nothing is reset yet by what the other side still sends.
+    // Ends the sending direction only. Unlike after `close`, bytes that the peer still sends do not
+    // reset the connection.
     void endSending() { shutdown(descriptor_, SHUT_WR); }
     void reset() {
-        const linger now{1, 0};
-        setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        hangUp();
+        const linger noLinger{1, 0};
+        setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &noLinger, sizeof noLinger);
+        close();
     }
-    Socket& say(std::string_view text) {
+    Socket& send(std::string_view text) {
         while (!text.empty()) {
-            const auto sent = send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
+            const auto sent = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
             if (sent <= 0) break;
             text.remove_prefix(static_cast<std::size_t>(sent));
         }
         return *this;
     }
-    // Without waiting for the other side: how many bytes fit.
-    std::size_t cram(std::string_view text) {
-        const auto sent = send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    // Sends as many bytes as the socket's buffer takes at once, and returns their number.
+    std::size_t sendWithoutBlocking(std::string_view text) {
+        const auto sent = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         return sent < 0 ? 0 : static_cast<std::size_t>(sent);
     }
-    std::string bytes(std::size_t count) {
-        while (in_.size() < count && more()) {
+    std::string readBytes(std::size_t count) {
+        while (received_.size() < count && receiveMore()) {
         }
-        return cut(std::min(count, in_.size()));
+        return takeReceived(std::min(count, received_.size()));
     }
-    std::string line(const std::string& ends = "\r\n") {
+    // Reads a line and removes its terminator.
+    std::string readLine(const std::string& terminator = "\r\n") {
         std::size_t end;
-        while ((end = in_.find(ends)) == std::string::npos)
-            if (!more()) return cut(in_.size());
-        const std::string text = cut(end);
-        cut(ends.size());
+        while ((end = received_.find(terminator)) == std::string::npos)
+            if (!receiveMore()) return takeReceived(received_.size());
+        const std::string text = takeReceived(end);
+        takeReceived(terminator.size());
         return text;
     }
-    // An answer of a router: a line, or what a bulk string holds.
-    std::string answer() {
-        const std::string head = line();
+    // Reads a response of a router: the content of a bulk string, or else a line.
+    std::string readResponse() {
+        const std::string head = readLine();
         if (head.empty() || head[0] != '$') return head;
-        const std::string text = bytes(std::stoul(head.substr(1)));
-        line();
+        const std::string text = readBytes(std::stoul(head.substr(1)));
+        readLine();
         return text;
     }
-    std::vector<std::string> command() {
+    // Reads a RESP command, that is, an array of bulk strings.
+    std::vector<std::string> readCommand() {
         std::vector<std::string> words;
-        const std::string head = line();
+        const std::string head = readLine();
         if (head.empty() || head[0] != '*') return words;
-        for (auto left = std::stoul(head.substr(1)); left > 0; --left) words.push_back(answer());
+        for (auto left = std::stoul(head.substr(1)); left > 0; --left) words.push_back(readResponse());
         return words;
     }
-    // The lines of an HTTP head, up to the empty one.
-    std::vector<std::string> head() {
+    // Reads the lines of an HTTP head, up to the empty line.
+    std::vector<std::string> readHead() {
         std::vector<std::string> lines;
-        for (std::string text = line(); !text.empty(); text = line()) lines.push_back(text);
+        for (std::string text = readLine(); !text.empty(); text = readLine()) lines.push_back(text);
         return lines;
     }
-    bool ended() {
-        while (more()) {
+    // Reads until the peer closes or resets the connection, or sends nothing for kWaitTimeoutMs.
+    bool isClosedByPeer() {
+        while (receiveMore()) {
         }
-        return ended_;
+        return isClosedByPeer_;
     }
-    std::size_t waits() const {
+    // The number of bytes that have arrived and that no function has read yet.
+    std::size_t unreadBytes() const {
         int count = 0;
         return ioctl(descriptor_, FIONREAD, &count) == 0 ? static_cast<std::size_t>(count) : 0;
     }
-    bool quiet(int within) const { return in_.empty() && !readable(descriptor_, within); }
-    void drain() const {
+    // Whether nothing arrives, not even the end of the connection, within the timeout.
+    bool isQuiet(int timeoutMs) const {
+        return received_.empty() && !becomesReadable(descriptor_, timeoutMs);
+    }
+    // Discards the bytes that have arrived, without waiting for more.
+    void discardUnread() const {
         char buffer[16 * 1024];
         while (recv(descriptor_, buffer, sizeof buffer, MSG_DONTWAIT) > 0) {
         }
     }
 
   private:
-    bool more() {
+    // Waits for bytes and receives them. Returns false if there are none.
+    bool receiveMore() {
         char buffer[16 * 1024];
-        if (!open() || !readable(descriptor_, kSoon)) return false;
-        const auto got = recv(descriptor_, buffer, sizeof buffer, 0);
-        ended_ = got <= 0;
-        if (got > 0) in_.append(buffer, static_cast<std::size_t>(got));
-        return got > 0;
-    }
-    std::string cut(std::size_t count) {
-        std::string text = in_.substr(0, count);
-        in_.erase(0, count);
+        if (!isOpen() || !becomesReadable(descriptor_, kWaitTimeoutMs)) return false;
+        const auto count = recv(descriptor_, buffer, sizeof buffer, 0);
+        isClosedByPeer_ = count <= 0;
+        if (count > 0) received_.append(buffer, static_cast<std::size_t>(count));
+        return count > 0;
+    }
+    // Removes the first bytes of `received_` and returns them.
+    std::string takeReceived(std::size_t count) {
+        std::string text = received_.substr(0, count);
+        received_.erase(0, count);
         return text;
     }
 
     int descriptor_;
-    std::string in_;
-    bool ended_ = false;
+    std::string received_;  // bytes that no function has returned yet
+    bool isClosedByPeer_ = false;
 };
 
-// A cache, the origin or discovery: where the router connects to.
+// A listening socket that the router connects to: a cache server, the origin or discovery.
 class TestServer {
   public:
-    // `everywhere`: at all addresses of loopback, each a server of its own to the router.
-    explicit TestServer(bool everywhere = false)
+    // `isOnAllAddresses`: listens on every loopback address; to the router each is another server.
+    explicit TestServer(bool isOnAllAddresses = false)
         : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-        auto at = loopback(0);
-        if (everywhere) at.sin_addr.s_addr = htonl(INADDR_ANY);
-        socklen_t size = sizeof at;
-        if (bind(descriptor_, reinterpret_cast<sockaddr*>(&at), size) != 0 || listen(descriptor_, 64) != 0 ||
-            getsockname(descriptor_, reinterpret_cast<sockaddr*>(&at), &size) != 0)
-            throw std::runtime_error("no port to listen on");
-        port = ntohs(at.sin_port);
+        auto address = loopbackAddress(0);
+        if (isOnAllAddresses) address.sin_addr.s_addr = htonl(INADDR_ANY);
+        socklen_t size = sizeof address;
+        if (bind(descriptor_, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
+            listen(descriptor_, 64) != 0 ||
+            getsockname(descriptor_, reinterpret_cast<sockaddr*>(&address), &size) != 0)
+            throw std::runtime_error("can't listen on a loopback port");
+        port = ntohs(address.sin_port);
     }
     TestServer(TestServer&& other) noexcept
         : port(other.port),
           descriptor_(std::exchange(other.descriptor_, -1)),
-          filler_(std::exchange(other.filler_, -1)) {}
-    ~TestServer() { shut(); }
-    void shut() {
-        if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
-        if (filler_ >= 0) close(std::exchange(filler_, -1));
+          backlogFiller_(std::exchange(other.backlogFiller_, -1)) {}
+    ~TestServer() { close(); }
+    void close() {
+        if (descriptor_ >= 0) ::close(std::exchange(descriptor_, -1));
+        if (backlogFiller_ >= 0) ::close(std::exchange(backlogFiller_, -1));
     }
+    // Returns a socket that is not open if no connection arrives within kWaitTimeoutMs.
     Socket accept() {
-        return Socket(readable(descriptor_, kSoon) ? ::accept(descriptor_, nullptr, nullptr) : -1);
-    }
-    bool quiet(int within) const { return !readable(descriptor_, within); }
-    // Until it lets them, who connects gets no answer; then with a next try of the kernel, a second after the
-    // first.
-    void hold() {
+        return Socket(becomesReadable(descriptor_, kWaitTimeoutMs) ? ::accept(descriptor_, nullptr, nullptr)
+                                                                   : -1);
+    }
+    // Whether no connection arrives within the timeout.
+    bool isQuiet(int timeoutMs) const { return !becomesReadable(descriptor_, timeoutMs); }
+    // Leaves connection attempts without a response until `unblockConnects`: a connection of the
+    // test's own fills the backlog. Blocked attempts then succeed when the kernel repeats them, the
+    // first time one second after the attempt.
+    void blockConnects() {
         listen(descriptor_, 0);
         const int filler = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const auto at = loopback(port);
-        if (connect(filler, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-            throw std::runtime_error("nothing to fill a door with");
-        filler_ = filler;
+        const auto address = loopbackAddress(port);
+        if (connect(filler, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+            throw std::runtime_error("can't fill the backlog of port " + std::to_string(port));
+        backlogFiller_ = filler;
     }
-    void let() {
+    void unblockConnects() {
         listen(descriptor_, 64);
-        close(::accept(descriptor_, nullptr, nullptr));
-        close(std::exchange(filler_, -1));
+        ::close(::accept(descriptor_, nullptr, nullptr));
+        ::close(std::exchange(backlogFiller_, -1));
     }
     int descriptor() const { return descriptor_; }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
@@ -203,22 +221,22 @@
 
   private:
     int descriptor_;
-    int filler_ = -1;
+    int backlogFiller_ = -1;  // the connection that fills the backlog; negative without one
 };
 
-// A port for a router: bound for as long as this lives and never listened on, so that no other test is given
-// it before the router takes it, which binds beside this.
+// A port for a router. It stays bound, without listening, for the lifetime of this object, so that
+// no other test gets it. The router binds to it as well (SO_REUSEADDR).
 class ReservedPort {
   public:
     ReservedPort() : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         const int yes = 1;
         setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-        auto at = loopback(0);
-        socklen_t size = sizeof at;
-        if (bind(descriptor_, reinterpret_cast<sockaddr*>(&at), size) != 0 ||
-            getsockname(descriptor_, reinterpret_cast<sockaddr*>(&at), &size) != 0)
-            throw std::runtime_error("no port for a router");
-        port = ntohs(at.sin_port);
+        auto address = loopbackAddress(0);
+        socklen_t size = sizeof address;
+        if (bind(descriptor_, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
+            getsockname(descriptor_, reinterpret_cast<sockaddr*>(&address), &size) != 0)
+            throw std::runtime_error("can't bind a loopback port for a router");
+        port = ntohs(address.sin_port);
     }
     ~ReservedPort() { close(descriptor_); }
     ReservedPort(const ReservedPort&) = delete;
@@ -230,8 +248,8 @@
     int descriptor_;
 };
 
-// What a router is started with, but for its addresses and its list.
-inline nlohmann::json smallStart() {
+// The platform's configuration of a router, without its addresses and its endpoint list.
+inline nlohmann::json minimalStartConfig() {
     return nlohmann::json::parse(
         R"({"name":"n0","seed":"07","limits":{"cores":1.0,"memory_mb":64,"sockets":256},
         "settings":{"allowed":{"connIdleUs":15000000,"connectTimeoutUs":200000,"maxOpen":20000,"maxRelays":3,
@@ -245,20 +263,22 @@
         {"effect":"single_shot","name":"pay","responseGoalUs":500000,"timeLimitUs":1000000,"utility":4.0}]}})");
 }
 
-inline nlohmann::json entryOf(std::string id, const TestServer& door, std::string kind = "m",
+// The entry of a server in an endpoint list.
+inline nlohmann::json entryOf(std::string id, const TestServer& server, std::string kind = "m",
                               std::string state = "Ready", std::int64_t startedMs = 0) {
-    return {{"id", id},  {"addr", door.address()}, {"zone", "a"},   {"kind", kind},
-            {"cell", 0}, {"state", state},         {"weight", 1.0}, {"started_ms", startedMs}};
+    return {{"id", id},  {"addr", server.address()}, {"zone", "a"},   {"kind", kind},
+            {"cell", 0}, {"state", state},           {"weight", 1.0}, {"started_ms", startedMs}};
 }
 
-// Starts a program without running any code of ours in the child: tests have threads, and a lock that one of
-// them holds at a fork (the allocator's, say) stays held in the child for ever.
 struct SpawnOptions {
-    std::string log;  // for standard error; empty: that of the test
+    std::string log;  // file for standard error; empty: the test's standard error
     bool appendsToLog = false;
-    int descriptor = -1;                   // inherited as descriptor 4
-    std::vector<std::string> environment;  // NAME=VALUE, beside the test's own or in place of it
+    int descriptor = -1;  // inherited as descriptor 4
+    // NAME=VALUE, added to the test's environment or replacing its variable of that name.
+    std::vector<std::string> environment;
 };
+// Uses posix_spawn, which runs no code of the test in the child: the test has threads, and a lock
+// that one of them holds at a fork, for example the allocator's, would stay locked in the child.
 inline pid_t spawnProgram(const char* path, std::vector<std::string> arguments, const SpawnOptions& options) {
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
@@ -289,49 +309,55 @@
     return pid;
 }
 
-// The program, started with what is given and ended with the test.
+// A process of the program, with a folder for its files. The destructor kills it and removes the
+// folder.
 class Program {
   public:
-    // With an operator's file, its {} is the folder; without a configuration the file has to say all.
-    // `passed` is a listening socket that it inherits as descriptor 4, `tmp` its folder for what outlives it.
-    explicit Program(const std::string& configuration, std::string operatorFile = "", int passed = -1,
-                     std::string tmp = "")
-        : passed_(passed), tmp_(std::move(tmp)) {
+    // `configuration`: the platform's configuration; empty: the operator's file contains everything.
+    // `operatorFile`: content of the operator's file, in which {} stands for the folder; empty: none.
+    // `passedSocket`: a listening socket that the process inherits as descriptor 4; negative: none.
+    // `tempFolder`: TMPDIR of the process, for files that outlive it; empty: the test's.
+    explicit Program(const std::string& configuration, std::string operatorFile = "", int passedSocket = -1,
+                     std::string tempFolder = "")
+        : passedSocket_(passedSocket), tempFolder_(std::move(tempFolder)) {
         char folder[] = "/tmp/poppyscale-test-XXXXXX";
-        if (!mkdtemp(folder)) throw std::runtime_error("no folder for a configuration");
+        if (!mkdtemp(folder)) throw std::runtime_error("can't create a folder in /tmp for a configuration");
         folder_ = folder;
         std::ofstream(folder_ + "/config.json") << configuration;
         setenv("ROUTER_CONFIG", (folder_ + "/config.json").c_str(), 1);
         if (configuration.empty()) unsetenv("ROUTER_CONFIG");
-        operate(operatorFile);
+        writeOperatorFile(operatorFile);
         start(!operatorFile.empty());
     }
-    void operate(std::string text) const {
+    // Replaces the operator's file; {} stands for the folder.
+    void writeOperatorFile(std::string text) const {
         for (auto at = text.find("{}"); at != std::string::npos; at = text.find("{}"))
             text.replace(at, 2, folder_);
         std::ofstream(folder_ + "/operator.toml") << text;
     }
-    void start(bool withOperator) {
+    void start(bool hasOperatorFile) {
         SpawnOptions options;
         options.log = folder_ + "/log";
-        options.descriptor = passed_;
-        if (passed_ >= 0) options.environment.push_back("ROUTER_PASSED_SOCKET=4");
-        if (!tmp_.empty()) options.environment.push_back("TMPDIR=" + tmp_);
+        options.descriptor = passedSocket_;
+        if (passedSocket_ >= 0) options.environment.push_back("ROUTER_PASSED_SOCKET=4");
+        if (!tempFolder_.empty()) options.environment.push_back("TMPDIR=" + tempFolder_);
         std::vector<std::string> arguments{"poppyscale"};
-        if (withOperator) arguments = {POPPYSCALE_PROGRAM, "serve", "--operator", folder_ + "/operator.toml"};
+        if (hasOperatorFile)
+            arguments = {POPPYSCALE_PROGRAM, "serve", "--operator", folder_ + "/operator.toml"};
         pid_ = spawnProgram(POPPYSCALE_PROGRAM, arguments, options);
     }
     const std::string& folder() const { return folder_; }
-    std::string door() const { return folder_ + "/admin.sock"; }
+    std::string operatorSocketPath() const { return folder_ + "/admin.sock"; }
     pid_t pid() const { return pid_; }
     ~Program() {
         if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
         std::filesystem::remove_all(folder_);
     }
     void signal(int number) const { kill(pid_, number); }
-    void configure(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
-    bool running() const { return kill(pid_, 0) == 0 && waitpid(pid_, nullptr, WNOHANG) == 0; }
-    // The exit code, or what killed it as a negative number.
+    void writeConfig(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
+    bool isRunning() const { return kill(pid_, 0) == 0 && waitpid(pid_, nullptr, WNOHANG) == 0; }
+    // Waits for the process to end. Returns its exit code, or the negated number of the signal that
+    // killed it.
     int exitCode() {
         int status = 0;
         waitpid(std::exchange(pid_, -1), &status, 0);
@@ -341,8 +367,8 @@
         std::ifstream file(folder_ + "/log");
         return {std::istreambuf_iterator<char>(file), {}};
     }
-    // What the process is doing, for a failure's message: its command line, state and the kernel function
-    // that it waits in.
+    // For the message of a failure: the command line, the state and the kernel function that the
+    // process waits in.
     std::string state() const {
         std::string text;
         for (const char* name : {"cmdline", "stat", "wchan"}) {
@@ -362,20 +388,22 @@
 
   private:
     std::string folder_;
-    int passed_;
-    std::string tmp_;
+    int passedSocket_;
+    std::string tempFolder_;
     pid_t pid_ = -1;
 };
 
-// A router with caches c0, c1 ..., an origin and discovery, all of them played by the test.
-struct Stage {
-    explicit Stage(std::size_t count = 1, nlohmann::json start = smallStart())
-        : caches(count), port(place.port), program(startOf(start)) {
-        for (int tries = 0; tries < 100 && client().say("*1\r\n$4\r\nPING\r\n").line() != "+PONG"; ++tries)
+// A router with cache servers c0, c1, ..., an origin and discovery, for which the test responds.
+struct RouterFixture {
+    explicit RouterFixture(std::size_t cacheCount = 1, nlohmann::json start = minimalStartConfig())
+        : caches(cacheCount), port(reservedPort.port), program(completeStartConfig(start)) {
+        for (int tries = 0; tries < 100 && client().send("*1\r\n$4\r\nPING\r\n").readLine() != "+PONG";
+             ++tries)
             usleep(50'000);
     }
     Socket client() const { return Socket(port); }
-    std::string startOf(nlohmann::json& start) const {
+    // Adds the addresses and the endpoint list to the configuration, and returns its text.
+    std::string completeStartConfig(nlohmann::json& start) const {
         start["listen"] = "127.0.0.1:" + std::to_string(port);
         start["discovery"] = discovery.address();
         start["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("origin", origin, "origin")}}};
@@ -387,11 +415,12 @@
     TestServer discovery;
     TestServer origin;
     std::vector<TestServer> caches;
-    ReservedPort place;
+    ReservedPort reservedPort;
     std::uint16_t port;
     Program program;
 };
 
+// A RESP command.
 inline std::string array(const std::vector<std::string>& words) {
     std::string text = "*" + std::to_string(words.size()) + "\r\n";
     for (const auto& word : words) text += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
@@ -403,10 +432,12 @@
 inline std::string set(const std::string& key, const std::string& info, const std::string& value = "V") {
     return array({"OBJ.SET", key, "9b1f-" + key, info, value});
 }
+// Responses of a cache server: the value is in the cache, or is not.
 inline std::string hit(const std::string& value) {
     return "*3\r\n$" + std::to_string(value.size()) + "\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n";
 }
 constexpr std::string_view kMiss = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n";
+// An HTTP response of the origin or of discovery.
 inline std::string http(int status, const std::string& body, const std::string& headers = "") {
     return "HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " + std::to_string(body.size()) +
            "\r\n" + headers + "\r\n" + body;
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -58,19 +58,19 @@
     // group. Returns the list's length in bytes.
     std::size_t sendList(const std::string& group, int count) {
         // A poll that has waited for too long times out, and is repeated on another connection.
-        while (pollConnection_.head().empty()) {
+        while (pollConnection_.readHead().empty()) {
             pollConnection_ = discovery_.accept();
-            REQUIRE(pollConnection_.open());
+            REQUIRE(pollConnection_.isOpen());
         }
         nlohmann::json servers = nlohmann::json::array({entryOf("origin", origin_, "origin")});
         for (int i = 0; i < count; ++i) servers.push_back(entryOf(serverId(group, i), cache_));
         const nlohmann::json list{{"version", ++version_}, {"full", true}, {"servers", servers}};
         const std::string body = list.dump(4);
-        pollConnection_.say(http(200, body));
+        pollConnection_.send(http(200, body));
         return body.size();
     }
     std::string askConsole(const std::string& line) const {
-        return Socket(consolePort_.port).say(line + "\n").line("\n");
+        return Socket(consolePort_.port).send(line + "\n").readLine("\n");
     }
     nlohmann::json askAdmin(const std::string& what) const {
         return ctl::sendRequest(program_.folder() + "/admin.sock", {{"do", what}}, kResponseTimeoutMs);
@@ -99,7 +99,7 @@
 
   private:
     nlohmann::json configuration() const {
-        nlohmann::json config = smallStart();
+        nlohmann::json config = minimalStartConfig();
         config["limits"]["memory_mb"] = kMemoryMb;
         config["settings"]["replicasOfMe"] = kRouters;
         config["listen"] = "127.0.0.1:" + std::to_string(reservedPort_.port);
@@ -183,7 +183,7 @@
 
     TestServer discovery, origin, listening;
     const ReservedPort firstConsole, secondConsole;
-    nlohmann::json config = smallStart();
+    nlohmann::json config = minimalStartConfig();
     config["listen"] = listening.address();
     config["discovery"] = discovery.address();
     config["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("origin", origin, "origin")}}};
@@ -192,7 +192,7 @@
         return std::make_unique<Program>(config.dump(), "", listening.descriptor(), folder.path);
     };
     const auto statusOf = [](const ReservedPort& console) {
-        return Socket(console.port).say("status\n").line("\n");
+        return Socket(console.port).send("status\n").readLine("\n");
     };
     const auto hasAll = [&](const ReservedPort& console) {
         return becomesTrue([&] {
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -54,8 +54,8 @@
            "\r\n$23\r\nc=mark,t=north,d=1500,k\r\n$" + std::to_string(length) + "\r\n";
 }
 std::string readBody(Socket& origin, std::size_t length) {
-    origin.head();
-    return origin.bytes(length);
+    origin.readHead();
+    return origin.readBytes(length);
 }
 
 }  // namespace
@@ -117,251 +117,252 @@
 }
 
 TEST_CASE("Streams 4 MiB from a cache server and from the origin; the first bytes don't wait for the rest") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string value = longValue(4 * kMebibyte);
-    Socket client = stage.client();
-    client.say(get("k"));
-    Socket cache = stage.caches[0].accept();
-    cache.command();
+    Socket client = fixture.client();
+    client.send(get("k"));
+    Socket cache = fixture.caches[0].accept();
+    cache.readCommand();
     const std::string response = hit(value);
-    cache.say(response.substr(0, 100'000));
-    CHECK(client.line() == "$4194304");
-    CHECK(isSame(client.bytes(90'000), value.substr(0, 90'000)));
-    std::jthread sending([&] { cache.say(response.substr(100'000)); });
-    CHECK(isSame(client.bytes(value.size() - 90'000), value.substr(90'000)));
-    CHECK(client.line().empty());
+    cache.send(response.substr(0, 100'000));
+    CHECK(client.readLine() == "$4194304");
+    CHECK(isSame(client.readBytes(90'000), value.substr(0, 90'000)));
+    std::jthread sending([&] { cache.send(response.substr(100'000)); });
+    CHECK(isSame(client.readBytes(value.size() - 90'000), value.substr(90'000)));
+    CHECK(client.readLine().empty());
     sending.join();
     // The connection to the cache server is reused, and so is the client's.
-    client.say(get("m"));
-    CHECK(cache.command().at(1) == "m");
-    cache.say(kMiss);
-    Socket origin = stage.origin.accept();
-    origin.head();
-    std::jthread more([&] { origin.say(http(200, value)); });
-    CHECK(isSame(client.answer(), value));
-    client.say(array({"PING"}));
-    CHECK(client.line() == "+PONG");
+    client.send(get("m"));
+    CHECK(cache.readCommand().at(1) == "m");
+    cache.send(kMiss);
+    Socket origin = fixture.origin.accept();
+    origin.readHead();
+    std::jthread more([&] { origin.send(http(200, value)); });
+    CHECK(isSame(client.readResponse(), value));
+    client.send(array({"PING"}));
+    CHECK(client.readLine() == "+PONG");
 }
 
 TEST_CASE("Delivers a long response in single bytes and odd chunks, with requests pipelined behind it") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string value = longValue(70'000);
-    Socket client = stage.client();
-    client.say(get("k") + array({"PING"}) + get("m"));
-    Socket cache = stage.caches[0].accept(), second = stage.caches[0].accept();
-    if (cache.command().at(1) == "m") std::swap(cache, second);
+    Socket client = fixture.client();
+    client.send(get("k") + array({"PING"}) + get("m"));
+    Socket cache = fixture.caches[0].accept(), second = fixture.caches[0].accept();
+    if (cache.readCommand().at(1) == "m") std::swap(cache, second);
     const std::string response = hit(value);
     std::jthread sending([&] {
-        for (std::size_t at = 0; at < 2'000; ++at) cache.say(response.substr(at, 1));
+        for (std::size_t at = 0; at < 2'000; ++at) cache.send(response.substr(at, 1));
         for (std::size_t at = 2'000, step = 1; at < response.size(); at += step, step = step % 977 + 13)
-            cache.say(response.substr(at, step));
+            cache.send(response.substr(at, step));
     });
-    CHECK(isSame(client.answer(), value));
-    CHECK(client.line() == "+PONG");
+    CHECK(isSame(client.readResponse(), value));
+    CHECK(client.readLine() == "+PONG");
     sending.join();
-    second.say(hit("V"));
-    CHECK(client.answer() == "V");
+    second.send(hit("V"));
+    CHECK(client.readResponse() == "V");
 }
 
 TEST_CASE("Delays a long response until the response ahead of it is sent, and buffers little meanwhile") {
-    Stage stage(2);
-    Socket client = stage.client();
-    client.say(get("k") + get("m"));
-    std::array<Socket, 2> connections{stage.caches[0].accept(), stage.caches[0].quiet(300)
-                                                                    ? stage.caches[1].accept()
-                                                                    : stage.caches[0].accept()};
-    const bool isSwapped = connections[0].command().at(1) == "m";
+    RouterFixture fixture(2);
+    Socket client = fixture.client();
+    client.send(get("k") + get("m"));
+    std::array<Socket, 2> connections{fixture.caches[0].accept(), fixture.caches[0].isQuiet(300)
+                                                                      ? fixture.caches[1].accept()
+                                                                      : fixture.caches[0].accept()};
+    const bool isSwapped = connections[0].readCommand().at(1) == "m";
     Socket& first = connections[isSwapped];
     Socket& second = connections[!isSwapped];
-    CHECK(connections[1].command().size() == 4);
+    CHECK(connections[1].readCommand().size() == 4);
     const std::string value = longValue(4 * kMebibyte);
-    std::jthread sending([&] { second.say(hit(value)); });
-    CHECK(client.quiet(300));
-    first.say(hit("V"));
-    CHECK(client.answer() == "V");
-    CHECK(isSame(client.answer(), value));
+    std::jthread sending([&] { second.send(hit(value)); });
+    CHECK(client.isQuiet(300));
+    first.send(hit("V"));
+    CHECK(client.readResponse() == "V");
+    CHECK(isSame(client.readResponse(), value));
 }
 
 TEST_CASE("Closes the client's connection, and runs on, when a long response is broken off or malformed") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string response = hit(longValue(200'000));
     for (const bool isMalformed : {false, true}) {
-        Socket client = stage.client();
-        client.say(get("k"));
-        Socket cache = stage.caches[0].accept();
-        cache.command();
-        cache.say(response.substr(0, 100'000));
-        CHECK(client.line() == "$200000");
+        Socket client = fixture.client();
+        client.send(get("k"));
+        Socket cache = fixture.caches[0].accept();
+        cache.readCommand();
+        cache.send(response.substr(0, 100'000));
+        CHECK(client.readLine() == "$200000");
         if (isMalformed) {
             std::string rest = response.substr(100'000);
             rest.replace(rest.find("\r\n$3\r\nhit"), 2, "??");
-            cache.say(rest);
-            CHECK(cache.ended());
+            cache.send(rest);
+            CHECK(cache.isClosedByPeer());
         } else {
-            cache.hangUp();
+            cache.close();
         }
-        CHECK(client.ended());
+        CHECK(client.isClosedByPeer());
     }
-    Socket client = stage.client();
-    CHECK(client.say(array({"PING"})).line() == "+PONG");
+    Socket client = fixture.client();
+    CHECK(client.send(array({"PING"})).readLine() == "+PONG");
 }
 
 TEST_CASE("Closes the cache server's connection when the client disconnects during a long response") {
-    Stage stage;
-    Socket client = stage.client();
-    client.say(get("k"));
-    Socket cache = stage.caches[0].accept();
-    cache.command();
-    cache.say(hit(longValue(4 * kMebibyte)).substr(0, 200'000));
-    client.line();
+    RouterFixture fixture;
+    Socket client = fixture.client();
+    client.send(get("k"));
+    Socket cache = fixture.caches[0].accept();
+    cache.readCommand();
+    cache.send(hit(longValue(4 * kMebibyte)).substr(0, 200'000));
+    client.readLine();
     client.reset();
-    CHECK(cache.ended());
-    CHECK(stage.client().say(array({"PING"})).line() == "+PONG");
+    CHECK(cache.isClosedByPeer());
+    CHECK(fixture.client().send(array({"PING"})).readLine() == "+PONG");
 }
 
 TEST_CASE("Streams a write of 4 MiB to the origin; withholds its last byte until the terminator is valid") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string value = longValue(4 * kMebibyte);
-    Socket client = stage.client();
-    client.say(writeHead(value.size()) + value.substr(0, 100'000));
-    Socket origin = stage.origin.accept();
-    const auto head = origin.head();
+    Socket client = fixture.client();
+    client.send(writeHead(value.size()) + value.substr(0, 100'000));
+    Socket origin = fixture.origin.accept();
+    const auto head = origin.readHead();
     CHECK(head[0] == "PUT /k HTTP/1.1");
     CHECK(std::find(head.begin(), head.end(), "Content-Length: 4194304") != head.end());
-    CHECK(isSame(origin.bytes(100'000), value.substr(0, 100'000)));
-    std::jthread sending([&] { client.say(value.substr(100'000)); });
-    CHECK(isSame(origin.bytes(value.size() - 100'001), value.substr(100'000, value.size() - 100'001)));
+    CHECK(isSame(origin.readBytes(100'000), value.substr(0, 100'000)));
+    std::jthread sending([&] { client.send(value.substr(100'000)); });
+    CHECK(isSame(origin.readBytes(value.size() - 100'001), value.substr(100'000, value.size() - 100'001)));
     sending.join();
-    CHECK(origin.quiet(100));
-    client.say("\r\n" + array({"PING"}));  // the PING waits for the response to the write
-    CHECK(isSame(origin.bytes(1), value.substr(value.size() - 1)));
-    CHECK(client.quiet(100));
-    origin.say(http(200, "receipt"));
-    CHECK(client.answer() == "receipt");
-    CHECK(client.line() == "+PONG");
+    CHECK(origin.isQuiet(100));
+    client.send("\r\n" + array({"PING"}));  // the PING waits for the response to the write
+    CHECK(isSame(origin.readBytes(1), value.substr(value.size() - 1)));
+    CHECK(client.isQuiet(100));
+    origin.send(http(200, "receipt"));
+    CHECK(client.readResponse() == "receipt");
+    CHECK(client.readLine() == "+PONG");
     // A write in odd chunks, with another write right behind it.
     const std::string small = longValue(66'000, 2);
     const std::string both =
         writeHead(small.size()) + small + "\r\n" + writeHead(small.size(), "9b1f-m") + small + "\r\n";
     std::jthread again([&] {
         for (std::size_t at = 0, step = 1; at < both.size(); at += step, step = step % 811 + 7)
-            client.say(both.substr(at, step));
+            client.send(both.substr(at, step));
     });
     CHECK(isSame(readBody(origin, small.size()), small));
-    Socket second = stage.origin.accept();
+    Socket second = fixture.origin.accept();
     CHECK(isSame(readBody(second, small.size()), small));
-    second.say(http(200, "second"));
-    origin.say(http(200, "first"));
-    CHECK(client.answer() == "first");
-    CHECK(client.answer() == "second");
+    second.send(http(200, "second"));
+    origin.send(http(200, "first"));
+    CHECK(client.readResponse() == "first");
+    CHECK(client.readResponse() == "second");
 }
 
 TEST_CASE("Aborts a long write that stops midway; rejects one that the origin rejects or can't be sent") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string value = longValue(300'000);
     for (const bool isMalformed : {false, true}) {
-        Socket client = stage.client();
-        client.say(writeHead(value.size()) + value.substr(0, 200'000));
-        Socket origin = stage.origin.accept();
+        Socket client = fixture.client();
+        client.send(writeHead(value.size()) + value.substr(0, 200'000));
+        Socket origin = fixture.origin.accept();
         CHECK(readBody(origin, 200'000).size() == 200'000);
         if (isMalformed)
-            client.say(value.substr(200'000) + "??");
+            client.send(value.substr(200'000) + "??");
         else
-            client.hangUp();
-        CHECK(origin.ended());
-        if (isMalformed) CHECK(client.line().starts_with("-ERR Protocol error"));
+            client.close();
+        CHECK(origin.isClosedByPeer());
+        if (isMalformed) CHECK(client.readLine().starts_with("-ERR Protocol error"));
     }
     {  // The origin rejects the write before it has read all of it: the client gets the rejection when the
        // router has read the rest.
-        Socket client = stage.client();
-        client.say(writeHead(value.size()) + value.substr(0, 100'000));
-        Socket origin = stage.origin.accept();
-        origin.head();
-        origin.say(http(503, "", "X-Rejected: 1\r\n"));
-        CHECK(origin.ended());
-        CHECK(client.quiet(200));
-        client.say(value.substr(100'000) + "\r\n");
-        CHECK(client.line().starts_with("-BUSY "));
-        CHECK(client.say(array({"PING"})).line() == "+PONG");
+        Socket client = fixture.client();
+        client.send(writeHead(value.size()) + value.substr(0, 100'000));
+        Socket origin = fixture.origin.accept();
+        origin.readHead();
+        origin.send(http(503, "", "X-Rejected: 1\r\n"));
+        CHECK(origin.isClosedByPeer());
+        CHECK(client.isQuiet(200));
+        client.send(value.substr(100'000) + "\r\n");
+        CHECK(client.readLine().starts_with("-BUSY "));
+        CHECK(client.send(array({"PING"})).readLine() == "+PONG");
     }
     {  // The origin can't be reached.
-        stage.origin.shut();
-        Socket client = stage.client();
-        client.say(writeHead(value.size()) + value + "\r\n");
-        CHECK(client.line().starts_with("-BUSY "));
-        CHECK(client.say(array({"PING"})).line() == "+PONG");
+        fixture.origin.close();
+        Socket client = fixture.client();
+        client.send(writeHead(value.size()) + value + "\r\n");
+        CHECK(client.readLine().starts_with("-BUSY "));
+        CHECK(client.send(array({"PING"})).readLine() == "+PONG");
     }
 }
 
 TEST_CASE("Allows 2 s for a request's head, more for a value that keeps arriving; fails a stalled one") {
-    Stage stage;
+    RouterFixture fixture;
     const std::string value = longValue(100'000);
-    Socket slow = stage.client(), stalled = stage.client(), unknown = stage.client();
+    Socket slow = fixture.client(), stalled = fixture.client(), unknown = fixture.client();
     const std::string head = writeHead(value.size());
-    stalled.say(writeHead(value.size(), "9b1f-m") + value.substr(0, 1'000));
+    stalled.send(writeHead(value.size(), "9b1f-m") + value.substr(0, 1'000));
     const std::string other = array({"OBJ.PUT", "k", "9b1f-k", "c=mark,d=900"});
-    CHECK(unknown.say("*5" + other.substr(2) + "$70000\r\nabc").line() == "-ERR unknown command 'OBJ.PUT'");
-    CHECK(unknown.ended());
-    Socket accepted = stage.origin.accept();
-    for (std::size_t at = 0; at < head.size(); ++at, usleep(20'000)) slow.say(head.substr(at, 1));
-    for (std::size_t at = 0; at < 2'000; at += 500, usleep(700'000)) slow.say(value.substr(at, 500));
-    slow.say(value.substr(2'000) + "\r\n");
-    Socket origin = stage.origin.accept();
+    CHECK(unknown.send("*5" + other.substr(2) + "$70000\r\nabc").readLine() ==
+          "-ERR unknown command 'OBJ.PUT'");
+    CHECK(unknown.isClosedByPeer());
+    Socket accepted = fixture.origin.accept();
+    for (std::size_t at = 0; at < head.size(); ++at, usleep(20'000)) slow.send(head.substr(at, 1));
+    for (std::size_t at = 0; at < 2'000; at += 500, usleep(700'000)) slow.send(value.substr(at, 500));
+    slow.send(value.substr(2'000) + "\r\n");
+    Socket origin = fixture.origin.accept();
     CHECK(isSame(readBody(origin, value.size()), value));
-    origin.say(http(200, "receipt"));
-    CHECK(slow.answer() == "receipt");
-    CHECK(stalled.line() == "-ERR Protocol error: the command was not complete within the time limit");
-    CHECK(accepted.ended());
+    origin.send(http(200, "receipt"));
+    CHECK(slow.readResponse() == "receipt");
+    CHECK(stalled.readLine() == "-ERR Protocol error: the command was not complete within the time limit");
+    CHECK(accepted.isClosedByPeer());
 }
 
 TEST_CASE("Bounds the memory of sixty long responses to slow clients, with long writes in flight") {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["limits"]["memory_mb"] = 32;
     setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);  // else freed memory would count as resident
-    Stage stage(4, start);
+    RouterFixture fixture(4, start);
     unsetenv("ASAN_OPTIONS");
     const std::string response = hit(longValue(4 * kMebibyte));
     std::vector<Socket> clients;
     std::vector<std::jthread> caches;
-    for (auto& server : stage.caches)
+    for (auto& server : fixture.caches)
         caches.emplace_back([&](const std::stop_token& stop) {
             std::vector<std::jthread> connections;
             while (!stop.stop_requested())
-                if (!server.quiet(20))
+                if (!server.isQuiet(20))
                     connections.emplace_back([&response, made = std::make_shared<Socket>(server.accept())] {
-                        if (made->command().size() == 4) made->say(response);
+                        if (made->readCommand().size() == 4) made->send(response);
                     });
             // Killing the router closes its connections, which ends the threads that still write.
-            stage.program.signal(SIGKILL);
+            fixture.program.signal(SIGKILL);
         });
     // The origin accepts long writes and reads nothing of them. Both directions together fill the buffers,
     // and the connection with the most bytes is removed, even while another connection is being served.
     std::vector<Socket> accepted, writers;
     const std::string body = longValue(300'000);
     for (int i = 0; i < 24; ++i) {
-        writers.push_back(stage.client());
-        writers.back().say(writeHead(4 * kMebibyte, "9b1f-w" + std::to_string(i)));
-        writers.back().cram(body);
+        writers.push_back(fixture.client());
+        writers.back().send(writeHead(4 * kMebibyte, "9b1f-w" + std::to_string(i)));
+        writers.back().sendWithoutBlocking(body);
         // Writes beyond the concurrency limit of an origin that does not respond are rejected.
-        if (!stage.origin.quiet(300)) accepted.push_back(stage.origin.accept());
+        if (!fixture.origin.isQuiet(300)) accepted.push_back(fixture.origin.accept());
     }
     CHECK(accepted.size() >= 4);
-    const std::size_t before = stage.program.residentKiB();
+    const std::size_t before = fixture.program.residentKiB();
     for (int i = 0; i < 60; ++i) {
-        clients.push_back(stage.client());
-        clients.back().say(get("k" + std::to_string(i), "c=read,t=north,d=2000"));
-        for (Socket& writer : writers) writer.cram(body);
+        clients.push_back(fixture.client());
+        clients.back().send(get("k" + std::to_string(i), "c=read,t=north,d=2000"));
+        for (Socket& writer : writers) writer.sendWithoutBlocking(body);
     }
     usleep(1'500'000);
     int ended = 0;
-    for (Socket& writer : writers) ended += !writer.quiet(0);
-    for (Socket& client : clients) ended += !client.quiet(0) && client.waits() == 0;
+    for (Socket& writer : writers) ended += !writer.isQuiet(0);
+    for (Socket& client : clients) ended += !client.isQuiet(0) && client.unreadBytes() == 0;
     MESSAGE(ended, " of 84 connections ended or rejected, ", accepted.size(), " long writes in flight");
-    const std::size_t after = stage.program.residentKiB();
+    const std::size_t after = fixture.program.residentKiB();
     MESSAGE(before, " KiB before, ", after, " KiB with 60 long responses blocked");
     CHECK(after < before + 16'000);
     int begun = 0;
-    for (Socket& client : clients) begun += client.line() == "$4194304";
+    for (Socket& client : clients) begun += client.readLine() == "$4194304";
     CHECK(begun > 10);
-    CHECK(stage.client().say(array({"PING"})).line() == "+PONG");
+    CHECK(fixture.client().send(array({"PING"})).readLine() == "+PONG");
 }
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 std::string consoleReply(std::uint16_t console, const std::string& line) {
-    return Socket(console).say(line + "\n").line("\n");
+    return Socket(console).send(line + "\n").readLine("\n");
 }
 
 // A router with a console, and its discovery, origin and cache servers. If the platform passes the
 // clients' listening socket, a second router process can be started beside the first.
 struct Deployment {
-    explicit Deployment(bool isSocketPassed = false, nlohmann::json start = smallStart())
+    explicit Deployment(bool isSocketPassed = false, nlohmann::json start = minimalStartConfig())
         : isSocketPassed(isSocketPassed),
-          port(isSocketPassed ? listening.port : place.port),
+          port(isSocketPassed ? listening.port : reservedPort.port),
           config(std::move(start)) {
         config["listen"] = "127.0.0.1:" + std::to_string(port);
         config["discovery"] = discovery.address();
@@ -33,7 +33,7 @@
              {entryOf("origin", origin, "origin"), entryOf("c0", caches[0]), entryOf("c1", caches[1])}}};
     }
     struct Router {
-        std::unique_ptr<ReservedPort> place;
+        std::unique_ptr<ReservedPort> consolePort;
         std::uint16_t console;
         Program program;
         bool becomesReady() const {
@@ -66,7 +66,7 @@
     } tmp;
     TestServer discovery, origin, listening;
     std::array<TestServer, 2> caches;
-    ReservedPort place;
+    ReservedPort reservedPort;
     bool isSocketPassed;
     std::uint16_t port;
     nlohmann::json config;
@@ -80,7 +80,7 @@
             threads_.emplace_back([this, i, &deployment](const std::stop_token& stop) {
                 std::vector<std::jthread> open;
                 while (!stop.stop_requested())
-                    if (!deployment.caches[i].quiet(20))
+                    if (!deployment.caches[i].isQuiet(20))
                         open.emplace_back(
                             [this, i, made = std::make_shared<Socket>(deployment.caches[i].accept())](
                                 const std::stop_token& end) { serve(i, *made, end); });
@@ -91,11 +91,11 @@
   private:
     void serve(std::size_t cache, Socket& link, const std::stop_token& end) {
         while (!end.stop_requested()) {
-            if (link.quiet(20)) continue;
-            const auto words = link.command();
+            if (link.isQuiet(20)) continue;
+            const auto words = link.readCommand();
             if (words.size() < 4) return;
             ++requestCounts[cache];
-            link.say(hit(words[2]));
+            link.send(hit(words[2]));
         }
     }
     std::vector<std::jthread> threads_;
@@ -128,15 +128,15 @@
     Deployment deployment;
     const auto router = deployment.start();
     std::vector<Socket> silent;
-    for (int i = 0; i < 12; ++i) silent.emplace_back(router->console).say(i % 2 ? "stat" : "");
+    for (int i = 0; i < 12; ++i) silent.emplace_back(router->console).send(i % 2 ? "stat" : "");
     std::vector<Socket> crowd;  // as many clients as the router accepts
     for (int i = 0; i < 300; ++i) crowd.push_back(deployment.client());
     CHECK(consoleReply(router->console, "status").starts_with("ACK serving"));
     CHECK(consoleReply(router->console, "dance").starts_with("NAK unknown command 'dance'"));
     CHECK(consoleReply(router->console, std::string(300, 'x')).starts_with("NAK the line is longer than"));
     CHECK(consoleReply(router->console, std::string("\0\x01\x02", 3)).starts_with("NAK"));
-    CHECK(silent[1].say("us\n").line("\n").starts_with("ACK serving"));
-    CHECK(silent[1].ended());
+    CHECK(silent[1].send("us\n").readLine("\n").starts_with("ACK serving"));
+    CHECK(silent[1].isClosedByPeer());
 }
 
 TEST_CASE(
@@ -144,28 +144,28 @@
     Deployment deployment;
     const auto router = deployment.start();
     Socket idle = deployment.client(), busy = deployment.client();
-    CHECK(idle.say(array({"PING"})).line() == "+PONG");
-    busy.say(get("k"));
+    CHECK(idle.send(array({"PING"})).readLine() == "+PONG");
+    busy.send(get("k"));
     Socket at =
-        deployment.caches[0].quiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
-    at.command();
+        deployment.caches[0].isQuiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
+    at.readCommand();
     CHECK(consoleReply(router->console, "standby").starts_with("ACK serving, standing by"));
     CHECK(consoleReply(router->console, "standby").starts_with("ACK"));
     Socket front = deployment.client();
-    CHECK(front.say(array({"PING"})).line() == "-ERR the router is in standby");
-    CHECK(front.ended());
-    at.say(hit("V"));
-    CHECK(busy.answer() == "V");
-    CHECK(busy.ended());
-    CHECK(idle.quiet(200));  // not closed at once, since a request may be on its way
-    CHECK(idle.ended());
+    CHECK(front.send(array({"PING"})).readLine() == "-ERR the router is in standby");
+    CHECK(front.isClosedByPeer());
+    at.send(hit("V"));
+    CHECK(busy.readResponse() == "V");
+    CHECK(busy.isClosedByPeer());
+    CHECK(idle.isQuiet(200));  // not closed at once, since a request may be on its way
+    CHECK(idle.isClosedByPeer());
     // The connection was closed after 0.8 s at the earliest, and requests are accepted for up to 1.9 s.
     usleep(1'300'000);
     // The router may close a new, idle connection before the request has arrived, without a response.
     // If a request gets a response, it is a rejection.
     std::string late;
     for (int tries = 0; tries < 200 && late.empty(); ++tries)
-        late = deployment.client().say(get("late")).line();
+        late = deployment.client().send(get("late")).readLine();
     CHECK(late.starts_with("-BUSY"));
     // A reload does not change the operator state.
     router->program.signal(SIGHUP);
@@ -173,16 +173,16 @@
          tries < 250 && router->program.log().find("reloaded the configuration") == std::string::npos;
          ++tries)
         usleep(20'000);
-    CHECK(deployment.client().say(array({"PING"})).line() != "+PONG");
+    CHECK(deployment.client().send(array({"PING"})).readLine() != "+PONG");
     CHECK(consoleReply(router->console, "status").starts_with("ACK serving, standing by"));
     CHECK(consoleReply(router->console, "active").starts_with("ACK serving;"));
     Socket healthCheck = deployment.client();
-    CHECK(healthCheck.say(array({"PING"})).line() == "+PONG");
-    healthCheck.say(get("k"));
-    at.hangUp();
+    CHECK(healthCheck.send(array({"PING"})).readLine() == "+PONG");
+    healthCheck.send(get("k"));
+    at.close();
     RespondingCaches caches(deployment);
-    CHECK(healthCheck.answer() == "9b1f-k");
-    CHECK(healthCheck.quiet(100));
+    CHECK(healthCheck.readResponse() == "9b1f-k");
+    CHECK(healthCheck.isQuiet(100));
 }
 
 TEST_CASE(
@@ -195,7 +195,7 @@
         const auto before = std::array{caches.requestCounts[0].load(), caches.requestCounts[1].load()};
         for (int i = 0; i < 60; ++i) {
             const std::string key = prefix + std::to_string(i);
-            CHECK(client.say(get(key)).answer() == "9b1f-" + key);
+            CHECK(client.send(get(key)).readResponse() == "9b1f-" + key);
         }
         return std::array{caches.requestCounts[0] - before[0], caches.requestCounts[1] - before[1]};
     };
@@ -219,20 +219,20 @@
     Deployment deployment(true);
     auto old = deployment.start();
     Socket idle = deployment.client(), busy = deployment.client();
-    CHECK(idle.say(array({"PING"})).line() == "+PONG");
-    busy.say(get("k"));
+    CHECK(idle.send(array({"PING"})).readLine() == "+PONG");
+    busy.send(get("k"));
     Socket at =
-        deployment.caches[0].quiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
-    at.command();
+        deployment.caches[0].isQuiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
+    at.readCommand();
     const auto next = deployment.start();
     old->program.signal(SIGTERM);
-    for (int i = 0; i < 50; ++i) CHECK(deployment.client().say(array({"PING"})).line() == "+PONG");
-    at.say(hit("V"));
-    CHECK(busy.answer() == "V");
-    CHECK(busy.ended());
-    CHECK(idle.ended());
+    for (int i = 0; i < 50; ++i) CHECK(deployment.client().send(array({"PING"})).readLine() == "+PONG");
+    at.send(hit("V"));
+    CHECK(busy.readResponse() == "V");
+    CHECK(busy.isClosedByPeer());
+    CHECK(idle.isClosedByPeer());
     CHECK(old->program.exitCode() == 0);
-    CHECK(deployment.client().say(array({"PING"})).line() == "+PONG");
+    CHECK(deployment.client().send(array({"PING"})).readLine() == "+PONG");
 }
 
 TEST_CASE("Passed socket: an invalid descriptor, or a console port in use, is an error that names it") {
@@ -366,13 +366,13 @@
                 Socket client = deployment.client();
                 for (int i = 0; !over; ++i, usleep(3'000)) {
                     const std::string key = std::to_string(c) + "-" + std::to_string(i);
-                    if (!client.quiet(0)) client = deployment.client();  // closed meanwhile
-                    std::string response = client.say(get(key)).answer();
+                    if (!client.isQuiet(0)) client = deployment.client();  // closed meanwhile
+                    std::string response = client.send(get(key)).readResponse();
                     // The router closed while the request was on its way, so that it may be retried once.
                     if (response.empty()) {
                         ++retried;
                         client = deployment.client();
-                        response = client.say(get(key)).answer();
+                        response = client.send(get(key)).readResponse();
                     }
                     if (response == "9b1f-" + key)
                         ++answered;
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -209,7 +209,7 @@
 // If the process polled later, it would still send requests to a draining server that may close at the
 // end of its grace period.
 TEST_CASE("A process that starts with an old list polls within half of the drain grace period") {
-    auto start = test::smallStart();
+    auto start = test::minimalStartConfig();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
     CHECK(readStartupConfig(start.dump()).policy.maxFirstPollDelay == 5'000 * test::ms);
     start["settings"]["rules"]["drainGraceUs"] = 500'000;
@@ -223,7 +223,7 @@
 }
 
 TEST_CASE("The platform's JSON configuration is read to settings, and invalid values are named") {
-    auto start = test::smallStart();
+    auto start = test::minimalStartConfig();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
     const StartupConfig config = readStartupConfig(start.dump());
     CHECK(config.policy.seed == 7);
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -28,7 +28,7 @@
 // An instance with an operator's socket. Its deployment is described by the platform's
 // configuration (first constructor) or by the operator's file (second constructor).
 struct RouterInstance {
-    explicit RouterInstance(nlohmann::json start = smallStart())
+    explicit RouterInstance(nlohmann::json start = minimalStartConfig())
         : port(reservedPort.port), program(platformConfig(std::move(start)).dump(), kOperatorSocketConfig) {
         waitUntilReady();
     }
@@ -38,7 +38,8 @@
     }
 
     void waitUntilReady() const {
-        for (int tries = 0; tries < 200 && client().say("*1\r\n$4\r\nPING\r\n").line() != "+PONG"; ++tries)
+        for (int tries = 0; tries < 200 && client().send("*1\r\n$4\r\nPING\r\n").readLine() != "+PONG";
+             ++tries)
             usleep(20'000);
     }
     nlohmann::json platformConfig(nlohmann::json start) const {
@@ -59,7 +60,7 @@
 
     // One request on the operator's socket, on a connection of its own.
     nlohmann::json request(const nlohmann::json& message) const {
-        UnixConnection connection(program.door());
+        UnixConnection connection(program.operatorSocketPath());
         connection.send(message);
         return connection.receive();
     }
@@ -80,10 +81,10 @@
         }
         // Discarded JSON when the other side has closed or sends nothing in time. Reads single
         // bytes, because a descriptor may follow the line.
-        nlohmann::json receive(int timeoutMs = 3 * kSoon) const {
+        nlohmann::json receive(int timeoutMs = 3 * kWaitTimeoutMs) const {
             std::string line;
-            for (char byte = 0;
-                 readable(descriptor, timeoutMs) && recv(descriptor, &byte, 1, 0) == 1 && byte != '\n';)
+            for (char byte = 0; becomesReadable(descriptor, timeoutMs) &&
+                                recv(descriptor, &byte, 1, 0) == 1 && byte != '\n';)
                 line += byte;
             return nlohmann::json::parse(line, nullptr, false);
         }
@@ -97,7 +98,7 @@
             message.msg_control = ancillary;
             message.msg_controllen = sizeof ancillary;
             int received = -1;
-            if (readable(descriptor, kSoon) && recvmsg(descriptor, &message, 0) == 1 &&
+            if (becomesReadable(descriptor, kWaitTimeoutMs) && recvmsg(descriptor, &message, 0) == 1 &&
                 CMSG_FIRSTHDR(&message))
                 std::memcpy(&received, CMSG_DATA(CMSG_FIRSTHDR(&message)), sizeof received);
             return received;
@@ -139,7 +140,8 @@
 }
 
 // Whether `condition` becomes true within the timeout; it is evaluated once in each interval.
-bool becomesTrue(const std::function<bool()>& condition, int timeoutMs = kSoon, int intervalMs = 10) {
+bool becomesTrue(const std::function<bool()>& condition, int timeoutMs = kWaitTimeoutMs,
+                 int intervalMs = 10) {
     for (int tries = 0; tries < timeoutMs / intervalMs; ++tries) {
         if (condition()) return true;
         usleep(static_cast<useconds_t>(intervalMs) * 1'000);
@@ -204,21 +206,21 @@
 TEST_CASE("without discovery the endpoint list comes from the operator's file, and a reload replaces it") {
     RouterInstance router(kRequestClasses);
     Socket client = router.client();
-    client.say(get("plum"));
+    client.send(get("plum"));
     Socket cache = router.cache.accept();
-    CHECK(cache.command().at(1) == "plum");
-    cache.say(hit("V"));
-    CHECK(client.answer() == "V");
+    CHECK(cache.readCommand().at(1) == "plum");
+    cache.send(hit("V"));
+    CHECK(client.readResponse() == "V");
     const TestServer other;
     std::string file = router.operatorFile(kRequestClasses);
     file.replace(file.find(router.cache.address()), router.cache.address().size(), other.address());
-    router.program.operate(file);
+    router.program.writeOperatorFile(file);
     CHECK(router.request({{"do", "reload"}}).contains("changed"));
-    client.say(get("pear"));
+    client.send(get("pear"));
     Socket next = const_cast<TestServer&>(other).accept();
-    CHECK(next.command().at(1) == "pear");
-    next.say(hit("W"));
-    CHECK(client.answer() == "W");
+    CHECK(next.readCommand().at(1) == "pear");
+    next.send(hit("W"));
+    CHECK(client.readResponse() == "W");
 }
 
 // A reload removes the request class of an open request. If the request then took the settings of
@@ -226,12 +228,12 @@
 TEST_CASE("reload: an open non-idempotent request gets one final response although its class is removed") {
     RouterInstance router;
     Socket client = router.client();
-    client.say(set("bill", "c=pay,t=north,d=900"));
+    client.send(set("bill", "c=pay,t=north,d=900"));
     Socket origin = router.origin.accept();
-    CHECK(origin.head().size() >= 4);
-    auto start = router.platformConfig(smallStart());
+    CHECK(origin.readHead().size() >= 4);
+    auto start = router.platformConfig(minimalStartConfig());
     start["settings"]["verbs"].erase(2);
-    router.program.configure(start.dump());
+    router.program.writeConfig(start.dump());
     const auto reply = router.request({{"do", "reload"}});
     CHECK(reply.at("changed").dump().find("verb pay is removed") != std::string::npos);
     // The open request keeps the settings by which it was accepted; for a new request the class is
@@ -240,30 +242,30 @@
     CHECK(open.at("commands").at(0).at("verb") == "pay");
     CHECK(open.at("commands").at(0).at("at") == "origin");
     Socket second = router.client();
-    second.say(set("bill2", "c=pay,t=north,d=900"));
-    CHECK(second.answer() == "-ERR unknown request class in item c of the info list");
+    second.send(set("bill2", "c=pay,t=north,d=900"));
+    CHECK(second.readResponse() == "-ERR unknown request class in item c of the info list");
     origin.reset();  // the request may have been executed: no retry, no rejection
-    CHECK(client.answer() == "-ERR failed");
-    CHECK(client.quiet(200));
-    CHECK(router.origin.quiet(200));
+    CHECK(client.readResponse() == "-ERR failed");
+    CHECK(client.isQuiet(200));
+    CHECK(router.origin.isQuiet(200));
 }
 
 // Request classes and tenants swap their names in a reload. Looked up by name afterwards, an open
 // request would get the settings of another class or tenant.
 TEST_CASE("reload: open requests keep idempotency, timeout and quota when names are reassigned") {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     auto& settings = start["settings"];
     settings["orgs"] = {{{"name", "nord"}, {"quotaPerS", 1000.0}},
                         {{"name", "nord-2"}, {"quotaPerS", 900.0}}};
     RouterInstance router(start);
     Socket client = router.client();
-    client.say(set("bill", "c=pay,t=nord,d=2500"));
+    client.send(set("bill", "c=pay,t=nord,d=2500"));
     Socket origin = router.origin.accept();
-    origin.head();
-    origin.bytes(1);
-    client.say(get("k", "c=read,t=nord,d=2500"));
+    origin.readHead();
+    origin.readBytes(1);
+    client.send(get("k", "c=read,t=nord,d=2500"));
     Socket read = router.cache.accept();
-    read.command();
+    read.readCommand();
     auto changedConfig = router.platformConfig(start);
     auto& requestClasses = changedConfig["settings"]["verbs"];
     // The name of the non-idempotent class now names an idempotent one, and the other way round.
@@ -274,7 +276,7 @@
         requestClass["timeLimitUs"] = 60'000, requestClass["responseGoalUs"] = 20'000;
     std::swap(changedConfig["settings"]["orgs"][0]["quotaPerS"],
               changedConfig["settings"]["orgs"][1]["quotaPerS"]);
-    router.program.configure(changedConfig.dump());
+    router.program.writeConfig(changedConfig.dump());
     CHECK(router.request({{"do", "reload"}}).contains("changed"));
     // After the new timeouts both are still open: their clients' deadlines and the old timeouts
     // apply.
@@ -282,19 +284,19 @@
     CHECK(router.request({{"do", "commands"}}).at("open") == 2);
     // The write may have been executed: no retry, no rejection. The read is idempotent: it may be retried.
     origin.reset();
-    CHECK(client.answer() == "-ERR failed");
-    CHECK(router.origin.quiet(200));
+    CHECK(client.readResponse() == "-ERR failed");
+    CHECK(router.origin.isQuiet(200));
     read.reset();
-    CHECK(client.answer().starts_with("-BUSY"));
+    CHECK(client.readResponse().starts_with("-BUSY"));
     // New requests use the new names: the class now called "read" is not idempotent and attempted
     // once.
-    client.say(get("m", "c=read,t=nord,d=1500"));
+    client.send(get("m", "c=read,t=nord,d=1500"));
     Socket again = router.cache.accept();
-    CHECK(again.command().at(1) == "m");
+    CHECK(again.readCommand().at(1) == "m");
     again.reset();
-    CHECK(client.answer() == "-ERR failed");
-    CHECK(router.cache.quiet(200));
-    CHECK(client.say(set("x", "c=mark,t=nord,d=900")).answer() ==
+    CHECK(client.readResponse() == "-ERR failed");
+    CHECK(router.cache.isQuiet(200));
+    CHECK(client.send(set("x", "c=mark,t=nord,d=900")).readResponse() ==
           "-ERR unknown request class in item c of the info list");
 }
 
@@ -305,15 +307,15 @@
         for (const bool isMalformed : {false, true}) {
             RouterInstance router;
             Socket client = router.client();
-            client.say(set("bill", "c=pay,t=north,d=2500"));
+            client.send(set("bill", "c=pay,t=north,d=2500"));
             Socket origin = router.origin.accept();
-            origin.head();
-            auto changedConfig = router.platformConfig(smallStart());
+            origin.readHead();
+            auto changedConfig = router.platformConfig(minimalStartConfig());
             auto& requestClasses = changedConfig["settings"]["verbs"];
             for (auto& requestClass : requestClasses)
                 requestClass["timeLimitUs"] = 60'000, requestClass["responseGoalUs"] = 20'000;
             requestClasses[2]["name"] = "was pay";
-            router.program.configure(isMalformed ? "{" : changedConfig.dump());
+            router.program.writeConfig(isMalformed ? "{" : changedConfig.dump());
             router.program.signal(SIGTERM);
             REQUIRE(becomesTrue(
                 [&] { return router.program.log().find("received a stop request") != std::string::npos; }));
@@ -323,9 +325,9 @@
                 isMalformed ? "the old configuration stays in effect" : "reloaded the configuration";
             CHECK(becomesTrue([&] { return router.program.log().find(expectedLog) != std::string::npos; }));
             usleep(900'000);  // after the new timeouts, and after the end of a drain based on them
-            CHECK(client.quiet(0));
-            origin.say(http(200, "receipt"));
-            CHECK(client.answer() == "receipt");
+            CHECK(client.isQuiet(0));
+            origin.send(http(200, "receipt"));
+            CHECK(client.readResponse() == "receipt");
             CHECK(router.program.exitCode() == 0);
         }
     }
@@ -333,14 +335,15 @@
 
 TEST_CASE("reload: two concurrent ones and a malformed one leave one complete configuration in effect") {
     RouterInstance router;
-    auto start = router.platformConfig(smallStart());
+    auto start = router.platformConfig(minimalStartConfig());
     start["settings"]["allowed"]["maxOpen"] = 7;
-    router.program.configure(start.dump());
-    const RouterInstance::UnixConnection first(router.program.door()), second(router.program.door());
+    router.program.writeConfig(start.dump());
+    const RouterInstance::UnixConnection first(router.program.operatorSocketPath()),
+        second(router.program.operatorSocketPath());
     first.send({{"do", "reload"}});
     second.send({{"do", "reload"}});
     CHECK(first.receive().at("changed").size() + second.receive().at("changed").size() == 1);
-    router.program.configure("{\"name\":");
+    router.program.writeConfig("{\"name\":");
     CHECK(router.request({{"do", "reload"}}).contains("error"));
     CHECK(router.request({{"do", "status"}}).at("reloads") == 2);
     CHECK(router.request({{"do", "status"}})
@@ -352,28 +355,28 @@
 TEST_CASE("hot restart: the old process completes open requests, and no connection is refused") {
     RouterInstance router;
     Socket client = router.client();
-    client.say(set("bill", "c=pay,t=north,d=900"));
+    client.send(set("bill", "c=pay,t=north,d=900"));
     Socket origin = router.origin.accept();
-    origin.head();
-    const RouterInstance::UnixConnection connection(router.program.door());
+    origin.readHead();
+    const RouterInstance::UnixConnection connection(router.program.operatorSocketPath());
     connection.send({{"do", "upgrade"}});
     const auto reply = connection.receive();
     REQUIRE(reply.contains("taken_over_by"));
     const pid_t newProcess = reply.at("taken_over_by");
     // The new process accepts new connections; the open request stays with the old process.
     Socket second = router.client();
-    second.say("*1\r\n$4\r\nPING\r\n");
-    CHECK(second.line() == "+PONG");
+    second.send("*1\r\n$4\r\nPING\r\n");
+    CHECK(second.readLine() == "+PONG");
     CHECK(becomesTrue([&] { return router.request({{"do", "status"}}).value("pid", 0) == newProcess; }));
     // A service manager signals all processes. For the old process this is the first stop request,
     // so it drains.
     router.program.signal(SIGTERM);
-    CHECK(client.quiet(100));
-    origin.say(http(200, "receipt"));
-    CHECK(client.answer() == "receipt");
+    CHECK(client.isQuiet(100));
+    origin.send(http(200, "receipt"));
+    CHECK(client.readResponse() == "receipt");
     CHECK(router.program.exitCode() == 0);
-    second.say("*1\r\n$4\r\nPING\r\n");
-    CHECK(second.line() == "+PONG");
+    second.send("*1\r\n$4\r\nPING\r\n");
+    CHECK(second.readLine() == "+PONG");
     CHECK(router.request({{"do", "stop"}}).contains("open"));
     CHECK(becomesTrue([&] { return kill(newProcess, 0) != 0; }));
 }
@@ -382,15 +385,16 @@
     RouterInstance router;
     const auto serves = [&] {
         Socket client = router.client();
-        client.say("*1\r\n$4\r\nPING\r\n");
-        return client.line() == "+PONG" && router.request({{"do", "status"}}).value("state", "") == "serving";
+        client.send("*1\r\n$4\r\nPING\r\n");
+        return client.readLine() == "+PONG" &&
+               router.request({{"do", "status"}}).value("state", "") == "serving";
     };
     CHECK(router.request({{"do", "upgrade"}, {"program", "/bin/false"}}).at("error") ==
           "the new process exited before it was ready");
     CHECK(router.request({{"do", "upgrade"}, {"program", "/nowhere/router"}}).contains("error"));
     CHECK(serves());
     {  // The new process exits after it has received the socket and before it reports that it is ready.
-        const RouterInstance::UnixConnection newProcess(router.program.door());
+        const RouterInstance::UnixConnection newProcess(router.program.operatorSocketPath());
         newProcess.send({{"do", "take-over"}});
         CHECK(newProcess.receive().contains("described"));
         const int passedSocket = newProcess.receiveDescriptor();
@@ -403,9 +407,9 @@
     CHECK(becomesTrue([&] { return !router.request({{"do", "status"}}).at("upgrading").get<bool>(); }));
     CHECK(serves());
     // A new process whose configuration differs from that of the old process fails.
-    auto start = router.platformConfig(smallStart());
+    auto start = router.platformConfig(minimalStartConfig());
     start["settings"]["allowed"]["maxOpen"] = 9;
-    router.program.configure(start.dump());
+    router.program.writeConfig(start.dump());
     CHECK(router.request({{"do", "upgrade"}}).at("error").get<std::string>().find("reload it first") !=
           std::string::npos);
     CHECK(serves());
@@ -417,10 +421,10 @@
     for (const bool isSpawned : {false, true}) {
         RouterInstance router;
         Socket client = router.client();
-        client.say(set("bill", "c=pay,t=north,d=1500"));
+        client.send(set("bill", "c=pay,t=north,d=1500"));
         Socket origin = router.origin.accept();
-        origin.head();
-        const RouterInstance::UnixConnection newProcess(router.program.door());
+        origin.readHead();
+        const RouterInstance::UnixConnection newProcess(router.program.operatorSocketPath());
         int passedSocket = -1;
         pid_t newProcessId = 0;
         if (isSpawned) {
@@ -443,12 +447,12 @@
         CHECK(newProcess.receive().contains("error"));
         if (isSpawned) CHECK(becomesTrue([&] { return kill(newProcessId, 0) != 0; }));
         // In the lame-duck state new connections are served and open requests are completed.
-        CHECK(router.client().say(array({"PING"})).line() == "+PONG");
-        origin.say(http(200, "receipt"));
-        CHECK(client.answer() == "receipt");
+        CHECK(router.client().send(array({"PING"})).readLine() == "+PONG");
+        origin.send(http(200, "receipt"));
+        CHECK(client.readResponse() == "receipt");
         CHECK(router.program.exitCode() == 0);
         if (!isSpawned) close(passedSocket);
-        CHECK_FALSE(router.client().open());
+        CHECK_FALSE(router.client().isOpen());
     }
 }
 
@@ -457,7 +461,7 @@
 TEST_CASE("hot restart: a new process that exits while the old one is suspended does not replace it") {
     RouterInstance router;
     {
-        const RouterInstance::UnixConnection newProcess(router.program.door());
+        const RouterInstance::UnixConnection newProcess(router.program.operatorSocketPath());
         newProcess.send({{"do", "take-over"}});
         CHECK(newProcess.receive().contains("described"));
         const int passedSocket = newProcess.receiveDescriptor();
@@ -469,7 +473,7 @@
     router.program.signal(SIGCONT);
     CHECK(becomesTrue([&] { return !router.request({{"do", "status"}}).at("upgrading").get<bool>(); }));
     CHECK(router.request({{"do", "status"}}).at("state") == "serving");
-    CHECK(router.client().say(array({"PING"})).line() == "+PONG");
+    CHECK(router.client().send(array({"PING"})).readLine() == "+PONG");
 }
 
 // The old process does not reply to the ready request in time. The new process must neither serve
@@ -481,7 +485,7 @@
     std::string described;
     int passedSocket = -1;
     {
-        const RouterInstance::UnixConnection connection(router.program.door());
+        const RouterInstance::UnixConnection connection(router.program.operatorSocketPath());
         connection.send({{"do", "take-over"}});
         described = connection.receive().at("described");
         passedSocket = connection.receiveDescriptor();
@@ -489,11 +493,11 @@
     router.program.signal(SIGKILL);
     router.program.exitCode();
     // From now on this test plays the old process.
-    unlink(router.program.door().c_str());
+    unlink(router.program.operatorSocketPath().c_str());
     const int oldProcessSocket = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
-    std::strncpy(address.sun_path, router.program.door().c_str(), sizeof address.sun_path - 1);
+    std::strncpy(address.sun_path, router.program.operatorSocketPath().c_str(), sizeof address.sun_path - 1);
     REQUIRE(bind(oldProcessSocket, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     REQUIRE(listen(oldProcessSocket, 4) == 0);
     const std::string file = router.program.folder() + "/operator.toml";
@@ -503,7 +507,7 @@
         execl(POPPYSCALE_PROGRAM, "poppyscale", "serve", "--take-over", "--operator", file.c_str(), nullptr);
         _exit(127);
     }
-    REQUIRE(readable(oldProcessSocket, kSoon));
+    REQUIRE(becomesReadable(oldProcessSocket, kWaitTimeoutMs));
     const RouterInstance::UnixConnection connectionToNewProcess(accept(oldProcessSocket, nullptr, nullptr));
     close(oldProcessSocket);
     CHECK(connectionToNewProcess.receive().at("do") == "take-over");
@@ -513,12 +517,12 @@
     CHECK(connectionToNewProcess.receive().at("do") == "ready");
     // The new process waits for the reply and then shuts down its sending side. Only from then on
     // is a missing reply final.
-    CHECK(connectionToNewProcess.receive(2 * kSoon).is_discarded());
-    CHECK(router.client().open());
-    CHECK(router.client().quiet(200));
+    CHECK(connectionToNewProcess.receive(2 * kWaitTimeoutMs).is_discarded());
+    CHECK(router.client().isOpen());
+    CHECK(router.client().isQuiet(200));
     connectionToNewProcess.send({{"ok", true}});
     CHECK(becomesTrue([&] { return router.request({{"do", "status"}}).is_object(); }));
-    CHECK(router.client().say(array({"PING"})).line() == "+PONG");
+    CHECK(router.client().send(array({"PING"})).readLine() == "+PONG");
     kill(newProcess, SIGTERM);
     int status = 0;
     waitpid(newProcess, &status, 0);
@@ -539,17 +543,17 @@
 TEST_CASE("the operator's socket is accessible to its owner only, and replaced at the start after a crash") {
     RouterInstance router;
     struct stat status {};
-    REQUIRE(stat(router.program.door().c_str(), &status) == 0);
+    REQUIRE(stat(router.program.operatorSocketPath().c_str(), &status) == 0);
     CHECK((status.st_mode & 0777) == 0600);
     router.program.signal(SIGKILL);
     CHECK(router.program.exitCode() == -SIGKILL);
-    CHECK(stat(router.program.door().c_str(), &status) == 0);
+    CHECK(stat(router.program.operatorSocketPath().c_str(), &status) == 0);
     router.program.start(true);
     router.waitUntilReady();
     CHECK(router.request({{"do", "status"}}).at("state") == "serving");
     router.program.signal(SIGTERM);
     CHECK(router.program.exitCode() == 0);
-    CHECK(stat(router.program.door().c_str(), &status) != 0);
+    CHECK(stat(router.program.operatorSocketPath().c_str(), &status) != 0);
 }
 
 TEST_CASE(
@@ -559,13 +563,14 @@
     CHECK(router.request(nlohmann::json::array()).contains("error"));
     CHECK(router.request({{"do", "dance"}}).at("error") == "unknown request 'dance'");
     CHECK(router.request({{"do", 7}}).contains("error"));
-    const RouterInstance::UnixConnection longLineSender(router.program.door());
+    const RouterInstance::UnixConnection longLineSender(router.program.operatorSocketPath());
     const std::string longLine(200'000, 'x');
     (void)!send(longLineSender.descriptor, longLine.data(), longLine.size(), MSG_NOSIGNAL);
     CHECK(router.request({{"do", "status"}}).at("state") == "serving");
     std::vector<std::unique_ptr<RouterInstance::UnixConnection>> connections;
     for (int i = 0; i < 20; ++i)
-        connections.push_back(std::make_unique<RouterInstance::UnixConnection>(router.program.door()));
+        connections.push_back(
+            std::make_unique<RouterInstance::UnixConnection>(router.program.operatorSocketPath()));
     connections.clear();
     CHECK(becomesTrue([&] { return router.request({{"do", "status"}}).is_object(); }));
 }
@@ -573,23 +578,23 @@
 TEST_CASE("a second stop signal fails open requests at once and logs their number by request class") {
     RouterInstance router;
     Socket client = router.client();
-    client.say(set("bill", "c=pay,t=north,d=900"));
+    client.send(set("bill", "c=pay,t=north,d=900"));
     Socket origin = router.origin.accept();
-    origin.head();
+    origin.readHead();
     router.program.signal(SIGTERM);
     CHECK(becomesTrue(
         [&] { return router.program.log().find("received a stop request") != std::string::npos; }));
     router.program.signal(SIGTERM);
     CHECK(router.program.exitCode() == 0);
     CHECK(router.program.log().find("1 pay failed unanswered") != std::string::npos);
-    CHECK(client.answer() == "-ERR failed");  // the request may have been executed
+    CHECK(client.readResponse() == "-ERR failed");  // the request may have been executed
 }
 
 // Discovery accepts polls and does not answer some of them. A router that waited on would send
 // requests to a cache server that drains.
 TEST_CASE(
     "an unanswered endpoint poll is repeated before a missed drain counts, and is shown in the status") {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["settings"]["rules"]["askWithinUs"] = 2'000'000;
     RouterInstance router(start);
     const auto lastFailure = [&] {
@@ -610,64 +615,66 @@
     Socket unanswered = router.discovery.accept();
     for (int version : {8, 9}) {
         const auto startedAt = std::chrono::steady_clock::now();
-        pollWaitsMs.push_back(pollWaitMs(unanswered.head().at(0)));
+        pollWaitsMs.push_back(pollWaitMs(unanswered.readHead().at(0)));
         CHECK(pollWaitsMs.back() >= 1'000);
         CHECK(pollWaitsMs.back() <= 2'000);
         Socket fresh = router.discovery.accept();
         CHECK(std::chrono::steady_clock::now() - startedAt <
               std::chrono::milliseconds(pollWaitsMs.back() + 1'200));
-        CHECK(fresh.head().at(0).find("?after=" + std::to_string(version - 1) + "&") != std::string::npos);
+        CHECK(fresh.readHead().at(0).find("?after=" + std::to_string(version - 1) + "&") !=
+              std::string::npos);
         CHECK(lastFailure() == "no response in time");
-        CHECK(unanswered.quiet(0));  // the earlier poll may still be answered until the newer one is
-        fresh.say(list(version, false, version == 8 ? "Ready" : "Terminating"));
-        CHECK(unanswered.ended());
+        CHECK(unanswered.isQuiet(0));  // the earlier poll may still be answered until the newer one is
+        fresh.send(list(version, false, version == 8 ? "Ready" : "Terminating"));
+        CHECK(unanswered.isClosedByPeer());
         unanswered = std::move(fresh);
     }
-    CHECK(unanswered.head().at(0).find("?after=9&") != std::string::npos);
+    CHECK(unanswered.readHead().at(0).find("?after=9&") != std::string::npos);
     CHECK(lastFailure().empty());
     Socket client = router.client();
-    client.say(get("k"));
-    CHECK(router.cache.quiet(200));
+    client.send(get("k"));
+    CHECK(router.cache.isQuiet(200));
     // A late second response with an earlier version is not applied; the complete list is polled
     // instead.
-    unanswered.say(list(8, true, "Ready"));
+    unanswered.send(list(8, true, "Ready"));
     Socket fresh = router.discovery.accept();
-    CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
+    CHECK(fresh.readHead().at(0) == "GET /api/targets HTTP/1.1");
     CHECK(lastFailure() == "version 8 is older than the known version 9");
-    client.say(get("m"));
-    CHECK(router.cache.quiet(200));
+    client.send(get("m"));
+    CHECK(router.cache.isQuiet(200));
     // After a malformed response the complete list is polled, because the same version would have
     // the same content. A response that makes no progress times out.
-    fresh.say(http(200, "{\"version\":10,\"full\":true,\"servers\":[{\"id\":7}]}"));
+    fresh.send(http(200, "{\"version\":10,\"full\":true,\"servers\":[{\"id\":7}]}"));
     fresh = router.discovery.accept();
-    CHECK(fresh.head().at(0) == "GET /api/targets HTTP/1.1");
-    CHECK(fresh.say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{").ended());
+    CHECK(fresh.readHead().at(0) == "GET /api/targets HTTP/1.1");
+    CHECK(fresh.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{").isClosedByPeer());
     CHECK(lastFailure() == "response not complete in time");
     // A complete list is applied whatever its version.
     fresh = router.discovery.accept();
-    fresh.head();
-    fresh.say(list(3, true, "Ready"));
-    CHECK(fresh.head().at(0).find("?after=3&") != std::string::npos);
+    fresh.readHead();
+    fresh.send(list(3, true, "Ready"));
+    CHECK(fresh.readHead().at(0).find("?after=3&") != std::string::npos);
     CHECK(lastFailure().empty());
-    client.say(get("n"));
-    CHECK_FALSE(router.cache.quiet(kSoon));
+    client.send(get("n"));
+    CHECK_FALSE(router.cache.isQuiet(kWaitTimeoutMs));
     CHECK(router.program.log().find("endpoint list available again from discovery") != std::string::npos);
 }
 
 TEST_CASE("the operator's socket reports each cache, and logs can be JSON with a level for each part") {
     RouterInstance router;
     Socket client = router.client();
-    client.say(get("plum"));
+    client.send(get("plum"));
     Socket cache = router.cache.accept();
-    cache.command();
+    cache.readCommand();
     const auto out = router.request({{"do", "caches"}}).at("caches").at(0);
     CHECK(out.at("name") == "c0");
     CHECK(out.at("out") == 1);
-    cache.say(hit("V"));
-    CHECK(client.answer() == "V");
+    cache.send(hit("V"));
+    CHECK(client.readResponse() == "V");
     CHECK(router.request({{"do", "caches"}}).at("caches").at(0).at("hints") == 1);
-    router.program.operate(kOperatorSocketConfig +
-                           "[log]\nform = \"json\"\nlevel = \"info\"\n[log.parts]\ndiscovery = \"off\"\n");
+    router.program.writeOperatorFile(
+        kOperatorSocketConfig +
+        "[log]\nform = \"json\"\nlevel = \"info\"\n[log.parts]\ndiscovery = \"off\"\n");
     router.request({{"do", "reload"}});
     router.request({{"do", "reload"}});
     const std::string log = router.program.log();
@@ -703,8 +710,8 @@
     static int findThreeFreePorts() {
         for (int tries = 0;; ++tries) {
             const TestServer first;
-            sockaddr_in secondAddress = loopback(static_cast<std::uint16_t>(first.port + 1));
-            sockaddr_in thirdAddress = loopback(static_cast<std::uint16_t>(first.port + 2));
+            sockaddr_in secondAddress = loopbackAddress(static_cast<std::uint16_t>(first.port + 1));
+            sockaddr_in thirdAddress = loopbackAddress(static_cast<std::uint16_t>(first.port + 2));
             const int secondSocket = socket(AF_INET, SOCK_STREAM, 0),
                       thirdSocket = socket(AF_INET, SOCK_STREAM, 0);
             const bool areFree =
@@ -819,9 +826,9 @@
     REQUIRE(becomesTrue([&] { return fleet.hasLogged("all instances are ready"); }));
     const pid_t oldProcess = fleet.pidOf(0);
     Socket client(static_cast<std::uint16_t>(fleet.firstPort));
-    client.say(set("bill", "c=pay,t=north,d=1900"));
+    client.send(set("bill", "c=pay,t=north,d=1900"));
     Socket origin = fleet.origin.accept();
-    CHECK(origin.head().size() >= 4);
+    CHECK(origin.readHead().size() >= 4);
     REQUIRE(becomesTrue(
         [&] {
             if (!fleet.hasLogged("rolling upgrade started")) kill(fleet.supervisorPid, SIGUSR2);
@@ -831,10 +838,10 @@
         kRolloutTimeoutMs, 100));
     const pid_t newProcess = fleet.pidOf(0);
     kill(newProcess, SIGKILL);
-    origin.say(http(200, "receipt"));
+    origin.send(http(200, "receipt"));
     // On a slow machine the request may have timed out by then. It gets one final response in
     // either case.
-    const std::string response = client.answer();
+    const std::string response = client.readResponse();
     CHECK((response == "receipt" || response == "-ERR failed"));
     CHECK(becomesTrue(
         [&] { return fleet.isServing(0) && fleet.pidOf(0) != newProcess && fleet.pidOf(0) != oldProcess; }));
@@ -875,22 +882,22 @@
 // the descriptors do not suffice for all of them.
 TEST_CASE("drain: each of 400 connections in the backlog gets a final response or is closed at once") {
     for (const int sockets : {2048, 256}) {
-        auto start = smallStart();
+        auto start = minimalStartConfig();
         start["limits"]["sockets"] = sockets;
         RouterInstance router(start);
         router.program.signal(SIGSTOP);
         std::vector<Socket> clients;
         for (int i = 0; i < 400; ++i) {
             clients.push_back(router.client());
-            clients.back().say(get("k" + std::to_string(i), "c=read,t=north,d=700"));
+            clients.back().send(get("k" + std::to_string(i), "c=read,t=north,d=700"));
         }
         router.program.signal(SIGTERM);
         router.program.signal(SIGCONT);
         int answered = 0, closed = 0;
         for (Socket& client : clients) {
-            const std::string response = client.line();
+            const std::string response = client.readLine();
             if (response.starts_with("-BUSY") || response.starts_with("-ERR")) ++answered;
-            if (response.empty() && client.ended()) ++closed;
+            if (response.empty() && client.isClosedByPeer()) ++closed;
         }
         CHECK(answered + closed == 400);
         if (sockets == 2048) CHECK(answered == 400);
@@ -904,9 +911,9 @@
 TEST_CASE("hot restart: fails while the old process has no free descriptor, and succeeds afterwards") {
     RouterInstance router;
     Socket client = router.client();
-    CHECK(client.say(array({"PING"})).line() == "+PONG");
+    CHECK(client.send(array({"PING"})).readLine() == "+PONG");
     // Connected before the descriptors run out.
-    const RouterInstance::UnixConnection connection(router.program.door());
+    const RouterInstance::UnixConnection connection(router.program.operatorSocketPath());
     connection.send({{"do", "status"}});
     CHECK(connection.receive().is_object());
     rlim_t lowestFree = 0;  // the lowest free descriptor number: as a limit it leaves none free
@@ -921,7 +928,7 @@
     connection.send({{"do", "upgrade"}});
     const auto failed = connection.receive();
     CHECK_MESSAGE(failed.contains("error"), (failed.dump() + router.program.log()));
-    CHECK(client.say(array({"PING"})).line() == "+PONG");
+    CHECK(client.send(array({"PING"})).readLine() == "+PONG");
     REQUIRE(prlimit(router.program.pid(), RLIMIT_NOFILE, &original, nullptr) == 0);
     CHECK(becomesTrue([&] { return router.request({{"do", "status"}}).value("state", "") == "serving"; }));
     // Clients that use up the limit of client connections leave enough descriptors for a hot
@@ -929,7 +936,7 @@
     std::vector<Socket> clients;
     for (int i = 0; i < 300; ++i) {
         clients.push_back(router.client());
-        clients.back().say(array({"PING"}));
+        clients.back().send(array({"PING"}));
     }
     const auto reply = router.request({{"do", "upgrade"}});
     REQUIRE_MESSAGE(reply.contains("taken_over_by"), reply.dump());
@@ -955,16 +962,17 @@
         std::vector<Socket> connections;
         while (!isOver) {
             usleep(500);
-            while (!cacheServers.quiet(0)) connections.push_back(cacheServers.accept());
-            while (!router.cache.quiet(0)) connections.push_back(router.cache.accept());
+            while (!cacheServers.isQuiet(0)) connections.push_back(cacheServers.accept());
+            while (!router.cache.isQuiet(0)) connections.push_back(router.cache.accept());
             for (Socket& connection : connections)
-                while (!connection.quiet(0)) {
-                    const auto command = connection.command();
+                while (!connection.isQuiet(0)) {
+                    const auto command = connection.readCommand();
                     if (command.size() < 3) break;
-                    connection.say(hit(command[2]));
+                    connection.send(hit(command[2]));
                 }
-            std::erase_if(connections,
-                          [](Socket& connection) { return !connection.quiet(0) && connection.waits() == 0; });
+            std::erase_if(connections, [](Socket& connection) {
+                return !connection.isQuiet(0) && connection.unreadBytes() == 0;
+            });
         }
     });
     std::atomic<int> answered = 0, rejected = 0, unexpected = 0;
@@ -972,7 +980,7 @@
         Socket client = router.client();
         for (int i = 0; !isOver; ++i, usleep(1'000)) {
             const std::string key = "k" + std::to_string(i);
-            const std::string response = client.say(get(key)).answer();
+            const std::string response = client.send(get(key)).readResponse();
             // On a busy machine the caches of this test may respond too late; the request is then
             // rejected.
             if (response == "9b1f-" + key)
@@ -984,7 +992,7 @@
         }
     });
     for (int round = 0; round < 2; ++round) {
-        router.program.operate(router.operatorFile(kRequestClasses) + listOf(2'000, 1'000 * round));
+        router.program.writeOperatorFile(router.operatorFile(kRequestClasses) + listOf(2'000, 1'000 * round));
         const auto reply = router.request({{"do", "reload"}});
         CHECK_MESSAGE(reply.contains("changed"), reply.dump());
         usleep(300'000);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -19,14 +19,14 @@
 
 // A configuration with a long connect timeout, so that requests wait for a connection until their
 // deadlines.
-nlohmann::json startWithLongTimeouts() {
-    auto start = smallStart();
+nlohmann::json startWithLongConnectTimeout() {
+    auto start = minimalStartConfig();
     start["settings"]["allowed"]["connectTimeoutUs"] = 8'000'000;
     return start;
 }
-std::string getWithLongDeadline(const std::string& key) { return get(key, "c=read,t=north,d=6000"); }
-std::string setWithLongDeadline(const std::string& key, const std::string& requestClass,
-                                const std::string& value = "V") {
+std::string getWithLongTimeout(const std::string& key) { return get(key, "c=read,t=north,d=6000"); }
+std::string setWithLongTimeout(const std::string& key, const std::string& requestClass,
+                               const std::string& value = "V") {
     return set(key, "c=" + requestClass + ",t=north,d=6000,k=" + key, value);
 }
 // A request whose client disconnected at least this long ago must not be forwarded.
@@ -56,39 +56,40 @@
 // check when the connection is established, the server would execute a request that no client waits
 // for.
 TEST_CASE("a request that waits for a connection is not forwarded after its client has disconnected") {
-    Stage stage(1, startWithLongTimeouts());
-    stage.caches[0].hold();
-    stage.origin.hold();
-    Socket stayingClient = stage.client();
-    stayingClient.say(getWithLongDeadline("stays"));
-    Socket closingClient = stage.client(), resettingClient = stage.client(), floodingClient = stage.client();
-    closingClient.say(getWithLongDeadline("read") + setWithLongDeadline("mark", "mark"));
-    resettingClient.say(setWithLongDeadline("pay", "pay") + getWithLongDeadline("other"));
+    RouterFixture fixture(1, startWithLongConnectTimeout());
+    fixture.caches[0].blockConnects();
+    fixture.origin.blockConnects();
+    Socket stayingClient = fixture.client();
+    stayingClient.send(getWithLongTimeout("stays"));
+    Socket closingClient = fixture.client(), resettingClient = fixture.client(),
+           floodingClient = fixture.client();
+    closingClient.send(getWithLongTimeout("read") + setWithLongTimeout("mark", "mark"));
+    resettingClient.send(setWithLongTimeout("pay", "pay") + getWithLongTimeout("other"));
     // More requests than the router reads from one connection before it sends responses, so the end
     // of the connection is not read.
     std::string pipelined;
-    for (int i = 0; i < 200; ++i) pipelined += getWithLongDeadline("many" + std::to_string(i));
-    floodingClient.say(pipelined);
+    for (int i = 0; i < 200; ++i) pipelined += getWithLongTimeout("many" + std::to_string(i));
+    floodingClient.send(pipelined);
     usleep(50'000);
-    closingClient.hangUp();
+    closingClient.close();
     resettingClient.reset();
-    floodingClient.hangUp();
+    floodingClient.close();
     usleep(kDisconnectedMs * 1'000);
-    stage.caches[0].let();
-    stage.origin.let();
-    Socket cache = stage.caches[0].accept();
-    CHECK(cache.command().at(1) == "stays");
-    cache.say(hit("V"));
-    CHECK(stayingClient.answer() == "V");
-    CHECK(cache.quiet(50));
+    fixture.caches[0].unblockConnects();
+    fixture.origin.unblockConnects();
+    Socket cache = fixture.caches[0].accept();
+    CHECK(cache.readCommand().at(1) == "stays");
+    cache.send(hit("V"));
+    CHECK(stayingClient.readResponse() == "V");
+    CHECK(cache.isQuiet(50));
     // No other request is sent, and no connection is opened for one.
     int opened = 0;
     int forwarded = 0;
-    for (TestServer* server : {&stage.caches[0], &stage.origin})
-        while (!server->quiet(1'200)) {
+    for (TestServer* server : {&fixture.caches[0], &fixture.origin})
+        while (!server->isQuiet(1'200)) {
             const Socket connection = server->accept();
             ++opened;
-            forwarded += !connection.quiet(200);
+            forwarded += !connection.isQuiet(200);
         }
     MESSAGE(forwarded, " of 204 requests forwarded after their clients had disconnected, ", opened,
             " connections opened");
@@ -98,193 +99,194 @@
 
 // After the suspension the request and the end of its connection are read together.
 TEST_CASE("a request whose client disconnects while the router is suspended is not forwarded") {
-    Stage stage;
-    Socket client = stage.client();
-    client.say(get("a"));
-    Socket cache = stage.caches[0].accept();
-    cache.command();
-    cache.say(hit("V"));
-    CHECK(client.answer() == "V");
-    Socket closingClient = stage.client(), resettingClient = stage.client(), stayingClient = stage.client();
+    RouterFixture fixture;
+    Socket client = fixture.client();
+    client.send(get("a"));
+    Socket cache = fixture.caches[0].accept();
+    cache.readCommand();
+    cache.send(hit("V"));
+    CHECK(client.readResponse() == "V");
+    Socket closingClient = fixture.client(), resettingClient = fixture.client(),
+           stayingClient = fixture.client();
     for (Socket* idleClient : {&closingClient, &resettingClient, &stayingClient})
-        CHECK(idleClient->say(array({"PING"})).answer() == "+PONG");
-    stage.program.signal(SIGSTOP);
-    closingClient.say(get("b") + set("c", "c=pay,d=1500"));
-    resettingClient.say(get("d"));
-    closingClient.hangUp();
+        CHECK(idleClient->send(array({"PING"})).readResponse() == "+PONG");
+    fixture.program.signal(SIGSTOP);
+    closingClient.send(get("b") + set("c", "c=pay,d=1500"));
+    resettingClient.send(get("d"));
+    closingClient.close();
     resettingClient.reset();
     usleep((kDisconnectedMs + 100) * 1'000);
-    stayingClient.say(get("e"));
-    stage.program.signal(SIGCONT);
-    CHECK(cache.command().at(1) == "e");
-    cache.say(hit("W"));
-    CHECK(stayingClient.answer() == "W");
-    CHECK(cache.quiet(100));
-    CHECK(stage.caches[0].quiet(0));
-    CHECK(stage.origin.quiet(0));
+    stayingClient.send(get("e"));
+    fixture.program.signal(SIGCONT);
+    CHECK(cache.readCommand().at(1) == "e");
+    cache.send(hit("W"));
+    CHECK(stayingClient.readResponse() == "W");
+    CHECK(cache.isQuiet(100));
+    CHECK(fixture.caches[0].isQuiet(0));
+    CHECK(fixture.origin.isQuiet(0));
 }
 
 // The client has sent more than the router reads, so the end of its connection is still unread when
 // the cache responds with a miss.
 TEST_CASE("a request is not sent to the origin after a miss when its client's disconnect is still unread") {
-    Stage stage(1, startWithLongTimeouts());
-    Socket floodingClient = stage.client();
+    RouterFixture fixture(1, startWithLongConnectTimeout());
+    Socket floodingClient = fixture.client();
     std::string pipelined;
-    for (int i = 0; i < 200; ++i) pipelined += getWithLongDeadline("many" + std::to_string(i));
-    floodingClient.say(pipelined);
+    for (int i = 0; i < 200; ++i) pipelined += getWithLongTimeout("many" + std::to_string(i));
+    floodingClient.send(pipelined);
     std::vector<Socket> attempts;
-    while (!stage.caches[0].quiet(300)) {
-        attempts.push_back(stage.caches[0].accept());
-        CHECK(attempts.back().command().size() == 4);
+    while (!fixture.caches[0].isQuiet(300)) {
+        attempts.push_back(fixture.caches[0].accept());
+        CHECK(attempts.back().readCommand().size() == 4);
     }
     REQUIRE_FALSE(attempts.empty());
-    floodingClient.hangUp();
+    floodingClient.close();
     usleep(kDisconnectedMs * 1'000);
-    for (Socket& attempt : attempts) attempt.say(kMiss);
-    CHECK(stage.origin.quiet(300));
-    for (Socket& attempt : attempts) CHECK(attempt.quiet(0));
+    for (Socket& attempt : attempts) attempt.send(kMiss);
+    CHECK(fixture.origin.isQuiet(300));
+    for (Socket& attempt : attempts) CHECK(attempt.isQuiet(0));
 }
 
 // The cache server moves or is removed while a connection to it is being established. Requests that
 // wait for the connection must go to the new address.
 TEST_CASE("a connection to an earlier address of a cache server is not used once it is established") {
-    Stage stage(2, startWithLongTimeouts());
-    Socket discovery = stage.discovery.accept();
-    discovery.head();
-    stage.caches[0].hold();
+    RouterFixture fixture(2, startWithLongConnectTimeout());
+    Socket discovery = fixture.discovery.accept();
+    discovery.readHead();
+    fixture.caches[0].blockConnects();
     TestServer moved;
     // Several keys, so that each server gets at least one; the router selects the server.
-    Socket client = stage.client();
-    stage.caches[1].hold();
-    for (const char* key : {"a", "b", "c", "d"}) client.say(getWithLongDeadline(key));
+    Socket client = fixture.client();
+    fixture.caches[1].blockConnects();
+    for (const char* key : {"a", "b", "c", "d"}) client.send(getWithLongTimeout(key));
     usleep(100'000);
-    auto removedEntry = entryOf("c1", stage.caches[1], "m", "Terminating");
-    discovery.say(http(200, listOf(8, false, {entryOf("c0", moved), removedEntry})));
-    discovery.head();
-    stage.caches[0].let();
-    stage.caches[1].let();
+    auto removedEntry = entryOf("c1", fixture.caches[1], "m", "Terminating");
+    discovery.send(http(200, listOf(8, false, {entryOf("c0", moved), removedEntry})));
+    discovery.readHead();
+    fixture.caches[0].unblockConnects();
+    fixture.caches[1].unblockConnects();
     // All four requests arrive at the new address, on separate connections or one after another on
     // the same.
     std::vector<std::string> arrived;
-    while (arrived.size() < 4 && !moved.quiet(1'000)) {
+    while (arrived.size() < 4 && !moved.isQuiet(1'000)) {
         Socket connection = moved.accept();
-        for (auto command = connection.command(); command.size() == 4;
-             command = connection.quiet(200) ? std::vector<std::string>{} : connection.command()) {
+        for (auto command = connection.readCommand(); command.size() == 4;
+             command = connection.isQuiet(200) ? std::vector<std::string>{} : connection.readCommand()) {
             arrived.push_back(command[1]);
-            connection.say(hit("V"));
+            connection.send(hit("V"));
         }
     }
     CHECK(arrived.size() == 4);
-    CHECK(stage.caches[0].quiet(1'200));
-    CHECK(stage.caches[1].quiet(0));
+    CHECK(fixture.caches[0].isQuiet(1'200));
+    CHECK(fixture.caches[1].isQuiet(0));
 }
 
 // The retry waits for a connection that is established after the idempotency key may have expired.
 // Sent then, the retry could be executed a second time.
 TEST_CASE("a retry is not sent once its idempotency key may have expired, however late its connection is") {
-    auto start = startWithLongTimeouts();
+    auto start = startWithLongConnectTimeout();
     start["settings"]["verbs"][1]["keyTtlUs"] = 900'000;
-    Stage stage(2, start);
-    Socket client = stage.client();
+    RouterFixture fixture(2, start);
+    Socket client = fixture.client();
     const auto startedAt = std::chrono::steady_clock::now();
-    client.say(get("k", "c=mark,t=north,d=6000,k=k"));
+    client.send(get("k", "c=mark,t=north,d=6000,k=k"));
     bool firstIndex = false;
-    while (stage.caches[firstIndex].quiet(10)) firstIndex = !firstIndex;
-    TestServer& firstServer = stage.caches[firstIndex];
-    TestServer& otherServer = stage.caches[!firstIndex];
+    while (fixture.caches[firstIndex].isQuiet(10)) firstIndex = !firstIndex;
+    TestServer& firstServer = fixture.caches[firstIndex];
+    TestServer& otherServer = fixture.caches[!firstIndex];
     Socket first = firstServer.accept();
-    CHECK(first.command().at(1) == "k");
+    CHECK(first.readCommand().at(1) == "k");
     // The request may have been executed. The next connection is established only with the kernel's
     // connect retry, one second later.
-    otherServer.hold();
-    stage.origin.hold();
+    otherServer.blockConnects();
+    fixture.origin.blockConnects();
     first.reset();
     usleep(50'000);
-    otherServer.let();
-    stage.origin.let();
+    otherServer.unblockConnects();
+    fixture.origin.unblockConnects();
     // Cache servers recognize the key for 0.9 s from the first attempt; the request is rejected
     // when that time has passed.
-    CHECK(startsWith(client.answer(), "-BUSY"));
+    CHECK(startsWith(client.readResponse(), "-BUSY"));
     const auto elapsed = std::chrono::steady_clock::now() - startedAt;
     CHECK(elapsed > std::chrono::milliseconds(800));
     CHECK(elapsed < std::chrono::milliseconds(1'600));
-    for (TestServer* server : {&otherServer, &stage.origin})
-        while (!server->quiet(1'500)) CHECK(server->accept().quiet(200));
-    CHECK(firstServer.quiet(0));
+    for (TestServer* server : {&otherServer, &fixture.origin})
+        while (!server->isQuiet(1'500)) CHECK(server->accept().isQuiet(200));
+    CHECK(firstServer.isQuiet(0));
 }
 
 // A response without a length ends with its connection. After a reset it may be truncated.
 TEST_CASE("a response that ends with its connection is invalid when the connection was reset") {
-    Stage stage;
-    Socket client = stage.client();
+    RouterFixture fixture;
+    Socket client = fixture.client();
     for (const bool isComplete : {false, true}) {
-        client.say(get("k", "c=pay,t=north,d=1500"));
-        Socket cache = stage.caches[0].accept();
-        cache.command();
-        cache.say(kMiss);
-        Socket origin = stage.origin.accept();
-        origin.head();
-        origin.say("HTTP/1.1 200 OK\r\n\r\nhalf of it");
+        client.send(get("k", "c=pay,t=north,d=1500"));
+        Socket cache = fixture.caches[0].accept();
+        cache.readCommand();
+        cache.send(kMiss);
+        Socket origin = fixture.origin.accept();
+        origin.readHead();
+        origin.send("HTTP/1.1 200 OK\r\n\r\nhalf of it");
         if (isComplete)
-            origin.hangUp();
+            origin.close();
         else
             origin.reset();
-        const std::string answer = client.answer();
+        const std::string answer = client.readResponse();
         CHECK_MESSAGE(startsWith(answer, isComplete ? "half of it" : "-ERR"), answer);
-        cache.hangUp();
+        cache.close();
     }
 }
 
 TEST_CASE("drain: open requests get a response by its end, and requests that may outlast it are rejected") {
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     for (auto& requestClass : start["settings"]["verbs"]) requestClass["timeLimitUs"] = 1'000'000;
-    Stage stage(1, start);
-    Socket client = stage.client();
-    client.say(get("long", "c=read,t=north,d=60000"));
-    Socket cache = stage.caches[0].accept();
-    CHECK(cache.command().at(1) == "long");
-    Socket unsent = stage.client();
-    stage.origin.hold();
-    stage.program.signal(SIGTERM);
+    RouterFixture fixture(1, start);
+    Socket client = fixture.client();
+    client.send(get("long", "c=read,t=north,d=60000"));
+    Socket cache = fixture.caches[0].accept();
+    CHECK(cache.readCommand().at(1) == "long");
+    Socket unsent = fixture.client();
+    fixture.origin.blockConnects();
+    fixture.program.signal(SIGTERM);
     usleep(600'000);  // idle connections are closed by now; those with outstanding responses stay
-    client.say(get("short", "c=read,t=north,d=300") + get("outlasts", "c=read,t=north,d=1000"));
-    Socket second = stage.caches[0].accept();
-    CHECK(second.command().at(1) == "short");
-    second.say(hit("V"));
-    CHECK(startsWith(client.answer(), "-ERR"));
-    CHECK(client.answer() == "V");
-    CHECK(startsWith(client.answer(), "-BUSY"));
-    CHECK(client.ended());
-    CHECK(stage.program.exitCode() == 0);
-    CHECK(stage.caches[0].quiet(0));
+    client.send(get("short", "c=read,t=north,d=300") + get("outlasts", "c=read,t=north,d=1000"));
+    Socket second = fixture.caches[0].accept();
+    CHECK(second.readCommand().at(1) == "short");
+    second.send(hit("V"));
+    CHECK(startsWith(client.readResponse(), "-ERR"));
+    CHECK(client.readResponse() == "V");
+    CHECK(startsWith(client.readResponse(), "-BUSY"));
+    CHECK(client.isClosedByPeer());
+    CHECK(fixture.program.exitCode() == 0);
+    CHECK(fixture.caches[0].isQuiet(0));
 }
 
 // When the router resumes, both responses and expired timers are pending. If the timers fired
 // first, requests would time out although their responses had arrived.
 TEST_CASE("data that arrived while the router was suspended is read before expired timers fire") {
-    Stage stage;
-    Socket client = stage.client(), writingClient = stage.client(), partialClient = stage.client();
-    client.say(get("a", "c=read,t=north,d=400"));
-    Socket cache = stage.caches[0].accept();
-    CHECK(cache.command().at(1) == "a");
-    writingClient.say(set("b", "c=pay,t=north,d=400"));
-    Socket origin = stage.origin.accept();
-    origin.head();
-    const std::string late = getWithLongDeadline("late");
-    partialClient.say(late.substr(0, 20));
+    RouterFixture fixture;
+    Socket client = fixture.client(), writingClient = fixture.client(), partialClient = fixture.client();
+    client.send(get("a", "c=read,t=north,d=400"));
+    Socket cache = fixture.caches[0].accept();
+    CHECK(cache.readCommand().at(1) == "a");
+    writingClient.send(set("b", "c=pay,t=north,d=400"));
+    Socket origin = fixture.origin.accept();
+    origin.readHead();
+    const std::string late = getWithLongTimeout("late");
+    partialClient.send(late.substr(0, 20));
     usleep(20'000);
-    stage.program.signal(SIGSTOP);
-    cache.say(hit("V"));
-    origin.say(http(200, "receipt"));
+    fixture.program.signal(SIGSTOP);
+    cache.send(hit("V"));
+    origin.send(http(200, "receipt"));
     usleep(2'700'000);  // after both timeouts and the timeout for the rest of a partial request
-    partialClient.say(late.substr(20));
-    stage.program.signal(SIGCONT);
-    CHECK(client.answer() == "V");
-    CHECK(writingClient.answer() == "receipt");
-    Socket next = stage.caches[0].quiet(300) ? std::move(cache) : stage.caches[0].accept();
-    CHECK(next.command().at(1) == "late");
-    next.say(hit("W"));
-    CHECK(partialClient.answer() == "W");
+    partialClient.send(late.substr(20));
+    fixture.program.signal(SIGCONT);
+    CHECK(client.readResponse() == "V");
+    CHECK(writingClient.readResponse() == "receipt");
+    Socket next = fixture.caches[0].isQuiet(300) ? std::move(cache) : fixture.caches[0].accept();
+    CHECK(next.readCommand().at(1) == "late");
+    next.send(hit("W"));
+    CHECK(partialClient.readResponse() == "W");
 }
 
 // The kernel may deliver the last byte of a request before the router's write callback runs. An
@@ -346,10 +348,10 @@
     bool isSent = false, isAbandoned = false;
     loop.onIteration([&] {
         connectionPool.serveWaiting();
-        if (!accepted && !server.quiet(0)) accepted = server.accept();
-        if (accepted && !isSent && !handler.outcome && !accepted->quiet(0)) {
-            accepted->command();
-            accepted->say(hit("v"));
+        if (!accepted && !server.isQuiet(0)) accepted = server.accept();
+        if (accepted && !isSent && !handler.outcome && !accepted->isQuiet(0)) {
+            accepted->readCommand();
+            accepted->send(hit("v"));
         }
         if (!isSent && handler.outcome) {
             handler.outcome.reset();
@@ -364,7 +366,7 @@
             isSent = true;
         }
         if (!isSent || isAbandoned) return;
-        accepted->drain();
+        accepted->discardUnread();
         if (bytesTakenByKernel() - bytesTakenBefore < largeBytes) return;
         isAbandoned = true;
         cache.abandon(attempt);
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -86,7 +86,7 @@
 
     void run() {
         while (!stopped_) {
-            readable(listener_.descriptor(), 5);
+            becomesReadable(listener_.descriptor(), 5);
             for (int accepted; (accepted = accept4(listener_.descriptor(), nullptr, nullptr,
                                                    SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
                 peers_.push_back(std::make_unique<Peer>(accepted));
@@ -211,7 +211,7 @@
         : name(behaviour.name + ", " + membershipMode), discovery(behaviour, changedList(), 5) {
         for (std::size_t i = 0; i < routers; ++i) {
             reservedPorts.push_back(std::make_unique<ReservedPort>());
-            auto start = smallStart();
+            auto start = minimalStartConfig();
             start["seed"] = std::to_string(100 + i);
             start["settings"]["replicasOfMe"] = routers;
             start["settings"]["membershipMode"] = membershipMode;
@@ -234,7 +234,7 @@
     std::vector<std::unique_ptr<Program>> programs;
 };
 
-bool waitFor(const std::function<bool()>& condition, milliseconds within) {
+bool becomesTrue(const std::function<bool()>& condition, milliseconds within) {
     const auto until = Clock::now() + within;
     while (!condition() && Clock::now() < until) std::this_thread::sleep_for(10ms);
     return condition();
@@ -245,7 +245,7 @@
     const std::size_t routers = trial.programs.size();
     const auto observed =
         std::chrono::duration_cast<milliseconds>(Clock::now() - trial.discovery.changedAt());
-    waitFor([&] { return trial.discovery.delays().size() >= routers; }, kObservedFor - observed);
+    becomesTrue([&] { return trial.discovery.delays().size() >= routers; }, kObservedFor - observed);
     auto delays = trial.discovery.delays();
     // Each router polls with the new version repeatedly. The first of these polls of all routers
     // come before any repetition.
@@ -263,7 +263,7 @@
     for (const Behaviour& behaviour : behaviours)
         trials.push_back(std::make_unique<Trial>(behaviour, membershipMode));
     for (auto& trial : trials) {
-        const bool hasLongPolls = waitFor([&] { return trial->discovery.longPollCount() > 0; }, 20s);
+        const bool hasLongPolls = becomesTrue([&] { return trial->discovery.longPollCount() > 0; }, 20s);
         CAPTURE(trial->name);
         CAPTURE(trial->programs.front()->log());
         CAPTURE(trial->programs.front()->state());
@@ -305,7 +305,7 @@
     // All sixteen long polls are reset at the change. Serving a poll of each router then takes 3.2
     // s.
     Trial trial({"200 ms per poll", 0ms, 0ms, 16, 0, 200ms}, "on_request", 16);
-    REQUIRE(waitFor([&] { return trial.discovery.longPollCount() >= 16; }, 20s));
+    REQUIRE(becomesTrue([&] { return trial.discovery.longPollCount() >= 16; }, 20s));
     trial.discovery.change();
     checkDelays(trial);
 }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -74,14 +74,14 @@
     void run() {
         std::vector<Socket> peers;
         while (!stopped_) {
-            if (!server.quiet(1)) peers.push_back(server.accept());
+            if (!server.isQuiet(1)) peers.push_back(server.accept());
             for (Socket& peer : peers)
-                while (peer.open() && !peer.quiet(0)) {
-                    if (peer.command().empty()) {
-                        peer.hangUp();
+                while (peer.isOpen() && !peer.isQuiet(0)) {
+                    if (peer.readCommand().empty()) {
+                        peer.close();
                         break;
                     }
-                    peer.say(hit("value"));
+                    peer.send(hit("value"));
                 }
         }
     }
@@ -100,8 +100,8 @@
     ResponseCounts counts;
     for (int i = 0; i < requests; ++i) {
         Socket client(port);
-        client.say(get("k" + std::to_string(i % 20)));
-        const std::string answer = client.answer();
+        client.send(get("k" + std::to_string(i % 20)));
+        const std::string answer = client.readResponse();
         if (answer == "value")
             ++counts.answered;
         else if (answer.starts_with("-"))
@@ -123,12 +123,12 @@
     AlwaysHitCache cache;
     ReservedPort routerPort;
     TestServer discovery;
-    auto start = smallStart();
+    auto start = minimalStartConfig();
     start["listen"] = "127.0.0.1:" + std::to_string(routerPort.port);
     start["discovery"] = discovery.address();
     start["known"] = {{"version", 7}, {"full", true}, {"servers", {entryOf("c0", cache.server)}}};
     Program program(start.dump());
-    for (int tries = 0; tries < 100 && Socket(routerPort.port).say(array({"PING"})).line() != "+PONG";
+    for (int tries = 0; tries < 100 && Socket(routerPort.port).send(array({"PING"})).readLine() != "+PONG";
          ++tries)
         std::this_thread::sleep_for(50ms);
     for (const FaultCase& fault : cases) plan.setShare(fault.call, fault.effect, fault.share);
@@ -142,7 +142,7 @@
         CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(fault.effect)]);
         CHECK(plan.occurrences(fault.call, fault.effect) > 0);
     }
-    CHECK(program.running());
+    CHECK(program.isRunning());
     CHECK(program.log().find("invariant violated") == std::string::npos);
 }
 
