--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -16,8 +16,21 @@
 // Later than any real clock, and small enough not to overflow in nanoseconds.
 constexpr std::int64_t kMaxStartedMs = 8'000'000'000'000;
 
+// The longest quotation of a name or value from a list in an error.
+constexpr std::size_t kMaxQuotedBytes = 32;
+
 enum class Source : std::uint8_t { discovery, configuration };
 
+// The start of `text`, up to kMaxQuotedBytes, followed by "..." if that is not all of it. Cut between
+// two UTF-8 characters, because errors are also sent as JSON.
+std::string quotableStart(std::string_view text) {
+    if (text.size() <= kMaxQuotedBytes) return std::string(text);
+    const auto isContinuation = [](char byte) { return (static_cast<unsigned char>(byte) & 0xC0) == 0x80; };
+    std::size_t size = kMaxQuotedBytes;
+    while (size > 0 && isContinuation(text[size])) --size;
+    return std::string(text.substr(0, size)) + "...";
+}
+
 EndpointState stateOf(std::string_view keyword) {
     if (keyword == "Ready") return EndpointState::ready;
     if (keyword == "Terminating") return EndpointState::draining;
@@ -25,6 +38,11 @@
     throw ParseError("the state of a server is not Ready, Terminating or Gone");
 }
 
+ParseError invalidWeight(const std::string& server, const Json& weight, const std::string& expected) {
+    return ParseError("the weight of server '" + quotableStart(server) + "' is " +
+                      quotableStart(weight.dump()) + ", expected " + expected);
+}
+
 // An invalid weight from discovery counts as 0 and leaves the rest of the list valid. In a
 // configuration it is an error.
 double weightOf(const Json& entry, const std::string& name, Source source) {
@@ -32,12 +50,12 @@
     if (weight == entry.end()) return 1.0;
     if (!weight->is_number()) {
         if (source == Source::discovery) return 0;
-        throw ParseError("the weight of server '" + name + "' is " + weight->dump() + ", expected a number");
+        throw invalidWeight(name, *weight, "a number");
     }
     const double value = weight->get<double>();
     if (std::isfinite(value) && value >= 0) return value;
     if (source == Source::discovery) return 0;
-    throw ParseError("the weight of server '" + name + "' is " + weight->dump() + ", expected at least 0");
+    throw invalidWeight(name, *weight, "at least 0");
 }
 
 EndpointEntry endpointEntryOf(const Json& json, Source source) {
