--- a/src/ctl/fleet_description.cpp
+++ b/src/ctl/fleet_description.cpp
@@ -56,7 +56,7 @@
     description.address = table.string("address", "127.0.0.1");
     in_addr ignored{};
     if (::inet_pton(AF_INET, description.address.c_str(), &ignored) != 1)
-        table.problem("address", "is not an IPv4 address");
+        table.problem("address", "is not an IPv4 address: found '" + description.address + "'");
     description.hasOwnAddresses = table.boolean("own_addresses", false);
     description.firstPort = table.integer("first_port", std::nullopt, 1, kMaxPort);
     if (!description.hasOwnAddresses &&
@@ -70,7 +70,7 @@
     std::ifstream stream(path, std::ios::binary);
     description.templateText.assign(std::istreambuf_iterator<char>(stream), {});
     if (!stream) {
-        table.problem("operator", "names a file that can't be read: " + path);
+        table.problem("operator", "names a file that can't be read: '" + path + "'");
         return;
     }
     for (const char* placeholder : {"{name}", "{listen}", "{socket}"})
@@ -92,7 +92,8 @@
         readSupervisorSettings(table, description.supervisor);
         description.program = table.string("program", std::nullopt);
         description.folder = table.string("folder", std::nullopt);
-        if (!description.folder.starts_with('/')) table.problem("folder", "is not an absolute path");
+        if (!description.folder.starts_with('/'))
+            table.problem("folder", "is not an absolute path: found '" + description.folder + "'");
         description.name = table.string("name", "r");
         description.zone = table.string("zone", "");
         readAddresses(table, description);
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -65,11 +65,12 @@
         agent.name = table.string("name", std::nullopt);
         agent.socket = table.string("socket", std::nullopt);
         const bool isNewName = names.insert(agent.name).second;
-        if (!isNewName) table.problem("name", "is also the name of another agent: " + agent.name);
+        if (!isNewName) table.problem("name", "is also the name of another agent: '" + agent.name + "'");
         if (!agent.socket.starts_with('/'))
-            table.problem("socket", "is not an absolute path: " + agent.socket);
+            table.problem("socket", "is not an absolute path: found '" + agent.socket + "'");
         const bool isNewSocket = sockets.insert(agent.socket).second;
-        if (!isNewSocket) table.problem("socket", "is also the socket of another agent: " + agent.socket);
+        if (!isNewSocket)
+            table.problem("socket", "is also the socket of another agent: '" + agent.socket + "'");
         agents.push_back(std::move(agent));
     });
     if (agents.empty()) plan.problem("agents", "at least one agent is required");
@@ -84,16 +85,17 @@
 void checkProgram(TomlTable& change, const std::string& path) {
     if (path.empty()) return;
     if (!path.starts_with('/'))
-        change.problem("program", "is not an absolute path: " + path);
+        change.problem("program", "is not an absolute path: found '" + path + "'");
     else if (!isExecutableFile(path))
-        change.problem("program", "is not an executable file: " + path);
+        change.problem("program", "is not an executable file: '" + path + "'");
 }
 
 void readTemplate(TomlTable& change, RolloutPlan& plan) {
     if (plan.templatePath.empty()) return;
     std::ifstream file(plan.templatePath, std::ios::binary);
     plan.templateText.assign(std::istreambuf_iterator<char>(file), {});
-    if (!file) return change.problem("operator", "names a file that can't be read: " + plan.templatePath);
+    if (!file)
+        return change.problem("operator", "names a file that can't be read: '" + plan.templatePath + "'");
     for (const char* placeholder : {"{name}", "{listen}", "{socket}"})
         if (plan.templateText.find(placeholder) == std::string::npos)
             change.problem("operator",
--- a/tests/rollout_plan_test.cpp
+++ b/tests/rollout_plan_test.cpp
@@ -20,8 +20,8 @@
         "1.5\n[stage]\nleast_ms = 5000\nlongest_ms = 1000\n[wurse]\n",
         "p.toml", problems);
     const std::string text = problems.text();
-    for (const char* expected : {"p.toml:3: agents[0].socket: is not an absolute path",
-                                 "p.toml:5: agents[1].name: is also the name of another agent",
+    for (const char* expected : {"p.toml:3: agents[0].socket: is not an absolute path: found 'x'",
+                                 "p.toml:5: agents[1].name: is also the name of another agent: 'a'",
                                  "p.toml:8: change.program: is not an executable file",
                                  "p.toml:12: stages[1].share: does not grow", "p.toml:14: stages[2].share",
                                  "p.toml:17: stage.longest_ms: is less than least_ms", "wurse: is not a key"})
