--- a/src/process/active_config.cpp
+++ b/src/process/active_config.cpp
@@ -64,7 +64,7 @@
     const bool pollsNow = !endpointSources(config_).empty();
     if (pollsNow == endpointSources(fresh).empty())
         throw protocol::ParseError(
-            "endpoint polling can't be turned on or off by a reload; restart the process");
+            "turning endpoint polling on or off takes effect only after a restart of the process");
     auto difference = config::compareConfigs(config_.startup, fresh.startup);
     const auto& present = config_.operatorConfig.distributors;
     const auto& next = fresh.operatorConfig.distributors;
--- a/src/process/config_reloader.cpp
+++ b/src/process/config_reloader.cpp
@@ -16,8 +16,9 @@
     std::string changes;
     for (const auto& line : difference.appliesNow) changes += "; " + line;
     for (const auto& line : difference.needsRestart) changes += "; " + line;
-    return fmt::format("reloaded the configuration, discovery at {}{}{}", fresh.startup.discovery, changes,
-                       difference.needsRestart.empty() ? "" : "; some changes take effect after a restart");
+    return fmt::format(
+        "reloaded the configuration, discovery at {}{}{}", fresh.startup.discovery, changes,
+        difference.needsRestart.empty() ? "" : "; some changes take effect after a restart of the process");
 }
 
 }  // namespace
