--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -69,7 +69,7 @@
     settings.maxListBytes = config_.memoryLimitBytes / kListMemoryDivisor;
     watcher_ = std::make_unique<discovery::EndpointWatcher>(loop_, pool_, *dispatcher_, std::move(settings),
                                                             ignoreLog);
-    dispatcher_->requestPoll = [this] { watcher_->start(); };
+    dispatcher_->onPollRequested = [this] { watcher_->pollNow(); };
 }
 
 void StubRouter::restart() {
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -68,7 +68,7 @@
     transport::BufferPool& pool_;
     std::uint32_t routerNumber_;
     protocol::StartupConfig config_;
-    std::vector<discovery::DiscoveryAddress> sources_;
+    std::vector<discovery::EndpointSource> sources_;
     int dropEveryNthDelta_;
     std::unique_ptr<ObservedDispatcher> dispatcher_;
     std::unique_ptr<discovery::EndpointWatcher> watcher_;
