--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -206,6 +206,36 @@
         CHECK_THROWS_AS(readEndpointList(bad), ParseError);
 }
 
+// Errors are also sent as JSON, in which a character that is cut in two is invalid.
+TEST_CASE("Errors of a configured list quote at most 32 bytes of a name or weight, in whole characters") {
+    const auto errorFor = [](const std::string& name, const nlohmann::json& weight) -> std::string {
+        nlohmann::json list = {{"version", 1}, {"full", true}};
+        list["servers"].push_back({{"id", name}, {"state", "Ready"}, {"weight", weight}});
+        try {
+            readConfiguredEndpoints(list);
+        } catch (const ParseError& problem) {
+            return problem.what();
+        }
+        return "no error";
+    };
+    const auto notNumber = [](const std::string& name, const std::string& weight) {
+        return "the weight of server '" + name + "' is " + weight + ", expected a number";
+    };
+    const std::string euro = "\xE2\x82\xAC";  // three bytes
+    const std::string a29(29, 'a'), a30(30, 'a'), a31(31, 'a'), a32(32, 'a');
+    CHECK(errorFor(a32, "x") == notNumber(a32, "\"x\""));
+    CHECK(errorFor(a32 + "a", "x") == notNumber(a32 + "...", "\"x\""));
+    CHECK(errorFor(a29 + euro, "x") == notNumber(a29 + euro, "\"x\""));
+    CHECK(errorFor(a29 + euro + "a", "x") == notNumber(a29 + euro + "...", "\"x\""));
+    CHECK(errorFor(a30 + euro, "x") == notNumber(a30 + "...", "\"x\""));
+    CHECK(errorFor(a31 + euro, "x") == notNumber(a31 + "...", "\"x\""));
+    // A weight is quoted as JSON, so that its quotation marks count.
+    CHECK(errorFor("s", a30) == notNumber("s", "\"" + a30 + "\""));
+    CHECK(errorFor("s", a31) == notNumber("s", "\"" + a31 + "..."));
+    CHECK(errorFor("s", a29 + euro) == notNumber("s", "\"" + a29 + "..."));
+    CHECK(errorFor(a32 + "a", -1) == "the weight of server '" + a32 + "...' is -1, expected at least 0");
+}
+
 // If the process polled later, it would still send requests to a draining server that may close at the
 // end of its grace period.
 TEST_CASE("A process that starts with an old list polls within half of the drain grace period") {
