--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -214,7 +214,7 @@
                report.hasRolledBack ? ", rolled back on its own" : "");
     for (const auto& instance : report.instances)
         fmt::print("  {:<14} {:<12} {:<9} {:>8.1f} s {}{}{}\n", instance.name, instance.zone,
-                   rollout::nameOf(instance.state), static_cast<double>(instance.since) / 1e9,
+                   rollout::nameOf(instance.state), static_cast<double>(instance.timeInState) / 1e9,
                    instance.ready ? "ready" : "not ready", instance.metrics ? "" : ", no metrics",
                    instance.problem.empty() ? "" : ", " + instance.problem);
 }
--- a/src/rollout/fleet_view.cpp
+++ b/src/rollout/fleet_view.cpp
@@ -110,7 +110,7 @@
 bool FleetView::isSettled(const InstanceView& instance) const {
     const InstanceReport* const report = reportOf(instance);
     return report && report->ready && report->state == InstanceState::changed &&
-           report->since >= plan_.settleTime;
+           report->timeInState >= plan_.settleTime;
 }
 
 bool FleetView::isChanged(const InstanceView& instance) const {
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -51,7 +51,7 @@
     std::string zone;
     InstanceState state = InstanceState::original;
     bool ready = false;
-    Nanos since = 0;      // time spent in this state
+    Nanos timeInState = 0;
     int exitCount = 0;    // unrequested exits since its agent started or this rollout began
     std::string problem;  // why it has failed, or could not be changed
     std::optional<InstanceMetrics> metrics;
--- a/src/rollout/messages_codec.cpp
+++ b/src/rollout/messages_codec.cpp
@@ -40,7 +40,7 @@
     report.zone = input.at("zone").get<std::string>();
     report.state = readState(input.at("stand").get<std::string>());
     report.ready = input.at("ready").get<bool>();
-    report.since = input.at("since_ms").get<std::int64_t>() * kMillisecond;
+    report.timeInState = input.at("since_ms").get<std::int64_t>() * kMillisecond;
     report.exitCount = input.at("ends").get<int>();
     report.problem = input.value("problem", "");
     if (input.contains("figures")) report.metrics = readInstanceMetrics(input.at("figures"));
@@ -144,7 +144,7 @@
                              {"zone", instance.zone},
                              {"stand", nameOf(instance.state)},
                              {"ready", instance.ready},
-                             {"since_ms", instance.since / kMillisecond},
+                             {"since_ms", instance.timeInState / kMillisecond},
                              {"ends", instance.exitCount},
                              {"problem", instance.problem},
                              {"figures", i < metrics.size() ? metrics[i] : json()}});
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -280,7 +280,7 @@
         InstanceReport& reported = report.instances.emplace_back();
         reported.state = instance.state;
         reported.ready = instance.ready;
-        reported.since = now - instance.since;
+        reported.timeInState = now - instance.since;
         reported.exitCount = instance.exitCount;
         reported.problem = instance.problem;
     }
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -102,7 +102,7 @@
         instance.zone = "z1";
         instance.state = static_cast<rollout::InstanceState>(state);
         instance.ready = state % 2 == 0;
-        instance.since = state * 1'500 * kMillisecond;
+        instance.timeInState = state * 1'500 * kMillisecond;
         instance.exitCount = state;
         instance.problem = state == 4 ? "it does not start" : "";
         report.instances.push_back(instance);
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -102,7 +102,7 @@
             one.zone = zone;
             one.state = instance.state;
             one.ready = true;
-            one.since = now - instance.since;
+            one.timeInState = now - instance.since;
             one.exitCount = instance.exitCount;
             one.problem = instance.problem;
             const bool runsChange = instance.state == InstanceState::changed;
