--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -21,7 +21,8 @@
 IDENTIFIER = re.compile(r"[A-Za-z_]\w*")
 LOG_CALL = re.compile(r'\b(?:log|log_|logTo|logger_?\.(?:log|info|warning|error)|host_?\.log|host_->log)\s*\((?:[^;"]*?)((?:"(?:[^"\\\n]|\\.)*"\s*)+)')
 LOG_WORDS = re.compile(
-    r"\b(turned away|sent on|relays?|heir|successor|set aside|keeper|declined?|terminated|the list|banned|commands?|verbs?|customers?)\b"
+    r"\b(turned away|sent on|relays?|heir|successor|set aside|keeper|declined?|terminated|the list|banned|commands?|verbs?|customers?"
+    r"|heard|told|not there|hand(?:s|ed|ing)? over|gives? up)\b"
 )
 
 
