--- a/src/testbed/audit/audit.cpp
+++ b/src/testbed/audit/audit.cpp
@@ -46,15 +46,15 @@
 
 void Audit::addViolation(const char* rule, const LogEvent& entry, std::string description) {
     if (violations_.size() >= kMaxViolations) return;
-    const auto request = requests_.find(entry.command);
+    const auto request = requests_.find(entry.requestId);
     const bool known = request != requests_.end();
-    violations_.push_back({rule, entry.at, fmt::format("request {:x}: {}", entry.command, description),
+    violations_.push_back({rule, entry.at, fmt::format("request {:x}: {}", entry.requestId, description),
                            known ? request->second.router : entry.router,
                            known ? request->second.deadline : entry.at});
 }
 
 Audit::Request* Audit::requestOf(const LogEvent& entry) {
-    const auto it = requests_.find(entry.command);
+    const auto it = requests_.find(entry.requestId);
     return it == requests_.end() ? nullptr : &it->second;
 }
 
@@ -62,7 +62,7 @@
     Request* const request = requestOf(entry);
     if (!request) return nullptr;
     for (Attempt& attempt : request->attempts)
-        if (attempt.id == entry.run) return &attempt;
+        if (attempt.id == entry.attemptId) return &attempt;
     return nullptr;
 }
 
@@ -74,7 +74,7 @@
 
 void Audit::onEvent(const LogEvent& entry) {
     switch (entry.kind) {
-        case EventKind::server: {
+        case EventKind::serverAdded: {
             if (entry.server != static_cast<int>(servers_.size()))
                 throw EventLogError(fmt::format("event log: server {} is listed out of order", entry.server));
             servers_.push_back({toString(wordAt(entry.text, 0)),
@@ -86,7 +86,7 @@
                                 {}});
             break;
         }
-        case EventKind::asked: {
+        case EventKind::requestSent: {
             Request request;
             for (const RequestClassRules& rules : requestClasses_)
                 if (rules.name == wordAt(entry.text, 0)) request.requestClass = &rules;
@@ -95,17 +95,17 @@
             request.router = entry.router;
             request.issuedAt = entry.at;
             request.deadline = entry.number;
-            if (!requests_.emplace(entry.command, std::move(request)).second)
+            if (!requests_.emplace(entry.requestId, std::move(request)).second)
                 throw EventLogError("event log: two 'asked' entries have the same request");
             break;
         }
         case EventKind::answered:
             onAnswered(entry);
             break;
-        case EventKind::declined:
+        case EventKind::rejected:
             onRejected(entry);
             break;
-        case EventKind::terminated:
+        case EventKind::failed:
             if (Request* const request = requestOf(entry)) onFinalResponse(entry, *request);
             break;
         case EventKind::unsent:
@@ -119,7 +119,7 @@
                 request->hasClientLeft = true;
             }
             break;
-        case EventKind::silent:
+        case EventKind::unanswered:
             if (Request* const request = requestOf(entry)) {
                 request->isUnanswered = true;
                 addViolation(
@@ -127,17 +127,17 @@
                     fmt::format("no answer by its deadline at {} ms", request->deadline / kMillisecond));
             }
             break;
-        case EventKind::left:
+        case EventKind::clientDisconnected:
             if (Request* const request = requestOf(entry)) request->hasClientLeft = true;
             break;
-        case EventKind::sent:
+        case EventKind::attemptSent:
             onAttemptSent(entry);
             break;
-        case EventKind::began:
+        case EventKind::executionStarted:
             if (Request* const request = requestOf(entry)) {
                 if (request->requestClass->effect == 0) break;
                 for (Attempt& attempt : request->attempts) {
-                    if (attempt.id == entry.run) attempt.hasExecuted = true;
+                    if (attempt.id == entry.attemptId) attempt.hasExecuted = true;
                     // A receipted request may execute again on a server that does not know its idempotency
                     // key; onAttemptSent() checks whether it may be sent there.
                     else if (attempt.hasExecuted && request->requestClass->effect == 2)
@@ -148,7 +148,7 @@
                 }
             }
             break;
-        case EventKind::ended:
+        case EventKind::attemptEnded:
             if (Attempt* const attempt = attemptOf(entry)) {
                 if (attempt->endedAt < 0) attempt->endedAt = entry.at;
                 const auto outcome = wordAt(entry.text, 0);
@@ -160,7 +160,7 @@
             }
             break;
         case EventKind::closed:
-        case EventKind::broke:
+        case EventKind::connectionBroken:
             if (Attempt* const attempt = attemptOf(entry); attempt && attempt->endedAt < 0)
                 attempt->endedAt = entry.at;
             break;
@@ -180,7 +180,7 @@
             server.recentAttempts.clear();
             break;
         }
-        case EventKind::fell:
+        case EventKind::serverOverloaded:
             onServerFell(entry);
             break;
         case EventKind::killed:
@@ -197,13 +197,13 @@
             downSince_.erase(entry.router);
             upSince_[entry.router] = entry.at;
             break;
-        case EventKind::claims:
+        case EventKind::statement:
             onClaim(entry);
             break;
         case EventKind::fault:
             noteClockFault(entry);
             break;
-        case EventKind::late:
+        case EventKind::testbedLateness:
         case EventKind::opened:
             break;
     }
@@ -323,7 +323,7 @@
             break;
         }
     }
-    request->attempts.push_back({entry.run, entry.server, entry.at, -1, false, false, {}});
+    request->attempts.push_back({entry.attemptId, entry.server, entry.at, -1, false, false, {}});
 }
 
 // The timeout that an attempt forwards to its server may be at most the time left until the client's
@@ -379,7 +379,7 @@
                 if (request.attempts[j].endedAt < 0 ||
                     request.attempts[j].endedAt > request.attempts[i].sentAt + tolerance_) {
                     LogEvent entry;
-                    entry.command = id;
+                    entry.requestId = id;
                     entry.at = request.attempts[i].sentAt;
                     addViolation("twice", entry, "two attempts in flight at once");
                 }
--- a/src/testbed/audit/slow_start_load.cpp
+++ b/src/testbed/audit/slow_start_load.cpp
@@ -50,7 +50,7 @@
 }
 
 void SlowStartLoad::onEvent(const LogEvent& entry) {
-    if (entry.kind == EventKind::server) {
+    if (entry.kind == EventKind::serverAdded) {
         Server server;
         server.origin = wordAt(entry.text, 3) == "origin";
         server.capacity = std::atof(std::string(wordAt(entry.text, 4)).c_str());
@@ -68,9 +68,9 @@
         server.recentAttempts.clear();
         server.recentWork = 0;
         coldStarts_ += !server.origin;
-    } else if (entry.kind == EventKind::fell) {
+    } else if (entry.kind == EventKind::serverOverloaded) {
         falls_ += isCold(servers_.at(static_cast<std::size_t>(entry.server)), entry.at);
-    } else if (entry.kind == EventKind::sent) {
+    } else if (entry.kind == EventKind::attemptSent) {
         onAttemptSent(entry, servers_.at(static_cast<std::size_t>(entry.server)));
     }
 }
--- a/src/testbed/drivers/live/interactive.cpp
+++ b/src/testbed/drivers/live/interactive.cpp
@@ -19,10 +19,11 @@
 void serveByHand(const Scenario& scenario, const std::string& program) {
     EventLog eventLog;
     std::vector<std::string> names;
-    eventLog.watch = [&](const LogEvent& event) {
-        if (event.kind == EventKind::server) names.emplace_back(wordAt(event.text, 0));
-        const bool isShown =
-            event.kind == EventKind::sent || event.kind == EventKind::began || event.kind == EventKind::ended;
+    eventLog.onEvent = [&](const LogEvent& event) {
+        if (event.kind == EventKind::serverAdded) names.emplace_back(wordAt(event.text, 0));
+        const bool isShown = event.kind == EventKind::attemptSent ||
+                             event.kind == EventKind::executionStarted ||
+                             event.kind == EventKind::attemptEnded;
         if (!isShown) return;
         fmt::print("{:9.3f} s  router {:2}  {:<10} {:<6} {}\n", static_cast<double>(event.at) / 1e9,
                    event.router, names.at(static_cast<std::size_t>(event.server)), nameOf(event.kind),
--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -269,14 +269,14 @@
     Nanos deploymentTime(Nanos at) const { return std::max<Nanos>(now() - (steadyTime() - at), 0); }
     void onRouterUp(int router) override;
     void onRouterStopping(int router, Nanos at) override {
-        deployment.routerLeaves(now(), router, deploymentTime(at));
+        deployment.onRouterStopping(now(), router, deploymentTime(at));
     }
     void onRouterGone(int router, Nanos) override {
         closeDiscoveryConnections(router);
-        if (hasBegun_ && !isEnding_) deployment.routerGone(now(), router);
+        if (hasBegun_ && !isEnding_) deployment.onRouterGone(now(), router);
     }
     void onClaim(int router, Nanos at, const std::string& what) override {
-        deployment.note(now(), EventKind::claims, router, deploymentTime(at), what);
+        deployment.logRouterEvent(now(), EventKind::statement, router, deploymentTime(at), what);
     }
     void createMachines();
     void observeRollout();
@@ -342,7 +342,7 @@
 
 bool ServerConnectionHandler::start(const std::function<bool(Connection&)>& finish) {
     if (!finish(connection_)) return false;
-    id_ = live_.deployment.connect(live_.now(), router_, addressIndex_);
+    id_ = live_.deployment.beginConnect(live_.now(), router_, addressIndex_);
     connection_.setReading(true);
     return true;
 }
@@ -356,16 +356,16 @@
             const auto state = http_.feed(bytes);
             if (state == HttpRequestParser::State::more) return;
             if (state == HttpRequestParser::State::malformed) return onClosed();
-            ServerCall attempt;
-            attempt.command = parseRequestId(http_.id());
+            ReceivedAttempt attempt;
+            attempt.requestId = parseRequestId(http_.id());
             attempt.key = http_.path().substr(std::min<std::size_t>(http_.path().size(), 1));
             attempt.requestClass = infoItem(http_.info(), "c");
-            attempt.mark = infoItem(http_.info(), "k");
+            attempt.idempotencyKey = infoItem(http_.info(), "k");
             attempt.write = http_.write();
             attempt.forwardedTimeoutMs = parseForwardedTimeout(http_.info());
-            attempt.delayedBy = maxArrivalDelay();
+            attempt.maxReadDelay = maxArrivalDelay();
             http_.clear();
-            live_.deployment.call(at, id_, attempt);
+            live_.deployment.onAttemptReceived(at, id_, attempt);
         } else {
             const auto state = decoder_.feed(bytes);
             if (state == protocol::RespDecoder::State::more) return;
@@ -381,15 +381,15 @@
     const bool write = !words.empty() && words[0].text == "OBJ.SET";
     if (words.size() != (write ? 5U : 4U) || (!write && words[0].text != "OBJ.GET"))
         return void(connection_.write("-SYNTAX\r\n"));
-    ServerCall attempt;
-    attempt.command = parseRequestId(words[2].text);
+    ReceivedAttempt attempt;
+    attempt.requestId = parseRequestId(words[2].text);
     attempt.key = words[1].text;
     attempt.requestClass = infoItem(words[3].text, "c");
-    attempt.mark = infoItem(words[3].text, "k");
+    attempt.idempotencyKey = infoItem(words[3].text, "k");
     attempt.write = write;
     attempt.forwardedTimeoutMs = parseForwardedTimeout(words[3].text);
-    attempt.delayedBy = maxArrivalDelay();
-    live_.deployment.call(live_.now(), id_, attempt);
+    attempt.maxReadDelay = maxArrivalDelay();
+    live_.deployment.onAttemptReceived(live_.now(), id_, attempt);
 }
 
 Nanos ServerConnectionHandler::maxArrivalDelay() const {
@@ -403,14 +403,14 @@
         if (reply.kind == K::value) text = httpAnswer(200, "", reply.token);
         if (reply.kind == K::error || reply.kind == K::miss) text = httpAnswer(500, "", "");
         if (reply.kind == K::busy) text = httpAnswer(503, "X-Rejected: 1\r\n", "");
-        if (reply.kind == K::spoilt) text = "HTTQ/9.9 ???\r\n\r\n";
+        if (reply.kind == K::malformed) text = "HTTQ/9.9 ???\r\n\r\n";
     } else {
         if (reply.kind == K::value)
             text = "*3\r\n" + protocol::bulk(reply.token) + protocol::bulk("hit") + "$-1\r\n";
         if (reply.kind == K::miss) text = "*3\r\n$-1\r\n" + protocol::bulk("miss") + "$-1\r\n";
         if (reply.kind == K::error) text = "-ERR failed\r\n";
         if (reply.kind == K::busy) text = "-BUSY\r\n";
-        if (reply.kind == K::spoilt) text = "$x9\r\n\x01\x02*\r\n";
+        if (reply.kind == K::malformed) text = "$x9\r\n\x01\x02*\r\n";
     }
     connection_.write(text);
 }
@@ -418,7 +418,7 @@
 void ServerConnectionHandler::onClosed() {
     const ConnectionId id = id_;
     LiveRun& live = live_;
-    live.deployment.closed(live.now(), id);
+    live.deployment.onConnectionClosed(live.now(), id);
     live.serverConnections.erase(id);
 }
 
@@ -473,7 +473,7 @@
     std::string info = fmt::format(
         "c={},t={},d={}", requestClass.requestClass.name,
         request_.tenant < 0 ? "none" : tenants[static_cast<std::size_t>(request_.tenant)].name, left);
-    if (!request_.mark.empty()) info += ",k=" + request_.mark;
+    if (!request_.idempotencyKey.empty()) info += ",k=" + request_.idempotencyKey;
     const std::string id = fmt::format("{:016x}", request_.id);
     std::vector<std::string_view> words{requestClass.write ? "OBJ.SET" : "OBJ.GET", request_.key, id, info};
     if (requestClass.write) words.push_back("value");
@@ -504,10 +504,10 @@
         } else if (value.kind == K::error && value.text.starts_with("BUSY")) {
             const auto pause =
                 value.text.size() > 5 ? protocol::parse<std::int64_t>(value.text.substr(5)) : std::nullopt;
-            live.deployment.onClientOutcome(at, id, EmulatedDeployment::ClientOutcome::declined, "",
+            live.deployment.onClientOutcome(at, id, EmulatedDeployment::ClientOutcome::rejected, "",
                                             pause.value_or(0) * kMillisecond);
         } else {
-            live.deployment.onClientOutcome(at, id, EmulatedDeployment::ClientOutcome::terminated, "", 0);
+            live.deployment.onClientOutcome(at, id, EmulatedDeployment::ClientOutcome::failed, "", 0);
         }
     }
 }
@@ -584,7 +584,7 @@
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
     const auto needed = static_cast<std::size_t>(scenario.routers.count) *
-                        static_cast<std::size_t>(deployment.addresses() + 8) * 3;
+                        static_cast<std::size_t>(deployment.addressCount() + 8) * 3;
     if (files.rlim_cur < needed)
         throw RunError(
             fmt::format("the limit of open files (RLIMIT_NOFILE) is {}, but the run needs about {}",
@@ -599,8 +599,9 @@
     std::filesystem::create_directories(folder_);
     if (scenario.hasProcessFaults()) processFaults_ = std::make_unique<ProcessFaults>(folder_, seed);
     for (int r = 0; r < scenario.routers.count; ++r) {
-        addresses_[static_cast<std::size_t>(r)].resize(static_cast<std::size_t>(deployment.addresses()));
-        for (int d = 0; d < deployment.addresses(); ++d) LiveRun::setAddressState(r, d, AddressState::open);
+        addresses_[static_cast<std::size_t>(r)].resize(static_cast<std::size_t>(deployment.addressCount()));
+        for (int d = 0; d < deployment.addressCount(); ++d)
+            LiveRun::setAddressState(r, d, AddressState::open);
     }
     openDiscovery(0);
     if (scenario.machines.count > 0) createMachines();
@@ -685,7 +686,7 @@
         std::vector<const DiscoveryConnection*> oldConnections;
         for (const auto& connection : discoveryConnections)
             if (connection->router() == r) oldConnections.push_back(connection.get());
-        deployment.at(now() + kOldDiscoveryLinger, [this, oldConnections](Nanos) {
+        deployment.schedule(now() + kOldDiscoveryLinger, [this, oldConnections](Nanos) {
             discoveryConnections.remove_if([&](const auto& connection) {
                 const bool isOld = std::find(oldConnections.begin(), oldConnections.end(),
                                              connection.get()) != oldConnections.end();
@@ -704,21 +705,22 @@
 nlohmann::json LiveRun::endpointListJson(int router, const EndpointListMessage& list) const {
     static constexpr const char* states[] = {"Gone", "Ready", "Terminating"};
     auto servers = nlohmann::json::array();
-    for (const EndpointLine& line : list.lines) {
-        const EmulatedDeployment::Server& server =
+    for (const ListedEndpoint& line : list.lines) {
+        const EmulatedDeployment::EmulatedServer& server =
             deployment.servers()[static_cast<std::size_t>(line.server)];
         servers.push_back(
             {{"id", server.name},
-             {"addr",
-              formatAddress(addressOf(router, static_cast<std::uint16_t>(kServerPort + server.door)))},
+             {"addr", formatAddress(
+                          addressOf(router, static_cast<std::uint16_t>(kServerPort + server.addressIndex)))},
              {"zone", server.zone},
              {"kind", server.origin ? "origin" : "cache"},
              {"cell", server.cell},
              {"state", states[static_cast<int>(line.state)]},
              {"weight",
-              (server.plan ? server.plan->cores * server.plan->speed : 1.0) / (1 + line.heldCommands)},
-             {"started_ms",
-              line.startedAt ? startedAtUnixMs_ + (line.startedAt + server.wallStep) / kMillisecond : 0}});
+              (server.plan ? server.plan->cores * server.plan->speed : 1.0) / (1 + line.requestsPerCore)},
+             {"started_ms", line.startedAt
+                                ? startedAtUnixMs_ + (line.startedAt + server.wallClockOffset) / kMillisecond
+                                : 0}});
     }
     return {{"version", list.version}, {"full", list.full}, {"servers", std::move(servers)}};
 }
@@ -744,7 +746,7 @@
                             formatAddress(addressOf(router, static_cast<std::uint16_t>(
                                                                 kDiscoveryPort + discoveryAddressIndex_)))};
     const auto json = configurationOf(deployment.scenario(), place, seed_ * 1000 + ++configurationsWritten_,
-                                      endpointListJson(router, deployment.lastList(router)));
+                                      endpointListJson(router, deployment.initialEndpointList(router)));
     const std::string path = fmt::format("{}/r{}.json", folder_, router);
     std::ofstream(path + ".new") << json.dump(1) << '\n';
     // Renamed into place, so that a reader sees either the old file or the new one as a whole.
@@ -774,14 +776,14 @@
 void LiveRun::routerReady(int router) {
     // This runs in a callback of the probe's own connection, so the probe is destroyed in a later
     // step.
-    deployment.at(now(), [this, router](Nanos) { probes_[static_cast<std::size_t>(router)].reset(); });
+    deployment.schedule(now(), [this, router](Nanos) { probes_[static_cast<std::size_t>(router)].reset(); });
     if (isRouterAlive(router)) onRouterUp(router);
 }
 
 void LiveRun::beginDeployment() {
     hasBegun_ = true;
     if (machines_ && deployment.scenario().roll.there)
-        deployment.at(now() + deployment.scenario().roll.at, [this](Nanos) {
+        deployment.schedule(now() + deployment.scenario().roll.at, [this](Nanos) {
             onClaim(-1, steadyTime(), "roll begins");
             machines_->startRollout();
         });
@@ -858,7 +860,7 @@
         }
         // Clients' connections to the router end by themselves; the emulated deployment drops the
         // rest of its state.
-        if (!isEnding_) deployment.routerGone(now(), static_cast<int>(r));
+        if (!isEnding_) deployment.onRouterGone(now(), static_cast<int>(r));
     }
 }
 
@@ -875,7 +877,7 @@
     connection->send(request);
     if (connection->open(addressOf(request.router, kRouterPort))) return;
     removeClientConnection(request.router, connection);
-    deployment.at(now(), [this, id = request.id](Nanos t) {
+    deployment.schedule(now(), [this, id = request.id](Nanos t) {
         deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
     });
 }
@@ -894,7 +896,7 @@
     const Scenario& scenario = deployment.scenario();
     std::vector<FormServer> servers;
     for (const auto& server : deployment.servers())
-        servers.push_back({server.name, server.zone, kServerPort + server.door, server.cell,
+        servers.push_back({server.name, server.zone, kServerPort + server.addressIndex, server.cell,
                            server.plan ? server.plan->cores * server.plan->speed : 1.0, server.origin});
     const int discovery = scenario.machines.fileList ? 0 : kDiscoveryPort;
     MachinesOptions machineOptions;
@@ -921,7 +923,7 @@
 }
 
 void LiveRun::onRouterUp(int router) {
-    deployment.routerUp(now(), router);
+    deployment.onRouterUp(now(), router);
     if (hasBegun_) return;
     readyRouters_.insert(router);
     if (readyRouters_.size() < probes_.size()) return;
@@ -941,13 +943,14 @@
             "roll ends " + (word == words.end() ? fmt::format("code{}", code) : word->second));
     fmt::print(stderr, "{}\n", machines_->coordinatorOutcome());
     // The load goes on for two more seconds, so that effects of the rollout's end are observed.
-    deployment.at(now() + 2 * kSecond, [this](Nanos t) { deployment.endLoad(t); });
+    deployment.schedule(now() + 2 * kSecond, [this](Nanos t) { deployment.setLoadEnd(t); });
 }
 
 void LiveRun::observeLateness(Nanos at) {
     if (!hasBegun_ || isEnding_ || options_.serve) return;
-    worstLateness_ = std::max(
-        worstLateness_, std::max<Nanos>(at - std::max(deployment.next(), windowEnd_ - kLatenessWindow), 0));
+    worstLateness_ =
+        std::max(worstLateness_,
+                 std::max<Nanos>(at - std::max(deployment.nextEventAt(), windowEnd_ - kLatenessWindow), 0));
 }
 
 void LiveRun::runIteration() {
@@ -959,7 +962,7 @@
     const Nanos at = now();
     observeLateness(at);
     if (hasBegun_ && !isEnding_ && !options_.serve && at >= windowEnd_) {
-        eventLog_.add({at, EventKind::late, 0, -1, -1, 0, worstLateness_, {}});
+        eventLog_.add({at, EventKind::testbedLateness, 0, -1, -1, 0, worstLateness_, {}});
         // After a long delay of the testbed, one check covers several windows.
         const long windows = (at - windowEnd_) / kLatenessWindow + 1;
         totalWindows_ += windows;
@@ -975,10 +978,11 @@
         options_.progress(lastProgressAt_ = at);
     if (hasBegun_ && !isEnding_ && machines_ && deployment.scenario().roll.there && !isRolloutOver_ &&
         at < deployment.scenario().length + kMaxRolloutOvertime)
-        deployment.endLoad(std::max(at + kSecond, deployment.scenario().length));
-    if (hasBegun_ && !isEnding_ && !options_.serve && deployment.isOver(at)) return endRun();
-    stepTimer_.start(std::min(deployment.next(), at + (machines_ ? 5 * kMillisecond : kLatenessWindow)) +
-                     startedAt_);
+        deployment.setLoadEnd(std::max(at + kSecond, deployment.scenario().length));
+    if (hasBegun_ && !isEnding_ && !options_.serve && deployment.hasEnded(at)) return endRun();
+    stepTimer_.start(
+        std::min(deployment.nextEventAt(), at + (machines_ ? 5 * kMillisecond : kLatenessWindow)) +
+        startedAt_);
 }
 
 void LiveRun::endRun() {
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -91,10 +91,10 @@
             {id, StartAttempt{std::string(cache), deadline - kClockOffset, latestStart - kClockOffset}});
     }
     void reject(RequestId id, Nanos retryAfter) override {
-        actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::declined, retryAfter}});
+        actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::rejected, retryAfter}});
     }
     void fail(RequestId id) override {
-        actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::terminated, 0}});
+        actions_.push_back({id, SendResponse{EmulatedDeployment::ClientOutcome::failed, 0}});
     }
     void scheduleWakeup(Nanos at) override;
     void pollEndpoints() override { isPollRequested_ = true; }
@@ -118,7 +118,7 @@
     RouterDefect defect_;
     std::unique_ptr<metrics::RouterMetrics> metrics_;
     std::uint64_t openedCount_ = 0;
-    std::unordered_map<ConnectionId, ServerCall>
+    std::unordered_map<ConnectionId, ReceivedAttempt>
         needlessFetches_;  // by connection, which may still be opening
     Random random_;
     std::unordered_map<RequestId, OpenRequest> requests_;
@@ -149,8 +149,8 @@
         Nanos reportedAt = 0;
         const Nanos end = scenario.length + scenario.longestLimit() + scenario.slack + 1'000 * kMillisecond;
         reconcile();
-        while (now < end && !deployment.isOver(now) && !isRunFinished_) {
-            now = deployment.next();
+        while (now < end && !deployment.hasEnded(now) && !isRunFinished_) {
+            now = deployment.nextEventAt();
             deployment.step(now);
             reconcile();
             if (progress && now - reportedAt > 1'000 * kMillisecond) progress(reportedAt = now);
@@ -176,7 +176,7 @@
             markDirty(slot);
             return target->onRequest(request);
         }
-        deployment.at(now + deployment.scenario().network.same, [this, id = request.id](Nanos t) {
+        deployment.schedule(now + deployment.scenario().network.same, [this, id = request.id](Nanos t) {
             deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
         });
     }
@@ -220,7 +220,7 @@
     }
     void startRouter(int router) override {
         if (routerAt(slotOf(router))) return;
-        deployment.routerUp(now, router);
+        deployment.onRouterUp(now, router);
         addRouter(router, {});
     }
     void terminateRouter(int router) override {
@@ -228,10 +228,10 @@
         if (SimulatedRouter* const target = routerAt(slot)) {
             target->beginDraining(now);
             markDirty(slot);
-            deployment.at(now + kTerminationNotice, [this, slot](Nanos) { markDirty(slot); });
+            deployment.schedule(now + kTerminationNotice, [this, slot](Nanos) { markDirty(slot); });
             const Nanos latest =
                 now + kTerminationNotice + deployment.scenario().longestLimit() + 200 * kMillisecond;
-            deployment.at(latest, [this, slot](Nanos t) {
+            deployment.schedule(latest, [this, slot](Nanos t) {
                 if (SimulatedRouter* const stopping = routerAt(slot); stopping && !stopping->isAccepting(t))
                     stopping->abortAllRequests(now), removeRouter(slot);
             });
@@ -263,13 +263,14 @@
         isDirty_.push_back(0);
         routers_.push_back(
             std::make_unique<SimulatedRouter>(*this, router, slot, seed * 1000 + ++startCount_, now, defect));
-        routers_.back()->onEndpointList(now, EndpointUpdateKind::cached, deployment.lastList(router));
+        routers_.back()->onEndpointList(now, EndpointUpdateKind::cached,
+                                        deployment.initialEndpointList(router));
         markDirty(slot);
     }
     // ---- SimulatedFleet
     Nanos time() const override { return now; }
     void schedule(Nanos when, std::function<void(Nanos)> callback) override {
-        deployment.at(when, std::move(callback));
+        deployment.schedule(when, std::move(callback));
     }
     nlohmann::json metricsJson(int router) override {
         const int slot = slotOf(router);
@@ -305,11 +306,11 @@
         });
         if (slotOf(router) == slot) {
             slotByRouter_[static_cast<std::size_t>(router)] = -1;
-            return deployment.routerGone(now, router);
+            return deployment.onRouterGone(now, router);
         }
         // Another process has taken the router's place, so only this one's connections close.
         std::sort(conns.begin(), conns.end());
-        for (const ConnectionId conn : conns) deployment.closed(now, conn);
+        for (const ConnectionId conn : conns) deployment.onConnectionClosed(now, conn);
     }
     void reconcile() {
         // In slot order, so that a run is reproducible.
@@ -367,7 +368,7 @@
     auto json = metrics_->json();
     int ready = 0, listed = 0;
     for (const auto& s : run_.deployment.servers()) listed += !s.origin;
-    for (const EndpointLine& line : run_.deployment.lastList(index_).lines)
+    for (const ListedEndpoint& line : run_.deployment.initialEndpointList(index_).lines)
         ready += line.state == EndpointState::ready &&
                  !run_.deployment.servers()[static_cast<std::size_t>(line.server)].origin;
     json.update({{"program", "sim"},
@@ -384,7 +385,7 @@
 }
 
 void SimulatedRouter::scheduleWakeup(Nanos at) {
-    run_.deployment.at(at - kClockOffset, [&run = run_, slot = slot_](Nanos) { run.markDirty(slot); });
+    run_.deployment.schedule(at - kClockOffset, [&run = run_, slot = slot_](Nanos) { run.markDirty(slot); });
 }
 
 void SimulatedRouter::onRequest(const ClientRequest& request) {
@@ -393,8 +394,8 @@
         scenario.requestClasses[static_cast<std::size_t>(request.requestClass)].requestClass.name;
     if (requests_.size() >= scenario.routers.open || drawDefect(RouterDefect::Kind::rejects)) {
         if (metrics_) metrics_->recordRejected(requestClass, metrics::Rejection::requestLimit);
-        run_.deployment.at(run_.now, [&run = run_, id = request.id](Nanos t) {
-            run.deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::declined, "", 0);
+        run_.deployment.schedule(run_.now, [&run = run_, id = request.id](Nanos t) {
+            run.deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::rejected, "", 0);
         });
         return;
     }
@@ -430,23 +431,23 @@
 
 void SimulatedRouter::onEndpointList(Nanos, EndpointUpdateKind kind, const EndpointListMessage& list) {
     std::vector<Endpoint> entries;
-    for (const EndpointLine& line : list.lines) {
-        const EmulatedDeployment::Server& server =
+    for (const ListedEndpoint& line : list.lines) {
+        const EmulatedDeployment::EmulatedServer& server =
             run_.deployment.servers()[static_cast<std::size_t>(line.server)];
         entries.push_back(
             {server.name, server.zone, server.origin ? "origin" : "cache", line.state,
              line.startedAt ? line.startedAt + kClockOffset : 0,
-             (server.plan ? server.plan->cores * server.plan->speed : 1) / (1 + line.heldCommands),
+             (server.plan ? server.plan->cores * server.plan->speed : 1) / (1 + line.requestsPerCore),
              server.cell});
         if (line.state == EndpointState::ready) continue;
-        for (const ConnectionId conn : std::exchange(idleConnections_[server.door], {}))
+        for (const ConnectionId conn : std::exchange(idleConnections_[server.addressIndex], {}))
             closeConnection(run_.now, conn);
     }
     if (kind != EndpointUpdateKind::failed) listVersion_ = list.version;
     events_.push_back(
         [this, kind, entries](Nanos now) { policy_.onEndpointUpdate(now + kClockOffset, kind, entries); });
     if (kind == EndpointUpdateKind::failed) return;
-    run_.deployment.at(
+    run_.deployment.schedule(
         run_.now, [&run = run_, index = index_, slot = slot_, version = listVersion_](Nanos now) {
             if (SimulatedRouter* const router = run.routerAt(slot); router && router->index_ == index)
                 router->startLongPoll(now, version);
@@ -474,13 +475,13 @@
             if (const auto* response = std::get_if<SendResponse>(&action.operation)) {
                 const bool isClientDone = it->second.isClientDone;
                 if (metrics_ && !isClientDone &&
-                    response->outcome == EmulatedDeployment::ClientOutcome::declined)
+                    response->outcome == EmulatedDeployment::ClientOutcome::rejected)
                     metrics_->recordRejected(requestClassName(it->second),
                                              it->second.attemptCount
                                                  ? metrics::Rejection::afterAttempt
                                                  : metrics::Rejection::beforeFirstAttempt);
                 if (metrics_ && !isClientDone &&
-                    response->outcome == EmulatedDeployment::ClientOutcome::terminated)
+                    response->outcome == EmulatedDeployment::ClientOutcome::failed)
                     metrics_->recordFailed(requestClassName(it->second));
                 requests_.erase(it);
                 if (!isClientDone)
@@ -500,14 +501,14 @@
     EmulatedDeployment& deployment = run_.deployment;
     const int number = request.attemptCount++;
     const Nanos deadline = std::min(attempt.deadline, request.clientRequest.deadline);
-    const auto server = deployment.serverNamed(attempt.cache);
+    const auto server = deployment.findServer(attempt.cache);
     if (!server || now >= deadline) {
         events_.push_back([this, id, number](Nanos t) {
             policy_.onAttemptEnded(t + kClockOffset, {id, number, AttemptOutcome::notSent, false, 0});
         });
         return;
     }
-    const int address = deployment.servers()[static_cast<std::size_t>(*server)].door;
+    const int address = deployment.servers()[static_cast<std::size_t>(*server)].addressIndex;
     if (metrics_) metrics_->recordAttempt(address == 0);
     auto& idle = idleConnections_[address];
     ConnectionId conn = 0;
@@ -515,16 +516,16 @@
         conn = idle.back();
         idle.pop_back();
     } else {
-        conn = deployment.connect(now, index_, address);
+        conn = deployment.beginConnect(now, index_, address);
         ++openedCount_;
         run_.connectionOwners[conn] = slot_;
         connections_[conn] = {address, 0, false};
-        deployment.at(now + deployment.scenario().routers.connectWithin,
-                      [&run = run_, conn, slot = slot_](Nanos) {
-                          const auto it = run.connectionOwners.find(conn);
-                          if (it != run.connectionOwners.end())
-                              run.onConnectionOpened(conn, false), run.markDirty(slot);
-                      });
+        deployment.schedule(now + deployment.scenario().routers.connectWithin,
+                            [&run = run_, conn, slot = slot_](Nanos) {
+                                const auto it = run.connectionOwners.find(conn);
+                                if (it != run.connectionOwners.end())
+                                    run.onConnectionOpened(conn, false), run.markDirty(slot);
+                            });
     }
     UpstreamConnection& connection = connections_.at(conn);
     connection.requestId = id;
@@ -532,7 +533,7 @@
     if (connection.isOpen) writeRequest(now, conn, request);
     for (const Nanos until : {attempt.latestStart, deadline}) {
         if (until > deadline) continue;
-        deployment.at(
+        deployment.schedule(
             until, [&run = run_, conn, id, number, slot = slot_, onlyIfUnwritten = until < deadline](Nanos) {
                 const auto it = run.connectionOwners.find(conn);
                 if (it == run.connectionOwners.end()) return;
@@ -547,9 +548,10 @@
     const RequestClassPlan& requestClass =
         run_.deployment.scenario()
             .requestClasses[static_cast<std::size_t>(request.clientRequest.requestClass)];
-    run_.deployment.call(now, conn,
-                         {request.clientRequest.id, request.clientRequest.key, requestClass.requestClass.name,
-                          request.clientRequest.mark, requestClass.write});
+    run_.deployment.onAttemptReceived(
+        now, conn,
+        {request.clientRequest.id, request.clientRequest.key, requestClass.requestClass.name,
+         request.clientRequest.idempotencyKey, requestClass.write});
 }
 
 // `onlyIfUnwritten`: ends the attempt only if it still waits for its connection.
@@ -566,7 +568,7 @@
 
 // Sends a request to the origin whose answer is not used.
 void SimulatedRouter::retryNeedlessly(Nanos now, const OpenRequest& request) {
-    const ConnectionId conn = run_.deployment.connect(now, index_, 0);
+    const ConnectionId conn = run_.deployment.beginConnect(now, index_, 0);
     ++openedCount_;
     if (metrics_) metrics_->recordAttempt(true);
     run_.connectionOwners[conn] = slot_;
@@ -586,17 +588,17 @@
     if (addedDelay == 0)
         return run_.deployment.onClientOutcome(now, id, EmulatedDeployment::ClientOutcome::answered, token,
                                                0);
-    run_.deployment.at(now + addedDelay, [&deployment = run_.deployment, id, token](Nanos t) {
+    run_.deployment.schedule(now + addedDelay, [&deployment = run_.deployment, id, token](Nanos t) {
         deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::answered, token, 0);
     });
 }
 
 void SimulatedRouter::onConnectionOpened(ConnectionId id, bool isOpen) {
     if (const auto fetch = needlessFetches_.find(id); fetch != needlessFetches_.end()) {
-        if (isOpen) return run_.deployment.call(run_.now, id, fetch->second);
+        if (isOpen) return run_.deployment.onAttemptReceived(run_.now, id, fetch->second);
         needlessFetches_.erase(fetch);
         run_.connectionOwners.erase(id);
-        return run_.deployment.closed(run_.now, id);
+        return run_.deployment.onConnectionClosed(run_.now, id);
     }
     const auto it = connections_.find(id);
     if (it == connections_.end() || it->second.isOpen) return;
@@ -616,13 +618,13 @@
 void SimulatedRouter::onReply(ConnectionId id, const Reply& reply) {
     if (needlessFetches_.erase(id)) {
         run_.connectionOwners.erase(id);
-        return run_.deployment.closed(run_.now, id);
+        return run_.deployment.onConnectionClosed(run_.now, id);
     }
     const auto it = connections_.find(id);
     if (it == connections_.end() || it->second.requestId == 0) return;
     const RequestId requestId = std::exchange(it->second.requestId, 0);
     using K = Reply::Kind;
-    if (reply.kind == K::spoilt)
+    if (reply.kind == K::malformed)
         closeConnection(run_.now, id);
     else
         returnToPool(id, it->second);
@@ -645,9 +647,8 @@
     connection.idleSince = run_.now;
     idleConnections_[connection.address].push_back(conn);
     const Nanos idleTimeout = run_.deployment.scenario().routers.idle / 10 * 9;
-    run_.deployment.at(run_.now + idleTimeout, [&run = run_, conn, slot = slot_, since = run_.now](Nanos) {
-        run.onIdleTimeout(slot, conn, since);
-    });
+    run_.deployment.schedule(run_.now + idleTimeout, [&run = run_, conn, slot = slot_, since = run_.now](
+                                                         Nanos) { run.onIdleTimeout(slot, conn, since); });
 }
 
 void SimulatedRouter::onIdleTimeout(ConnectionId conn, Nanos since) {
@@ -675,7 +676,7 @@
     std::erase(idleConnections_[it->second.address], conn);
     connections_.erase(it);
     run_.connectionOwners.erase(conn);
-    run_.deployment.closed(now, conn);
+    run_.deployment.onConnectionClosed(now, conn);
 }
 
 void SimulatedRouter::endAttempt(Nanos now, RequestId id, AttemptOutcome outcome) {
--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -23,9 +23,9 @@
 std::size_t toIndex(int index) { return static_cast<std::size_t>(index); }
 
 // The text of a `sent` event: the timeout that the attempt forwards to its server.
-std::string forwardedTimeoutText(const ServerCall& call) {
-    if (!call.forwardedTimeoutMs) return "";
-    return fmt::format("d={} held={}", *call.forwardedTimeoutMs, call.delayedBy / kMillisecond);
+std::string forwardedTimeoutText(const ReceivedAttempt& attempt) {
+    if (!attempt.forwardedTimeoutMs) return "";
+    return fmt::format("d={} held={}", *attempt.forwardedTimeoutMs, attempt.maxReadDelay / kMillisecond);
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
       zipf_(scenario.load.keyCount, scenario.load.zipfExponent) {
     eventLog_.head(head(seed));
     const auto& zones = scenario_.network.zones;
-    Server origin;
+    EmulatedServer origin;
     origin.name = "origin";
     origin.zone = zones[0];
     origin.origin = true;
@@ -73,9 +73,9 @@
     int cacheIndex = 0;
     for (const CachePlan& plan : scenario_.caches)
         for (int i = 0; i < plan.count; ++i, ++cacheIndex) {
-            Server cache;
+            EmulatedServer cache;
             cache.name = fmt::format("{}-{}", plan.name, i);
-            cache.door = static_cast<int>(serverAtAddress_.size());
+            cache.addressIndex = static_cast<int>(serverAtAddress_.size());
             cache.zone = zones[toIndex(cacheIndex) % zones.size()];
             cache.cell = cacheIndex / 8;
             cache.plan = &plan;
@@ -93,9 +93,9 @@
 
 EmulatedDeployment::~EmulatedDeployment() = default;
 
-void EmulatedDeployment::log(Nanos now, EventKind kind, std::uint64_t command, int router, int server,
+void EmulatedDeployment::log(Nanos now, EventKind kind, std::uint64_t requestId, int router, int server,
                              std::uint64_t attemptId, std::int64_t number, std::string text) {
-    eventLog_.add({now, kind, command, router, server, attemptId, number, std::move(text)});
+    eventLog_.add({now, kind, requestId, router, server, attemptId, number, std::move(text)});
 }
 
 nlohmann::json EmulatedDeployment::head(std::uint64_t seed) const {
@@ -145,7 +145,7 @@
             {"verbs", std::move(requestClasses)}};
 }
 
-void EmulatedDeployment::addServer(Server server, Nanos now, bool isCold) {
+void EmulatedDeployment::addServer(EmulatedServer server, Nanos now, bool isCold) {
     ServerModel::Shape shape;
     if (server.origin)
         shape = {scenario_.origin.cores, scenario_.origin.speed, scenario_.origin.queueLimit,
@@ -154,18 +154,18 @@
         shape = {server.plan->cores, server.plan->speed, server.plan->queueLimit, 0};
     const std::size_t keys = server.origin ? 1 : toIndex(server.plan->maxKeys);
     server.startedAt = isCold ? now : 0;
-    server.wallStep = wallClockOffset_;
+    server.wallClockOffset = wallClockOffset_;
     const auto index = static_cast<int>(servers_.size());
     serverStates_.push_back(
         std::make_unique<ServerState>(shape, keys, std::max<Nanos>(scenario_.slowStart.overloadWindow, 1)));
-    log(now, EventKind::server, 0, -1, index, 0, server.startedAt,
+    log(now, EventKind::serverAdded, 0, -1, index, 0, server.startedAt,
         fmt::format("{} {} {} {} {}", server.name, server.zone, server.cell,
                     server.origin ? "origin" : "cache", shape.cores * shape.speed));
     endpoints_.push_back({index, isCold ? EndpointState::removed : EndpointState::ready, server.startedAt});
     servers_.push_back(std::move(server));
 }
 
-std::optional<int> EmulatedDeployment::serverNamed(const std::string& name) const {
+std::optional<int> EmulatedDeployment::findServer(const std::string& name) const {
     for (std::size_t i = servers_.size(); i-- > 0;)
         if (servers_[i].name == name) return static_cast<int>(i);
     return std::nullopt;
@@ -179,7 +179,7 @@
     events_.schedule(now + arrivalRandom_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
 }
 
-bool EmulatedDeployment::isOver(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
+bool EmulatedDeployment::hasEnded(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
 
 // ---- Clients
 
@@ -245,7 +245,7 @@
     request.work = static_cast<double>(requestClass.work) * arrivalRandom_.factor(requestClass.spread);
     if (arrivalRandom_.chance(activeFaults_.heavyShare)) request.work *= kHeavyWorkFactor;
     if (requestClass.requestClass.idempotency == Idempotency::idempotentWithKey)
-        request.mark = fmt::format("{:016x}", arrivalRandom_.randomWord());
+        request.idempotencyKey = fmt::format("{:016x}", arrivalRandom_.randomWord());
     request.id = request.firstTryId = arrivalRandom_.randomWord();
     request.dueAt = now;
     request.deadline = request.finalDeadline = now + requestClass.limit;
@@ -261,7 +261,7 @@
     const auto it = openRequests_.find(id);
     if (it == openRequests_.end()) return;
     const int router = it->second.router;
-    log(now, EventKind::left, id, router, -1, 0, 0);
+    log(now, EventKind::clientDisconnected, id, router, -1, 0, 0);
     openRequests_.erase(it);
     transport_.disconnectClient(router, id);
 }
@@ -269,7 +269,7 @@
 void EmulatedDeployment::sendRequest(Nanos now, ClientRequest request) {
     const RequestId id = request.id;
     const std::string tenant = request.tenant < 0 ? "-" : scenario_.tenants[toIndex(request.tenant)].name;
-    log(now, EventKind::asked, id, request.router, -1, static_cast<std::uint64_t>(request.dueAt),
+    log(now, EventKind::requestSent, id, request.router, -1, static_cast<std::uint64_t>(request.dueAt),
         request.deadline,
         fmt::format("{} {} {} {:x} {}",
                     scenario_.requestClasses[toIndex(request.requestClass)].requestClass.name, tenant,
@@ -285,7 +285,7 @@
         const auto it = openRequests_.find(id);
         if (it == openRequests_.end()) return;
         const int router = it->second.router;
-        log(t, EventKind::silent, id, router, -1, 0, 0);
+        log(t, EventKind::unanswered, id, router, -1, 0, 0);
         openRequests_.erase(it);
         transport_.disconnectClient(router, id);
     });
@@ -299,8 +299,7 @@
     if (it == openRequests_.end()) {
         // The request is no longer open. A second final response is logged, so that the audit can
         // judge it.
-        static constexpr EventKind kinds[] = {EventKind::answered, EventKind::declined,
-                                              EventKind::terminated};
+        static constexpr EventKind kinds[] = {EventKind::answered, EventKind::rejected, EventKind::failed};
         if (outcome != ClientOutcome::unsent && requestWork_.contains(id))
             log(now, kinds[static_cast<int>(outcome)], id, -1, -1, 0, retryAfter, token);
         return;
@@ -310,12 +309,12 @@
     switch (outcome) {
         case ClientOutcome::answered:
             return log(now, EventKind::answered, id, request.router, -1, 0, 0, token);
-        case ClientOutcome::declined:
-            log(now, EventKind::declined, id, request.router, -1, 0, retryAfter);
+        case ClientOutcome::rejected:
+            log(now, EventKind::rejected, id, request.router, -1, 0, retryAfter);
             return retryLater(now, request,
                               std::max(retryAfter, scenario_.load.initialBackoff << (request.tryNumber - 1)));
-        case ClientOutcome::terminated:
-            log(now, EventKind::terminated, id, request.router, -1, 0, 0);
+        case ClientOutcome::failed:
+            log(now, EventKind::failed, id, request.router, -1, 0, 0);
             // The request may have run, so only a request that may run twice is retried.
             if (scenario_.requestClasses[toIndex(request.requestClass)].requestClass.idempotency ==
                 Idempotency::safe)
@@ -348,7 +347,7 @@
 
 // ---- Connections and attempts
 
-Nanos EmulatedDeployment::delay(const std::string& from, const std::string& to) {
+Nanos EmulatedDeployment::drawNetworkDelay(const std::string& from, const std::string& to) {
     const Nanos mean = from == to ? scenario_.network.same : scenario_.network.crossZoneDelay;
     return static_cast<Nanos>(static_cast<double>(mean) * networkRandom_.factor(scenario_.network.jitter));
 }
@@ -359,8 +358,8 @@
            (servers_[toIndex(server)].zone == activeFaults_.cutZone);
 }
 
-AddressState EmulatedDeployment::addressState(int router, int address) const {
-    const int server = serverAtAddress_[toIndex(address)];
+AddressState EmulatedDeployment::addressState(int router, int addressIndex) const {
+    const int server = serverAtAddress_[toIndex(addressIndex)];
     const ServerState& serverState = *serverStates_[toIndex(server)];
     if (!isReachable(router, server) || serverState.dropsConnects) return AddressState::silent;
     return serverState.condition == ServerCondition::down || serverState.condition == ServerCondition::gone ||
@@ -371,18 +370,18 @@
 
 void EmulatedDeployment::updateAddressStates(Nanos) {
     for (int router = 0; router < scenario_.routers.count; ++router)
-        for (int address = 0; address < addresses(); ++address)
+        for (int address = 0; address < addressCount(); ++address)
             transport_.setAddressState(router, address, addressState(router, address));
 }
 
-ConnectionId EmulatedDeployment::connect(Nanos now, int router, int address) {
-    const int server = serverAtAddress_[toIndex(address)];
+ConnectionId EmulatedDeployment::beginConnect(Nanos now, int router, int addressIndex) {
+    const int server = serverAtAddress_[toIndex(addressIndex)];
     ServerState& serverState = *serverStates_[toIndex(server)];
     const ConnectionId id = ++lastConnectionId_;
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     const int maxConnections =
         serverInfo.origin ? scenario_.origin.maxConnections : serverInfo.plan->maxConnections;
-    AddressState state = addressState(router, address);
+    AddressState state = addressState(router, addressIndex);
     if (state == AddressState::open && serverState.openConnections >= maxConnections)
         state = AddressState::refused;
     if (state == AddressState::open) {
@@ -394,7 +393,7 @@
     }
     if (state == AddressState::silent) return id;
     const std::string& zone = routers_[toIndex(router)].zone;
-    const Nanos roundTrip = delay(zone, serverInfo.zone) + delay(serverInfo.zone, zone);
+    const Nanos roundTrip = drawNetworkDelay(zone, serverInfo.zone) + drawNetworkDelay(serverInfo.zone, zone);
     events_.schedule(now + roundTrip, [this, id, isAccepted = state == AddressState::open](Nanos) {
         const auto it = connections_.find(id);
         if (it != connections_.end()) it->second.isUp = true;
@@ -403,7 +402,7 @@
     return id;
 }
 
-void EmulatedDeployment::closed(Nanos now, ConnectionId id) {
+void EmulatedDeployment::onConnectionClosed(Nanos now, ConnectionId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     ServerState& serverState = *serverStates_[toIndex(it->second.server)];
@@ -411,8 +410,8 @@
     for (const auto& pending : it->second.pendingReplies) {
         const auto attempt = attempts_.find(pending.attemptId);
         if (attempt == attempts_.end()) continue;
-        log(now, EventKind::closed, attempt->second.call.command, it->second.router, attempt->second.server,
-            pending.attemptId, 0);
+        log(now, EventKind::closed, attempt->second.received.requestId, it->second.router,
+            attempt->second.server, pending.attemptId, 0);
         // A queued attempt is dropped. One that runs or is still on its way to the server
         // continues.
         if (serverState.model.removeQueued(pending.attemptId)) attempts_.erase(attempt);
@@ -420,30 +419,30 @@
     connections_.erase(it);
 }
 
-void EmulatedDeployment::call(Nanos now, ConnectionId id, const ServerCall& call) {
+void EmulatedDeployment::onAttemptReceived(Nanos now, ConnectionId id, const ReceivedAttempt& received) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     ServerConnection& conn = it->second;
-    const Server& serverInfo = servers_[toIndex(conn.server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(conn.server)];
     ServerState& serverState = *serverStates_[toIndex(conn.server)];
     AttemptInFlight attempt;
     attempt.id = ++lastAttemptId_;
     attempt.connection = id;
-    attempt.call = call;
+    attempt.received = received;
     attempt.server = conn.server;
-    const auto work = requestWork_.find(call.command);
+    const auto work = requestWork_.find(received.requestId);
     attempt.work =
         work != requestWork_.end() ? work->second : static_cast<double>(scenario_.requestClasses[0].work);
-    if (serverInfo.origin && !call.write) attempt.work *= scenario_.origin.readWorkFactor;
+    if (serverInfo.origin && !received.write) attempt.work *= scenario_.origin.readWorkFactor;
     const std::uint64_t attemptId = attempt.id;
-    log(now, EventKind::sent, call.command, conn.router, conn.server, attemptId,
-        static_cast<std::int64_t>(attempt.work), forwardedTimeoutText(call));
+    log(now, EventKind::attemptSent, received.requestId, conn.router, conn.server, attemptId,
+        static_cast<std::int64_t>(attempt.work), forwardedTimeoutText(received));
     attempts_[attemptId] = std::move(attempt);
     conn.pendingReplies.push_back({attemptId, std::nullopt});
     if (!isReachable(conn.router, conn.server)) return;
-    conn.lastArrival =
-        std::max(conn.lastArrival,
-                 now + delay(routers_[toIndex(conn.router)].zone, serverInfo.zone) + serverState.readDelay);
+    conn.lastArrival = std::max(
+        conn.lastArrival,
+        now + drawNetworkDelay(routers_[toIndex(conn.router)].zone, serverInfo.zone) + serverState.readDelay);
     const std::uint64_t incarnation = serverState.incarnation;
     events_.schedule(conn.lastArrival, [this, attemptId, incarnation](Nanos t) {
         const auto found = attempts_.find(attemptId);
@@ -459,14 +458,14 @@
 
 void EmulatedDeployment::onRequestArrived(Nanos now, std::uint64_t attemptId) {
     AttemptInFlight& attempt = attempts_.at(attemptId);
-    const Server& serverInfo = servers_[toIndex(attempt.server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(attempt.server)];
     ServerState& serverState = *serverStates_[toIndex(attempt.server)];
     if (serverState.condition != ServerCondition::up) return;
     if (serverState.isDraining) return queueReply(now, attemptId, {Reply::Kind::busy, {}});
     if (serviceRandom_.chance(serverState.errorShare))
         return queueReply(now, attemptId, {Reply::Kind::error, {}});
-    if (!serverInfo.origin && !attempt.call.write &&
-        !(attempt.isHit = serverState.contents.touch(attempt.call.key)))
+    if (!serverInfo.origin && !attempt.received.write &&
+        !(attempt.isHit = serverState.contents.touch(attempt.received.key)))
         attempt.work *= kMissWorkShare;
 
     const double capacityFraction = capacityFractionAt(
@@ -481,7 +480,7 @@
                                              : 0;
     if (overloadMultiple > 0 && serverState.recentWork.sum(now) > overloadMultiple * windowCapacity) {
         const int server = attempt.server;
-        log(now, EventKind::fell, 0, -1, server, 0, 0);
+        log(now, EventKind::serverOverloaded, 0, -1, server, 0, 0);
         stopServer(now, server);
         if (!serverInfo.origin)
             changeEndpoint(now, server, EndpointState::removed, scenario_.discovery.removalDelay);
@@ -498,7 +497,7 @@
 void EmulatedDeployment::startJobs(Nanos now, int server) {
     ServerState& serverState = *serverStates_[toIndex(server)];
     if (serverState.condition != ServerCondition::up) return;
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     const double pace = capacityFractionAt(now, serverInfo.startedAt,
                                            serverInfo.origin ? 1 : scenario_.slowStart.initialFraction,
                                            scenario_.slowStart.rampDuration) /
@@ -507,7 +506,7 @@
         AttemptInFlight& attempt = attempts_.at(started.job);
         attempt.hasBegun = true;
         for (const RequestClassPlan& plan : scenario_.requestClasses) {
-            if (plan.requestClass.name != attempt.call.requestClass ||
+            if (plan.requestClass.name != attempt.received.requestClass ||
                 plan.requestClass.idempotency == Idempotency::safe)
                 continue;
             // A repeated idempotency key that the deduplication scope still knows has no further
@@ -517,11 +516,13 @@
                 scope = "z" + serverInfo.zone;
             if (plan.requestClass.deduplicationScope == DeduplicationScope::cell)
                 scope = fmt::format("c{}", serverInfo.cell);
-            const bool isRepeat = plan.requestClass.idempotency == Idempotency::idempotentWithKey &&
-                                  !attempt.call.mark.empty() &&
-                                  !idempotencyRecords_[scope].recordIfNew(
-                                      now, attempt.call.mark, now + plan.requestClass.idempotencyKeyTtl);
-            if (!isRepeat) log(now, EventKind::began, attempt.call.command, -1, server, started.job, 0);
+            const bool isRepeat =
+                plan.requestClass.idempotency == Idempotency::idempotentWithKey &&
+                !attempt.received.idempotencyKey.empty() &&
+                !idempotencyRecords_[scope].recordIfNew(now, attempt.received.idempotencyKey,
+                                                        now + plan.requestClass.idempotencyKeyTtl);
+            if (!isRepeat)
+                log(now, EventKind::executionStarted, attempt.received.requestId, -1, server, started.job, 0);
         }
         events_.schedule(started.until, [this, attemptId = started.job, incarnation = serverState.incarnation,
                                          server](Nanos t) {
@@ -536,26 +537,26 @@
     AttemptInFlight& attempt = it->second;
     const int server = attempt.server;
     ServerState& serverState = *serverStates_[toIndex(server)];
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     serverState.model.onJobEnded();
     Reply reply{Reply::Kind::value, fmt::format("v{:x}", attemptId)};
     if (serverInfo.origin) {
-        for (std::size_t cache = 1; cache < servers_.size() && attempt.call.write; ++cache)
-            serverStates_[cache]->contents.erase(attempt.call.key);
-        if (const auto missed = missedAt_.find(attempt.call.command);
-            missed != missedAt_.end() && !attempt.call.write) {
+        for (std::size_t cache = 1; cache < servers_.size() && attempt.received.write; ++cache)
+            serverStates_[cache]->contents.erase(attempt.received.key);
+        if (const auto missed = missedAt_.find(attempt.received.requestId);
+            missed != missedAt_.end() && !attempt.received.write) {
             for (const int cache : missed->second)
                 if (serverStates_[toIndex(cache)]->condition == ServerCondition::up)
-                    serverStates_[toIndex(cache)]->contents.insert(attempt.call.key);
+                    serverStates_[toIndex(cache)]->contents.insert(attempt.received.key);
             missedAt_.erase(missed);
         }
     } else if (serviceRandom_.chance(serverInfo.plan->errorShare)) {
         reply = {Reply::Kind::error, {}};
-    } else if (!attempt.call.write && !attempt.isHit) {
+    } else if (!attempt.received.write && !attempt.isHit) {
         reply = {Reply::Kind::miss, {}};
-        missedAt_[attempt.call.command].push_back(server);
+        missedAt_[attempt.received.requestId].push_back(server);
     }
-    if (serviceRandom_.chance(activeFaults_.malformedShare)) reply = {Reply::Kind::spoilt, {}};
+    if (serviceRandom_.chance(activeFaults_.malformedShare)) reply = {Reply::Kind::malformed, {}};
     queueReply(now, attemptId, std::move(reply));
     startJobs(now, server);
 }
@@ -567,7 +568,7 @@
     const AttemptInFlight attempt = std::move(it->second);
     attempts_.erase(it);
     static constexpr std::string_view kinds[] = {"value", "miss", "error", "busy", "spoilt"};
-    log(now, EventKind::ended, attempt.call.command, -1, attempt.server, attemptId, 0,
+    log(now, EventKind::attemptEnded, attempt.received.requestId, -1, attempt.server, attemptId, 0,
         fmt::format("{} {}", kinds[static_cast<int>(reply.kind)], reply.token));
     const auto conn = connections_.find(attempt.connection);
     if (conn == connections_.end()) return;
@@ -584,7 +585,7 @@
         conn.pendingReplies.pop_front();
         if (!isReachable(conn.router, conn.server)) return;
         const Nanos networkDelay =
-            delay(servers_[toIndex(conn.server)].zone, routers_[toIndex(conn.router)].zone);
+            drawNetworkDelay(servers_[toIndex(conn.server)].zone, routers_[toIndex(conn.router)].zone);
         events_.schedule(now + networkDelay, [this, id, reply](Nanos) {
             if (connections_.contains(id)) transport_.sendReply(id, reply);
         });
@@ -597,8 +598,8 @@
     --serverStates_[toIndex(it->second.server)]->openConnections;
     for (const auto& pending : it->second.pendingReplies)
         if (const auto attempt = attempts_.find(pending.attemptId); attempt != attempts_.end())
-            log(now, EventKind::broke, attempt->second.call.command, it->second.router, it->second.server,
-                pending.attemptId, 0);
+            log(now, EventKind::connectionBroken, attempt->second.received.requestId, it->second.router,
+                it->second.server, pending.attemptId, 0);
     connections_.erase(it);
     transport_.breakConnection(id);
 }
@@ -631,9 +632,9 @@
     serverState.condition = ServerCondition::up;
     serverState.isLeaving = serverState.isDraining = false;
     ++serverState.incarnation;
-    Server& serverInfo = servers_[toIndex(server)];
+    EmulatedServer& serverInfo = servers_[toIndex(server)];
     if (!serverInfo.origin) serverInfo.startedAt = now;
-    serverInfo.wallStep = wallClockOffset_;
+    serverInfo.wallClockOffset = wallClockOffset_;
     log(now, EventKind::started, 0, -1, server, 0, serverInfo.startedAt);
     updateAddressStates(now);
     if (!serverInfo.origin)
@@ -644,12 +645,12 @@
 
 EndpointListMessage EmulatedDeployment::completeList() const {
     EndpointListMessage list{version_, true, {}};
-    for (const EndpointLine& line : endpoints_)
+    for (const ListedEndpoint& line : endpoints_)
         if (line.state != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-EndpointListMessage EmulatedDeployment::lastList(int router) const {
+EndpointListMessage EmulatedDeployment::initialEndpointList(int router) const {
     const RouterState& state = routers_[toIndex(router)];
     if (state.knownEndpoints.empty()) return completeList();
     // Version 0, since the lines may be old: the router's first poll brings every later change.
@@ -666,7 +667,7 @@
         if (state == EndpointState::removed && serverState.condition == ServerCondition::up &&
             !serverState.isLeaving)
             return;
-        EndpointLine& line = endpoints_[toIndex(server)];
+        ListedEndpoint& line = endpoints_[toIndex(server)];
         line.state = state;
         line.startedAt = servers_[toIndex(server)].startedAt;
         changes_.push_back({++version_, line});
@@ -678,12 +679,12 @@
 }
 
 void EmulatedDeployment::updateWeights(Nanos now) {
-    for (EndpointLine& line : endpoints_) {
-        const Server& serverInfo = servers_[toIndex(line.server)];
+    for (ListedEndpoint& line : endpoints_) {
+        const EmulatedServer& serverInfo = servers_[toIndex(line.server)];
         if (serverInfo.origin) continue;
         const ServerModel& model = serverStates_[toIndex(line.server)]->model;
         const double held = (model.running() + static_cast<double>(model.queued())) / serverInfo.plan->cores;
-        if (std::exchange(line.heldCommands, held) != held) changes_.push_back({++version_, line});
+        if (std::exchange(line.requestsPerCore, held) != held) changes_.push_back({++version_, line});
     }
     answerLongPolls(now);
     if (now <= loadUntil_)
@@ -805,14 +806,14 @@
     if (list.full)
         for (const auto& [server, line] : std::map(known))
             if (std::none_of(list.lines.begin(), list.lines.end(),
-                             [&, s = server](const EndpointLine& l) { return l.server == s; }))
+                             [&, s = server](const ListedEndpoint& l) { return l.server == s; }))
                 recordKnownEndpoint(now, router, {server, EndpointState::removed, line.startedAt},
                                     list.version, false);
-    for (const EndpointLine& line : list.lines) recordKnownEndpoint(now, router, line, list.version, false);
+    for (const ListedEndpoint& line : list.lines) recordKnownEndpoint(now, router, line, list.version, false);
 }
 
 // A list that arrives after a newer one changes nothing.
-void EmulatedDeployment::recordKnownEndpoint(Nanos now, int router, const EndpointLine& line,
+void EmulatedDeployment::recordKnownEndpoint(Nanos now, int router, const ListedEndpoint& line,
                                              std::int64_t version, bool isAssumed) {
     static constexpr std::string_view states[] = {"gone", "ready", "draining"};
     RouterState& routerState = routers_[toIndex(router)];
@@ -849,14 +850,14 @@
 
 // ---- Routers
 
-void EmulatedDeployment::routerUp(Nanos now, int router) {
+void EmulatedDeployment::onRouterUp(Nanos now, int router) {
     RouterState& state = routers_[toIndex(router)];
     state.isUp = state.isAssumedUp = true;
     log(now, EventKind::up, 0, router, -1, 0, 0, state.zone);
-    onEndpointListDelivered(now, router, lastList(router));
+    onEndpointListDelivered(now, router, initialEndpointList(router));
 }
 
-void EmulatedDeployment::routerLeaves(Nanos now, int router, Nanos since) {
+void EmulatedDeployment::onRouterStopping(Nanos now, int router, Nanos since) {
     RouterState& state = routers_[toIndex(router)];
     state.isEnding = true;
     log(now, EventKind::stopping, 0, router, -1, 0, since);
@@ -867,7 +868,7 @@
                      });
 }
 
-void EmulatedDeployment::routerGone(Nanos now, int router) {
+void EmulatedDeployment::onRouterGone(Nanos now, int router) {
     RouterState& state = routers_[toIndex(router)];
     state.isUp = false;
     std::erase_if(pendingPolls_, [router](const auto& poll) { return poll.second.router == router; });
@@ -878,7 +879,7 @@
     for (const auto& [id, conn] : connections_)
         if (conn.router == router) all.push_back(id);
     std::sort(all.begin(), all.end());
-    for (const ConnectionId id : all) closed(now, id);
+    for (const ConnectionId id : all) onConnectionClosed(now, id);
     events_.schedule(now + scenario_.routers.failureDetectionDelay, [this, router, incarnation](Nanos) {
         RouterState& current = routers_[toIndex(router)];
         if (current.incarnation == incarnation && !current.isUp) current.isAssumedUp = false;
@@ -942,10 +943,10 @@
                 stopServer(now, server);
                 serverState.condition = ServerCondition::gone;
                 changeEndpoint(now, server, EndpointState::removed, scenario_.discovery.removalDelay);
-                Server replacement = servers_[toIndex(server)];
+                EmulatedServer replacement = servers_[toIndex(server)];
                 replacement.name = fmt::format("{}-new{}", replacement.plan->name, ++lastReplacement_);
                 const auto index = static_cast<int>(servers_.size());
-                serverAtAddress_[toIndex(replacement.door)] = index;
+                serverAtAddress_[toIndex(replacement.addressIndex)] = index;
                 addServer(std::move(replacement), now, true);
                 log(now, EventKind::started, 0, -1, index, 0, now);
                 updateAddressStates(now);
--- a/src/testbed/emulator/emulated_deployment.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -29,7 +29,7 @@
     int requestClass = 0;
     int tenant = -1;
     std::string key;
-    std::string mark;  // idempotency key, the same for all tries; empty for other request classes
+    std::string idempotencyKey;  // the same for all tries; empty for classes without idempotency keys
     Nanos deadline = 0;
     RequestId firstTryId = 0;
     int tryNumber = 1;
@@ -39,34 +39,34 @@
 };
 
 // An attempt as a server reads it.
-struct ServerCall {
-    RequestId command = 0;
+struct ReceivedAttempt {
+    RequestId requestId = 0;
     std::string key;
     std::string requestClass;
-    std::string mark;  // idempotency key
+    std::string idempotencyKey;
     bool write = false;
     // Item `d` of the attempt's info list: the time that is left until the client's deadline.
     std::optional<std::int64_t> forwardedTimeoutMs = {};
-    Nanos delayedBy = 0;  // for how long the attempt may have waited before it was read
+    Nanos maxReadDelay = 0;  // for how long the attempt may have waited before it was read
 };
 
 struct Reply {
-    enum class Kind : std::uint8_t { value, miss, error, busy, spoilt };
+    enum class Kind : std::uint8_t { value, miss, error, busy, malformed };
     Kind kind = Kind::error;
     std::string token;
 };
 
 // The state of a server as discovery lists it.
-struct EndpointLine {
+struct ListedEndpoint {
     int server = 0;
     EndpointState state = EndpointState::ready;
-    Nanos startedAt = 0;      // in the deployment's time; 0 for long ago
-    double heldCommands = 0;  // requests running and queued per core, for weights that follow load
+    Nanos startedAt = 0;         // in the deployment's time; 0 for long ago
+    double requestsPerCore = 0;  // requests running and queued per core, for weights that follow load
 };
 struct EndpointListMessage {
     std::int64_t version = 0;
     bool full = false;
-    std::vector<EndpointLine> lines;
+    std::vector<ListedEndpoint> lines;
 };
 
 // A router's poll for the endpoint list. A router may have several in flight.
@@ -84,12 +84,12 @@
     virtual void onConnectionOpened(ConnectionId connection, bool up) = 0;
     virtual void sendReply(ConnectionId connection, const Reply& reply) = 0;
     virtual void breakConnection(ConnectionId connection) = 0;  // the id is not valid after this
-    virtual void setAddressState(int router, int door, AddressState state) = 0;
+    virtual void setAddressState(int router, int addressIndex, AddressState state) = 0;
     // A poll ends with a list, with a 503 or with the end of its connection.
     virtual void sendEndpointList(int router, PollId poll, const EndpointListMessage& list) = 0;
     virtual void refusePoll(int router, PollId poll) { failPoll(router, poll); }
     virtual void failPoll(int router, PollId poll) = 0;
-    virtual void moveDiscovery(int door) = 0;
+    virtual void moveDiscovery(int addressIndex) = 0;
     // Control of the router's process.
     virtual void killRouter(int router) = 0;
     virtual void startRouter(int router) = 0;
@@ -105,16 +105,16 @@
 
 class EmulatedDeployment {
   public:
-    struct Server {
+    struct EmulatedServer {
         std::string name;
-        int door = 0;  // index of its address; a replacement takes over the address
+        int addressIndex = 0;  // a replacement takes over the address
         std::string zone;
         std::int64_t cell = 0;
         bool origin = false;
         const CachePlan* plan = nullptr;
         double speed = 1;
         Nanos startedAt = 0;
-        Nanos wallStep = 0;  // offset of the wall clock when the server's start time was recorded
+        Nanos wallClockOffset = 0;  // at the time when `startedAt` was set
     };
 
     EmulatedDeployment(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
@@ -123,49 +123,51 @@
 
     // Schedules the first request and the faults from `now` on. The routers must be up.
     void begin(Nanos now);
-    Nanos next() const { return events_.next(); }
+    Nanos nextEventAt() const { return events_.next(); }
     bool step(Nanos now) { return events_.step(now); }
     // Schedules an action of the driver's own.
-    void at(Nanos when, std::function<void(Nanos)> action) { events_.schedule(when, std::move(action)); }
+    void schedule(Nanos when, std::function<void(Nanos)> action) {
+        events_.schedule(when, std::move(action));
+    }
     // Sets the time from which no more requests are generated. A run with a rollout moves it on
     // until the rollout has ended.
-    void endLoad(Nanos now) { loadUntil_ = now; }
+    void setLoadEnd(Nanos now) { loadUntil_ = now; }
     // No more requests are generated, and none is open.
-    bool isOver(Nanos now) const;
+    bool hasEnded(Nanos now) const;
 
     // Calls from routers, through the driver.
-    ConnectionId connect(Nanos now, int router, int door);
-    void call(Nanos now, ConnectionId connection, const ServerCall& call);
-    void closed(Nanos now, ConnectionId connection);
+    ConnectionId beginConnect(Nanos now, int router, int addressIndex);
+    void onAttemptReceived(Nanos now, ConnectionId connection, const ReceivedAttempt& received);
+    void onConnectionClosed(Nanos now, ConnectionId connection);
     PollId beginPoll(Nanos now, int router, std::optional<std::int64_t> after, Nanos wait);
     void endPoll(PollId poll);
     // `unsent` with a non-empty token: the router went away while it held the request.
-    enum class ClientOutcome : std::uint8_t { answered, declined, terminated, unsent };
+    enum class ClientOutcome : std::uint8_t { answered, rejected, failed, unsent };
     void onClientOutcome(Nanos now, RequestId id, ClientOutcome outcome, const std::string& token,
                          Nanos retryAfter);
     // A router's process has come up, or has ended.
-    void routerUp(Nanos now, int router);
-    void routerGone(Nanos now, int router);
+    void onRouterUp(Nanos now, int router);
+    void onRouterGone(Nanos now, int router);
     // A router was told to stop, or is about to be killed, at `since`. Requests that it leaves
     // without an answer are then no violation.
-    void routerLeaves(Nanos now, int router, Nanos since);
+    void onRouterStopping(Nanos now, int router, Nanos since);
     // Logs an event of a router.
-    void note(Nanos now, EventKind kind, int router, std::int64_t number, const std::string& text) {
+    void logRouterEvent(Nanos now, EventKind kind, int router, std::int64_t number, const std::string& text) {
         log(now, kind, 0, router, -1, 0, number, text);
     }
 
     // The endpoint list that a router starts with: the one it was told of last, or else
     // discovery's.
-    EndpointListMessage lastList(int router) const;
-    const std::vector<Server>& servers() const { return servers_; }
-    int addresses() const { return static_cast<int>(serverAtAddress_.size()); }
-    std::optional<int> serverNamed(const std::string& name) const;
+    EndpointListMessage initialEndpointList(int router) const;
+    const std::vector<EmulatedServer>& servers() const { return servers_; }
+    int addressCount() const { return static_cast<int>(serverAtAddress_.size()); }
+    std::optional<int> findServer(const std::string& name) const;
     const std::string& routerZone(int router) const {
         return routers_[static_cast<std::size_t>(router)].zone;
     }
-    AddressState addressState(int router, int door) const;
+    AddressState addressState(int router, int addressIndex) const;
     // Draws a one-way network delay between two zones.
-    Nanos delay(const std::string& from, const std::string& to);
+    Nanos drawNetworkDelay(const std::string& from, const std::string& to);
     // The head of the event log.
     nlohmann::json head(std::uint64_t seed) const;
     const Scenario& scenario() const { return scenario_; }
@@ -176,7 +178,7 @@
     struct AttemptInFlight {
         std::uint64_t id = 0;
         ConnectionId connection = 0;
-        ServerCall call;
+        ReceivedAttempt received;
         int server = 0;
         bool hasBegun = false;
         bool isHit = false;
@@ -200,7 +202,7 @@
         bool isAssumedUp = true;  // by the clients' load balancer
         std::uint64_t incarnation = 0;
         bool isEnding = false;  // it was told to stop, or killed
-        std::map<int, EndpointLine> knownEndpoints;
+        std::map<int, ListedEndpoint> knownEndpoints;
         std::map<int, std::int64_t> knownVersion;  // by server: the list version that its line came with
     };
     struct PendingPoll {
@@ -210,7 +212,7 @@
     };
     struct EndpointChange {
         std::int64_t version;
-        EndpointLine line;
+        ListedEndpoint line;
     };
     struct ActiveFaults {  // the shares and factors of the faults that are active now
         double hotKeyShare = 0, heavyShare = 0, scanShare = 0, loadFactor = 1, malformedShare = 0;
@@ -228,7 +230,7 @@
     int pickRouter();
     void retryLater(Nanos now, const ClientRequest& last, Nanos after);
     // Servers
-    void addServer(Server server, Nanos now, bool isCold);
+    void addServer(EmulatedServer server, Nanos now, bool isCold);
     void onRequestArrived(Nanos now, std::uint64_t attemptId);
     void startJobs(Nanos now, int server);
     void finishJob(Nanos now, std::uint64_t attemptId);
@@ -245,7 +247,7 @@
     void onEndpointListDelivered(Nanos now, int router, const EndpointListMessage& list);
     // Records what a router knows of a server from a list of this version. `isAssumed`: the router
     // is assumed to know it, whether or not a list with it has arrived.
-    void recordKnownEndpoint(Nanos now, int router, const EndpointLine& line, std::int64_t version,
+    void recordKnownEndpoint(Nanos now, int router, const ListedEndpoint& line, std::int64_t version,
                              bool isAssumed);
     void changeEndpoint(Nanos now, int server, EndpointState state, Nanos after);
     void updateWeights(Nanos now);  // lists how many requests each cache server holds
@@ -266,7 +268,7 @@
     void injectFault(Nanos now, const FaultPlan& fault);
     void clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& affected);
     std::vector<int> drawCaches(int count);
-    void log(Nanos now, EventKind kind, std::uint64_t command, int router, int server,
+    void log(Nanos now, EventKind kind, std::uint64_t requestId, int router, int server,
              std::uint64_t attemptId, std::int64_t number, std::string text = {});
 
     Scenario scenario_;
@@ -275,7 +277,7 @@
     EventQueue events_;
     Random arrivalRandom_, keyRandom_, networkRandom_, serviceRandom_, faultRandom_;
     Zipf zipf_;
-    std::vector<Server> servers_;
+    std::vector<EmulatedServer> servers_;
     std::vector<std::unique_ptr<ServerState>> serverStates_;
     std::vector<int> serverAtAddress_;
     std::vector<RouterState> routers_;
@@ -287,7 +289,7 @@
     std::unordered_map<RequestId, double> requestWork_;
     std::deque<RequestId> rememberedRequests_;  // bounds requestWork_ and missedAt_
     std::vector<EndpointChange> changes_;
-    std::vector<EndpointLine> endpoints_;  // by server, as discovery has them
+    std::vector<ListedEndpoint> endpoints_;  // by server, as discovery has them
     std::int64_t version_ = 1;
     Nanos discoveryFreeAt_ = 0;
     bool discoveryDown_ = false, discoverySilent_ = false;
--- a/src/testbed/emulator/event_log.cpp
+++ b/src/testbed/emulator/event_log.cpp
@@ -50,16 +50,16 @@
 EventLog::~EventLog() { flush(); }
 
 void EventLog::head(const nlohmann::json& head) {
-    if (watchHead) watchHead(head);
+    if (onHead) onHead(head);
     if (file_) buffer_.append(kFormat).append(head.dump()).append("\n");
 }
 
 void EventLog::add(const LogEvent& event) {
-    if (watch) watch(event);
+    if (onEvent) onEvent(event);
     if (!file_) return;
     fmt::format_to(std::back_inserter(buffer_), "{}\t{}\t{:x}\t{}\t{}\t{:x}\t{}\t{}\n", event.at,
-                   nameOf(event.kind), event.command, event.router, event.server, event.run, event.number,
-                   event.text);
+                   nameOf(event.kind), event.requestId, event.router, event.server, event.attemptId,
+                   event.number, event.text);
     if (buffer_.size() > kFlushThresholdBytes) flush();
 }
 
@@ -95,10 +95,10 @@
             throw EventLogError(fmt::format("line {}: '{}' is not a kind of event", lineNumber, columns[1]));
         event.at = parseNumber<Nanos>(columns[0], 10, lineNumber);
         event.kind = static_cast<EventKind>(name - kEventNames.begin());
-        event.command = parseNumber<std::uint64_t>(columns[2], 16, lineNumber);
+        event.requestId = parseNumber<std::uint64_t>(columns[2], 16, lineNumber);
         event.router = parseNumber<int>(columns[3], 10, lineNumber);
         event.server = parseNumber<int>(columns[4], 10, lineNumber);
-        event.run = parseNumber<std::uint64_t>(columns[5], 16, lineNumber);
+        event.attemptId = parseNumber<std::uint64_t>(columns[5], 16, lineNumber);
         event.number = parseNumber<std::int64_t>(columns[6], 10, lineNumber);
         event.text = columns[7];
         visitEvent(event);
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -20,46 +20,48 @@
     using std::runtime_error::runtime_error;
 };
 
+// The order is that of the words in event_log.cpp, by which log files name the kinds.
 enum class EventKind : std::uint8_t {
     // A server exists. Text "NAME ZONE CELL origin|cache CAPACITY", number its start time, 0 for
     // long ago.
-    server,
+    serverAdded,
     // A client sent a request to a router. Text "CLASS TENANT KEY FIRST_TRY_ID TRY_NUMBER", number
-    // the request's deadline, run the time at which the request was due.
-    asked,
+    // the request's deadline, attemptId the time at which the request was due.
+    requestSent,
     answered,    // text the token of the value
-    declined,    // the router rejected the request; number the Retry-After in nanoseconds
-    terminated,  // the router failed the request
+    rejected,    // the router rejected the request; number the Retry-After in nanoseconds
+    failed,      // the router failed the request
     unsent,      // the router could not be reached, or went away before it answered
-    silent,      // there was no answer by the deadline plus the slack
-    left,        // the client disconnected
+    unanswered,  // there was no answer by the deadline plus the slack
+    clientDisconnected,
     // An attempt was written completely. Number its work in core-ns. Text "d=MS held=MS": the
     // timeout that was forwarded to the server, and for how long the attempt may have waited before
     // it was read; "" if no timeout was forwarded.
-    sent,
-    began,     // the attempt began to take effect at the server; not logged for pure requests
-    ended,     // text "value|miss|error|busy|spoilt TOKEN", the server's reply to the router
-    closed,    // the router closed the connection while the attempt was in flight
-    broke,     // the server or the network closed the connection while the attempt was in flight
-    listed,    // a router was told of a server; text the server's state, number its start time
-    started,   // a server came up; number its start time
-    fell,      // an overloaded server stopped
-    killed,    // a router's process ended, for good or until its restart
-    stopping,  // SIGTERM to a router
-    up,        // a router can be reached; text its zone
-    fault,     // text "begins|ends KIND ..."
-    late,      // number: the testbed's largest lateness since the last event of this kind
-    opened,    // a router opened a connection to a server, which accepted it
-    claims     // a process's statement about itself; text "WHAT begins|ends" or "runs WHAT", number the time
+    attemptSent,
+    executionStarted,  // the attempt began to take effect at the server; not logged for pure requests
+    attemptEnded,      // text "value|miss|error|busy|spoilt TOKEN", the server's reply to the router
+    closed,            // the router closed the connection while the attempt was in flight
+    connectionBroken,  // the server or the network closed the connection while the attempt was in flight
+    listed,            // a router was told of a server; text the server's state, number its start time
+    started,           // a server came up; number its start time
+    serverOverloaded,  // an overloaded server stopped
+    killed,            // a router's process ended, for good or until its restart
+    stopping,          // SIGTERM to a router
+    up,                // a router can be reached; text its zone
+    fault,             // text "begins|ends KIND ..."
+    testbedLateness,   // number: the testbed's largest lateness since the last event of this kind
+    opened,            // a router opened a connection to a server, which accepted it
+    statement  // a process's statement about itself; text "WHAT begins|ends" or "runs WHAT", number the time
 };
 
 struct LogEvent {
     Nanos at = 0;
     EventKind kind = EventKind::fault;
-    std::uint64_t command = 0;  // the request's id
+    std::uint64_t requestId = 0;
     int router = -1;
     int server = -1;
-    std::uint64_t run = 0;  // the attempt's id, unique within the log
+    // Unique within the log. In `requestSent` events: the time at which the request was due.
+    std::uint64_t attemptId = 0;
     std::int64_t number = 0;
     std::string text;
 };
@@ -70,7 +72,7 @@
 
 class EventLog {
   public:
-    // Without a path no file is written, but `watch` is still called with each event.
+    // Without a path no file is written, but `onEvent` is still called with each event.
     explicit EventLog(const std::string& path = "");
     ~EventLog();
     EventLog(const EventLog&) = delete;
@@ -78,8 +80,8 @@
 
     void head(const nlohmann::json& head);
     void add(const LogEvent& event);
-    std::function<void(const nlohmann::json&)> watchHead;
-    std::function<void(const LogEvent&)> watch;
+    std::function<void(const nlohmann::json&)> onHead;
+    std::function<void(const LogEvent&)> onEvent;
 
   private:
     std::unique_ptr<std::FILE, int (*)(std::FILE*)> file_;
--- a/src/testbed/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -37,28 +37,28 @@
 
 void Figures::onEvent(const LogEvent& entry) {
     slowStartLoad_.onEvent(entry);
-    if (entry.kind != EventKind::server) lastAt_ = std::max(lastAt_, entry.at);
+    if (entry.kind != EventKind::serverAdded) lastAt_ = std::max(lastAt_, entry.at);
     const auto requestOf = [&]() -> RequestState* {
-        const auto first = firstTries_.find(entry.command);
+        const auto first = firstTries_.find(entry.requestId);
         return first == firstTries_.end() ? nullptr : &requests_.at(first->second);
     };
     switch (entry.kind) {
-        case EventKind::server:
+        case EventKind::serverAdded:
             serverNames_.emplace_back(wordAt(entry.text, 0));
             serverZones_.emplace_back(wordAt(entry.text, 1));
             capacities_.push_back(std::atof(std::string(wordAt(entry.text, 4)).c_str()));
             break;
-        case EventKind::asked: {
+        case EventKind::requestSent: {
             const std::uint64_t first =
                 std::strtoull(std::string(wordAt(entry.text, 3)).c_str(), nullptr, 16);
-            firstTries_[entry.command] = first;
+            firstTries_[entry.requestId] = first;
             ++tries_;
             if (wordAt(entry.text, 4) != "1") break;
             const auto requestClass =
                 std::find(requestClassNames_.begin(), requestClassNames_.end(), wordAt(entry.text, 0));
             const auto index = static_cast<int>(requestClass - requestClassNames_.begin());
             const bool isMoved = entry.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
-            requests_[first] = {index, static_cast<Nanos>(entry.run), true, hasRolloutBegun_, isMoved};
+            requests_[first] = {index, static_cast<Nanos>(entry.attemptId), true, hasRolloutBegun_, isMoved};
             askedInRollout_ += hasRolloutBegun_;
             exposed_ += hasRolloutBegun_ && runsChange_[entry.router];
             ++askedByMoved_[isMoved];
@@ -86,29 +86,29 @@
                 secondStats.times.add(took);
             }
             break;
-        case EventKind::declined:
+        case EventKind::rejected:
             ++declined_;
             ++second(entry.at).declined;
             break;
-        case EventKind::terminated:
+        case EventKind::failed:
             ++terminated_;
             ++second(entry.at).terminated;
             break;
         case EventKind::unsent:
             ++unsent_;
             break;
-        case EventKind::silent:
+        case EventKind::unanswered:
             ++silent_;
             break;
-        case EventKind::left:
-            if (forwarded_.contains(entry.command)) break;
-            leftAt_[entry.command] = entry.at;
+        case EventKind::clientDisconnected:
+            if (forwarded_.contains(entry.requestId)) break;
+            leftAt_[entry.requestId] = entry.at;
             ++leftWaiting_;
             break;
-        case EventKind::sent: {
+        case EventKind::attemptSent: {
             ++attempts_;
-            forwarded_.insert(entry.command);
-            if (const auto left = leftAt_.find(entry.command); left != leftAt_.end()) {
+            forwarded_.insert(entry.requestId);
+            if (const auto left = leftAt_.find(entry.requestId); left != leftAt_.end()) {
                 sentOn_ += entry.at - left->second > kAbandonedGrace;
                 leftAt_.erase(left);
             }
@@ -122,7 +122,7 @@
             secondStats.originLoad += static_cast<double>(entry.number) / kNanosPerSecond / capacities_.at(0);
             break;
         }
-        case EventKind::ended: {
+        case EventKind::attemptEnded: {
             const auto outcome = wordAt(entry.text, 0);
             busy_ += outcome == "busy";
             errors_ += outcome == "error" || outcome == "spoilt";
@@ -141,12 +141,12 @@
         case EventKind::fault:
             annotations_.push_back({static_cast<double>(entry.at) / kNanosPerSecond, entry.text});
             break;
-        case EventKind::claims:
+        case EventKind::statement:
             if (entry.text == "roll begins") hasRolloutBegun_ = true;
             if (entry.text.starts_with("roll ends ")) rolloutOutcome_ = entry.text.substr(10);
             if (entry.text.starts_with("change ")) runsChange_[entry.router] = entry.text == "change begins";
             break;
-        case EventKind::late:
+        case EventKind::testbedLateness:
             lateness_.add(entry.number);
             break;
         default:
--- a/src/testbed/report/verdict.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -20,8 +20,8 @@
 }
 
 void Verdict::follow(EventLog& eventLog) {
-    eventLog.watchHead = [this](const nlohmann::json& head) { onHead(head); };
-    eventLog.watch = [this](const LogEvent& entry) { onEvent(entry); };
+    eventLog.onHead = [this](const nlohmann::json& head) { onHead(head); };
+    eventLog.onEvent = [this](const LogEvent& entry) { onEvent(entry); };
 }
 
 void Verdict::onEvent(const LogEvent& entry) {
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -66,25 +66,25 @@
                                                        {"grace", 500 * ms},
                                                        {"cold", {{"span", 1'000 * ms}, {"ramp", 5'000 * ms}}},
                                                        {"verbs", requestClasses}});
-        addEvent(0, EventKind::server, 0, 0, 0, 0, "origin north 0 origin 8");
-        addEvent(0, EventKind::server, 0, 1, 0, 0, "cache-0 north 0 cache 4");
-        addEvent(0, EventKind::server, 0, 2, 0, 0, "cache-1 south 0 cache 4");
+        addEvent(0, EventKind::serverAdded, 0, 0, 0, 0, "origin north 0 origin 8");
+        addEvent(0, EventKind::serverAdded, 0, 1, 0, 0, "cache-0 north 0 cache 4");
+        addEvent(0, EventKind::serverAdded, 0, 2, 0, 0, "cache-1 south 0 cache 4");
         addEvent(0, EventKind::up, 0, -1, 0, 0, "");
     }
-    void addEvent(Nanos at, EventKind kind, std::uint64_t command, int server, std::uint64_t run,
+    void addEvent(Nanos at, EventKind kind, std::uint64_t requestId, int server, std::uint64_t attemptId,
                   std::int64_t number, const std::string& text) {
-        audit->onEvent({at, kind, command, 0, server, run, number, text});
+        audit->onEvent({at, kind, requestId, 0, server, attemptId, number, text});
     }
-    void asked(Nanos at, std::uint64_t command, const char* requestClass) {
-        addEvent(at, EventKind::asked, command, -1, 0, at + 1'000 * ms,
+    void asked(Nanos at, std::uint64_t requestId, const char* requestClass) {
+        addEvent(at, EventKind::requestSent, requestId, -1, 0, at + 1'000 * ms,
                  std::string(requestClass) + " alder k1 1 1");
     }
-    void sent(Nanos at, std::uint64_t command, int server, std::uint64_t run, Nanos work = ms,
+    void sent(Nanos at, std::uint64_t requestId, int server, std::uint64_t attemptId, Nanos work = ms,
               const std::string& forwarded = "") {
-        addEvent(at, EventKind::sent, command, server, run, work, forwarded);
+        addEvent(at, EventKind::attemptSent, requestId, server, attemptId, work, forwarded);
     }
-    void ended(Nanos at, std::uint64_t command, int server, std::uint64_t run, const char* reply) {
-        addEvent(at, EventKind::ended, command, server, run, 0, reply);
+    void ended(Nanos at, std::uint64_t requestId, int server, std::uint64_t attemptId, const char* reply) {
+        addEvent(at, EventKind::attemptEnded, requestId, server, attemptId, 0, reply);
     }
     std::string violatedRules() {
         std::string rules;
@@ -254,10 +254,10 @@
 TEST_CASE("The audit reports `lost` for a request without a final response in time, or with two") {
     RunFixture run;
     run.asked(0, 1, "read");
-    run.addEvent(1'060 * ms, EventKind::silent, 1, -1, 0, 0, "");
+    run.addEvent(1'060 * ms, EventKind::unanswered, 1, -1, 0, 0, "");
     run.asked(0, 2, "read");
-    run.addEvent(5 * ms, EventKind::declined, 2, -1, 0, 0, "");
-    run.addEvent(6 * ms, EventKind::terminated, 2, -1, 0, 0, "");
+    run.addEvent(5 * ms, EventKind::rejected, 2, -1, 0, 0, "");
+    run.addEvent(6 * ms, EventKind::failed, 2, -1, 0, 0, "");
     run.asked(0, 3, "read");
     run.addEvent(5 * ms, EventKind::unsent, 3, -1, 0, 0, "");
     CHECK(run.violatedRules() == "lost lost lost");
@@ -295,13 +295,14 @@
     const auto addEvent = [&](Nanos at, EventKind kind, std::uint64_t command, const std::string& text = "") {
         figures.onEvent({at, kind, command, 0, 0, 0, 0, text});
     };
-    addEvent(0, EventKind::server, 0, "origin north 0 origin 8");
-    for (std::uint64_t c = 1; c <= 4; ++c) addEvent(0, EventKind::asked, c, "read alder k1 1 1");
-    addEvent(50 * ms, EventKind::sent, 3);
-    for (std::uint64_t c = 1; c <= 4; ++c) addEvent(100 * ms, EventKind::left, c);
-    addEvent(350 * ms, EventKind::sent, 2);  // within the 0.3 s that an attempt may already be on its way
-    addEvent(500 * ms, EventKind::sent, 1);
-    addEvent(900 * ms, EventKind::sent, 3);  // a further attempt, the first was sent before
+    addEvent(0, EventKind::serverAdded, 0, "origin north 0 origin 8");
+    for (std::uint64_t c = 1; c <= 4; ++c) addEvent(0, EventKind::requestSent, c, "read alder k1 1 1");
+    addEvent(50 * ms, EventKind::attemptSent, 3);
+    for (std::uint64_t c = 1; c <= 4; ++c) addEvent(100 * ms, EventKind::clientDisconnected, c);
+    // Within the 0.3 s that an attempt may already be on its way.
+    addEvent(350 * ms, EventKind::attemptSent, 2);
+    addEvent(500 * ms, EventKind::attemptSent, 1);
+    addEvent(900 * ms, EventKind::attemptSent, 3);  // a further attempt, the first was sent before
     figures.finish();
     CHECK(figures.of("left_waiting") == 3);
     CHECK(figures.of("sent_on") == doctest::Approx(1.0 / 3));
@@ -328,7 +329,7 @@
     declined.asked(0, 1, "payout");
     declined.sent(1 * ms, 1, 1, 11);
     declined.addEvent(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
-    declined.addEvent(4 * ms, EventKind::declined, 1, -1, 0, 0, "");
+    declined.addEvent(4 * ms, EventKind::rejected, 1, -1, 0, 0, "");
     CHECK(declined.violatedRules() == "twice");
     RunFixture upload;  // its deduplication scope is the zone; the other zone does not know its key
     upload.asked(0, 1, "upload");
@@ -414,14 +415,14 @@
                                   const std::string& text) {
             audit.onEvent({at, kind, command, 0, 0, command, number, text});
         };
-        addEvent(0, EventKind::server, 0, 0, "origin north 0 origin 8");
+        addEvent(0, EventKind::serverAdded, 0, 0, "origin north 0 origin 8");
         addEvent(100 * ms, EventKind::fault, 0, 0, "begins " + fault + " ");
         addEvent(200 * ms, EventKind::fault, 0, 0, "ends " + fault + " ");
         for (const Nanos asked : {50 * ms, 2'000 * ms}) {
             const auto command = static_cast<std::uint64_t>(asked);
-            addEvent(asked, EventKind::asked, command, asked + 1'000 * ms, "read alder k1 1 1");
-            addEvent(asked + 500 * ms, EventKind::sent, command, ms, "d=1000 held=0");
-            addEvent(asked + 510 * ms, EventKind::ended, command, 0, "value v1");
+            addEvent(asked, EventKind::requestSent, command, asked + 1'000 * ms, "read alder k1 1 1");
+            addEvent(asked + 500 * ms, EventKind::attemptSent, command, ms, "d=1000 held=0");
+            addEvent(asked + 510 * ms, EventKind::attemptEnded, command, 0, "value v1");
         }
         std::string violations;
         for (const Violation& violation : audit.finish()) violations += " " + violation.rule;
@@ -442,10 +443,10 @@
         load.onEvent({at, kind, 0, router, server, 0, number, text});
     };
     const auto sent = [&](Nanos at, int router, int server) {
-        addEvent(at, EventKind::sent, router, server, 40 * ms, "");
+        addEvent(at, EventKind::attemptSent, router, server, 40 * ms, "");
     };
-    addEvent(0, EventKind::server, -1, 0, 0, "origin north 0 origin 8");
-    addEvent(0, EventKind::server, -1, 1, 0, "cache-0 north 0 cache 4");
+    addEvent(0, EventKind::serverAdded, -1, 0, 0, "origin north 0 origin 8");
+    addEvent(0, EventKind::serverAdded, -1, 1, 0, "cache-0 north 0 cache 4");
     sent(1 * ms, 0, 1);  // the server is warm
     CHECK(load.servers() == 0);
     CHECK(load.largestExcess() == 0);
@@ -465,8 +466,8 @@
     CHECK(load.largestExcess() == doctest::Approx(1).epsilon(0.01));
     sent(2'000 * ms, 0, 1);  // the others are older than the window
     CHECK(load.largest().sent == doctest::Approx(122));
-    addEvent(2'001 * ms, EventKind::fell, -1, 1, 0, "");
-    addEvent(2'002 * ms, EventKind::fell, -1, 0, 0, "");
+    addEvent(2'001 * ms, EventKind::serverOverloaded, -1, 1, 0, "");
+    addEvent(2'002 * ms, EventKind::serverOverloaded, -1, 0, 0, "");
     CHECK(load.falls() == 1);
     addEvent(2'003 * ms, EventKind::killed, 0, -1, 0, "asked");
     sent(2'004 * ms, 0, 1);  // the router's next process knows no start yet
@@ -501,7 +502,7 @@
         run.asked(0, 1, "read");
         run.sent(1 * ms, 1, 1, 11, 900 * ms);
         run.ended(2 * ms, 1, 1, 11, "miss ");
-        run.addEvent(3 * ms, EventKind::fell, 0, 1, 0, 0, "");
+        run.addEvent(3 * ms, EventKind::serverOverloaded, 0, 1, 0, 0, "");
         CHECK(run.violatedRules() == (isKnown ? "cold" : ""));
     }
 }
