--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -742,11 +742,13 @@
 }
 
 void LiveRun::writeConfiguration(int router) {
-    const RouterPlace place{router, fmt::format("r{}", router), formatAddress(addressOf(router, kRouterPort)),
-                            formatAddress(addressOf(router, static_cast<std::uint16_t>(
-                                                                kDiscoveryPort + discoveryAddressIndex_)))};
-    const auto json = configurationOf(deployment.scenario(), place, seed_ * 1000 + ++configurationsWritten_,
-                                      endpointListJson(router, deployment.initialEndpointList(router)));
+    const RouterAddressing addressing{
+        router, fmt::format("r{}", router), formatAddress(addressOf(router, kRouterPort)),
+        formatAddress(
+            addressOf(router, static_cast<std::uint16_t>(kDiscoveryPort + discoveryAddressIndex_)))};
+    const auto json =
+        configurationOf(deployment.scenario(), addressing, seed_ * 1000 + ++configurationsWritten_,
+                        endpointListJson(router, deployment.initialEndpointList(router)));
     const std::string path = fmt::format("{}/r{}.json", folder_, router);
     std::ofstream(path + ".new") << json.dump(1) << '\n';
     // Renamed into place, so that a reader sees either the old file or the new one as a whole.
@@ -782,8 +784,8 @@
 
 void LiveRun::beginDeployment() {
     hasBegun_ = true;
-    if (machines_ && deployment.scenario().roll.there)
-        deployment.schedule(now() + deployment.scenario().roll.at, [this](Nanos) {
+    if (machines_ && deployment.scenario().rollout.isEnabled)
+        deployment.schedule(now() + deployment.scenario().rollout.at, [this](Nanos) {
             onClaim(-1, steadyTime(), "roll begins");
             machines_->startRollout();
         });
@@ -894,11 +896,11 @@
 
 void LiveRun::createMachines() {
     const Scenario& scenario = deployment.scenario();
-    std::vector<FormServer> servers;
+    std::vector<TemplateServer> servers;
     for (const auto& server : deployment.servers())
         servers.push_back({server.name, server.zone, kServerPort + server.addressIndex, server.cell,
                            server.plan ? server.plan->cores * server.plan->speed : 1.0, server.origin});
-    const int discovery = scenario.machines.fileList ? 0 : kDiscoveryPort;
+    const int discovery = scenario.machines.listsServersInFile ? 0 : kDiscoveryPort;
     MachinesOptions machineOptions;
     machineOptions.folder = std::filesystem::absolute(folder_).string();
     machineOptions.program = options_.program;
@@ -911,8 +913,9 @@
         throw RunError(fmt::format(
             "a scenario with machines needs the programs {} and {}, and one of them does not exist",
             machineOptions.program, machineOptions.ctl));
-    machineOptions.operatorFile = operatorFormOf(scenario, servers, discovery, "");
-    machineOptions.changedOperatorFile = operatorFormOf(scenario, servers, discovery, scenario.roll.change);
+    machineOptions.operatorFile = operatorTemplateOf(scenario, servers, discovery, "");
+    machineOptions.changedOperatorFile =
+        operatorTemplateOf(scenario, servers, discovery, scenario.rollout.change);
     machineOptions.seed = seed_;
     machineOptions.address = [this](int router) {
         const std::string at = formatAddress(addressOf(router, kRouterPort));
@@ -976,7 +979,7 @@
     for (Nanos t = now(); deployment.step(t); t = now()) observeLateness(now());
     if (hasBegun_ && !isEnding_ && options_.progress && at - lastProgressAt_ > kSecond)
         options_.progress(lastProgressAt_ = at);
-    if (hasBegun_ && !isEnding_ && machines_ && deployment.scenario().roll.there && !isRolloutOver_ &&
+    if (hasBegun_ && !isEnding_ && machines_ && deployment.scenario().rollout.isEnabled && !isRolloutOver_ &&
         at < deployment.scenario().length + kMaxRolloutOvertime)
         deployment.setLoadEnd(std::max(at + kSecond, deployment.scenario().length));
     if (hasBegun_ && !isEnding_ && !options_.serve && deployment.hasEnded(at)) return endRun();
--- a/src/testbed/drivers/live/machines.cpp
+++ b/src/testbed/drivers/live/machines.cpp
@@ -187,9 +187,9 @@
     std::filesystem::create_directories(state.folder);
     state.isDown = false;
     state.lastEvent = 0;
-    const RolloutScenario& roll = scenario_.roll;
+    const RolloutScenario& roll = scenario_.rollout;
     std::vector<std::pair<std::string, std::string>> variables;
-    if (roll.harmful() && !roll.bySettings())
+    if (roll.isHarmful() && !roll.changesSettings())
         variables = {{"POPPYSCALE_TESTBED_PROGRAM_HARM", roll.change},
                      {"POPPYSCALE_TESTBED_PROGRAM_HARM_SIZE", fmt::format("{}", roll.size)}};
     if (state.hostEnvironment)
@@ -200,8 +200,8 @@
 }
 
 std::string Machines::prepareChange() {
-    const RolloutScenario& roll = scenario_.roll;
-    if (roll.bySettings()) {
+    const RolloutScenario& roll = scenario_.rollout;
+    if (roll.changesSettings()) {
         std::ofstream(options_.folder + "/changed.toml") << options_.changedOperatorFile;
         return fmt::format("operator = \"{}/changed.toml\"\n", options_.folder);
     }
@@ -210,7 +210,7 @@
     const std::string path = options_.folder + "/change";
     const std::string same =
         options_.changedProgram.empty() ? executableOf(options_.program) : options_.changedProgram;
-    std::filesystem::copy_file(roll.harmful() ? siblingProgram("poppyscale_defective_variant") : same, path,
+    std::filesystem::copy_file(roll.isHarmful() ? siblingProgram("poppyscale_defective_variant") : same, path,
                                std::filesystem::copy_options::overwrite_existing);
     std::ofstream(path, std::ios::binary | std::ios::app) << '\0';
     return fmt::format("program = \"{}\"\n", path);
@@ -220,11 +220,11 @@
 // machines to the agents.
 void Machines::startRollout() {
     planChange_ = "[change]\n" + prepareChange();
-    startCoordinator(scenario_.roll.machine);
+    startCoordinator(scenario_.rollout.machine);
 }
 
 void Machines::startCoordinator(int machine) {
-    const RolloutScenario& roll = scenario_.roll;
+    const RolloutScenario& roll = scenario_.rollout;
     std::string plan;
     for (int m = 0; m < std::ssize(machines_); ++m)
         plan += fmt::format("[[agents]]\nname = \"m{}\"\nsocket = \"{}\"\n", m,
@@ -239,8 +239,8 @@
         "[stage]\nleast_ms = {}\nlongest_ms = {}\nsettle_ms = {}\nwatch_ms = {}\nbatch = "
         "1\n[keep]\nwithout_word_ms = "
         "{}\n[back]\nbatch = 2\nwithin_ms = {}\n[worse]\nharm = {}\nsilent = {}\nslow_harm = {}\n",
-        ms(roll.least), ms(roll.longest), ms(roll.settleTime), ms(roll.watch), ms(roll.keep), ms(roll.back),
-        roll.harm, roll.silent, kSlowHarm);
+        ms(roll.minStageDuration), ms(roll.maxStageDuration), ms(roll.settleTime), ms(roll.baselineTime),
+        ms(roll.agentHoldDuration), ms(roll.rollbackTimeout), roll.harm, roll.silent, kSlowHarm);
     const std::string file = machine < 0 ? options_.folder + "/plan.toml"
                                          : fmt::format("{}/plan{}.toml", options_.folder, machine);
     std::ofstream(file) << plan;
@@ -301,7 +301,7 @@
 
 void Machines::setPartition(int machine, const FaultPlan& fault, bool begins) {
     for (int other = -1; other < std::ssize(machines_); ++other) {
-        const auto& named = fault.others;
+        const auto& named = fault.peers;
         if (other == machine) continue;
         if (!named.empty() && std::find(named.begin(), named.end(), other) == named.end()) continue;
         const auto change = [&](NetworkPath& w, bool cutForward, bool cutBackward) {
@@ -309,9 +309,9 @@
             w.isBackwardCut = begins && cutBackward;
             if (!begins) w.breakConnections();
         };
-        change(networkPath(other, machine), fault.to, fault.from);
+        change(networkPath(other, machine), fault.cutsInbound, fault.cutsOutbound);
         // On the paths that start at the machine the two directions are swapped.
-        if (other >= 0) change(networkPath(machine, other), fault.from, fault.to);
+        if (other >= 0) change(networkPath(machine, other), fault.cutsOutbound, fault.cutsInbound);
     }
 }
 
@@ -366,7 +366,7 @@
         case K::agentStop:
             if (state.agent) ::kill(state.agent->pid(), begins ? SIGSTOP : SIGCONT);
             return;
-        case K::machineCut:
+        case K::machinePartition:
             return setPartition(machine, fault, begins);
         case K::diskFull: {
             if (!state.agent) return;
@@ -377,26 +377,26 @@
         case K::diskReadOnly:
             return state.hostEnvironment->setReadOnly(begins);
         case K::diskSlow:
-            return state.hostEnvironment->setSyncDelay(begins ? static_cast<Nanos>(fault.by * kMillisecond)
-                                                              : 0);
+            return state.hostEnvironment->setSyncDelay(
+                begins ? static_cast<Nanos>(fault.magnitude * kMillisecond) : 0);
         case K::syncFails:
             return state.hostEnvironment->failNextSyncs(begins ? fault.count : 0);
-        case K::programGone:
+        case K::programsLost:
             if (begins) removeStoredPrograms(state.folder);
             return;
         case K::clockRate:
-            return state.hostEnvironment->setClockRate(now, begins ? fault.by : 1);
+            return state.hostEnvironment->setClockRate(now, begins ? fault.magnitude : 1);
         case K::clockJump:
             return state.hostEnvironment->jumpWallClock(
-                static_cast<Nanos>((begins ? fault.by : -fault.by) * kMillisecond));
-        case K::wayDelay:
-        case K::wayStall:
-        case K::wayDrop:
+                static_cast<Nanos>((begins ? fault.magnitude : -fault.magnitude) * kMillisecond));
+        case K::pathDelay:
+        case K::pathStall:
+        case K::pathDrop:
             forEachNetworkPath(machine, [&](NetworkPath& w) {
-                if (fault.kind == K::wayDelay)
-                    w.delay = begins ? static_cast<Nanos>(fault.by * kMillisecond) : 0;
-                if (fault.kind == K::wayStall) w.isStalled = begins;
-                if (fault.kind == K::wayDrop) w.dropShare = begins ? fault.by : 0;
+                if (fault.kind == K::pathDelay)
+                    w.delay = begins ? static_cast<Nanos>(fault.magnitude * kMillisecond) : 0;
+                if (fault.kind == K::pathStall) w.isStalled = begins;
+                if (fault.kind == K::pathDrop) w.dropShare = begins ? fault.magnitude : 0;
             });
             return;
         case K::coordinatorKill:
@@ -407,7 +407,7 @@
             for (const Coordinator& c : coordinators_) killedCoordinatorMachine_ = c.machine;
             coordinators_.clear();
             return;
-        case K::coordinatorTwice:
+        case K::secondCoordinator:
             if (begins && !rolloutExitCode_) startCoordinator(fault.machine);
             return;
         default:
@@ -503,7 +503,7 @@
     // status that the process reports.
     const std::string program(path, static_cast<std::size_t>(size));
     const auto slash = versionBefore_.find('/');
-    if (scenario_.roll.bySettings()) {
+    if (scenario_.rollout.changesSettings()) {
         const int machine = router / scenario_.machines.instances;
         const std::string socketPath =
             fmt::format("{}/m{}r{}.sock", machines_[static_cast<std::size_t>(machine)].folder, machine,
@@ -522,7 +522,7 @@
 // Text that occurs in an instance's description of its settings if and only if it runs the
 // rollout's settings.
 std::string Machines::changeMarker() const {
-    const RolloutScenario& roll = scenario_.roll;
+    const RolloutScenario& roll = scenario_.rollout;
     const RequestClass& requestClass = scenario_.requestClasses.front().requestClass;
     if (roll.change == "misnamed") return "nowhere";
     if (roll.change == "halved")
--- a/src/testbed/drivers/live/process_faults.cpp
+++ b/src/testbed/drivers/live/process_faults.cpp
@@ -49,16 +49,17 @@
 }
 
 void ProcessFaults::inject(const FaultPlan& fault, bool begins) {
-    const auto delay = static_cast<std::int64_t>(fault.by * kMillisecond);
-    if (fault.kind == FaultKind::wallStep) plan_->wallStep = begins ? delay : 0;
-    if (fault.kind == FaultKind::holdUp) {
+    const auto delay = static_cast<std::int64_t>(fault.magnitude * kMillisecond);
+    if (fault.kind == FaultKind::wallClockOffset) plan_->wallStep = begins ? delay : 0;
+    if (fault.kind == FaultKind::eventLoopDelay) {
         plan_->maxDelay = begins ? delay : 0;
         plan_->delayShare = begins ? kDelayedTurnShare : 0;
     }
     if (fault.kind != FaultKind::callsFail) return;
     const auto call = static_cast<std::size_t>(*fault_injection::systemCallNamed(fault.call));
-    const auto effect = static_cast<std::size_t>(*fault_injection::faultEffectNamed(fault.way));
-    plan_->share[call][effect] = begins ? static_cast<std::uint32_t>(fault.by * fault_injection::kOne) : 0;
+    const auto effect = static_cast<std::size_t>(*fault_injection::faultEffectNamed(fault.effect));
+    plan_->share[call][effect] =
+        begins ? static_cast<std::uint32_t>(fault.magnitude * fault_injection::kOne) : 0;
 }
 
 std::map<std::string, std::uint64_t> ProcessFaults::counts() const {
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -359,8 +359,8 @@
         const auto length =
             static_cast<Nanos>((0.2 + 8 * faultRandom_.fraction() * faultRandom_.fraction()) * 1e9);
         const bool isAcceptorFault = faultRandom_.chance(0.5);
-        const int index =
-            isAcceptorFault ? faultRandom_.below(options_.acceptors) : faultRandom_.below(options_.routers);
+        const int index = isAcceptorFault ? faultRandom_.integerBelow(options_.acceptors)
+                                          : faultRandom_.integerBelow(options_.routers);
         if (options_.faults == "restart") {
             const int v = restartCount_++ % options_.acceptors;
             return kill(now, v, true, kSecond / 2);
@@ -372,9 +372,10 @@
             });
         }
         if (options_.faults == "holders")
-            return kill(now, options_.acceptors + faultRandom_.below(options_.routers - options_.acceptors),
+            return kill(now,
+                        options_.acceptors + faultRandom_.integerBelow(options_.routers - options_.acceptors),
                         true, 10 * kSecond);
-        switch (faultRandom_.below(8)) {
+        switch (faultRandom_.integerBelow(8)) {
             case 0:
                 return kill(now, index, true, length);
             case 1:
--- a/src/testbed/drivers/simulated/rollout_run.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -245,7 +245,7 @@
     if (options.fault.empty()) return;
     Random random(options.seed * 13 + 5);
     static const char* const kinds[] = {"cache", "zone", "burst", "origin"};
-    const std::string kind = options.fault == "drawn" ? kinds[random.below(4)] : options.fault;
+    const std::string kind = options.fault == "drawn" ? kinds[random.integerBelow(4)] : options.fault;
     FaultPlan fault;
     fault.at = (30 + static_cast<Nanos>(random.fraction() * 60)) * kSecond;
     fault.length = (5 + static_cast<Nanos>(random.fraction() * 15)) * kSecond;
@@ -253,14 +253,14 @@
         fault.kind = FaultKind::crash;
         fault.count = std::max(scenario.cacheCount() / 15, 1);
     } else if (kind == "zone") {
-        fault.kind = FaultKind::cut;
-        fault.zone = scenario.network.zones[static_cast<std::size_t>(random.below(3))];
+        fault.kind = FaultKind::zonePartition;
+        fault.zone = scenario.network.zones[static_cast<std::size_t>(random.integerBelow(3))];
     } else if (kind == "burst") {
         fault.kind = FaultKind::load;
-        fault.by = 1.6;
+        fault.magnitude = 1.6;
     } else if (kind == "origin") {
         fault.kind = FaultKind::originSlow;
-        fault.by = 2.5;
+        fault.magnitude = 2.5;
     } else {
         throw ScenarioError(
             fmt::format("unknown fault '{}': expected cache, zone, burst, origin or drawn", kind));
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -147,7 +147,7 @@
         if (options_.onStart) options_.onStart(*this);
         deployment.begin(0);
         Nanos reportedAt = 0;
-        const Nanos end = scenario.length + scenario.longestLimit() + scenario.slack + 1'000 * kMillisecond;
+        const Nanos end = scenario.length + scenario.longestTimeout() + scenario.slack + 1'000 * kMillisecond;
         reconcile();
         while (now < end && !deployment.hasEnded(now) && !isRunFinished_) {
             now = deployment.nextEventAt();
@@ -176,9 +176,10 @@
             markDirty(slot);
             return target->onRequest(request);
         }
-        deployment.schedule(now + deployment.scenario().network.same, [this, id = request.id](Nanos t) {
-            deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
-        });
+        deployment.schedule(
+            now + deployment.scenario().network.sameZoneDelay, [this, id = request.id](Nanos t) {
+                deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::unsent, "", 0);
+            });
     }
     void disconnectClient(int router, RequestId id) override {
         for (std::size_t slot = 0; slot < routers_.size(); ++slot)
@@ -230,7 +231,7 @@
             markDirty(slot);
             deployment.schedule(now + kTerminationNotice, [this, slot](Nanos) { markDirty(slot); });
             const Nanos latest =
-                now + kTerminationNotice + deployment.scenario().longestLimit() + 200 * kMillisecond;
+                now + kTerminationNotice + deployment.scenario().longestTimeout() + 200 * kMillisecond;
             deployment.schedule(latest, [this, slot](Nanos t) {
                 if (SimulatedRouter* const stopping = routerAt(slot); stopping && !stopping->isAccepting(t))
                     stopping->abortAllRequests(now), removeRouter(slot);
@@ -392,7 +393,7 @@
     const Scenario& scenario = run_.deployment.scenario();
     const auto& requestClass =
         scenario.requestClasses[static_cast<std::size_t>(request.requestClass)].requestClass.name;
-    if (requests_.size() >= scenario.routers.open || drawDefect(RouterDefect::Kind::rejects)) {
+    if (requests_.size() >= scenario.routers.maxOpenRequests || drawDefect(RouterDefect::Kind::rejects)) {
         if (metrics_) metrics_->recordRejected(requestClass, metrics::Rejection::requestLimit);
         run_.deployment.schedule(run_.now, [&run = run_, id = request.id](Nanos t) {
             run.deployment.onClientOutcome(t, id, EmulatedDeployment::ClientOutcome::rejected, "", 0);
@@ -520,7 +521,7 @@
         ++openedCount_;
         run_.connectionOwners[conn] = slot_;
         connections_[conn] = {address, 0, false};
-        deployment.schedule(now + deployment.scenario().routers.connectWithin,
+        deployment.schedule(now + deployment.scenario().routers.connectTimeout,
                             [&run = run_, conn, slot = slot_](Nanos) {
                                 const auto it = run.connectionOwners.find(conn);
                                 if (it != run.connectionOwners.end())
@@ -646,7 +647,7 @@
     if (drawDefect(RouterDefect::Kind::connections)) return closeConnection(run_.now, conn);
     connection.idleSince = run_.now;
     idleConnections_[connection.address].push_back(conn);
-    const Nanos idleTimeout = run_.deployment.scenario().routers.idle / 10 * 9;
+    const Nanos idleTimeout = run_.deployment.scenario().routers.idleTimeout / 10 * 9;
     run_.deployment.schedule(run_.now + idleTimeout, [&run = run_, conn, slot = slot_, since = run_.now](
                                                          Nanos) { run.onIdleTimeout(slot, conn, since); });
 }
--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -107,7 +107,7 @@
                                   {"group", static_cast<int>(plan.requestClass.deduplicationScope)},
                                   {"remembered", plan.requestClass.idempotencyKeyTtl},
                                   {"goal", plan.requestClass.latencyObjective},
-                                  {"limit", plan.limit},
+                                  {"limit", plan.timeout},
                                   {"utility", plan.requestClass.priorityWeight},
                                   {"late", plan.requestClass.lateWeight},
                                   {"write", plan.write}});
@@ -117,10 +117,10 @@
             {"slack", scenario_.slack},
             {"grace", scenario_.drainGrace},
             {"routers", scenario_.routers.count},
-            {"moved", scenario_.routers.moved},
+            {"moved", scenario_.routers.loadWeightedCount},
             {"machines", scenario_.machines.count},
-            {"harmful", scenario_.roll.harmful()},
-            {"longest", scenario_.longestLimit()},
+            {"harmful", scenario_.rollout.isHarmful()},
+            {"longest", scenario_.longestTimeout()},
             {"cold",
              {{"share", scenario_.slowStart.initialFraction},
               {"ramp", scenario_.slowStart.rampDuration},
@@ -175,8 +175,9 @@
     beganAt_ = now;
     loadUntil_ = now + scenario_.length;
     for (const FaultPlan& fault : scenario_.faults) scheduleFaults(fault);
-    if (scenario_.routers.moved > 0) updateWeights(now);
-    events_.schedule(now + arrivalRandom_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
+    if (scenario_.routers.loadWeightedCount > 0) updateWeights(now);
+    events_.schedule(now + arrivalRandom_.interarrivalTime(rateAt(now)),
+                     [this](Nanos t) { generateRequest(t); });
 }
 
 bool EmulatedDeployment::hasEnded(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
@@ -213,8 +214,8 @@
     const auto dueSwaps =
         static_cast<int>(load.keyDrift * load.keyCount * static_cast<double>(now - beganAt_) / 1e9);
     for (; keySwaps_ < dueSwaps; ++keySwaps_)
-        std::swap(keyOfRank_[toIndex(keyRandom_.below(load.keyCount))],
-                  keyOfRank_[toIndex(keyRandom_.below(load.keyCount))]);
+        std::swap(keyOfRank_[toIndex(keyRandom_.integerBelow(load.keyCount))],
+                  keyOfRank_[toIndex(keyRandom_.integerBelow(load.keyCount))]);
     const int rank = zipf_.draw(keyRandom_);
     const double draw = keyRandom_.fraction();
     if (draw < activeFaults_.hotKeyShare) return "hot";
@@ -227,13 +228,14 @@
     std::vector<int> candidates;
     for (std::size_t router = 0; router < routers_.size(); ++router)
         if (routers_[router].isAssumedUp) candidates.push_back(static_cast<int>(router));
-    if (candidates.empty()) return networkRandom_.below(static_cast<int>(routers_.size()));
-    return candidates[toIndex(networkRandom_.below(static_cast<int>(candidates.size())))];
+    if (candidates.empty()) return networkRandom_.integerBelow(static_cast<int>(routers_.size()));
+    return candidates[toIndex(networkRandom_.integerBelow(static_cast<int>(candidates.size())))];
 }
 
 void EmulatedDeployment::generateRequest(Nanos now) {
     if (now >= loadUntil_) return;
-    events_.schedule(now + arrivalRandom_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
+    events_.schedule(now + arrivalRandom_.interarrivalTime(rateAt(now)),
+                     [this](Nanos t) { generateRequest(t); });
     ClientRequest request;
     request.requestClass = arrivalRandom_.weightedIndex(scenario_.requestClasses,
                                                         [](const RequestClassPlan& v) { return v.share; });
@@ -245,14 +247,14 @@
     request.work = static_cast<double>(requestClass.work) * arrivalRandom_.factor(requestClass.spread);
     if (arrivalRandom_.chance(activeFaults_.heavyShare)) request.work *= kHeavyWorkFactor;
     if (requestClass.requestClass.idempotency == Idempotency::idempotentWithKey)
-        request.idempotencyKey = fmt::format("{:016x}", arrivalRandom_.randomWord());
-    request.id = request.firstTryId = arrivalRandom_.randomWord();
+        request.idempotencyKey = fmt::format("{:016x}", arrivalRandom_.uint64());
+    request.id = request.firstTryId = arrivalRandom_.uint64();
     request.dueAt = now;
-    request.deadline = request.finalDeadline = now + requestClass.limit;
+    request.deadline = request.finalDeadline = now + requestClass.timeout;
     const bool isImpatient = arrivalRandom_.chance(scenario_.load.impatientShare);
     request.router = pickRouter();
     const RequestId id = request.id;
-    const Nanos halfway = now + requestClass.limit / 2;
+    const Nanos halfway = now + requestClass.timeout / 2;
     sendRequest(now, std::move(request));
     if (isImpatient) events_.schedule(halfway, [this, id](Nanos t) { abandonRequest(t, id); });
 }
@@ -335,10 +337,10 @@
     const auto wait =
         static_cast<Nanos>(static_cast<double>(after) * (0.75 + 0.5 * networkRandom_.fraction()));
     const RequestClassPlan& requestClass = scenario_.requestClasses[toIndex(last.requestClass)];
-    if (now + wait + requestClass.limit / 20 > last.finalDeadline) return;
+    if (now + wait + requestClass.timeout / 20 > last.finalDeadline) return;
     events_.schedule(now + wait, [this, last](Nanos t) {
         ClientRequest request = last;
-        request.id = networkRandom_.randomWord();
+        request.id = networkRandom_.uint64();
         ++request.tryNumber;
         request.router = pickRouter();
         sendRequest(t, std::move(request));
@@ -348,7 +350,7 @@
 // ---- Connections and attempts
 
 Nanos EmulatedDeployment::drawNetworkDelay(const std::string& from, const std::string& to) {
-    const Nanos mean = from == to ? scenario_.network.same : scenario_.network.crossZoneDelay;
+    const Nanos mean = from == to ? scenario_.network.sameZoneDelay : scenario_.network.crossZoneDelay;
     return static_cast<Nanos>(static_cast<double>(mean) * networkRandom_.factor(scenario_.network.jitter));
 }
 
@@ -697,20 +699,21 @@
     if (discoverySilent_) return poll;
     if (activeFaults_.refusedPollShare > 0 && faultRandom_.chance(activeFaults_.refusedPollShare))
         return refuseAfterDelay(now, router, poll), poll;
-    if (scenario_.discovery.crowded) endOlderPolls(router, poll);
+    if (scenario_.discovery.limitsPolls) endOlderPolls(router, poll);
     const Nanos serviceTime = pollServiceTime();
     discoveryFreeAt_ = std::max(now, discoveryFreeAt_) + serviceTime;
     const bool isLate = discoveryFreeAt_ - now > scenario_.discovery.maxQueueDelay;
-    if (isLate && scenario_.discovery.crowded && !discoveryDown_) {
+    if (isLate && scenario_.discovery.limitsPolls && !discoveryDown_) {
         discoveryFreeAt_ -= serviceTime - serviceTime / kRefusalSpeedup;
         return refuseAfterDelay(now, router, poll), poll;
     }
     if (discoveryDown_ || isLate) {
         if (isLate) discoveryFreeAt_ -= serviceTime;
-        events_.schedule(now + (discoveryDown_ ? scenario_.network.same : scenario_.discovery.maxQueueDelay),
-                         [this, router, poll](Nanos) {
-                             if (pendingPolls_.erase(poll) > 0) transport_.failPoll(router, poll);
-                         });
+        events_.schedule(
+            now + (discoveryDown_ ? scenario_.network.sameZoneDelay : scenario_.discovery.maxQueueDelay),
+            [this, router, poll](Nanos) {
+                if (pendingPolls_.erase(poll) > 0) transport_.failPoll(router, poll);
+            });
         return poll;
     }
     events_.schedule(discoveryFreeAt_, [this, poll, wait](Nanos t) {
@@ -728,11 +731,11 @@
 }
 
 Nanos EmulatedDeployment::pollServiceTime() const {
-    return static_cast<Nanos>(1e9 / scenario_.discovery.perSecond);
+    return static_cast<Nanos>(1e9 / scenario_.discovery.pollRate);
 }
 
 void EmulatedDeployment::refuseAfterDelay(Nanos now, int router, PollId poll) {
-    events_.schedule(now + scenario_.network.same, [this, router, poll](Nanos) {
+    events_.schedule(now + scenario_.network.sameZoneDelay, [this, router, poll](Nanos) {
         if (pendingPolls_.erase(poll) > 0) transport_.refusePoll(router, poll);
     });
 }
@@ -761,7 +764,7 @@
 void EmulatedDeployment::answerLongPolls(Nanos now) {
     for (const PollId id : pollsByRouter()) {
         if (pendingPolls_.at(id).waitsUntil <= now) continue;
-        if (!scenario_.discovery.crowded) {
+        if (!scenario_.discovery.limitsPolls) {
             answerPoll(now, id);
             continue;
         }
@@ -791,7 +794,7 @@
             if (change.version > knownVersion) list.lines.push_back(change.line);
     }
     poll.waitsUntil = 0;
-    events_.schedule(now + drawPollDelay() + scenario_.network.same, [this, id, list](Nanos t) {
+    events_.schedule(now + drawPollDelay() + scenario_.network.sameZoneDelay, [this, id, list](Nanos t) {
         const auto it = pendingPolls_.find(id);
         if (it == pendingPolls_.end() || discoverySilent_) return;
         const int router = it->second.router;
@@ -932,11 +935,12 @@
             });
             break;
         case K::slow:
-            forDrawnCaches(
-                [&](int, ServerState& serverState) { serverState.slowdown = std::max(fault.by, 0.01); });
+            forDrawnCaches([&](int, ServerState& serverState) {
+                serverState.slowdown = std::max(fault.magnitude, 0.01);
+            });
             break;
         case K::errors:
-            forDrawnCaches([&](int, ServerState& serverState) { serverState.errorShare = fault.by; });
+            forDrawnCaches([&](int, ServerState& serverState) { serverState.errorShare = fault.magnitude; });
             break;
         case K::replace:
             forDrawnCaches([&](int server, ServerState& serverState) {
@@ -965,7 +969,7 @@
                 events_.schedule(now + scenario_.drainGrace, [&serverState, isStillLeaving](Nanos) {
                     serverState.isDraining = isStillLeaving();
                 });
-                events_.schedule(now + 2 * scenario_.drainGrace + scenario_.longestLimit(),
+                events_.schedule(now + 2 * scenario_.drainGrace + scenario_.longestTimeout(),
                                  [this, server, isStillLeaving](Nanos t) {
                                      if (!isStillLeaving()) return;
                                      stopServer(t, server);
@@ -973,7 +977,7 @@
                                  });
             });
             break;
-        case K::cut:
+        case K::zonePartition:
             activeFaults_.cutZone = fault.zone;
             updateAddressStates(now);
             break;
@@ -981,37 +985,37 @@
             forDrawnCaches([&](int, ServerState& serverState) { serverState.refusesConnects = true; });
             updateAddressStates(now);
             break;
-        case K::late:
+        case K::connectsDropped:
             forDrawnCaches([&](int, ServerState& serverState) { serverState.dropsConnects = true; });
             updateAddressStates(now);
             break;
-        case K::leave: {
+        case K::clientsLeave: {
             std::vector<RequestId> waiting;
             for (const auto& [id, request] : openRequests_) waiting.push_back(id);
             std::sort(waiting.begin(), waiting.end());  // for the same order in each run of a seed
             for (const RequestId id : waiting)
-                if (faultRandom_.chance(fault.by)) abandonRequest(now, id);
+                if (faultRandom_.chance(fault.magnitude)) abandonRequest(now, id);
             break;
         }
         case K::reset:
-            forDrawnCaches([&](int, ServerState& serverState) { serverState.resetShare = fault.by; });
+            forDrawnCaches([&](int, ServerState& serverState) { serverState.resetShare = fault.magnitude; });
             break;
         case K::slowReader:
             forDrawnCaches([&](int, ServerState& serverState) {
-                serverState.readDelay = static_cast<Nanos>(fault.by * kMillisecond);
+                serverState.readDelay = static_cast<Nanos>(fault.magnitude * kMillisecond);
             });
             break;
         case K::unresponsive:
             forDrawnCaches([&](int, ServerState& serverState) { serverState.dropsReplies = true; });
             break;
         case K::malformedResponses:
-            activeFaults_.malformedShare = fault.by;
+            activeFaults_.malformedShare = fault.magnitude;
             break;
         case K::originStop:
             stopServer(now, 0);
             break;
         case K::originSlow:
-            serverStates_[0]->slowdown = fault.by;
+            serverStates_[0]->slowdown = fault.magnitude;
             break;
         case K::discoveryDown:
             discoveryDown_ = true;
@@ -1021,25 +1025,25 @@
             discoverySilent_ = true;
             break;
         case K::discoverySlow:
-            activeFaults_.pollDelay = static_cast<Nanos>(fault.by * kMillisecond);
+            activeFaults_.pollDelay = static_cast<Nanos>(fault.magnitude * kMillisecond);
             break;
         case K::discoveryRefuse:
-            activeFaults_.refusedPollShare = fault.by;
+            activeFaults_.refusedPollShare = fault.magnitude;
             break;
         case K::discoveryMove:
             transport_.moveDiscovery(++discoveryAddress_);
             break;
         case K::hotKey:
-            activeFaults_.hotKeyShare = fault.by;
+            activeFaults_.hotKeyShare = fault.magnitude;
             break;
         case K::heavy:
-            activeFaults_.heavyShare = fault.by;
+            activeFaults_.heavyShare = fault.magnitude;
             break;
         case K::scan:
-            activeFaults_.scanShare = fault.by;
+            activeFaults_.scanShare = fault.magnitude;
             break;
         case K::load:
-            activeFaults_.loadFactor = fault.by;
+            activeFaults_.loadFactor = fault.magnitude;
             break;
         case K::routerKill: {
             std::vector<int> all;
@@ -1080,16 +1084,16 @@
             for (int router = 0; router < scenario_.routers.count; ++router)
                 if (routers_[toIndex(router)].isUp) transport_.reloadRouter(router);
             break;
-        case K::wallStep:
-            wallClockOffset_ = static_cast<Nanos>(fault.by * kMillisecond);
+        case K::wallClockOffset:
+            wallClockOffset_ = static_cast<Nanos>(fault.magnitude * kMillisecond);
             transport_.injectProcessFault(fault, true);
             break;
         case K::callsFail:
-        case K::holdUp:
+        case K::eventLoopDelay:
             transport_.injectProcessFault(fault, true);
             break;
         default: {  // faults of machines
-            const int drawn = faultRandom_.below(std::max(scenario_.machines.count, 1));
+            const int drawn = faultRandom_.integerBelow(std::max(scenario_.machines.count, 1));
             affected = {fault.machine >= 0 ? fault.machine : drawn};
             transport_.injectMachineFault(fault, affected[0], true);
             break;
@@ -1102,8 +1106,8 @@
 
 void EmulatedDeployment::clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& affected) {
     log(now, EventKind::fault, 0, -1, -1, 0, 0, fmt::format("ends {} {}", nameOf(fault.kind), fault.zone));
-    if (fault.kind == FaultKind::wallStep) wallClockOffset_ = 0;
-    if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::holdUp)
+    if (fault.kind == FaultKind::wallClockOffset) wallClockOffset_ = 0;
+    if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::eventLoopDelay)
         return transport_.injectProcessFault(fault, false);
     if (fault.kind >= FaultKind::machineKill)
         return transport_.injectMachineFault(fault, affected.at(0), false);
@@ -1130,7 +1134,7 @@
         }
     }
     using K = FaultKind;
-    if (fault.kind == K::cut) {
+    if (fault.kind == K::zonePartition) {
         std::vector<ConnectionId> across;
         for (const auto& [id, conn] : connections_)
             if (!isReachable(conn.router, conn.server)) across.push_back(id);
@@ -1138,7 +1142,8 @@
         activeFaults_.cutZone.clear();
         for (const ConnectionId id : across) breakConnection(now, id);
     }
-    if (fault.kind == K::cut || fault.kind == K::refuse || fault.kind == K::late) updateAddressStates(now);
+    if (fault.kind == K::zonePartition || fault.kind == K::refuse || fault.kind == K::connectsDropped)
+        updateAddressStates(now);
     if (fault.kind == K::malformedResponses) activeFaults_.malformedShare = 0;
     if (fault.kind == K::originStop) restartServer(now, 0);
     if (fault.kind == K::originSlow) serverStates_[0]->slowdown = 1;
--- a/src/testbed/emulator/random.hpp
+++ b/src/testbed/emulator/random.hpp
@@ -18,12 +18,12 @@
 
     double fraction() { return std::generate_canonical<double, 32>(engine_); }
     bool chance(double share) { return share > 0 && fraction() < share; }
-    int below(int count) { return std::min(static_cast<int>(fraction() * count), count - 1); }
-    std::uint64_t randomWord() {
+    int integerBelow(int count) { return std::min(static_cast<int>(fraction() * count), count - 1); }
+    std::uint64_t uint64() {
         const std::uint64_t high = engine_();
         return high << 32 | engine_();
     }
-    Nanos gap(double perSecond) {
+    Nanos interarrivalTime(double perSecond) {
         return static_cast<Nanos>(std::exponential_distribution<double>(perSecond)(engine_) * 1e9) + 1;
     }
     // A log-normal factor with mean 1 and standard deviation `spread`.
--- a/src/testbed/emulator/scenario.cpp
+++ b/src/testbed/emulator/scenario.cpp
@@ -22,10 +22,10 @@
                                                       {"errors", FaultKind::errors},
                                                       {"replace", FaultKind::replace},
                                                       {"drain", FaultKind::drain},
-                                                      {"cut", FaultKind::cut},
+                                                      {"cut", FaultKind::zonePartition},
                                                       {"refuse", FaultKind::refuse},
-                                                      {"late", FaultKind::late},
-                                                      {"leave", FaultKind::leave},
+                                                      {"late", FaultKind::connectsDropped},
+                                                      {"leave", FaultKind::clientsLeave},
                                                       {"reset", FaultKind::reset},
                                                       {"slow_reader", FaultKind::slowReader},
                                                       {"deaf", FaultKind::unresponsive},
@@ -46,12 +46,12 @@
                                                       {"router_upgrade", FaultKind::routerUpgrade},
                                                       {"reload", FaultKind::reload},
                                                       {"calls_fail", FaultKind::callsFail},
-                                                      {"wall_step", FaultKind::wallStep},
-                                                      {"hold_up", FaultKind::holdUp},
+                                                      {"wall_step", FaultKind::wallClockOffset},
+                                                      {"hold_up", FaultKind::eventLoopDelay},
                                                       {"machine_kill", FaultKind::machineKill},
                                                       {"machine_lost", FaultKind::machineLost},
                                                       {"machine_stop", FaultKind::machineStop},
-                                                      {"machine_cut", FaultKind::machineCut},
+                                                      {"machine_cut", FaultKind::machinePartition},
                                                       {"agent_kill", FaultKind::agentKill},
                                                       {"agent_stop", FaultKind::agentStop},
                                                       {"machine_sleep", FaultKind::machineSleep},
@@ -59,14 +59,14 @@
                                                       {"disk_read_only", FaultKind::diskReadOnly},
                                                       {"disk_slow", FaultKind::diskSlow},
                                                       {"sync_fails", FaultKind::syncFails},
-                                                      {"program_gone", FaultKind::programGone},
+                                                      {"program_gone", FaultKind::programsLost},
                                                       {"clock_rate", FaultKind::clockRate},
                                                       {"clock_jump", FaultKind::clockJump},
-                                                      {"way_delay", FaultKind::wayDelay},
-                                                      {"way_stall", FaultKind::wayStall},
-                                                      {"way_drop", FaultKind::wayDrop},
+                                                      {"way_delay", FaultKind::pathDelay},
+                                                      {"way_stall", FaultKind::pathStall},
+                                                      {"way_drop", FaultKind::pathDrop},
                                                       {"coordinator_kill", FaultKind::coordinatorKill},
-                                                      {"coordinator_twice", FaultKind::coordinatorTwice}};
+                                                      {"coordinator_twice", FaultKind::secondCoordinator}};
     return names;
 }
 
@@ -90,11 +90,11 @@
         requestClass.idempotencyKeyTtl = table.millis("remembered_ms", std::nullopt);
     }
     requestClass.latencyObjective = table.millis("goal_ms", std::nullopt);
-    plan.limit = table.millis("limit_ms", std::nullopt);
-    if (plan.limit < requestClass.latencyObjective || requestClass.latencyObjective < kMillisecond)
+    plan.timeout = table.millis("limit_ms", std::nullopt);
+    if (plan.timeout < requestClass.latencyObjective || requestClass.latencyObjective < kMillisecond)
         table.problem("goal_ms",
                       fmt::format("is {} ms, must be from 1 ms to limit_ms, which is {} ms",
-                                  milliseconds(requestClass.latencyObjective), milliseconds(plan.limit)));
+                                  milliseconds(requestClass.latencyObjective), milliseconds(plan.timeout)));
     requestClass.priorityWeight = table.number("utility", 1.0);
     requestClass.lateWeight = table.fraction("late_utility", 0.0);
     plan.share = table.number("share", std::nullopt);
@@ -119,7 +119,7 @@
                       fmt::format("the fault ends at {} ms, after the scenario's end at {} ms",
                                   milliseconds(fault.at + fault.length), milliseconds(scenario.length)));
     switch (fault.kind) {
-        case FaultKind::cut:
+        case FaultKind::zonePartition:
             fault.zone = table.string("zone", std::nullopt);
             if (std::find(scenario.network.zones.begin(), scenario.network.zones.end(), fault.zone) ==
                 scenario.network.zones.end())
@@ -130,73 +130,73 @@
         case FaultKind::replace:
         case FaultKind::drain:
         case FaultKind::refuse:
-        case FaultKind::late:
+        case FaultKind::connectsDropped:
         case FaultKind::unresponsive:
             fault.count = table.integer("count", 1, 1, scenario.cacheCount());
             break;
         case FaultKind::slow:
         case FaultKind::slowReader:
             fault.count = table.integer("count", 1, 1, scenario.cacheCount());
-            fault.by = table.number("by", std::nullopt);
+            fault.magnitude = table.number("by", std::nullopt);
             break;
         case FaultKind::errors:
         case FaultKind::reset:
             fault.count = table.integer("count", 1, 1, scenario.cacheCount());
-            fault.by = table.fraction("by", std::nullopt);
+            fault.magnitude = table.fraction("by", std::nullopt);
             break;
-        case FaultKind::leave:
+        case FaultKind::clientsLeave:
         case FaultKind::malformedResponses:
         case FaultKind::discoveryRefuse:
         case FaultKind::hotKey:
         case FaultKind::heavy:
         case FaultKind::scan:
-            fault.by = table.fraction("by", std::nullopt);
+            fault.magnitude = table.fraction("by", std::nullopt);
             break;
         case FaultKind::originSlow:
         case FaultKind::load:
-            fault.by = table.number("by", std::nullopt, 0.01, 1000);
+            fault.magnitude = table.number("by", std::nullopt, 0.01, 1000);
             break;
         case FaultKind::routerKill:
             fault.count = table.integer("count", 1, 1, scenario.routers.count);
             break;
-        case FaultKind::machineCut: {
+        case FaultKind::machinePartition: {
             const auto way = table.word<int>("way", {{"both", 3}, {"to", 1}, {"from", 2}}, 3);
-            fault.to = way & 1;
-            fault.from = way & 2;
-            fault.others = table.integers("others", 0, std::max(scenario.machines.count - 1, 0));
+            fault.cutsInbound = way & 1;
+            fault.cutsOutbound = way & 2;
+            fault.peers = table.integers("others", 0, std::max(scenario.machines.count - 1, 0));
             break;
         }
         case FaultKind::clockRate:
-            fault.by = table.number("by", std::nullopt, 0.1, 10);
+            fault.magnitude = table.number("by", std::nullopt, 0.1, 10);
             break;
         case FaultKind::callsFail:
-            fault.by = table.fraction("by", std::nullopt);
+            fault.magnitude = table.fraction("by", std::nullopt);
             fault.call = table.string("call", std::nullopt);
-            fault.way = table.string("way", std::nullopt);
+            fault.effect = table.string("way", std::nullopt);
             if (!fault_injection::systemCallNamed(fault.call))
                 table.problem("call",
                               fmt::format("'{}' is not a system call that can be made to fail", fault.call));
-            if (!fault_injection::faultEffectNamed(fault.way))
+            if (!fault_injection::faultEffectNamed(fault.effect))
                 table.problem("way", fmt::format("'{}' is not an effect that a failing system call can have",
-                                                 fault.way));
+                                                 fault.effect));
             break;
-        case FaultKind::holdUp:
-            fault.by = table.number("by", std::nullopt, 1, 1000);
+        case FaultKind::eventLoopDelay:
+            fault.magnitude = table.number("by", std::nullopt, 1, 1000);
             break;
-        case FaultKind::wallStep:
+        case FaultKind::wallClockOffset:
         case FaultKind::clockJump:
-            fault.by = table.number("by", std::nullopt, -1e9, 1e9);
+            fault.magnitude = table.number("by", std::nullopt, -1e9, 1e9);
             break;
         case FaultKind::syncFails:
             fault.count = table.integer("count", 1, 1, 1000);
             break;
         case FaultKind::discoverySlow:
         case FaultKind::diskSlow:
-        case FaultKind::wayDelay:
-            fault.by = table.number("by", std::nullopt, 0, 60'000);
+        case FaultKind::pathDelay:
+            fault.magnitude = table.number("by", std::nullopt, 0, 60'000);
             break;
-        case FaultKind::wayDrop:
-            fault.by = table.fraction("by", std::nullopt);
+        case FaultKind::pathDrop:
+            fault.magnitude = table.fraction("by", std::nullopt);
             break;
         default:
             break;
@@ -204,11 +204,11 @@
     if (fault.kind >= FaultKind::machineKill && fault.kind < FaultKind::coordinatorKill)
         fault.machine = table.integer("machine", -1, -1, std::max(scenario.machines.count - 1, -1));
     // Without `machine` a second coordinator runs on the operator's machine.
-    if (fault.kind == FaultKind::coordinatorTwice)
+    if (fault.kind == FaultKind::secondCoordinator)
         fault.machine = table.integer("machine", -1, -1, std::max(scenario.machines.count - 1, -1));
     if (fault.kind >= FaultKind::machineKill && scenario.machines.count == 0)
         table.problem("kind", "this kind of fault needs [machines] with count > 0");
-    if (fault.kind >= FaultKind::coordinatorKill && !scenario.roll.there)
+    if (fault.kind >= FaultKind::coordinatorKill && !scenario.rollout.isEnabled)
         table.problem("kind", "this kind of fault needs [roll] with at_ms");
     scenario.faults.push_back(std::move(fault));
 }
@@ -257,7 +257,7 @@
     table.one("machines", false, [&](TomlTable& section) {
         scenario.machines.count = section.integer("count", 0, 0, 40);
         scenario.machines.instances = section.integer("instances", 1, 1, 50);
-        scenario.machines.fileList =
+        scenario.machines.listsServersInFile =
             section.word<bool>("list", {{"discovery", false}, {"file", true}}, false);
     });
     const int onMachines = scenario.machines.count * scenario.machines.instances;
@@ -270,14 +270,14 @@
         } else {
             scenario.routers.count = section.integer("count", std::nullopt, 1, 1000);
         }
-        scenario.routers.moved = section.integer("moved", 0, 0, scenario.routers.count);
+        scenario.routers.loadWeightedCount = section.integer("moved", 0, 0, scenario.routers.count);
         scenario.routers.memoryMb = static_cast<std::size_t>(section.integer("memory_mb", 64, 16, 100'000));
         scenario.routers.descriptors =
             static_cast<std::size_t>(section.integer("descriptors", 512, 64, 100'000));
-        scenario.routers.open = static_cast<std::size_t>(section.integer("open", 20'000, 1));
+        scenario.routers.maxOpenRequests = static_cast<std::size_t>(section.integer("open", 20'000, 1));
         scenario.routers.maxAttempts = section.integer("relays", 3, 1, 100);
-        scenario.routers.connectWithin = section.millis("connect_ms", 200.0);
-        scenario.routers.idle = section.millis("idle_ms", 15'000.0);
+        scenario.routers.connectTimeout = section.millis("connect_ms", 200.0);
+        scenario.routers.idleTimeout = section.millis("idle_ms", 15'000.0);
         scenario.routers.failureDetectionDelay = section.millis("notice_ms", 1'500.0);
         scenario.routers.restartDelay = section.millis("restart_ms", 1'500.0);
         scenario.routers.maxRetryAfter = section.millis("come_back_ms", 2'000.0);
@@ -285,7 +285,7 @@
     table.one("network", true, [&](TomlTable& section) {
         scenario.network.zones = section.strings("zones");
         if (scenario.network.zones.empty()) section.problem("zones", "is empty, must name at least one zone");
-        scenario.network.same = section.micros("same_us", 250.0);
+        scenario.network.sameZoneDelay = section.micros("same_us", 250.0);
         scenario.network.crossZoneDelay = section.micros("cross_us", 5'000.0);
         scenario.network.jitter = section.fraction("jitter", 0.2);
         scenario.network.crossZoneCost = section.fraction("cross_price", 0.0);
@@ -315,10 +315,10 @@
     table.one("discovery", false, [&](TomlTable& section) {
         scenario.discovery.removalDelay = section.millis("notice_gone_ms", 1'500.0);
         scenario.discovery.returnDelay = section.millis("notice_back_ms", 600.0);
-        scenario.discovery.perSecond = section.number("per_second", 200.0, 0.1, 1e6);
+        scenario.discovery.pollRate = section.number("per_second", 200.0, 0.1, 1e6);
         scenario.discovery.maxQueueDelay = section.millis("limit_ms", 3'000.0);
         scenario.discovery.pollInterval = section.millis("ask_within_ms", 10'000.0);
-        scenario.discovery.crowded = section.boolean("crowded", false);
+        scenario.discovery.limitsPolls = section.boolean("crowded", false);
         scenario.discovery.assumedKnownAfter = section.millis("told_within_ms", 0.0);
         scenario.discovery.weightInterval = section.millis("weigh_every_ms", 1'000.0);
         if (scenario.discovery.weightInterval < 10 * kMillisecond)
@@ -339,25 +339,27 @@
     for (const TenantPlan& tenant : scenario.tenants) tenantShares += tenant.share;
     if (!scenario.tenants.empty() && tenantShares <= 0) table.problem("customers", "the shares add up to 0");
     table.one("roll", false, [&](TomlTable& section) {
-        scenario.roll.there = section.has("at_ms");
-        if (!scenario.roll.there) return;
-        scenario.roll.at = section.millis("at_ms", std::nullopt);
-        scenario.roll.change = section.string("change", "same");
-        scenario.roll.size = section.number("size", 0.0, 0, 1000);
-        scenario.roll.watch = section.millis("watch_ms", 3'000.0);
-        scenario.roll.least = section.millis("least_ms", 4'000.0);
-        scenario.roll.longest = section.millis("longest_ms", 20'000.0);
-        scenario.roll.settleTime = section.millis("settle_ms", 1'500.0);
-        scenario.roll.keep = section.millis("keep_ms", 4'000.0);
-        scenario.roll.back = section.millis("back_ms", 15'000.0);
-        scenario.roll.harm = section.number("harm", 0.02, 0.0005, 0.5);
-        scenario.roll.silent = section.number("silent", 0.02, 0.0001, 0.5);
-        scenario.roll.machine = section.integer("machine", -1, -1, std::max(scenario.machines.count - 1, -1));
-        scenario.roll.stages =
+        scenario.rollout.isEnabled = section.has("at_ms");
+        if (!scenario.rollout.isEnabled) return;
+        scenario.rollout.at = section.millis("at_ms", std::nullopt);
+        scenario.rollout.change = section.string("change", "same");
+        scenario.rollout.size = section.number("size", 0.0, 0, 1000);
+        scenario.rollout.baselineTime = section.millis("watch_ms", 3'000.0);
+        scenario.rollout.minStageDuration = section.millis("least_ms", 4'000.0);
+        scenario.rollout.maxStageDuration = section.millis("longest_ms", 20'000.0);
+        scenario.rollout.settleTime = section.millis("settle_ms", 1'500.0);
+        scenario.rollout.agentHoldDuration = section.millis("keep_ms", 4'000.0);
+        scenario.rollout.rollbackTimeout = section.millis("back_ms", 15'000.0);
+        scenario.rollout.harm = section.number("harm", 0.02, 0.0005, 0.5);
+        scenario.rollout.silent = section.number("silent", 0.02, 0.0001, 0.5);
+        scenario.rollout.machine =
+            section.integer("machine", -1, -1, std::max(scenario.machines.count - 1, -1));
+        scenario.rollout.stages =
             section.has("stages") ? section.strings("stages") : std::vector<std::string>{"1", "0.25", "1.0"};
         if (scenario.machines.count == 0)
             section.problem("at_ms", "a rollout needs [machines] with count > 0");
-        if (scenario.roll.bySettings() && scenario.roll.change == "deaf" && !scenario.machines.fileList)
+        if (scenario.rollout.changesSettings() && scenario.rollout.change == "deaf" &&
+            !scenario.machines.listsServersInFile)
             section.problem("change", "'deaf' needs list = \"file\" in [machines]");
     });
     table.each("faults", false, [&](TomlTable& section) { readFault(section, scenario); });
@@ -392,7 +394,7 @@
 
 bool Scenario::hasProcessFaults() const {
     return std::any_of(faults.begin(), faults.end(), [](const FaultPlan& fault) {
-        return fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::holdUp;
+        return fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::eventLoopDelay;
     });
 }
 
@@ -402,9 +404,9 @@
     return total;
 }
 
-Nanos Scenario::longestLimit() const {
+Nanos Scenario::longestTimeout() const {
     Nanos longest = 0;
-    for (const RequestClassPlan& plan : requestClasses) longest = std::max(longest, plan.limit);
+    for (const RequestClassPlan& plan : requestClasses) longest = std::max(longest, plan.timeout);
     return longest;
 }
 
@@ -453,14 +455,14 @@
     settings.overloadWindow = scenario.slowStart.overloadWindow;
     for (const RequestClassPlan& plan : scenario.requestClasses) {
         settings.requestClasses.push_back(plan.requestClass);
-        settings.requestClasses.back().timeout = plan.limit;
+        settings.requestClasses.back().timeout = plan.timeout;
     }
     for (const TenantPlan& tenant : scenario.tenants) settings.tenants.push_back({tenant.name, tenant.quota});
     return settings;
 }
 
-std::string operatorFormOf(const Scenario& scenario, const std::vector<FormServer>& servers,
-                           int discoveryPort, const std::string& change) {
+std::string operatorTemplateOf(const Scenario& scenario, const std::vector<TemplateServer>& servers,
+                               int discoveryPort, const std::string& change) {
     std::string out = fmt::format(
         "[instance]\nname = \"{{name}}\"\nlisten = \"{{listen}}\"\nzone = \"{}\"\nmemory_mb = "
         "{}\ndescriptors = "
@@ -472,11 +474,12 @@
         "[admin]\nsocket = \"{{socket}}\"\n[limits]\nopen = {}\nrelays = {}\nidle_ms = {}\nconnect_ms = "
         "{}\ncross_price = {:.6f}\ncome_back_ms = {}\nask_within_ms = {}\n[cold]\nshare = {:.6f}\nramp_ms = "
         "{}\ntip = {:.6f}\nfall_ms = {}\n",
-        scenario.routers.open, scenario.routers.maxAttempts, milliseconds(scenario.routers.idle),
-        milliseconds(scenario.routers.connectWithin), scenario.network.crossZoneCost,
-        milliseconds(scenario.routers.maxRetryAfter), milliseconds(scenario.discovery.pollInterval),
-        scenario.slowStart.initialFraction, milliseconds(scenario.slowStart.rampDuration),
-        scenario.slowStart.overloadMultiple, milliseconds(scenario.slowStart.overloadWindow));
+        scenario.routers.maxOpenRequests, scenario.routers.maxAttempts,
+        milliseconds(scenario.routers.idleTimeout), milliseconds(scenario.routers.connectTimeout),
+        scenario.network.crossZoneCost, milliseconds(scenario.routers.maxRetryAfter),
+        milliseconds(scenario.discovery.pollInterval), scenario.slowStart.initialFraction,
+        milliseconds(scenario.slowStart.rampDuration), scenario.slowStart.overloadMultiple,
+        milliseconds(scenario.slowStart.overloadWindow));
     for (const RequestClassPlan& plan : scenario.requestClasses) {
         // An eighth of the latency objective, as objective and timeout of the first request class:
         // a response that takes its usual time is then too late.
@@ -491,7 +494,7 @@
                                  plan.requestClass.idempotency),
             milliseconds(halved ? plan.requestClass.latencyObjective / 8
                                 : plan.requestClass.latencyObjective),
-            milliseconds(halved ? plan.requestClass.latencyObjective / 8 : plan.limit),
+            milliseconds(halved ? plan.requestClass.latencyObjective / 8 : plan.timeout),
             plan.requestClass.priorityWeight, plan.requestClass.lateWeight);
         if (plan.requestClass.idempotency == Idempotency::idempotentWithKey)
             out += fmt::format("remembered_ms = {}\ngroup = \"{}\"\n",
@@ -503,7 +506,7 @@
     }
     for (const TenantPlan& tenant : scenario.tenants)
         out += fmt::format("[[customers]]\nname = \"{}\"\nquota = {:.6f}\n", tenant.name, tenant.quota);
-    for (const FormServer& server : servers)
+    for (const TemplateServer& server : servers)
         out += fmt::format(
             "[[servers]]\nname = \"{}\"\naddress = \"{{address}}:{}\"\nzone = \"{}\"\ncell = {}\nsize = "
             "{:.6f}\norigin = {}\n",
@@ -512,8 +515,8 @@
     return out;
 }
 
-nlohmann::json configurationOf(const Scenario& scenario, const RouterPlace& place, std::uint64_t seed,
-                               const nlohmann::json& known) {
+nlohmann::json configurationOf(const Scenario& scenario, const RouterAddressing& addressing,
+                               std::uint64_t seed, const nlohmann::json& known) {
     using nlohmann::json;
     const auto us = [](Nanos ns) { return ns / 1000; };
     json requestClasses = json::array();
@@ -524,7 +527,7 @@
                                                    {Idempotency::nonIdempotent, "single_shot"}},
                                                   plan.requestClass.idempotency)},
                   {"responseGoalUs", us(plan.requestClass.latencyObjective)},
-                  {"timeLimitUs", us(plan.limit)},
+                  {"timeLimitUs", us(plan.timeout)},
                   {"utility", plan.requestClass.priorityWeight},
                   {"lateUtility", plan.requestClass.lateWeight}};
         if (plan.requestClass.idempotency == Idempotency::idempotentWithKey) {
@@ -544,9 +547,9 @@
                   {"shapes", {"cache", "origin"}},
                   {"familyInfo", {{"mode", "aside"}, {"originKind", 1}}},
                   {"allowed",
-                   {{"connIdleUs", us(scenario.routers.idle)},
-                    {"connectTimeoutUs", us(scenario.routers.connectWithin)},
-                    {"maxOpen", scenario.routers.open},
+                   {{"connIdleUs", us(scenario.routers.idleTimeout)},
+                    {"connectTimeoutUs", us(scenario.routers.connectTimeout)},
+                    {"maxOpen", scenario.routers.maxOpenRequests},
                     {"maxRelays", scenario.routers.maxAttempts},
                     {"maxRetryAfterUs", us(scenario.routers.maxRetryAfter)},
                     {"retryAfter", scenario.routers.maxRetryAfter > 0}}},
@@ -556,14 +559,14 @@
                     {"rampTimeUs", us(scenario.slowStart.rampDuration)},
                     {"startCapacity", scenario.slowStart.initialFraction},
                     {"tipMultiple", scenario.slowStart.overloadMultiple}}},
-                  {"myZone", scenario.zoneOf(place.index)},
+                  {"myZone", scenario.zoneOf(addressing.index)},
                   {"costs", {{"crossZone", scenario.network.crossZoneCost}}},
-                  {"weights", scenario.usesLoadWeights(place.index) ? "live" : "nominal"},
+                  {"weights", scenario.usesLoadWeights(addressing.index) ? "live" : "nominal"},
                   {"verbs", std::move(requestClasses)}};
     if (!tenants.empty()) settings["orgs"] = std::move(tenants);
-    return {{"name", place.name},
-            {"listen", place.listen},
-            {"discovery", place.discovery},
+    return {{"name", addressing.name},
+            {"listen", addressing.listen},
+            {"discovery", addressing.discovery},
             {"seed", fmt::format("{:016x}", seed)},
             {"limits",
              {{"cores", 1.0},
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -21,7 +21,7 @@
 
 struct RequestClassPlan {
     RequestClass requestClass;
-    Nanos limit = 0;    // how long a client waits for an answer, all tries together
+    Nanos timeout = 0;  // how long a client waits for an answer, all tries together
     double share = 0;   // weight among the request classes
     Nanos work = 0;     // mean, on one core of speed 1
     double spread = 0;  // standard deviation of the work, as a share of the mean
@@ -73,13 +73,13 @@
 struct DiscoveryPlan {
     Nanos removalDelay = 0;   // from a server's end until discovery lists it as gone
     Nanos returnDelay = 0;    // from a server's start until discovery lists it as ready
-    double perSecond = 0;     // polls that discovery can answer
+    double pollRate = 0;      // polls that discovery can answer
     Nanos maxQueueDelay = 0;  // a poll that would wait longer for its turn fails
     Nanos pollInterval = 0;
     // When set, a router has one poll in flight at a time, and an older one is answered 503; a poll
     // whose turn would come after `maxQueueDelay` is answered 503 at once; the answer to a long
     // poll takes a turn too.
-    bool crowded = false;
+    bool limitsPolls = false;
     // So long after a change, or after discovery became reachable again, the change counts as known
     // to all running routers; 0: never.
     Nanos assumedKnownAfter = 0;
@@ -88,7 +88,7 @@
 
 struct NetworkPlan {
     std::vector<std::string> zones;
-    Nanos same = 0;            // one-way delay within a zone
+    Nanos sameZoneDelay = 0;   // one-way delay within a zone
     Nanos crossZoneDelay = 0;  // one-way delay between zones
     double jitter = 0;         // standard deviation of both, as a share
     double crossZoneCost = 0;  // passed to the routers: cost of an attempt to another zone, as a part of a
@@ -111,74 +111,74 @@
 
 struct RouterPlan {
     int count = 1;
-    // The last `moved` routers use cache weights that follow load. If there are any, discovery
-    // updates its weights with the load.
-    int moved = 0;
+    // The last `loadWeightedCount` routers use cache weights that follow load. If there are any,
+    // discovery updates its weights with the load.
+    int loadWeightedCount = 0;
     std::size_t memoryMb = 64;
     std::size_t descriptors = 512;
-    std::size_t open = 0;  // limit of open requests
+    std::size_t maxOpenRequests = 0;
     int maxAttempts = 1;
-    Nanos connectWithin = 0;
-    Nanos idle = 0;
+    Nanos connectTimeout = 0;
+    Nanos idleTimeout = 0;
     Nanos failureDetectionDelay = 0;  // until the load balancer notices that a router has died
     Nanos restartDelay = 0;           // until a router whose process has ended is started again
     Nanos maxRetryAfter = 0;
 };
 
 enum class FaultKind : std::uint8_t {
-    crash,       // cache servers die: connections are reset, then refused; they return cold under the same id
-    hang,        // cache servers accept requests and never answer
-    slow,        // cache servers run slower by the factor `by`
-    errors,      // a share `by` of the requests sent to cache servers fails at once
-    replace,     // cache servers end for good; cold ones with new ids take over their addresses
-    drain,       // cache servers are listed as draining, then leave, and return when the fault ends
-    cut,         // no packets pass between `zone` and all other zones
-    refuse,      // cache servers refuse new connections
-    late,        // new connections to cache servers only open with the first TCP retry after the fault's end
-    leave,       // a share `by` of the waiting clients disconnects at once
-    reset,       // a share `by` of requests has its connection reset while it is in flight
-    slowReader,  // cache servers read requests `by` ms later
+    crash,    // cache servers die: connections are reset, then refused; they return cold under the same id
+    hang,     // cache servers accept requests and never answer
+    slow,     // cache servers run slower by the factor `magnitude`
+    errors,   // a share `magnitude` of the requests sent to cache servers fails at once
+    replace,  // cache servers end for good; cold ones with new ids take over their addresses
+    drain,    // cache servers are listed as draining, then leave, and return when the fault ends
+    zonePartition,       // no packets pass between `zone` and all other zones
+    refuse,              // cache servers refuse new connections
+    connectsDropped,     // connects to cache servers only succeed with a TCP retry after the fault's end
+    clientsLeave,        // a share `magnitude` of the waiting clients disconnects at once
+    reset,               // a share `magnitude` of requests has its connection reset while it is in flight
+    slowReader,          // cache servers read requests `magnitude` ms later
     unresponsive,        // one-way loss: requests arrive, replies are lost
-    malformedResponses,  // a share `by` of replies is malformed
+    malformedResponses,  // a share `magnitude` of replies is malformed
     originStop,          // the origin dies and returns when the fault ends
-    originSlow,          // the origin runs slower by the factor `by`
+    originSlow,          // the origin runs slower by the factor `magnitude`
     discoveryDown,       // polls fail
     discoverySilent,     // polls are never answered
-    discoverySlow,       // polls are answered up to `by` ms later, at random down to three quarters of that
-    discoveryRefuse,     // a share `by` of polls is answered 503
-    discoveryMove,       // discovery moves to another address, and the routers get SIGHUP
-    hotKey,              // a share `by` of requests is for one key
-    heavy,               // a share `by` of requests has ten times the work
-    scan,                // a share `by` of requests is for keys that were never requested before
-    load,                // the load is multiplied by `by`
-    routerKill,          // SIGKILL to `count` routers, which are restarted
-    routerRestart,       // SIGTERM to all routers, one after another
-    routerUpgrade,       // all routers hot restart, one after another
-    reload,              // SIGHUP to all routers
+    discoverySlow,  // polls are answered up to `magnitude` ms later, at random down to three quarters of that
+    discoveryRefuse,  // a share `magnitude` of polls is answered 503
+    discoveryMove,    // discovery moves to another address, and the routers get SIGHUP
+    hotKey,           // a share `magnitude` of requests is for one key
+    heavy,            // a share `magnitude` of requests has ten times the work
+    scan,             // a share `magnitude` of requests is for keys that were never requested before
+    load,             // the load is multiplied by `magnitude`
+    routerKill,       // SIGKILL to `count` routers, which are restarted
+    routerRestart,    // SIGTERM to all routers, one after another
+    routerUpgrade,    // all routers hot restart, one after another
+    reload,           // SIGHUP to all routers
     // Faults of the routers' processes, injected by a preloaded library.
-    callsFail,  // a share `by` of the system calls `call` fails with the effect `way`
-    wallStep,   // the wall clock that all machines share is `by` ms ahead; behind if negative
-    holdUp,     // one event loop iteration in fifty is delayed by up to `by` ms
+    callsFail,        // a share `magnitude` of the system calls `call` fails with the given `effect`
+    wallClockOffset,  // the wall clock that all machines share is `magnitude` ms ahead; behind if negative
+    eventLoopDelay,   // one event loop iteration in fifty is delayed by up to `magnitude` ms
     // Faults of machines. `machine` names the machine, or else it is drawn.
-    machineKill,      // SIGKILL to all processes of the machine; it returns with its disk
-    machineLost,      // as machineKill, but the disk is empty when the machine returns
-    machineStop,      // SIGSTOP to all processes of the machine, SIGCONT when the fault ends
-    machineCut,       // the machine's network paths lose everything: `way` both, to or from
-    agentKill,        // SIGKILL to the machine's agent only
-    agentStop,        // SIGSTOP to the machine's agent only
-    machineSleep,     // as machineStop, and only those clocks go on that do so in suspend
-    diskFull,         // the agent's writes fail
-    diskReadOnly,     // no file on the machine can be created, opened for writing or renamed
-    diskSlow,         // each sync takes `by` ms longer
-    syncFails,        // the next `count` syncs fail
-    programGone,      // the stored copies of programs are lost
-    clockRate,        // the machine's clocks run at `by` times the real rate
-    clockJump,        // the machine's wall clock is `by` ms ahead; behind if negative
-    wayDelay,         // data on the machine's network paths arrives `by` ms later
-    wayStall,         // data on the machine's network paths stops midway; connections stay open
-    wayDrop,          // a share `by` of the connections to the machine is broken when they arrive
-    coordinatorKill,  // SIGKILL to the coordinator; another one starts when the fault ends
-    coordinatorTwice  // a second coordinator runs besides the first
+    machineKill,       // SIGKILL to all processes of the machine; it returns with its disk
+    machineLost,       // as machineKill, but the disk is empty when the machine returns
+    machineStop,       // SIGSTOP to all processes of the machine, SIGCONT when the fault ends
+    machinePartition,  // the machine's network paths lose everything in the directions that are cut
+    agentKill,         // SIGKILL to the machine's agent only
+    agentStop,         // SIGSTOP to the machine's agent only
+    machineSleep,      // as machineStop, and only those clocks go on that do so in suspend
+    diskFull,          // the agent's writes fail
+    diskReadOnly,      // no file on the machine can be created, opened for writing or renamed
+    diskSlow,          // each sync takes `magnitude` ms longer
+    syncFails,         // the next `count` syncs fail
+    programsLost,      // the stored copies of programs are lost
+    clockRate,         // the machine's clocks run at `magnitude` times the real rate
+    clockJump,         // the machine's wall clock is `magnitude` ms ahead; behind if negative
+    pathDelay,         // data on the machine's network paths arrives `magnitude` ms later
+    pathStall,         // data on the machine's network paths stops midway; connections stay open
+    pathDrop,          // a share `magnitude` of the connections to the machine is broken when they arrive
+    coordinatorKill,   // SIGKILL to the coordinator; another one starts when the fault ends
+    secondCoordinator  // a second coordinator runs besides the first
 };
 
 struct FaultPlan {
@@ -186,13 +186,13 @@
     Nanos at = 0;
     Nanos length = 0;
     int count = 1;  // cache servers or routers, drawn with the seed
-    double by = 0;
+    double magnitude = 0;
     std::string zone;
-    int repetitions = 1;          // spread over `length`
-    int machine = -1;             // -1: drawn
-    bool to = true, from = true;  // directions of machineCut: to the machine, from the machine
-    std::string call, way;        // system call and effect, as named in fault_injection/fault_plan.hpp
-    std::vector<int> others;      // machines that it is cut from; empty: all others and the operator's
+    int repetitions = 1;                           // spread over `length`
+    int machine = -1;                              // -1: drawn
+    bool cutsInbound = true, cutsOutbound = true;  // machinePartition: paths to, from the machine
+    std::string call, effect;  // system call and effect, as named in fault_injection/fault_plan.hpp
+    std::vector<int> peers;    // machines that it is cut off from; empty: all others and the operator's
 };
 
 // With machines, routers run on them. A machine has a zone, a folder that is its disk, and an agent
@@ -200,39 +200,41 @@
 struct MachinePlan {
     int count = 0;  // 0: the testbed starts routers itself
     int instances = 0;
-    bool fileList = false;  // the operator's file lists the servers instead of discovery
+    bool listsServersInFile = false;  // the operator's file lists the servers instead of discovery
 };
 
 // A rollout in the course of the run.
 struct RolloutScenario {
-    bool there = false;
+    bool isEnabled = false;
     Nanos at = 0;
     // "same" for an equal version, the name of a program's defect, or one of deaf, halved and
     // misnamed: settings that are valid but harmful.
     std::string change;
     double size = 0;  // of a program's defect
-    Nanos least = 0, longest = 0, settleTime = 0, watch = 0, keep = 0, back = 0;
+    Nanos minStageDuration = 0, maxStageDuration = 0, settleTime = 0, baselineTime = 0, agentHoldDuration = 0,
+          rollbackTimeout = 0;
     double harm = 0.02;
     double silent = 0.02;             // share of requests without an answer that must be ruled out
     std::vector<std::string> stages;  // "1", "5", "0.25"
     int machine = -1;                 // on which the coordinator runs; -1: on the operator's machine
-    bool harmful() const { return there && change != "same"; }
-    bool bySettings() const { return change == "deaf" || change == "halved" || change == "misnamed"; }
+    bool isHarmful() const { return isEnabled && change != "same"; }
+    bool changesSettings() const { return change == "deaf" || change == "halved" || change == "misnamed"; }
 };
 
 // What must hold at the end of a run. The defaults are bounds that always hold.
 struct Bounds {
-    double goal = 0;              // least share of requests answered within their latency objective
-    double answered = 0;          // least share of requests answered by their deadline
-    double attempts = 1e9;        // most attempts per request
-    double apart = 1;             // largest difference of `goal` between moved routers and the others
-    double sentOn = 1;            // of requests whose clients left waiting, largest share that is sent to a
-                                  // server more than 0.3 s later
-    double connections = 1e9;     // most connections opened to caches and the origin, per request
-    double crossings = 1e9;       // most attempts to another zone, per request
-    double coldLoad = 1e9;        // most work at a cold cache server in a window, over the work allowed
-    double coldExcess = 1e9;      // largest used part of the margin for chance above the work allowed
-    double coldFalls = 1e9;       // most stops of overloaded cold cache servers
+    double goal = 0;           // least share of requests answered within their latency objective
+    double answered = 0;       // least share of requests answered by their deadline
+    double attempts = 1e9;     // most attempts per request
+    double apart = 1;          // largest difference of `goal` between the routers with load-following weights
+                               // and the others
+    double sentOn = 1;         // of requests whose clients left waiting, largest share that is sent to a
+                               // server more than 0.3 s later
+    double connections = 1e9;  // most connections opened to caches and the origin, per request
+    double crossings = 1e9;    // most attempts to another zone, per request
+    double coldLoad = 1e9;     // most work at a cold cache server in a window, over the work allowed
+    double coldExcess = 1e9;   // largest used part of the margin for chance above the work allowed
+    double coldFalls = 1e9;    // most stops of overloaded cold cache servers
     double went = 0, undone = 0;  // 1: the rollout must have been completed, or rolled back; 0: need not
     double harmed = 1;            // largest share of requests since the rollout's start that are not
                                   // answered within their latency objective
@@ -247,7 +249,7 @@
     Nanos slack = 0;  // how long after the deadline an answer still counts
     RouterPlan routers;
     MachinePlan machines;
-    RolloutScenario roll;
+    RolloutScenario rollout;
     NetworkPlan network;
     std::vector<CachePlan> caches;
     SlowStartPlan slowStart;
@@ -266,8 +268,8 @@
         const int index = machines.count > 0 ? router / machines.instances : router;
         return network.zones[static_cast<std::size_t>(index) % network.zones.size()];
     }
-    bool usesLoadWeights(int router) const { return router >= routers.count - routers.moved; }
-    Nanos longestLimit() const;
+    bool usesLoadWeights(int router) const { return router >= routers.count - routers.loadWeightedCount; }
+    Nanos longestTimeout() const;
 };
 
 // Both throw ScenarioError.
@@ -278,13 +280,13 @@
 
 // The settings of a router, as the simulated driver passes them to the policy.
 PolicySettings policySettingsOf(const Scenario& scenario, int router, std::uint64_t seed);
-struct RouterPlace {
+struct RouterAddressing {
     int index = 0;
     std::string name;
     std::string listen;
     std::string discovery;
 };
-struct FormServer {
+struct TemplateServer {
     std::string name, zone;
     int port = 0;
     std::int64_t cell = 0;
@@ -293,10 +295,10 @@
 };
 // The same settings as a template of the operator's file, with placeholders in braces for what
 // differs between instances. `change` is the rollout's change of settings, made in this template.
-std::string operatorFormOf(const Scenario& scenario, const std::vector<FormServer>& servers,
-                           int discoveryPort, const std::string& change);
+std::string operatorTemplateOf(const Scenario& scenario, const std::vector<TemplateServer>& servers,
+                               int discoveryPort, const std::string& change);
 // The same settings as the platform's configuration of one router's process.
-nlohmann::json configurationOf(const Scenario& scenario, const RouterPlace& place, std::uint64_t seed,
-                               const nlohmann::json& known);
+nlohmann::json configurationOf(const Scenario& scenario, const RouterAddressing& addressing,
+                               std::uint64_t seed, const nlohmann::json& known);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -32,7 +32,7 @@
 
 ServerList::ServerList(int caches, int zones, std::uint64_t seed, std::int64_t startedMs)
     : caches_(caches), zones_(zones), random_(seed) {
-    for (int i = 0; i < caches; ++i) add(startedMs - random_.below(1'000'000'000));
+    for (int i = 0; i < caches; ++i) add(startedMs - random_.integerBelow(1'000'000'000));
     version_ = 1;
     for (Server& server : servers_) server.lastChangedVersion = version_;
 }
@@ -41,7 +41,7 @@
     const std::size_t number = servers_.size();
     const auto zone = number % static_cast<std::size_t>(zones_);
     Server server;
-    server.id = fmt::format("cache-{:08x}-{}", random_.randomWord() >> 32, number);
+    server.id = fmt::format("cache-{:08x}-{}", random_.uint64() >> 32, number);
     server.fixedJson = fmt::format(
         R"({{"id":"{}","addr":"10.{}.{}.{}:6379","zone":"zone-{}","kind":"cache","cell":{},"weight":1.0)",
         server.id, zone % 250, number / 250 % 250, number % 250 + 1, zone, number);
@@ -64,7 +64,7 @@
 std::size_t ServerList::randomReadyServer() {
     std::size_t index = 0;
     do {
-        index = static_cast<std::size_t>(random_.below(static_cast<int>(servers_.size())));
+        index = static_cast<std::size_t>(random_.integerBelow(static_cast<int>(servers_.size())));
     } while (servers_[index].state != EndpointState::ready);
     return index;
 }
--- a/src/testbed/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -48,10 +48,10 @@
     FaultKind::errors,
     FaultKind::replace,
     FaultKind::drain,
-    FaultKind::cut,
+    FaultKind::zonePartition,
     FaultKind::refuse,
-    FaultKind::late,
-    FaultKind::leave,
+    FaultKind::connectsDropped,
+    FaultKind::clientsLeave,
     FaultKind::reset,
     FaultKind::slowReader,
     FaultKind::unresponsive,
@@ -68,8 +68,8 @@
     FaultKind::callsFail,
     FaultKind::callsFail,
     FaultKind::callsFail,
-    FaultKind::wallStep,
-    FaultKind::holdUp,
+    FaultKind::wallClockOffset,
+    FaultKind::eventLoopDelay,
     FaultKind::drain,
     FaultKind::replace,
     FaultKind::discoverySlow,
@@ -85,23 +85,23 @@
     Scenario day() {
         if (random_.chance(kLimitedDiscoveryShare)) limitDiscoveryRate();
         const Nanos end = day_.length - kQuietEnd;
-        for (Nanos at = kQuietStart; at < end; at += random_.gap(kFaultsPerSecond)) add(at, end);
+        for (Nanos at = kQuietStart; at < end; at += random_.interarrivalTime(kFaultsPerSecond)) add(at, end);
         return day_;
     }
 
   private:
     // Limits discovery to one call per router in 1.5 to 3 s, a rate with which a fleet still works.
     void limitDiscoveryRate() {
-        day_.discovery.crowded = true;
-        day_.discovery.perSecond = day_.routers.count / between(kMinDiscoveryRoundS, kMaxDiscoveryRoundS);
+        day_.discovery.limitsPolls = true;
+        day_.discovery.pollRate = day_.routers.count / between(kMinDiscoveryRoundS, kMaxDiscoveryRoundS);
     }
     double between(double min, double max) { return min + random_.fraction() * (max - min); }
-    int drawCacheCount() { return 1 + random_.below(std::max(day_.cacheCount() / 5, 1)); }
+    int drawCacheCount() { return 1 + random_.integerBelow(std::max(day_.cacheCount() / 5, 1)); }
 
     void add(Nanos at, Nanos end) {
         FaultPlan fault;
         fault.kind =
-            kFaultKinds[static_cast<std::size_t>(random_.below(static_cast<int>(kFaultKinds.size())))];
+            kFaultKinds[static_cast<std::size_t>(random_.integerBelow(static_cast<int>(kFaultKinds.size())))];
         fault.at = at;
         const auto span = static_cast<Nanos>(between(kShortestFault, kLongestFault));
         fault.length = std::max(std::min(span, end - at), kMillisecond);
@@ -109,7 +109,8 @@
         drawParameters(fault);
         // The end of an exclusive fault would also end another one of its kind, so these don't overlap.
         const auto overlaps = [&](const FaultPlan& other) {
-            const bool same = other.kind == fault.kind && other.call == fault.call && other.way == fault.way;
+            const bool same =
+                other.kind == fault.kind && other.call == fault.call && other.effect == fault.effect;
             return same && other.at < fault.at + fault.length && fault.at < other.at + other.length;
         };
         if (isExclusive(fault.kind) && std::any_of(day_.faults.begin(), day_.faults.end(), overlaps)) return;
@@ -117,8 +118,8 @@
     }
 
     static bool isExclusive(FaultKind kind) {
-        constexpr FaultKind kMayOverlap[]{FaultKind::crash,     FaultKind::hang,  FaultKind::replace,
-                                          FaultKind::drain,     FaultKind::leave, FaultKind::reload,
+        constexpr FaultKind kMayOverlap[]{FaultKind::crash,     FaultKind::hang,         FaultKind::replace,
+                                          FaultKind::drain,     FaultKind::clientsLeave, FaultKind::reload,
                                           FaultKind::routerKill};
         return std::find(std::begin(kMayOverlap), std::end(kMayOverlap), kind) == std::end(kMayOverlap);
     }
@@ -126,56 +127,57 @@
     void drawParameters(FaultPlan& fault) {
         switch (fault.kind) {
             case FaultKind::slow:
-                fault.by = between(2, 8);
+                fault.magnitude = between(2, 8);
                 break;
             case FaultKind::slowReader:
-                fault.by = between(5, 120);
+                fault.magnitude = between(5, 120);
                 break;
             case FaultKind::errors:
             case FaultKind::reset:
             case FaultKind::malformedResponses:
-                fault.by = between(0.02, 0.3);
+                fault.magnitude = between(0.02, 0.3);
                 break;
-            case FaultKind::leave:
-                fault.by = between(0.1, 0.6);
+            case FaultKind::clientsLeave:
+                fault.magnitude = between(0.1, 0.6);
                 break;
             case FaultKind::originSlow:
-                fault.by = between(1.2, 3);
+                fault.magnitude = between(1.2, 3);
                 break;
-            case FaultKind::cut: {
+            case FaultKind::zonePartition: {
                 const auto zones = static_cast<int>(day_.network.zones.size());
-                fault.zone = day_.network.zones[static_cast<std::size_t>(random_.below(zones))];
+                fault.zone = day_.network.zones[static_cast<std::size_t>(random_.integerBelow(zones))];
                 fault.length = std::min(fault.length, 5 * kSecond);
                 break;
             }
             case FaultKind::discoverySlow:
-                fault.by = between(200, 3'400);
+                fault.magnitude = between(200, 3'400);
                 break;
             case FaultKind::discoveryRefuse:
-                fault.by = between(0.2, 0.7);
+                fault.magnitude = between(0.2, 0.7);
                 break;
             case FaultKind::discoveryMove:
             case FaultKind::reload:
                 fault.length = 0;
                 break;
             case FaultKind::routerKill:
-                fault.count = 1 + random_.below(std::max(day_.routers.count / 4, 1));
+                fault.count = 1 + random_.integerBelow(std::max(day_.routers.count / 4, 1));
                 fault.length = 0;
                 break;
             case FaultKind::callsFail: {
-                const auto& callFault = kCallFaults[random_.below(static_cast<int>(std::size(kCallFaults)))];
+                const auto& callFault =
+                    kCallFaults[random_.integerBelow(static_cast<int>(std::size(kCallFaults)))];
                 fault.call = callFault.call;
-                fault.way = callFault.effect;
-                fault.by = between(callFault.max / 10, callFault.max);
+                fault.effect = callFault.effect;
+                fault.magnitude = between(callFault.max / 10, callFault.max);
                 break;
             }
-            case FaultKind::wallStep: {
+            case FaultKind::wallClockOffset: {
                 constexpr double kSteps[]{-3.6e6, -7e3, -1.5e3, 1.5e3, 7e3, 3.6e6};  // ms
-                fault.by = kSteps[random_.below(static_cast<int>(std::size(kSteps)))];
+                fault.magnitude = kSteps[random_.integerBelow(static_cast<int>(std::size(kSteps)))];
                 break;
             }
-            case FaultKind::holdUp:
-                fault.by = between(50, 150);
+            case FaultKind::eventLoopDelay:
+                fault.magnitude = between(50, 150);
                 break;
             default:
                 break;
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -204,7 +204,7 @@
 TEST_CASE("Routers with nominal and with load-following cache weights share caches without a violation") {
     Scenario scenario = calmScenario();
     scenario.routers.count = 6;
-    scenario.routers.moved = 3;
+    scenario.routers.loadWeightedCount = 3;
     CHECK_FALSE(policySettingsOf(scenario, 2, 1).weightsFollowLoad);
     CHECK(policySettingsOf(scenario, 3, 1).weightsFollowLoad);
     CHECK(verdictOf(parseScenario(readFile(SCENARIOS "/move.toml"), "move.toml"), 5).empty());
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -162,8 +162,8 @@
     const std::string routerFaults =
         "[[faults]]\nkind = \"router_kill\"\nat_ms = 500\n[[faults]]\nkind = \"reload\"\nat_ms = 300\n"
         "[[faults]]\nkind = \"router_restart\"\nat_ms = 2500\nfor_ms = 1000\n";
-    // Two kinds of routers (`moved` or not) share the caches, of which two drain; neither may
-    // starve the other.
+    // Routers with fixed and with load-following weights share the caches, of which two drain;
+    // neither kind may starve the other.
     const std::string drainFaults =
         "[[faults]]\nkind = \"drain\"\nat_ms = 1500\nfor_ms = 2000\ncount = 2\n[holds]\ngoal = 0.8\napart = "
         "0.1\n";
