--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -43,7 +43,7 @@
           faultRandom_(options.seed * 13 + 5),
           networkRandom_(options.seed * 17 + 9) {
         settings_.acceptorCount = options.acceptors;
-        settings_.disabledSafeguards = options.disabledSafeguard;
+        settings_.disabledSafeguards = options.disabledSafeguards;
         routers_.resize(static_cast<std::size_t>(options.routers));
         for (int index = 0; index < options.routers; ++index) {
             Router& router = routerAt(index);
@@ -70,8 +70,9 @@
         while (events_.next() <= end) events_.step(end);
         LeaseRunResult& result = result_;
         result.seconds = options_.seconds;
-        result.wall = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
-        result.without =
+        result.wallSeconds =
+            std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
+        result.unheldShare =
             sampleCount_ ? static_cast<double>(unheldSampleCount_) / static_cast<double>(sampleCount_) : 0;
         std::sort(takeoverTimes_.begin(), takeoverTimes_.end());
         const auto quantile = [this](double q) {
@@ -79,9 +80,9 @@
                                           : takeoverTimes_[static_cast<std::size_t>(
                                                 q * static_cast<double>(takeoverTimes_.size() - 1))];
         };
-        result.p50 = quantile(0.5);
-        result.p99 = quantile(0.99);
-        result.most = quantile(1);
+        result.takeoverP50 = quantile(0.5);
+        result.takeoverP99 = quantile(0.99);
+        result.maxTakeover = quantile(1);
         result.framesPerSecond = static_cast<double>(frameCount_) / options_.routers / options_.seconds;
         result.bytesPerFrame =
             frameCount_ ? static_cast<double>(messageCount_) * 29 / static_cast<double>(frameCount_) : 0;
@@ -185,15 +186,15 @@
     }
     void recordAct(Nanos now, int index, LeaseId lease, Fence fence, bool isLate) {
         Lease& state = leases_[lease];
-        if (isLate && fence < state.highestFence) return void(++result_.lateRefused);
+        if (isLate && fence < state.highestFence) return void(++result_.lateActsRejected);
         ++result_.acts;
         if (!isLate && state.lastActor != index && now < state.actUntil)
             recordViolation(result_.overlaps, now, index, lease, "two routers act at once");
         if (fence < state.highestFence)
-            recordViolation(result_.violations, now, index, lease, "the fencing token decreased");
+            recordViolation(result_.fenceViolations, now, index, lease, "the fencing token decreased");
         state.highestFence = std::max(state.highestFence, fence);
         if (state.lastActor != index) {
-            ++result_.changes;
+            ++result_.actorChanges;
             if (state.holderKilledAt)
                 takeoverTimes_.push_back(static_cast<double>(now - state.holderKilledAt) / 1e9);
         }
@@ -205,8 +206,8 @@
         digest_ = XXH3_64bits_withSeed(act, sizeof act, digest_);
     }
     void recordViolation(long& count, Nanos now, int index, LeaseId lease, const char* rule) {
-        if (count++ == 0 && result_.first.empty())
-            result_.first =
+        if (count++ == 0 && result_.firstViolation.empty())
+            result_.firstViolation =
                 fmt::format("{:.3f} s: lease {}: {}: router {}, after router {}",
                             static_cast<double>(now) / 1e9, lease, rule, index, leases_[lease].lastActor);
     }
@@ -315,7 +316,7 @@
         if (router.holder)
             for (const auto& [lease, rank] : candidates_[index])
                 if (router.holder->isHolding(localTimeOf(index, now), lease)) {
-                    ++result_.kills;
+                    ++result_.killedHolders;
                     if (!leases_[lease].holderKilledAt) leases_[lease].holderKilledAt = now;
                 }
         router.isUp = false;
--- a/src/testbed/drivers/simulated/lease_run.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -23,22 +23,23 @@
     // restart: the acceptors are killed in turn; they keep their disks and transfer no leases
     // holders: routers that are not acceptors are killed
     std::string faults = "all";
-    std::set<lease::Safeguard> disabledSafeguard;
+    std::set<lease::Safeguard> disabledSafeguards;
 };
 
 struct LeaseRunResult {
-    long overlaps = 0, violations = 0;  // overlapping acts; acts with a lower fencing token than one seen
-    long acts = 0, lateRefused = 0;
-    long changes = 0;                   // acts by another router than the act before
-    long kills = 0;                     // leases whose holder was killed
-    double without = 0;                 // share of the leases' time without a holder, from 2 s on
-    double p50 = 0, p99 = 0, most = 0;  // s, from the kill of a holder to the next act
-    double framesPerSecond = 0;         // sent per router; a frame carries all messages to one other router
+    // Overlapping acts; acts with a lower fencing token than one seen.
+    long overlaps = 0, fenceViolations = 0;
+    long acts = 0, lateActsRejected = 0;
+    long actorChanges = 0;   // acts by another router than the act before
+    long killedHolders = 0;  // leases whose holder was killed
+    double unheldShare = 0;  // share of the leases' time without a holder, from 2 s on
+    double takeoverP50 = 0, takeoverP99 = 0, maxTakeover = 0;  // s, from the kill of a holder to the next act
+    double framesPerSecond = 0;  // sent per router; a frame carries all messages to one other router
     double bytesPerFrame = 0;
     double cpuMicros = 0;  // CPU time of the process, per router and virtual second
-    double seconds = 0, wall = 0;
-    std::string digest;  // over all acts
-    std::string first;   // the first violation, as text
+    double seconds = 0, wallSeconds = 0;
+    std::string digest;          // over all acts
+    std::string firstViolation;  // as text
 };
 
 LeaseRunResult runSimulatedLeases(const LeaseRunOptions& options);
--- a/src/testbed/drivers/simulated/rollout_run.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -191,11 +191,12 @@
         result.stopped = result.rolledBack || controller_->outcome() == RolloutOutcome::rollbackIncomplete;
         result.stage = stoppedAt_ ? stoppedStage_ : controller_->stage();
         result.stages = controller_->stageCount();
-        result.most = controller_->maxChangedCount();
+        result.maxChangedCount = controller_->maxChangedCount();
         result.instances = controller_->instanceCount();
         const auto requests = static_cast<double>(fleet_.requestCount() - requestsBefore_);
-        result.harmed = requests > 0 ? static_cast<double>(fleet_.affectedRequestCount()) / requests : 0;
-        if (stoppedAt_) result.detectedAfter = static_cast<double>(stoppedAt_ - firstChangeAt_) / 1e9;
+        result.affectedShare =
+            requests > 0 ? static_cast<double>(fleet_.affectedRequestCount()) / requests : 0;
+        if (stoppedAt_) result.detectionSeconds = static_cast<double>(stoppedAt_ - firstChangeAt_) / 1e9;
         result.seconds = static_cast<double>(fleet_.time()) / 1e9;
         result.reason = controller_->reason();
         return result;
@@ -270,7 +271,7 @@
 
 }  // namespace
 
-RouterDefect::Kind defectNamed(const std::string& name) {
+RouterDefect::Kind parseRouterDefect(const std::string& name) {
     std::string knownNames;
     for (const auto& [knownName, kind] : defects()) {
         if (knownName == name) return kind;
@@ -291,7 +292,7 @@
         long requestsBefore = 0, requestsAfter = 0, affected = 0;
     } unstaged;
     runOptions.onStart = [&](SimulatedFleet& fleet) {
-        if (!options.unstaged) {
+        if (!options.isUnstaged) {
             coordinator = std::make_unique<SimulatedCoordinator>(options, fleet);
             return;
         }
@@ -304,9 +305,10 @@
             });
         fleet.schedule((25 + 3 * routersPerMachine + 60) * kSecond, [&](Nanos) {
             const auto requests = static_cast<double>(fleet.requestCount() - unstaged.requestsBefore);
-            result.harmed = static_cast<double>(fleet.affectedRequestCount()) / std::max(requests, 1.0);
+            result.affectedShare =
+                static_cast<double>(fleet.affectedRequestCount()) / std::max(requests, 1.0);
             result.completed = true;
-            result.most = result.instances = options.routers;
+            result.maxChangedCount = result.instances = options.routers;
             result.seconds = static_cast<double>(fleet.time()) / 1e9;
             fleet.finish();
         });
@@ -314,7 +316,7 @@
     runOptions.onEnd = [&] {
         if (coordinator) result = coordinator->currentResult();
     };
-    simulate(scenario, options.seed, eventLog, runOptions);
+    runSimulation(scenario, options.seed, eventLog, runOptions);
     return result;
 }
 
--- a/src/testbed/drivers/simulated/rollout_run.hpp
+++ b/src/testbed/drivers/simulated/rollout_run.hpp
@@ -15,24 +15,24 @@
     double maxSlowHarm = 0;  // threshold of the plan; 0: its default
     int routers = 300;
     int machines = 20;
-    bool unstaged = false;   // replaces all routers one after another, without comparing
-    bool isVerbose = false;  // prints comparisons and decisions on standard error
+    bool isUnstaged = false;  // replaces all routers one after another, without comparing
+    bool isVerbose = false;   // prints comparisons and decisions on standard error
 };
 
 struct RolloutRunResult {
     bool stopped = false, rolledBack = false, completed = false;
     int stage = 0, stages = 0;
-    int most = 0;  // instances that had the change at the same time, at most
+    int maxChangedCount = 0;  // instances that had the change at the same time, at most
     int instances = 0;
-    double harmed = 0;         // share of the requests since the rollout began that the defect affected
-    double detectedAfter = 0;  // s, from the first change to the stop
-    double seconds = 0;        // of the whole run
+    double affectedShare = 0;     // share of the requests since the rollout began that the defect affected
+    double detectionSeconds = 0;  // from the first change to the stop
+    double seconds = 0;           // of the whole run
     std::string reason;
 };
 
 RolloutRunResult runSimulatedRollout(const RolloutRunOptions& options);
 
 // Throws ScenarioError for an unknown name.
-RouterDefect::Kind defectNamed(const std::string& name);
+RouterDefect::Kind parseRouterDefect(const std::string& name);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -163,7 +163,7 @@
     bool hasMetrics() const { return static_cast<bool>(options_.onStart); }
     PolicySettings settingsFor(int router, std::uint64_t routerSeed) const {
         PolicySettings settings = policySettingsOf(deployment.scenario(), router, routerSeed);
-        if (options_.mistake) options_.mistake(settings);
+        if (options_.misconfigure) options_.misconfigure(settings);
         return settings;
     }
     void countAffectedRequest() { ++affectedRequestCount_; }
@@ -703,8 +703,8 @@
 
 }  // namespace
 
-SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
-                            const SimulatedRunOptions& options) {
+SimulatedRunResult runSimulation(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                                 const SimulatedRunOptions& options) {
     SimulatedRun run(scenario, seed, eventLog, options);
     const auto startedAt = std::chrono::steady_clock::now();
     run.execute(options.progress);
--- a/src/testbed/drivers/simulated/simulated_run.hpp
+++ b/src/testbed/drivers/simulated/simulated_run.hpp
@@ -54,10 +54,10 @@
     RouterDefect defect;
     // A known misconfiguration: changes the policy settings of every router, while the deployment and the
     // audit keep the right ones.
-    std::function<void(PolicySettings&)> mistake = {};
+    std::function<void(PolicySettings&)> misconfigure = {};
 };
 
-SimulatedRunResult simulate(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
-                            const SimulatedRunOptions& options = {});
+SimulatedRunResult runSimulation(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
+                                 const SimulatedRunOptions& options = {});
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -125,7 +125,7 @@
         EventLog eventLog(logPath(options));
         judge.follow(eventLog);
         const SimulatedRunResult result =
-            simulate(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
+            runSimulation(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
         judge.addFigure("sim_pace",
                         static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
     }
@@ -139,8 +139,8 @@
     fmt::print(
         "stopped={:d} stage={} harmed={:.6f} went={:d} undone={:d} most={} instances={} after_s={:.1f} "
         "length_s={:.1f}\n",
-        result.stopped, result.stage, result.harmed, result.completed, result.rolledBack, result.most,
-        result.instances, result.detectedAfter, result.seconds);
+        result.stopped, result.stage, result.affectedShare, result.completed, result.rolledBack,
+        result.maxChangedCount, result.instances, result.detectionSeconds, result.seconds);
     return kKept;
 }
 
@@ -150,11 +150,12 @@
         "overlaps={} fell={} changes={} acts={} late_refused={} kills={} without={:.6f} p50_s={:.3f} "
         "p99_s={:.3f} most_s={:.3f} frames_per_second={:.2f} bytes_per_frame={:.0f} cpu_us={:.1f} "
         "digest={} seconds={:.0f} wall_s={:.1f}\n",
-        result.overlaps, result.violations, result.changes, result.acts, result.lateRefused, result.kills,
-        result.without, result.p50, result.p99, result.most, result.framesPerSecond, result.bytesPerFrame,
-        result.cpuMicros, result.digest, result.seconds, result.wall);
-    const bool kept = result.overlaps == 0 && result.violations == 0;
-    fmt::print("verdict: {}\n", kept ? "kept" : "broken: " + result.first);
+        result.overlaps, result.fenceViolations, result.actorChanges, result.acts, result.lateActsRejected,
+        result.killedHolders, result.unheldShare, result.takeoverP50, result.takeoverP99, result.maxTakeover,
+        result.framesPerSecond, result.bytesPerFrame, result.cpuMicros, result.digest, result.seconds,
+        result.wallSeconds);
+    const bool kept = result.overlaps == 0 && result.fenceViolations == 0;
+    fmt::print("verdict: {}\n", kept ? "kept" : "broken: " + result.firstViolation);
     return kept ? kKept : kBroken;
 }
 
@@ -265,14 +266,14 @@
         ->check(CLI::Range(0.005, 0.5));
     rollCommand->add_option("--routers", roll.routers, "default: 300")->check(CLI::Range(4, 1000));
     rollCommand->add_option("--machines", roll.machines, "default: 20")->check(CLI::Range(1, 100));
-    rollCommand->add_flag("--unstaged", roll.unstaged,
+    rollCommand->add_flag("--unstaged", roll.isUnstaged,
                           "changes all routers one after another without judging the stages");
     rollCommand->add_flag("--tell", roll.isVerbose, "prints observations and decisions to standard error");
     auto* exploreCommand = app.add_subcommand(
         "explore", "model checker: all orders of events up to bounds, on the real decision code");
     ExplorationCommand exploration;
-    exploreCommand->add_option("what", exploration.what, "leases")->required();
-    exploreCommand->add_option("--without", exploration.without,
+    exploreCommand->add_option("what", exploration.model, "leases")->required();
+    exploreCommand->add_option("--without", exploration.disabledSafeguard,
                                "disables a safeguard; the run has to find a violation then");
     exploreCommand->add_option("--seconds", exploration.seconds, "default: 40")
         ->check(CLI::Range(1.0, 100'000.0));
@@ -401,11 +402,11 @@
         if (*faultRouterCommand) return serveProxy(BaselinePolicy::rendezvous, defect);
         if (*simCommand) return runSimulation(options);
         if (*rollCommand) {
-            roll.defect.kind = defectNamed(harm);
+            roll.defect.kind = parseRouterDefect(harm);
             return runRolloutCommand(roll);
         }
         if (*leasesCommand) {
-            if (!safeguard.empty()) leases.disabledSafeguard = {lease::parseSafeguard(safeguard)};
+            if (!safeguard.empty()) leases.disabledSafeguards = {lease::parseSafeguard(safeguard)};
             return runLeaseCommand(leases);
         }
         if (*slopesCommand) {
--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -16,17 +16,17 @@
                result.states, result.steps, result.walks, result.depth,
                result.isExhaustive ? " (complete)" : "", result.seconds,
                static_cast<double>(result.steps) / std::max(result.seconds, 1e-9));
-    if (result.broken.empty()) return true;
-    fmt::print("violation after {} steps{}:\n", result.run.size(),
+    if (result.violation.empty()) return true;
+    fmt::print("violation after {} steps{}:\n", result.violatingSteps.size(),
                result.isShortest ? " (shortest run)" : "");
     Model model = start;
     int stepNumber = 0;
-    for (const auto& step : result.run) {
+    for (const auto& step : result.violatingSteps) {
         fmt::print("  {:3}  {}\n", ++stepNumber, model.describe(step));
         model.apply(step);
     }
-    if (result.healed) fmt::print("       then all faults end, and all messages arrive\n");
-    fmt::print("verdict: broken: {}\n", result.broken);
+    if (result.isFoundAfterFaults) fmt::print("       then all faults end, and all messages arrive\n");
+    fmt::print("verdict: broken: {}\n", result.violation);
     return false;
 }
 
@@ -34,7 +34,8 @@
 // holder relies on it longest; then with random clocks.
 bool exploreLeases(const ExplorationCommand& command) {
     LeaseModelOptions modelOptions;
-    if (!command.without.empty()) modelOptions.without = {lease::parseSafeguard(command.without)};
+    if (!command.disabledSafeguard.empty())
+        modelOptions.disabledSafeguards = {lease::parseSafeguard(command.disabledSafeguard)};
     ExplorationOptions exploration;
     exploration.seed = command.seed;
     modelOptions.clocks = 0b00111;
@@ -69,7 +70,7 @@
     std::mt19937 random(static_cast<std::mt19937::result_type>(command.seed));
     constexpr int kMixedRuns = 6;
     exploration.seconds = command.seconds * 0.25 / kMixedRuns;
-    exploration.mostStates = 1;  // goes straight to the random runs
+    exploration.maxStatesPerDepth = 1;  // goes straight to the random runs
     exploration.walkLength = 200;
     modelOptions.holders = 3;
     modelOptions.diskLosses = modelOptions.crashes = modelOptions.releases = 3;
@@ -90,8 +91,8 @@
 }  // namespace
 
 bool explore(const ExplorationCommand& command) {
-    if (command.what == "leases") return exploreLeases(command);
-    throw std::runtime_error(fmt::format("unknown model '{}': expected leases", command.what));
+    if (command.model == "leases") return exploreLeases(command);
+    throw std::runtime_error(fmt::format("unknown model '{}': expected leases", command.model));
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/model_checker/command.hpp
+++ b/src/testbed/model_checker/command.hpp
@@ -7,8 +7,8 @@
 namespace poppyscale::testbed {
 
 struct ExplorationCommand {
-    std::string what;     // the model: leases
-    std::string without;  // the safeguard to disable; empty: none
+    std::string model;              // leases
+    std::string disabledSafeguard;  // empty: none
     double seconds = 40;
     std::uint64_t seed = 1;
 };
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -34,7 +34,7 @@
     settings.renewInterval = 500;
     settings.minBackoff = 2;
     settings.maxBackoff = 4;
-    settings.disabledSafeguards = options.without;
+    settings.disabledSafeguards = options.disabledSafeguards;
     return settings;
 }
 
@@ -400,7 +400,7 @@
 }
 
 // Ends all faults and delivers all messages; then some holder has to hold the lease and act.
-void LeaseModel::heal() {
+void LeaseModel::endFaults() {
     options_.ticks = tick_ + kRecoveryTicks;
     options_.deviations = -1;
     for (int p = acceptors(); p < processCount(); ++p) apply({StepKind::resume, p});
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -16,7 +16,7 @@
 namespace poppyscale::testbed {
 
 struct LeaseModelOptions {
-    std::set<lease::Safeguard> without;
+    std::set<lease::Safeguard> disabledSafeguards;
     int holders = 2;
     // How often each of these may happen in one run.
     int diskLosses = 1, crashes = 1, duplicates = 1, suspensions = 1, releases = 1, slowSyncs = 1;
@@ -60,11 +60,11 @@
 
     std::vector<Step> enabledSteps() const;
     bool apply(const Step& step);
-    const std::string& broken() const { return violation_; }
+    const std::string& violation() const { return violation_; }
     std::string image() const;
     std::string describe(const Step& step) const;
     Step randomStep(std::mt19937& random) const;
-    void heal();
+    void endFaults();
     // How often another holder acted than before.
     int actorChangeCount() const { return actorChangeCount_; }
 
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -9,11 +9,11 @@
 //   struct Step                              comparable, with the same meaning in every run
 //   std::vector<Step> enabledSteps() const   the steps that may happen next
 //   bool apply(const Step&)                  false, and without effect, if the step can't happen
-//   const std::string& broken() const        the violation; empty: none
+//   const std::string& violation() const     the violation; empty: none
 //   std::string image() const                all state that matters
 //   std::string describe(const Step&) const
 //   Step randomStep(std::mt19937&) const     one of enabledSteps(), in which rare events stay rare
-//   void heal()                              ends all faults; `broken` then names what does not recover
+//   void endFaults()                         ends all faults; `violation` then names what does not recover
 #pragma once
 
 #include <xxhash.h>
@@ -32,10 +32,10 @@
 struct ExplorationOptions {
     double seconds = 40;
     std::uint64_t seed = 1;
-    int walkLength = 120;              // steps of a random run
-    std::size_t mostStates = 400'000;  // at one depth, kept in memory: a few KB each
-    bool hasRandomWalks = true;        // after the breadth-first search
-    double breadthFirstShare = 0.5;    // of `seconds`
+    int walkLength = 120;                     // steps of a random run
+    std::size_t maxStatesPerDepth = 400'000;  // at one depth, kept in memory: a few KB each
+    bool hasRandomWalks = true;               // after the breadth-first search
+    double breadthFirstShare = 0.5;           // of `seconds`
 };
 
 template <class Model>
@@ -44,10 +44,10 @@
     int depth = 0;              // to which every order was explored
     bool isExhaustive = false;  // no state was left to explore
     double seconds = 0;
-    std::string broken;
-    std::vector<typename Model::Step> run;
-    bool isShortest = false;  // no shorter run leads to a violation
-    bool healed = false;      // the violation shows only after Model::heal()
+    std::string violation;
+    std::vector<typename Model::Step> violatingSteps;
+    bool isShortest = false;          // no shorter run leads to a violation
+    bool isFoundAfterFaults = false;  // the violation shows only after Model::endFaults()
 };
 
 template <class Model>
@@ -60,9 +60,9 @@
     ExplorationResult<Model> explore() {
         const auto startedAt = Clock::now();
         searchBreadthFirst(startedAt, options_.seconds * options_.breadthFirstShare);
-        if (options_.hasRandomWalks && result_.broken.empty() && !result_.isExhaustive)
+        if (options_.hasRandomWalks && result_.violation.empty() && !result_.isExhaustive)
             walkRandomly(startedAt, options_.seconds * 0.9);
-        if (!result_.broken.empty() && !result_.isShortest) shrinkRun(startedAt);
+        if (!result_.violation.empty() && !result_.isShortest) shrinkRun(startedAt);
         result_.seconds = secondsSince(startedAt);
         return std::move(result_);
     }
@@ -97,10 +97,10 @@
                     Model model = node.model;
                     if (!model.apply(step)) continue;
                     ++result_.steps;
-                    if (!model.broken().empty()) {
-                        result_.broken = model.broken();
-                        result_.run = node.run;
-                        result_.run.push_back(step);
+                    if (!model.violation().empty()) {
+                        result_.violation = model.violation();
+                        result_.violatingSteps = node.run;
+                        result_.violatingSteps.push_back(step);
                         result_.isShortest = true;
                         return;
                     }
@@ -110,7 +110,7 @@
                     run.push_back(step);
                     next.push_back({std::move(model), std::move(run)});
                 }
-                if (secondsSince(startedAt) > seconds || next.size() > options_.mostStates) return;
+                if (secondsSince(startedAt) > seconds || next.size() > options_.maxStatesPerDepth) return;
                 node.run = {};
             }
             result_.depth = depth;
@@ -125,58 +125,59 @@
             ++result_.walks;
             Model model = start_;
             std::vector<Step> run;
-            for (int i = 0; i < options_.walkLength && model.broken().empty(); ++i) {
+            for (int i = 0; i < options_.walkLength && model.violation().empty(); ++i) {
                 const Step step = model.randomStep(random);
                 if (!model.apply(step)) continue;
                 ++result_.steps;
                 run.push_back(step);
             }
-            result_.healed = model.broken().empty();
-            if (result_.healed) model.heal();
-            if (model.broken().empty()) continue;
-            result_.broken = model.broken();
-            result_.run = std::move(run);
+            result_.isFoundAfterFaults = model.violation().empty();
+            if (result_.isFoundAfterFaults) model.endFaults();
+            if (model.violation().empty()) continue;
+            result_.violation = model.violation();
+            result_.violatingSteps = std::move(run);
             return;
         }
     }
 
     // The violation of a run, which may be another one than before: any will do. `needed`: the steps of the
     // run that could happen.
-    std::string replay(const std::vector<Step>& run, std::vector<Step>& needed, bool& healed) const {
+    std::string replay(const std::vector<Step>& run, std::vector<Step>& needed,
+                       bool& isFoundAfterFaults) const {
         Model model = start_;
         needed.clear();
-        healed = false;
+        isFoundAfterFaults = false;
         for (const Step& step : run) {
             if (!model.apply(step)) continue;
             needed.push_back(step);
-            if (!model.broken().empty()) return model.broken();
+            if (!model.violation().empty()) return model.violation();
         }
-        healed = true;
-        model.heal();
-        return model.broken();
+        isFoundAfterFaults = true;
+        model.endFaults();
+        return model.violation();
     }
 
     void shrinkRun(Clock::time_point startedAt) {
         const double until = std::max(options_.seconds, secondsSince(startedAt) + 5);
-        for (std::size_t chunkSize = std::max<std::size_t>(result_.run.size() / 2, 1);
+        for (std::size_t chunkSize = std::max<std::size_t>(result_.violatingSteps.size() / 2, 1);
              secondsSince(startedAt) < until;) {
             bool isShortened = false;
             for (std::size_t position = 0;
-                 position < result_.run.size() && secondsSince(startedAt) < until;) {
-                auto without = result_.run;
+                 position < result_.violatingSteps.size() && secondsSince(startedAt) < until;) {
+                auto without = result_.violatingSteps;
                 const auto from = without.begin() + static_cast<std::ptrdiff_t>(position);
                 without.erase(
                     from, from + static_cast<std::ptrdiff_t>(std::min(chunkSize, without.size() - position)));
                 std::vector<Step> needed;
-                bool healed = false;
-                const std::string broken = replay(without, needed, healed);
-                if (broken.empty()) {
+                bool isFoundAfterFaults = false;
+                const std::string violation = replay(without, needed, isFoundAfterFaults);
+                if (violation.empty()) {
                     position += chunkSize;
                     continue;
                 }
-                result_.broken = broken;
-                result_.run = std::move(needed);
-                result_.healed = healed;
+                result_.violation = violation;
+                result_.violatingSteps = std::move(needed);
+                result_.isFoundAfterFaults = isFoundAfterFaults;
                 isShortened = true;
             }
             if (!isShortened && chunkSize == 1) return;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -190,28 +190,28 @@
 TEST_CASE("No explored order of events breaks the guarantee, and each disabled safeguard is detected") {
     const auto explore = [](std::set<Safeguard> without, double seconds) {
         testbed::LeaseModelOptions options;
-        options.without = std::move(without);
+        options.disabledSafeguards = std::move(without);
         options.clocks = 0b00111;
         testbed::ExplorationOptions exploration;
         exploration.seconds = seconds;
-        exploration.mostStates = 2'000;  // long runs find violations soonest
+        exploration.maxStatesPerDepth = 2'000;  // long runs find violations soonest
         return testbed::StateExplorer(testbed::LeaseModel(options), exploration).explore();
     };
     const auto complete = explore({}, 3);
-    CHECK_MESSAGE(complete.broken.empty(), complete.broken);
+    CHECK_MESSAGE(complete.violation.empty(), complete.violation);
     CHECK(complete.steps > 10'000);
     for (const auto& [name, safeguard] : safeguards()) {
         CAPTURE(name);
         const auto result = explore({safeguard}, 20);
-        CHECK(!result.broken.empty());
+        CHECK(!result.violation.empty());
         // Repeating the run that was found breaks the guarantee again.
         testbed::LeaseModelOptions options;
-        options.without = {safeguard};
+        options.disabledSafeguards = {safeguard};
         options.clocks = 0b00111;
         testbed::LeaseModel repeated(options);
-        for (const auto& action : result.run) repeated.apply(action);
-        if (result.healed) repeated.heal();
-        CHECK(repeated.broken() == result.broken);
+        for (const auto& action : result.violatingSteps) repeated.apply(action);
+        if (result.isFoundAfterFaults) repeated.endFaults();
+        CHECK(repeated.violation() == result.violation);
     }
 }
 
@@ -225,15 +225,15 @@
     options.leases = 300;
     const auto first = testbed::runSimulatedLeases(options);
     const auto second = testbed::runSimulatedLeases(options);
-    CHECK_MESSAGE(first.overlaps + first.violations == 0, first.first);
-    CHECK(first.changes > 300);
+    CHECK_MESSAGE(first.overlaps + first.fenceViolations == 0, first.firstViolation);
+    CHECK(first.actorChanges > 300);
     CHECK(first.digest == second.digest);
     options.faults = "none";
     const auto faultless = testbed::runSimulatedLeases(options);
-    CHECK(faultless.changes == 300);  // each lease is acquired once and stays with its holder
-    options.disabledSafeguard = {Safeguard::fence};
+    CHECK(faultless.actorChanges == 300);  // each lease is acquired once and stays with its holder
+    options.disabledSafeguards = {Safeguard::fence};
     // No lease changes its holder, so no fencing token can fall.
-    CHECK(testbed::runSimulatedLeases(options).violations == 0);
+    CHECK(testbed::runSimulatedLeases(options).fenceViolations == 0);
     options.faults = "all";
-    CHECK(testbed::runSimulatedLeases(options).violations > 0);
+    CHECK(testbed::runSimulatedLeases(options).fenceViolations > 0);
 }
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -49,7 +49,7 @@
     Verdict verdict;
     EventLog eventLog;
     verdict.follow(eventLog);
-    simulate(scenario, seed, eventLog);
+    runSimulation(scenario, seed, eventLog);
     return verdict.verdict();
 }
 
@@ -223,7 +223,7 @@
         const std::string path = folder / name;
         {
             EventLog eventLog(path);
-            simulate(scenario, seed, eventLog);
+            runSimulation(scenario, seed, eventLog);
         }
         std::string text = readFile(path);
         std::filesystem::remove(path);
@@ -481,12 +481,14 @@
         Verdict verdict;
         EventLog eventLog;
         verdict.follow(eventLog);
-        simulate(scenario, 1, eventLog, options);
+        runSimulation(scenario, 1, eventLog, options);
         return verdict.verdict();
     };
     CHECK(run({}).empty());
     SimulatedRunOptions wholeBudget;
-    wholeBudget.mistake = [](PolicySettings& settings) { settings.overloadMultiple *= settings.routerCount; };
+    wholeBudget.misconfigure = [](PolicySettings& settings) {
+        settings.overloadMultiple *= settings.routerCount;
+    };
     const auto violations = run(wholeBudget);
     for (const char* bound : {"bound-cold_load", "bound-cold_excess"})
         CHECK(std::find(violations.begin(), violations.end(), bound) != violations.end());
