--- a/src/testbed/drivers/live/baseline_proxy.cpp
+++ b/src/testbed/drivers/live/baseline_proxy.cpp
@@ -42,7 +42,7 @@
 constexpr Nanos kCrashAfter = 3'000 * kMillisecond;
 // After SIGTERM the proxy goes on accepting for this long, then ends once no request is open.
 constexpr Nanos kDrainTime = 480 * kMillisecond;
-// The defects `lost` and `foreign` affect one request in this many.
+// The defects `dropRequest` and `fabricateValue` affect one request in this many.
 constexpr std::uint32_t kRequestsPerDefect = 20;
 
 class BaselineProxy;
@@ -149,7 +149,7 @@
         int attempts = 0;
         bool mayHaveExecuted = false;
         bool toOrigin = false;
-        bool wasDuplicated = false;  // the defect `twice` has sent it again
+        bool wasDuplicated = false;  // the defect `duplicateRequest` has sent it again
         std::vector<ServerEntry*> triedServers;
     };
     ServerEntry* chooseServer(OpenRequest& open);
@@ -424,8 +424,9 @@
     double totalInFlight = 0;
     for (auto& [name, server] : servers_) {
         if (server.isOrigin && server.state == EndpointState::ready) origin = &server;
-        const bool isUsable = server.state == EndpointState::ready ||
-                              (defect_ == BaselineDefect::drain && server.state == EndpointState::draining);
+        const bool isUsable =
+            server.state == EndpointState::ready ||
+            (defect_ == BaselineDefect::preferDraining && server.state == EndpointState::draining);
         if (server.isOrigin || !isUsable) continue;
         if (std::find(open.triedServers.begin(), open.triedServers.end(), &server) != open.triedServers.end())
             continue;
@@ -434,11 +435,11 @@
     }
     if (open.request.isWrite || open.toOrigin) return origin;
     if (ready.empty()) return nullptr;
-    if (defect_ == BaselineDefect::cold)
+    if (defect_ == BaselineDefect::overloadColdCache)
         return *std::max_element(ready.begin(), ready.end(), [](const ServerEntry* a, const ServerEntry* b) {
             return a->startedMs < b->startedMs;
         });
-    if (defect_ == BaselineDefect::drain)
+    if (defect_ == BaselineDefect::preferDraining)
         for (ServerEntry* p : ready)
             if (p->state == EndpointState::draining) return p;
     if (policy_ == BaselinePolicy::random) return ready[random_() % ready.size()];
@@ -466,8 +467,8 @@
         if (requestClass.name == request.requestClass) open.idempotency = requestClass.idempotency;
     open.request = std::move(request);
     auto& stored = openRequests_[id] = std::move(open);
-    if (defect_ == BaselineDefect::lost && random_() % kRequestsPerDefect == 0) return;
-    if (defect_ == BaselineDefect::foreign && random_() % kRequestsPerDefect == 0)
+    if (defect_ == BaselineDefect::dropRequest && random_() % kRequestsPerDefect == 0) return;
+    if (defect_ == BaselineDefect::fabricateValue && random_() % kRequestsPerDefect == 0)
         return finish(id, protocol::bulk("made-up"));
     startAttempt(id, stored);
 }
@@ -492,7 +493,7 @@
     }
     ++server->inFlight;
     const Nanos forwardedTimeout =
-        defect_ == BaselineDefect::tellsWholeTime ? open.request.timeout : open.deadline - now;
+        defect_ == BaselineDefect::forwardsFullTimeout ? open.request.timeout : open.deadline - now;
     const bool isNew = !upstream->isConnected();
     upstream->send(id,
                    server->isOrigin ? protocol::originRequest(open.request, "origin", forwardedTimeout)
@@ -508,7 +509,7 @@
     if (outcome.outcome == AttemptOutcome::succeeded) {
         // Sent again although it is not idempotent, and only after it succeeded, so that no other
         // rule is broken.
-        if (defect_ == BaselineDefect::twice && open.idempotency == Idempotency::nonIdempotent &&
+        if (defect_ == BaselineDefect::duplicateRequest && open.idempotency == Idempotency::nonIdempotent &&
             !std::exchange(open.wasDuplicated, true)) {
             open.triedServers.clear();
             return startAttempt(id, open);
@@ -553,7 +554,7 @@
 
 }  // namespace
 
-int serveProxy(BaselinePolicy policy, BaselineDefect defect) {
+int runBaselineProxy(BaselinePolicy policy, BaselineDefect defect) {
     std::signal(SIGPIPE, SIG_IGN);
     BaselineProxy proxy(policy, defect);
     return proxy.run();
--- a/src/testbed/drivers/live/baseline_proxy.hpp
+++ b/src/testbed/drivers/live/baseline_proxy.hpp
@@ -15,17 +15,17 @@
 
 enum class BaselineDefect : std::uint8_t {
     none,
-    twice,          // sends a non-idempotent request again after it succeeded
-    lost,           // never answers one request in 20
-    foreign,        // answers one request in 20 with a value that no server returned
-    drain,          // prefers draining caches
-    cold,           // sends all reads to the cache that started last
-    crash,          // exits by itself after three seconds
-    tellsWholeTime  // forwards the client's whole timeout, however much of it has passed
+    duplicateRequest,    // sends a non-idempotent request again after it succeeded
+    dropRequest,         // never answers one request in 20
+    fabricateValue,      // answers one request in 20 with a value that no server returned
+    preferDraining,      // prefers draining caches
+    overloadColdCache,   // sends all reads to the cache that started last
+    crash,               // exits by itself after three seconds
+    forwardsFullTimeout  // forwards the client's whole timeout, however much of it has passed
 };
 
 // Serves until SIGTERM or SIGINT. Reads its configuration from the file named by $ROUTER_CONFIG, as
 // the router does. Returns the exit code.
-int serveProxy(BaselinePolicy policy, BaselineDefect defect);
+int runBaselineProxy(BaselinePolicy policy, BaselineDefect defect);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/http_request.cpp
+++ b/src/testbed/drivers/live/http_request.cpp
@@ -44,14 +44,14 @@
 void HttpRequestParser::clear() {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
-    for (auto* text : {&path_, &headerName_, &headerValue_, &id_, &info_}) text->clear();
+    for (auto* text : {&path_, &headerName_, &headerValue_, &requestId_, &infoList_}) text->clear();
     receivedBytes_ = 0;
     hasHeaderValue_ = isComplete_ = false;
 }
 
 void HttpRequestParser::onHeaderComplete() {
-    if (strcasecmp(headerName_.c_str(), "X-Call-Id") == 0) id_ = headerValue_;
-    if (strcasecmp(headerName_.c_str(), "X-Call-Info") == 0) info_ = headerValue_;
+    if (strcasecmp(headerName_.c_str(), "X-Call-Id") == 0) requestId_ = headerValue_;
+    if (strcasecmp(headerName_.c_str(), "X-Call-Info") == 0) infoList_ = headerValue_;
     headerName_.clear();
     headerValue_.clear();
     hasHeaderValue_ = false;
@@ -64,7 +64,7 @@
     return HTTP_PARSER_ERRNO(&parser_) == HPE_OK ? State::more : State::malformed;
 }
 
-std::string_view HttpRequestParser::query(std::string_view name) const {
+std::string_view HttpRequestParser::queryParameter(std::string_view name) const {
     std::string_view rest = path_;
     const auto queryStart = rest.find('?');
     rest.remove_prefix(queryStart == std::string_view::npos ? rest.size() : queryStart + 1);
@@ -77,7 +77,7 @@
     return {};
 }
 
-std::string httpAnswer(int status, std::string_view extra, std::string_view body) {
+std::string httpResponse(int status, std::string_view extra, std::string_view body) {
     return fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n\r\n{}", status,
                        status == 200 ? "OK" : "No", extra, body.size(), body);
 }
--- a/src/testbed/drivers/live/http_request.hpp
+++ b/src/testbed/drivers/live/http_request.hpp
@@ -19,12 +19,12 @@
     State feed(std::string_view& bytes);
     void clear();
 
-    bool write() const { return parser_.method == HTTP_PUT; }
+    bool isWrite() const { return parser_.method == HTTP_PUT; }
     const std::string& path() const { return path_; }
     // The value of a query parameter of the path; "" if it has none of that name.
-    std::string_view query(std::string_view name) const;
-    const std::string& id() const { return id_; }
-    const std::string& info() const { return info_; }
+    std::string_view queryParameter(std::string_view name) const;
+    const std::string& requestId() const { return requestId_; }
+    const std::string& infoList() const { return infoList_; }
 
   private:
     static HttpRequestParser& of(http_parser* parser) {
@@ -34,12 +34,12 @@
 
     http_parser_settings callbacks_{};
     http_parser parser_{};
-    std::string path_, headerName_, headerValue_, id_, info_;
+    std::string path_, headerName_, headerValue_, requestId_, infoList_;
     std::size_t receivedBytes_ = 0;
     bool hasHeaderValue_ = false;
     bool isComplete_ = false;
 };
 
-std::string httpAnswer(int status, std::string_view extra, std::string_view body);
+std::string httpResponse(int status, std::string_view extra, std::string_view body);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/interactive.cpp
+++ b/src/testbed/drivers/live/interactive.cpp
@@ -16,7 +16,7 @@
 
 namespace poppyscale::testbed {
 
-void serveByHand(const Scenario& scenario, const std::string& program) {
+void serveInteractive(const Scenario& scenario, const std::string& program) {
     EventLog eventLog;
     std::vector<std::string> names;
     eventLog.onEvent = [&](const LogEvent& event) {
@@ -32,7 +32,7 @@
     };
     LiveRunOptions options;
     options.program = program;
-    options.serve = [](const std::string& router) {
+    options.onRoutersReady = [](const std::string& router) {
         fmt::print(
             "Serving; the first router listens at {}. Try: poppyscale_testbed ask {} get plum\nCtrl-C stops "
             "it.\n",
@@ -42,8 +42,8 @@
     runLive(scenario, 1, eventLog, options);
 }
 
-std::string askByHand(const std::string& address, const std::vector<std::string>& words,
-                      const std::string& requestClass) {
+std::string sendInteractiveRequest(const std::string& address, const std::vector<std::string>& words,
+                                   const std::string& requestClass) {
     const auto to = transport::parseAddress(address);
     if (!to) throw RunError(address + " is not an address and port");
     const bool isWrite = words.size() == 3 && words[0] == "set";
--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -357,12 +357,12 @@
             if (state == HttpRequestParser::State::more) return;
             if (state == HttpRequestParser::State::malformed) return onClosed();
             ReceivedAttempt attempt;
-            attempt.requestId = parseRequestId(http_.id());
+            attempt.requestId = parseRequestId(http_.requestId());
             attempt.key = http_.path().substr(std::min<std::size_t>(http_.path().size(), 1));
-            attempt.requestClass = infoItem(http_.info(), "c");
-            attempt.idempotencyKey = infoItem(http_.info(), "k");
-            attempt.write = http_.write();
-            attempt.forwardedTimeoutMs = parseForwardedTimeout(http_.info());
+            attempt.requestClass = infoItem(http_.infoList(), "c");
+            attempt.idempotencyKey = infoItem(http_.infoList(), "k");
+            attempt.write = http_.isWrite();
+            attempt.forwardedTimeoutMs = parseForwardedTimeout(http_.infoList());
             attempt.maxReadDelay = maxArrivalDelay();
             http_.clear();
             live_.deployment.onAttemptReceived(at, id_, attempt);
@@ -400,9 +400,9 @@
     using K = Reply::Kind;
     std::string text;
     if (addressIndex_ == 0) {
-        if (reply.kind == K::value) text = httpAnswer(200, "", reply.token);
-        if (reply.kind == K::error || reply.kind == K::miss) text = httpAnswer(500, "", "");
-        if (reply.kind == K::busy) text = httpAnswer(503, "X-Rejected: 1\r\n", "");
+        if (reply.kind == K::value) text = httpResponse(200, "", reply.token);
+        if (reply.kind == K::error || reply.kind == K::miss) text = httpResponse(500, "", "");
+        if (reply.kind == K::busy) text = httpResponse(503, "X-Rejected: 1\r\n", "");
         if (reply.kind == K::malformed) text = "HTTQ/9.9 ???\r\n\r\n";
     } else {
         if (reply.kind == K::value)
@@ -437,14 +437,14 @@
     const auto state = http_.feed(bytes);
     if (state == HttpRequestParser::State::more) return;
     if (state == HttpRequestParser::State::malformed) return onClosed();
-    const auto after = protocol::parse<std::int64_t>(http_.query("after"));
-    const auto wait = protocol::parse<std::int64_t>(http_.query("wait_ms")).value_or(0);
+    const auto after = protocol::parse<std::int64_t>(http_.queryParameter("after"));
+    const auto wait = protocol::parse<std::int64_t>(http_.queryParameter("wait_ms")).value_or(0);
     http_.clear();
     pollId_ = live_.deployment.beginPoll(live_.now(), router_, after, wait * kMillisecond);
 }
 
 void DiscoveryConnection::respond(int status, const std::string& json) {
-    connection_.write(httpAnswer(status, "", json));
+    connection_.write(httpResponse(status, "", json));
 }
 
 void DiscoveryConnection::onClosed() {
@@ -760,7 +760,7 @@
     if (process || isEnding_ || machines_) return;
     writeConfiguration(router);
     std::string program = options_.program;
-    if (options_.operated) {
+    if (options_.acceptsOperatorFile) {
         const std::string file = fmt::format("{}/r{}.toml", folder_, router);
         std::ofstream(file) << fmt::format("[admin]\nsocket = \"{}\"\n", adminSocketPath(router));
         program += " --operator " + file;
@@ -789,7 +789,7 @@
             onClaim(-1, steadyTime(), "roll begins");
             machines_->startRollout();
         });
-    if (options_.serve) return options_.serve(formatAddress(addressOf(0, kRouterPort)));
+    if (options_.onRoutersReady) return options_.onRoutersReady(formatAddress(addressOf(0, kRouterPort)));
     windowEnd_ = now() + kLatenessWindow;
     // Tests wait for this line before they act on a running load. On a slow machine, files and
     // elapsed time would show the begin too early.
@@ -904,15 +904,17 @@
     MachinesOptions machineOptions;
     machineOptions.folder = std::filesystem::absolute(folder_).string();
     machineOptions.program = options_.program;
-    machineOptions.ctl = options_.ctl;
-    machineOptions.changedProgram = options_.changed;
-    if (machineOptions.ctl.empty())
-        machineOptions.ctl = (std::filesystem::path(options_.program).parent_path() / "poppyctl").string();
-    machineOptions.ctl = std::filesystem::absolute(machineOptions.ctl).string();
-    if (!std::filesystem::exists(machineOptions.ctl) || !std::filesystem::exists(machineOptions.program))
+    machineOptions.ctlProgram = options_.ctlProgram;
+    machineOptions.changedProgram = options_.changedProgram;
+    if (machineOptions.ctlProgram.empty())
+        machineOptions.ctlProgram =
+            (std::filesystem::path(options_.program).parent_path() / "poppyctl").string();
+    machineOptions.ctlProgram = std::filesystem::absolute(machineOptions.ctlProgram).string();
+    if (!std::filesystem::exists(machineOptions.ctlProgram) ||
+        !std::filesystem::exists(machineOptions.program))
         throw RunError(fmt::format(
             "a scenario with machines needs the programs {} and {}, and one of them does not exist",
-            machineOptions.program, machineOptions.ctl));
+            machineOptions.program, machineOptions.ctlProgram));
     machineOptions.operatorFile = operatorTemplateOf(scenario, servers, discovery, "");
     machineOptions.changedOperatorFile =
         operatorTemplateOf(scenario, servers, discovery, scenario.rollout.change);
@@ -950,7 +952,7 @@
 }
 
 void LiveRun::observeLateness(Nanos at) {
-    if (!hasBegun_ || isEnding_ || options_.serve) return;
+    if (!hasBegun_ || isEnding_ || options_.onRoutersReady) return;
     worstLateness_ =
         std::max(worstLateness_,
                  std::max<Nanos>(at - std::max(deployment.nextEventAt(), windowEnd_ - kLatenessWindow), 0));
@@ -964,7 +966,7 @@
     }
     const Nanos at = now();
     observeLateness(at);
-    if (hasBegun_ && !isEnding_ && !options_.serve && at >= windowEnd_) {
+    if (hasBegun_ && !isEnding_ && !options_.onRoutersReady && at >= windowEnd_) {
         eventLog_.add({at, EventKind::testbedLateness, 0, -1, -1, 0, worstLateness_, {}});
         // After a long delay of the testbed, one check covers several windows.
         const long windows = (at - windowEnd_) / kLatenessWindow + 1;
@@ -982,7 +984,7 @@
     if (hasBegun_ && !isEnding_ && machines_ && deployment.scenario().rollout.isEnabled && !isRolloutOver_ &&
         at < deployment.scenario().length + kMaxRolloutOvertime)
         deployment.setLoadEnd(std::max(at + kSecond, deployment.scenario().length));
-    if (hasBegun_ && !isEnding_ && !options_.serve && deployment.hasEnded(at)) return endRun();
+    if (hasBegun_ && !isEnding_ && !options_.onRoutersReady && deployment.hasEnded(at)) return endRun();
     stepTimer_.start(
         std::min(deployment.nextEventAt(), at + (machines_ ? 5 * kMillisecond : kLatenessWindow)) +
         startedAt_);
@@ -1004,7 +1006,7 @@
 LiveResult LiveRun::run() {
     childSignal_ = std::make_unique<transport::Signal>(loop, SIGCHLD, [this] { onChildrenExited(); });
     const auto interrupted = [this] {
-        result_.interrupted = true;
+        result_.wasInterrupted = true;
         endRun();
     };
     interruptSignal_ = std::make_unique<transport::Signal>(loop, SIGINT, interrupted);
@@ -1018,7 +1020,7 @@
     loop.run();
     if (!failure_.empty()) throw RunError(failure_);
     if (processFaults_) result_.processFaults = processFaults_->counts();
-    result_.latePart =
+    result_.lateShare =
         totalWindows_ ? static_cast<double>(lateWindows_) / static_cast<double>(totalWindows_) : 0;
     return result_;
 }
--- a/src/testbed/drivers/live/live_run.hpp
+++ b/src/testbed/drivers/live/live_run.hpp
@@ -18,25 +18,25 @@
 };
 
 struct LiveResult {
-    double latePart = 0;    // share of tenths of a second in which the testbed was over 20 ms late
+    double lateShare = 0;   // share of tenths of a second in which the testbed was over 20 ms late
     double cpuSeconds = 0;  // of all routers that run at the end, in sum
     double memoryMb = 0;    // of the router that uses the most at the end
     int upgrades = 0;       // successful hot restarts
     int upgradesFailed = 0;
-    bool interrupted = false;
+    bool wasInterrupted = false;
     std::map<std::string, std::uint64_t> processFaults;  // occurrences of each fault
 };
 
 struct LiveRunOptions {
     std::string program = "build/poppyscale";
-    std::string ctl;  // path of poppyctl, which machines need; beside `program` if empty
+    std::string ctlProgram;  // path of poppyctl, which machines need; beside `program` if empty
     // The program that a rollout of the change `same` installs; a copy of `program` if empty.
-    std::string changed;
-    bool operated = false;  // the program accepts --operator, so that it can be told to upgrade
-    std::string folder;     // for configurations and the routers' logs; a temporary one if empty
+    std::string changedProgram;
+    bool acceptsOperatorFile = false;  // the program accepts --operator, so that it can be told to upgrade
+    std::string folder;                // for configurations and the routers' logs; a temporary one if empty
     // If set, the run has no load and lasts until interrupted (`poppyscale_testbed serve`). Called
     // once all routers are up.
-    std::function<void(const std::string& firstRouter)> serve;
+    std::function<void(const std::string& firstRouter)> onRoutersReady;
     std::function<void(Nanos)> progress;  // called about once a second of the run
 };
 
--- a/src/testbed/drivers/live/machines.cpp
+++ b/src/testbed/drivers/live/machines.cpp
@@ -65,7 +65,7 @@
     return all;
 }
 
-int guarded(const std::function<int()>& run) {
+int runInSupervisedChild(const std::function<int()>& run) {
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
     const pid_t supervisor = ::getpid();
     const pid_t child = ::fork();
@@ -195,8 +195,8 @@
     if (state.hostEnvironment)
         for (auto& variable : state.hostEnvironment->variables()) variables.push_back(std::move(variable));
     state.agent =
-        std::make_unique<ChildProcess>(fmt::format("{} fleet {}", options_.ctl, state.agentConfig), variables,
-                                       fmt::format("{}/m{}.log", options_.folder, machine));
+        std::make_unique<ChildProcess>(fmt::format("{} fleet {}", options_.ctlProgram, state.agentConfig),
+                                       variables, fmt::format("{}/m{}.log", options_.folder, machine));
 }
 
 std::string Machines::prepareChange() {
@@ -247,9 +247,10 @@
     std::vector<std::pair<std::string, std::string>> variables;
     if (machine >= 0 && machines_[static_cast<std::size_t>(machine)].hostEnvironment)
         variables = machines_[static_cast<std::size_t>(machine)].hostEnvironment->variables();
-    coordinators_.push_back({std::make_unique<ChildProcess>(fmt::format("{} roll {}", options_.ctl, file),
-                                                            variables, options_.folder + "/coordinator.log"),
-                             machine});
+    coordinators_.push_back(
+        {std::make_unique<ChildProcess>(fmt::format("{} roll {}", options_.ctlProgram, file), variables,
+                                        options_.folder + "/coordinator.log"),
+         machine});
 }
 
 std::string Machines::coordinatorOutcome() const {
--- a/src/testbed/drivers/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -33,8 +33,8 @@
 
 struct MachinesOptions {
     std::string folder;
-    std::string program;  // command line of the routers
-    std::string ctl;      // path of poppyctl
+    std::string program;     // command line of the routers
+    std::string ctlProgram;  // path of poppyctl
     // The program that a rollout of the change `same` installs; a copy of `program` if empty.
     std::string changedProgram;
     std::string operatorFile;         // contents of the operator's file for the routers
@@ -134,6 +134,6 @@
 
 // Calls `run` in a child process and, however the child ends, kills all processes that it leaves
 // behind. Returns the child's exit code, or 1 if a signal ended it.
-int guarded(const std::function<int()>& run);
+int runInSupervisedChild(const std::function<int()>& run);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -44,7 +44,7 @@
 constexpr int kUsage = 2;
 constexpr int kLate = 3;
 constexpr const char* kDefaultProgram = "build/poppyscale";
-constexpr double kMaxLatePart = 0.05;  // share of a run's tenths of a second; above it the run is void
+constexpr double kMaxLateShare = 0.05;  // share of a run's tenths of a second; above it the run is void
 
 struct Options {
     std::string file;
@@ -53,8 +53,8 @@
     int routers = 0;
     std::string out;
     std::string program;
-    std::string ctl, changed;
-    bool operated = false;
+    std::string ctlProgram, changedProgram;
+    bool acceptsOperatorFile = false;
 };
 
 Scenario scenarioFor(const Options& options) {
@@ -94,25 +94,25 @@
         judge.follow(eventLog);
         LiveRunOptions live;
         live.program = options.program;
-        live.operated = options.operated;
-        live.ctl = options.ctl;
-        live.changed = options.changed;
+        live.acceptsOperatorFile = options.acceptsOperatorFile;
+        live.ctlProgram = options.ctlProgram;
+        live.changedProgram = options.changedProgram;
         if (!options.out.empty()) live.folder = options.out;
         live.progress = progressPrinter(scenario);
         result = runLive(scenario, options.seed, eventLog, live);
     }
-    if (options.operated) {
+    if (options.acceptsOperatorFile) {
         judge.addFigure("upgrades", result.upgrades);
         judge.addFigure("upgrades_failed", result.upgradesFailed);
     }
-    judge.addFigure("late_part", result.latePart);
+    judge.addFigure("late_part", result.lateShare);
     judge.addFigure("cpu_s", result.cpuSeconds);
     judge.addFigure("memory_mb", result.memoryMb);
     const bool kept = judge.writeReport(options.out);
-    if (result.interrupted) return kBroken;
-    if (result.latePart > kMaxLatePart) {
+    if (result.wasInterrupted) return kBroken;
+    if (result.lateShare > kMaxLateShare) {
         fmt::print(stderr, "the testbed was late in {:.0f}% of all tenths of a second: this run is void\n",
-                   100 * result.latePart);
+                   100 * result.lateShare);
         return kLate;
     }
     return kept ? kKept : kBroken;
@@ -189,11 +189,12 @@
         app.add_subcommand("run", "runs a scenario with real router processes over loopback sockets"));
     runCommand->add_option("--program", options.program,
                            "the router's command line; default: build/poppyscale");
-    runCommand->add_option("--changed", options.changed,
+    runCommand->add_option("--changed", options.changedProgram,
                            "the program to which a rollout of change `same` goes");
-    runCommand->add_option("--ctl", options.ctl,
+    runCommand->add_option("--ctl", options.ctlProgram,
                            "path of poppyctl, for scenarios with machines; default: beside the program");
-    runCommand->add_flag("--operated", options.operated, "the program takes --operator and can be upgraded");
+    runCommand->add_flag("--operated", options.acceptsOperatorFile,
+                         "the program takes --operator and can be upgraded");
     auto* simCommand = addScenarioOptions(app.add_subcommand(
         "sim", "runs a scenario with the routing policy in virtual time, without sockets"));
     auto* proxyCommand =
@@ -212,15 +213,15 @@
     faultRouterCommand
         ->add_option("rule", defect, "twice, lost, foreign, drain, cold, crash, tells-whole-time, or none")
         ->required()
-        ->transform(CLI::Transformer(
-            std::map<std::string, BaselineDefect>{{"none", BaselineDefect::none},
-                                                  {"twice", BaselineDefect::twice},
-                                                  {"lost", BaselineDefect::lost},
-                                                  {"foreign", BaselineDefect::foreign},
-                                                  {"drain", BaselineDefect::drain},
-                                                  {"cold", BaselineDefect::cold},
-                                                  {"crash", BaselineDefect::crash},
-                                                  {"tells-whole-time", BaselineDefect::tellsWholeTime}}));
+        ->transform(CLI::Transformer(std::map<std::string, BaselineDefect>{
+            {"none", BaselineDefect::none},
+            {"twice", BaselineDefect::duplicateRequest},
+            {"lost", BaselineDefect::dropRequest},
+            {"foreign", BaselineDefect::fabricateValue},
+            {"drain", BaselineDefect::preferDraining},
+            {"cold", BaselineDefect::overloadColdCache},
+            {"crash", BaselineDefect::crash},
+            {"tells-whole-time", BaselineDefect::forwardsFullTimeout}}));
     auto* compareCommand = app.add_subcommand("compare", "runs two routers on the same seeds in turn");
     ComparisonOptions comparison;
     std::vector<std::string> scenarioFiles;
@@ -389,17 +390,19 @@
         if (options.program.empty()) options.program = kDefaultProgram;
         if (*runCommand) {
             const bool machines = scenarioFor(options).machines.count > 0;
-            return machines ? guarded([&] { return runLiveScenario(options); }) : runLiveScenario(options);
+            return machines ? runInSupervisedChild([&] { return runLiveScenario(options); })
+                            : runLiveScenario(options);
         }
         if (*costCommand) return cost(scenarioFor(options), options.seed, options.program, argv[0]), kKept;
         if (*serveCommand) {
             if (options.file.empty()) options.file = "scenarios/calm.toml";
             options.routers = std::max(options.routers, 1);
-            return serveByHand(scenarioFor(options), options.program), kKept;
+            return serveInteractive(scenarioFor(options), options.program), kKept;
         }
-        if (*askCommand) return fmt::print("{}\n", askByHand(address, words, requestClass)), kKept;
-        if (*proxyCommand) return serveProxy(policy, BaselineDefect::none);
-        if (*faultRouterCommand) return serveProxy(BaselinePolicy::rendezvous, defect);
+        if (*askCommand)
+            return fmt::print("{}\n", sendInteractiveRequest(address, words, requestClass)), kKept;
+        if (*proxyCommand) return runBaselineProxy(policy, BaselineDefect::none);
+        if (*faultRouterCommand) return runBaselineProxy(BaselinePolicy::rendezvous, defect);
         if (*simCommand) return runSimulation(options);
         if (*rollCommand) {
             roll.defect.kind = parseRouterDefect(harm);
--- a/src/testbed/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxPairs = 20;  // chanceOf() goes through 2^kMaxPairs sign patterns
 // A run in which the testbed itself was late too often is repeated.
 constexpr int kMaxTries = 2;
-constexpr double kMaxLatePart = 0.05;  // share of a run's tenths of a second
+constexpr double kMaxLateShare = 0.05;  // share of a run's tenths of a second
 
 double median(std::vector<double> all) {
     if (all.empty()) return 0;
@@ -62,13 +62,13 @@
         LiveRunOptions options;
         options.program = program;
         const LiveResult result = runLive(scenario, seed, eventLog, options);
-        if (result.interrupted) throw RunError("interrupted");
+        if (result.wasInterrupted) throw RunError("interrupted");
         RunResult runResult;
         runResult.broken = judge.verdict();
         runResult.figures = judge.figures().finish();
         runResult.figures.emplace_back("cpu_us",
                                        result.cpuSeconds * 1e6 / std::max(runResult.of("asked"), 1.0));
-        runResult.isLate = result.latePart > kMaxLatePart;
+        runResult.isLate = result.lateShare > kMaxLateShare;
         if (!runResult.isLate || tries >= kMaxTries) return runResult;
     }
 }
--- a/src/testbed/scale/discovery.cpp
+++ b/src/testbed/scale/discovery.cpp
@@ -213,8 +213,8 @@
 }
 
 void PollConnection::onRequest() {
-    after_ = parseNumber<std::int64_t>(parser_.query("after"), 0);
-    const Nanos wait = parseNumber<std::int64_t>(parser_.query("wait_ms"), 0) * kMillisecond;
+    after_ = parseNumber<std::int64_t>(parser_.queryParameter("after"), 0);
+    const Nanos wait = parseNumber<std::int64_t>(parser_.queryParameter("wait_ms"), 0) * kMillisecond;
     parser_.clear();
     discovery_.countPoll(realRouter_, after_);
     if (after_ != discovery_.version() || wait == 0) return respond();
@@ -247,7 +247,7 @@
 void PollConnection::sendResponse() {
     timer_.stop();
     state_ = State::reading;
-    const std::string text = httpAnswer(200, "Content-Type: application/json\r\n", body_);
+    const std::string text = httpResponse(200, "Content-Type: application/json\r\n", body_);
     body_ = {};
     discovery_.countResponse(realRouter_, text.size());
     if (!connection_.write(text)) close();
--- a/src/testbed/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -18,7 +18,7 @@
 constexpr int kKept = 0;
 constexpr int kBroken = 1;
 constexpr int kVoid = 3;
-constexpr double kMaxLatePart = 0.05;  // share of a day's tenths of a second; above it the day is void
+constexpr double kMaxLateShare = 0.05;  // share of a day's tenths of a second; above it the day is void
 // Begins a line of a router's log about a violated invariant of the router.
 constexpr std::string_view kViolationPrefix = "invariant violated: ";
 
@@ -66,7 +66,7 @@
         live.folder = folder;
         result = runLive(day, seed, eventLog, live);
     }
-    judge.addFigure("late_part", result.latePart);
+    judge.addFigure("late_part", result.lateShare);
     fmt::print("seed {}: faults{}\nseed {}: happened", seed, faultCounts(day), seed);
     for (const auto& [name, count] : result.processFaults) fmt::print(" {}={}", name, count);
     fmt::print("\n");
@@ -76,7 +76,7 @@
         dayResult.kept = false;
         fmt::print("{}\n", line);
     }
-    dayResult.late = result.latePart > kMaxLatePart;
+    dayResult.late = result.lateShare > kMaxLateShare;
     return dayResult;
 }
 
