--- a/src/testbed/audit/audit.cpp
+++ b/src/testbed/audit/audit.cpp
@@ -181,7 +181,7 @@
             break;
         }
         case EventKind::serverOverloaded:
-            onServerFell(entry);
+            onServerOverloaded(entry);
             break;
         case EventKind::killed:
             downSince_[entry.router] = entry.at;
@@ -354,7 +354,7 @@
         clockFaults_.back().to = entry.at;
 }
 
-void Audit::onServerFell(const LogEvent& entry) {
+void Audit::onServerOverloaded(const LogEvent& entry) {
     Server& server = servers_.at(static_cast<std::size_t>(entry.server));
     double totalWork = 0, countedWork = 0;
     for (const auto& attempt : server.recentAttempts) {
--- a/src/testbed/audit/audit.hpp
+++ b/src/testbed/audit/audit.hpp
@@ -82,7 +82,7 @@
     void noteClockFault(const LogEvent& entry);
     void onAnswered(const LogEvent& entry);
     void onRejected(const LogEvent& entry);
-    void onServerFell(const LogEvent& entry);
+    void onServerOverloaded(const LogEvent& entry);
     Attempt* attemptOf(const LogEvent& entry);
     Request* requestOf(const LogEvent& entry);
     void onFinalResponse(const LogEvent& entry, Request& request);
--- a/src/testbed/audit/slow_start_load.cpp
+++ b/src/testbed/audit/slow_start_load.cpp
@@ -28,7 +28,7 @@
     return windowsJudged_ > 0 ? ratioSum_ / static_cast<double>(windowsJudged_) : 0;
 }
 
-double SlowStartLoad::untoldShare() const {
+double SlowStartLoad::shareBeforeNotification() const {
     const auto all = static_cast<double>(windowsJudged_ + attemptsBeforeNotification_);
     return all > 0 ? static_cast<double>(attemptsBeforeNotification_) / all : 0;
 }
@@ -69,7 +69,7 @@
         server.recentWork = 0;
         coldStarts_ += !server.origin;
     } else if (entry.kind == EventKind::serverOverloaded) {
-        falls_ += isCold(servers_.at(static_cast<std::size_t>(entry.server)), entry.at);
+        overloadStops_ += isCold(servers_.at(static_cast<std::size_t>(entry.server)), entry.at);
     } else if (entry.kind == EventKind::attemptSent) {
         onAttemptSent(entry, servers_.at(static_cast<std::size_t>(entry.server)));
     }
--- a/src/testbed/audit/slow_start_load.hpp
+++ b/src/testbed/audit/slow_start_load.hpp
@@ -30,16 +30,16 @@
         // How far `sent` is above N, in units of 2 * sqrt(N) + 2, which chance may add; negative below N.
         double excess() const;
     };
-    int servers() const { return coldStarts_; }         // cold starts of cache servers
-    int falls() const { return falls_; }                // overload stops of cold cache servers
-    const Window& largest() const { return largest_; }  // the window with the largest sent / allowed
-    double largestRatio() const;                        // sent / allowed of that window
+    int coldStarts() const { return coldStarts_; }        // cold starts of cache servers
+    int overloadStops() const { return overloadStops_; }  // overload stops of cold cache servers
+    const Window& largest() const { return largest_; }    // the window with the largest sent / allowed
+    double largestRatio() const;                          // sent / allowed of that window
     double largestExcess() const { return windowsJudged_ > 0 ? largestExcess_ : 0; }  // over all windows
     double meanRatio() const;  // mean of sent / allowed over all windows
     // Share of the attempts at cold cache servers that came from routers which had not been told of the start
     // yet, as when a new server has the address of an old one. No slow start can limit these, so they count
     // in no window.
-    double untoldShare() const;
+    double shareBeforeNotification() const;
 
   private:
     struct Attempt {
@@ -66,7 +66,7 @@
     std::vector<Server> servers_;
     std::map<std::pair<int, int>, Nanos> knownStarts_;  // by (router, server): the start it was told of
     double totalAttempts_ = 0, totalWork_ = 0;          // of all cache servers
-    int coldStarts_ = 0, falls_ = 0;
+    int coldStarts_ = 0, overloadStops_ = 0;
     Window largest_;
     double largestExcess_ = 0, ratioSum_ = 0;
     std::int64_t windowsJudged_ = 0, attemptsBeforeNotification_ = 0;
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -91,7 +91,7 @@
     LiveResult result;
     {
         EventLog eventLog(logPath(options));
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
         live.acceptsOperatorFile = options.acceptsOperatorFile;
@@ -123,7 +123,7 @@
     Verdict judge;
     {
         EventLog eventLog(logPath(options));
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         const SimulatedRunResult result =
             runSimulation(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
         judge.addFigure("sim_pace",
--- a/src/testbed/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -34,13 +34,13 @@
 
 }  // namespace
 
-double RunResult::of(const std::string& name) const {
+double RunResult::valueOf(const std::string& name) const {
     for (const auto& [n, value] : figures)
         if (n == name) return value;
     throw ScenarioError("unknown figure '" + name + "'");
 }
 
-double chanceOf(const std::vector<double>& differences) {
+double permutationPValue(const std::vector<double>& differences) {
     const std::size_t n = std::min(differences.size(), kMaxPairs);
     double observedSum = 0;
     for (std::size_t i = 0; i < n; ++i) observedSum += differences[i];
@@ -58,16 +58,16 @@
     for (int tries = 1;; ++tries) {
         Verdict judge(kLiveTolerance);
         EventLog eventLog;
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         LiveRunOptions options;
         options.program = program;
         const LiveResult result = runLive(scenario, seed, eventLog, options);
         if (result.wasInterrupted) throw RunError("interrupted");
         RunResult runResult;
-        runResult.broken = judge.verdict();
+        runResult.brokenRules = judge.brokenRules();
         runResult.figures = judge.figures().finish();
         runResult.figures.emplace_back("cpu_us",
-                                       result.cpuSeconds * 1e6 / std::max(runResult.of("asked"), 1.0));
+                                       result.cpuSeconds * 1e6 / std::max(runResult.valueOf("asked"), 1.0));
         runResult.isLate = result.lateShare > kMaxLateShare;
         if (!runResult.isLate || tries >= kMaxTries) return runResult;
     }
@@ -97,7 +97,7 @@
                    "spread b");
         const auto column = [](const std::vector<RunResult>& runs, const std::string& name) {
             std::vector<double> all;
-            for (const RunResult& run : runs) all.push_back(run.of(name));
+            for (const RunResult& run : runs) all.push_back(run.valueOf(name));
             return all;
         };
         for (const char* name : {"utility", "goal", "answered", "declined", "terminated", "p50_ms", "p99_ms",
@@ -105,12 +105,12 @@
             fmt::print("  {:<14}{:>10.4g}{:>10.4g}{:>10.2g}{:>10.2g}\n", name, median(column(a, name)),
                        median(column(b, name)), spread(column(a, name)), spread(column(b, name)));
         int brokenA = 0, brokenB = 0;
-        for (const RunResult& run : a) brokenA += !run.broken.empty();
-        for (const RunResult& run : b) brokenB += !run.broken.empty();
+        for (const RunResult& run : a) brokenA += !run.brokenRules.empty();
+        for (const RunResult& run : b) brokenB += !run.brokenRules.empty();
         std::vector<double> differences;
         const auto left = column(a, options.figure), right = column(b, options.figure);
         for (std::size_t i = 0; i < left.size(); ++i) differences.push_back(right[i] - left[i]);
-        const double pValue = chanceOf(differences);
+        const double pValue = permutationPValue(differences);
         const bool differs = pValue < level;
         isSame &= !differs;
         fmt::print("  not kept       {:>10}{:>10}\n  {}: b - a = {:+.4f}, p-value {:.3f}: {}{}\n", brokenA,
@@ -126,9 +126,10 @@
           const std::string& testbedProgram) {
     const RunResult router = runOnce(scenario, seed, program);
     const RunResult proxy = runOnce(scenario, seed, testbedProgram + " proxy --policy pass-through");
-    const double ratio = router.of("cpu_us") / std::max(proxy.of("cpu_us"), 1e-9);
+    const double ratio = router.valueOf("cpu_us") / std::max(proxy.valueOf("cpu_us"), 1e-9);
     fmt::print("router_us={:.1f} proxy_us={:.1f} ratio={:.3f} router_relays={:.3f} proxy_relays={:.3f}\n",
-               router.of("cpu_us"), proxy.of("cpu_us"), ratio, router.of("relays"), proxy.of("relays"));
+               router.valueOf("cpu_us"), proxy.valueOf("cpu_us"), ratio, router.valueOf("relays"),
+               proxy.valueOf("relays"));
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/report/experiment.hpp
+++ b/src/testbed/report/experiment.hpp
@@ -10,13 +10,13 @@
 
 // The p-value of a paired permutation test over all 2^n sign patterns: how likely the sum of the differences
 // is at least this far from 0 if the pairs differ by chance only.
-double chanceOf(const std::vector<double>& differences);
+double permutationPValue(const std::vector<double>& differences);
 
 struct RunResult {
-    std::vector<std::string> broken;
+    std::vector<std::string> brokenRules;
     std::vector<std::pair<std::string, double>> figures;
     bool isLate = false;
-    double of(const std::string& name) const;
+    double valueOf(const std::string& name) const;
 };
 RunResult runOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program);
 
--- a/src/testbed/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -57,11 +57,13 @@
             const auto requestClass =
                 std::find(requestClassNames_.begin(), requestClassNames_.end(), wordAt(entry.text, 0));
             const auto index = static_cast<int>(requestClass - requestClassNames_.begin());
-            const bool isMoved = entry.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
-            requests_[first] = {index, static_cast<Nanos>(entry.attemptId), true, hasRolloutBegun_, isMoved};
+            const bool isLoadWeighted =
+                entry.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
+            requests_[first] = {index, static_cast<Nanos>(entry.attemptId), true, hasRolloutBegun_,
+                                isLoadWeighted};
             askedInRollout_ += hasRolloutBegun_;
             exposed_ += hasRolloutBegun_ && runsChange_[entry.router];
-            ++askedByMoved_[isMoved];
+            ++askedByLoadWeighted_[isLoadWeighted];
             ++asked_;
             ++askedByClass_.at(static_cast<std::size_t>(index));
             maxUtility_ += head_["verbs"][static_cast<std::size_t>(index)]["utility"].get<double>();
@@ -76,7 +78,7 @@
                 ++answered_;
                 inGoal_ += isInGoal;
                 inGoalInRollout_ += isInGoal && request->isDuringRollout;
-                inGoalByMoved_[request->isMoved] += isInGoal;
+                inGoalByLoadWeighted_[request->isLoadWeighted] += isInGoal;
                 inGoalByClass_[static_cast<std::size_t>(request->requestClass)] += isInGoal;
                 utility_ += requestClass["utility"].get<double>() *
                             (isInGoal ? 1 : requestClass["late"].get<double>());
@@ -87,18 +89,18 @@
             }
             break;
         case EventKind::rejected:
-            ++declined_;
-            ++second(entry.at).declined;
+            ++rejected_;
+            ++second(entry.at).rejected;
             break;
         case EventKind::failed:
-            ++terminated_;
-            ++second(entry.at).terminated;
+            ++failed_;
+            ++second(entry.at).failed;
             break;
         case EventKind::unsent:
             ++unsent_;
             break;
         case EventKind::unanswered:
-            ++silent_;
+            ++unanswered_;
             break;
         case EventKind::clientDisconnected:
             if (forwarded_.contains(entry.requestId)) break;
@@ -161,10 +163,10 @@
         {"goal", share(static_cast<double>(inGoal_), static_cast<double>(asked_))},
         {"answered", share(static_cast<double>(answered_), static_cast<double>(asked_))},
         {"utility", share(utility_, maxUtility_)},
-        {"declined", share(static_cast<double>(declined_), static_cast<double>(tries_))},
-        {"terminated", share(static_cast<double>(terminated_), static_cast<double>(tries_))},
+        {"declined", share(static_cast<double>(rejected_), static_cast<double>(tries_))},
+        {"terminated", share(static_cast<double>(failed_), static_cast<double>(tries_))},
         {"unsent", unsent_},
-        {"silent", silent_},
+        {"silent", unanswered_},
         {"p50_ms", times_.quantileMs(0.5)},
         {"p99_ms", times_.quantileMs(0.99)},
         {"p999_ms", times_.quantileMs(0.999)},
@@ -183,21 +185,23 @@
         figures_.emplace_back("sent_on",
                               share(static_cast<double>(sentOn_), static_cast<double>(leftWaiting_)));
     }
-    if (askedByMoved_[0] > 0 && askedByMoved_[1] > 0) {
-        const auto of = [&](int isMoved) { return share(inGoalByMoved_[isMoved], askedByMoved_[isMoved]); };
+    if (askedByLoadWeighted_[0] > 0 && askedByLoadWeighted_[1] > 0) {
+        const auto of = [&](int isLoadWeighted) {
+            return share(inGoalByLoadWeighted_[isLoadWeighted], askedByLoadWeighted_[isLoadWeighted]);
+        };
         figures_.emplace_back("goal_stayed", of(0));
         figures_.emplace_back("goal_moved", of(1));
         figures_.emplace_back("apart", std::abs(of(0) - of(1)));
     }
-    if (slowStartLoad_.servers() > 0) {
-        figures_.emplace_back("cold_servers", slowStartLoad_.servers());
+    if (slowStartLoad_.coldStarts() > 0) {
+        figures_.emplace_back("cold_servers", slowStartLoad_.coldStarts());
         figures_.emplace_back("cold_most_sent", slowStartLoad_.largest().sent);
         figures_.emplace_back("cold_most_allowed", slowStartLoad_.largest().allowed);
         figures_.emplace_back("cold_load", slowStartLoad_.largestRatio());
         figures_.emplace_back("cold_load_mean", slowStartLoad_.meanRatio());
         figures_.emplace_back("cold_excess", slowStartLoad_.largestExcess());
-        figures_.emplace_back("cold_untold", slowStartLoad_.untoldShare());
-        figures_.emplace_back("cold_falls", slowStartLoad_.falls());
+        figures_.emplace_back("cold_untold", slowStartLoad_.shareBeforeNotification());
+        figures_.emplace_back("cold_falls", slowStartLoad_.overloadStops());
     }
     if (hasRolloutBegun_) {
         const bool wasStopped = rolloutOutcome_ == "undone" || rolloutOutcome_ == "notundone";
@@ -217,18 +221,18 @@
     return figures_;
 }
 
-double Figures::of(const std::string& name) const {
+double Figures::valueOf(const std::string& name) const {
     for (const auto& [n, value] : figures_)
         if (n == name) return value;
     return 0;
 }
 
-std::vector<std::string> Figures::missed() const {
+std::vector<std::string> Figures::unmetBounds() const {
     std::vector<std::string> missed;
     const auto& bounds = head_.at("bounds");
     for (const auto& [name, bound] : bounds.items()) {
         const bool isLowerBound = name == "goal" || name == "answered" || name == "went" || name == "undone";
-        const double value = of(name), limit = bound.get<double>();
+        const double value = valueOf(name), limit = bound.get<double>();
         if (isLowerBound ? value < limit : value > limit) missed.push_back("bound-" + name);
     }
     return missed;
--- a/src/testbed/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -32,12 +32,12 @@
     void onEvent(const LogEvent& entry);
     // To be called after the last entry. All figures by name, in the order in which they are printed.
     const std::vector<std::pair<std::string, double>>& finish();
-    double of(const std::string& name) const;
+    double valueOf(const std::string& name) const;
     // The scenario's bounds that are not met, each as "bound-NAME".
-    std::vector<std::string> missed() const;
+    std::vector<std::string> unmetBounds() const;
 
     struct Second {
-        int asked = 0, answered = 0, declined = 0, terminated = 0, attempts = 0, misses = 0;
+        int asked = 0, answered = 0, rejected = 0, failed = 0, attempts = 0, misses = 0;
         double originLoad = 0;  // share of its capacity
         DurationSamples times;
         std::map<int, int> attemptsByServer;
@@ -58,7 +58,7 @@
         Nanos dueAt = 0;
         bool isOpen = true;
         bool isDuringRollout = false;  // first tried after a rollout began
-        bool isMoved = false;  // its first try went to a router that takes listed sizes to move with load
+        bool isLoadWeighted = false;   // its first try went to a router with load-following weights
     };
     Second& second(Nanos at);
 
@@ -72,11 +72,12 @@
     std::map<int, std::string> routerZones_;
     std::vector<double> capacities_;
     std::vector<int> askedByClass_, inGoalByClass_;
-    std::array<int, 2> askedByMoved_{}, inGoalByMoved_{};  // [0] at unmoved routers, [1] at moved ones
+    // [1] at routers with load-following weights, [0] at the others.
+    std::array<int, 2> askedByLoadWeighted_{}, inGoalByLoadWeighted_{};
     DurationSamples times_, lateness_;
-    long asked_ = 0, answered_ = 0, inGoal_ = 0, tries_ = 0, declined_ = 0, terminated_ = 0, attempts_ = 0,
+    long asked_ = 0, answered_ = 0, inGoal_ = 0, tries_ = 0, rejected_ = 0, failed_ = 0, attempts_ = 0,
          hits_ = 0, reads_ = 0, connectionsOpened_ = 0, crossZoneAttempts_ = 0, busy_ = 0, errors_ = 0,
-         unsent_ = 0, silent_ = 0;
+         unsent_ = 0, unanswered_ = 0;
     // Tries that have had an attempt; when the client left, for tries without an attempt until then; the
     // number of these; and how many of these had an attempt more than kAbandonedGrace after the client left.
     std::unordered_set<std::uint64_t> forwarded_;
--- a/src/testbed/report/page.cpp
+++ b/src/testbed/report/page.cpp
@@ -55,7 +55,7 @@
                                           quantile * static_cast<double>(attempts.size() - 1))];
         };
         out << fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}\n", at, second.asked, second.answered,
-                           second.declined, second.terminated, second.times.quantileMs(0.5),
+                           second.rejected, second.failed, second.times.quantileMs(0.5),
                            second.times.quantileMs(0.99), second.times.quantileMs(0.999), rank(0), rank(0.5),
                            rank(1), second.originLoad, second.misses);
         at += 1;
--- a/src/testbed/report/verdict.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -19,7 +19,7 @@
     figures_ = std::make_unique<Figures>(head);
 }
 
-void Verdict::follow(EventLog& eventLog) {
+void Verdict::observe(EventLog& eventLog) {
     eventLog.onHead = [this](const nlohmann::json& head) { onHead(head); };
     eventLog.onEvent = [this](const LogEvent& entry) { onEvent(entry); };
 }
@@ -29,7 +29,7 @@
     figures_->onEvent(entry);
 }
 
-std::vector<std::string> Verdict::verdict() {
+std::vector<std::string> Verdict::brokenRules() {
     if (!std::exchange(finished_, true)) {
         violations_ = audit_->finish();
         figures_->finish();
@@ -38,12 +38,12 @@
     for (const Violation& violation : violations_)
         if (std::find(broken.begin(), broken.end(), violation.rule) == broken.end())
             broken.push_back(violation.rule);
-    for (auto& bound : figures_->missed()) broken.push_back(std::move(bound));
+    for (auto& bound : figures_->unmetBounds()) broken.push_back(std::move(bound));
     return broken;
 }
 
 bool Verdict::writeReport(const std::string& out) {
-    const auto broken = verdict();
+    const auto broken = brokenRules();
     for (std::size_t i = 0; i < std::min(violations_.size(), kMaxPrintedViolations); ++i)
         fmt::print(stderr, "{} at {:.3f} s: {}\n", violations_[i].rule,
                    static_cast<double>(violations_[i].at) / 1e9, violations_[i].description);
--- a/src/testbed/report/verdict.hpp
+++ b/src/testbed/report/verdict.hpp
@@ -17,13 +17,13 @@
     // `tolerance` is that of the audit; 0 takes the one of the log's head.
     explicit Verdict(Nanos tolerance = 0) : tolerance_(tolerance) {}
     // Observes what is written to the log. To be called before the log's head is written.
-    void follow(EventLog& eventLog);
+    void observe(EventLog& eventLog);
     void onHead(const nlohmann::json& head);
     void onEvent(const LogEvent& entry);
     void addFigure(const std::string& name, double value) { extraFigures_.emplace_back(name, value); }
 
     // The rules that were violated and the bounds that were not met, each once; empty if the run was kept.
-    std::vector<std::string> verdict();
+    std::vector<std::string> brokenRules();
     // Prints the figures and the verdict, and writes the reports into folder `out` unless `out` is empty.
     bool writeReport(const std::string& out);
     Figures& figures() { return *figures_; }
--- a/src/testbed/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -60,7 +60,7 @@
     LiveResult result;
     {
         EventLog eventLog(folder + "/log.tsv");
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
         live.folder = folder;
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -48,9 +48,9 @@
 std::vector<std::string> verdictOf(const Scenario& scenario, std::uint64_t seed) {
     Verdict verdict;
     EventLog eventLog;
-    verdict.follow(eventLog);
+    verdict.observe(eventLog);
     runSimulation(scenario, seed, eventLog);
-    return verdict.verdict();
+    return verdict.brokenRules();
 }
 
 // An event log written by hand for the audit: one router, an origin, two cache servers, and one
@@ -304,9 +304,9 @@
     addEvent(500 * ms, EventKind::attemptSent, 1);
     addEvent(900 * ms, EventKind::attemptSent, 3);  // a further attempt, the first was sent before
     figures.finish();
-    CHECK(figures.of("left_waiting") == 3);
-    CHECK(figures.of("sent_on") == doctest::Approx(1.0 / 3));
-    CHECK(figures.missed() == std::vector<std::string>{"bound-sent_on"});
+    CHECK(figures.valueOf("left_waiting") == 3);
+    CHECK(figures.valueOf("sent_on") == doctest::Approx(1.0 / 3));
+    CHECK(figures.unmetBounds() == std::vector<std::string>{"bound-sent_on"});
 }
 
 TEST_CASE("The audit reports `twice` when an attempt may take effect again") {
@@ -448,15 +448,15 @@
     addEvent(0, EventKind::serverAdded, -1, 0, 0, "origin north 0 origin 8");
     addEvent(0, EventKind::serverAdded, -1, 1, 0, "cache-0 north 0 cache 4");
     sent(1 * ms, 0, 1);  // the server is warm
-    CHECK(load.servers() == 0);
+    CHECK(load.coldStarts() == 0);
     CHECK(load.largestExcess() == 0);
     addEvent(5 * ms, EventKind::started, -1, 1, 5 * ms, "");
     sent(6 * ms, 0, 1);  // the router does not know the start yet
     for (const int router : {0, 1, 2}) addEvent(7 * ms, EventKind::listed, router, 1, 5 * ms, "ready");
     for (int i = 0; i < 60; ++i) sent((10 + i) * ms, i % 3, 1);
     for (int i = 0; i < 60; ++i) sent((10 + i) * ms, i % 3, 0);  // the origin is never cold
-    CHECK(load.servers() == 1);
-    CHECK(load.untoldShare() == doctest::Approx(1.0 / 61));
+    CHECK(load.coldStarts() == 1);
+    CHECK(load.shareBeforeNotification() == doctest::Approx(1.0 / 61));
     CHECK(load.largest().sent == doctest::Approx(60));
     CHECK(load.largest().allowed == doctest::Approx(100).epsilon(0.01));
     CHECK(load.largestExcess() < 0);
@@ -468,10 +468,10 @@
     CHECK(load.largest().sent == doctest::Approx(122));
     addEvent(2'001 * ms, EventKind::serverOverloaded, -1, 1, 0, "");
     addEvent(2'002 * ms, EventKind::serverOverloaded, -1, 0, 0, "");
-    CHECK(load.falls() == 1);
+    CHECK(load.overloadStops() == 1);
     addEvent(2'003 * ms, EventKind::killed, 0, -1, 0, "asked");
     sent(2'004 * ms, 0, 1);  // the router's next process knows no start yet
-    CHECK(load.untoldShare() == doctest::Approx(2.0 / 125));
+    CHECK(load.shareBeforeNotification() == doctest::Approx(2.0 / 125));
 }
 
 TEST_CASE(
@@ -480,9 +480,9 @@
     const auto run = [&](const SimulatedRunOptions& options) {
         Verdict verdict;
         EventLog eventLog;
-        verdict.follow(eventLog);
+        verdict.observe(eventLog);
         runSimulation(scenario, 1, eventLog, options);
-        return verdict.verdict();
+        return verdict.brokenRules();
     };
     CHECK(run({}).empty());
     SimulatedRunOptions wholeBudget;
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -279,12 +279,12 @@
 }
 
 TEST_CASE("chanceOf gives the probability that paired differences are due to chance") {
-    using poppyscale::testbed::chanceOf;
-    CHECK(chanceOf({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
-    CHECK(chanceOf({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
-    CHECK(chanceOf({0, 0, 0, 0}) == doctest::Approx(1));
+    using poppyscale::testbed::permutationPValue;
+    CHECK(permutationPValue({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
+    CHECK(permutationPValue({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
+    CHECK(permutationPValue({0, 0, 0, 0}) == doctest::Approx(1));
     // Computed by hand: six of the eight sums are at least 2 from zero.
-    CHECK(chanceOf({3, 1, -2}) == doctest::Approx(0.75));
+    CHECK(permutationPValue({3, 1, -2}) == doctest::Approx(0.75));
 }
 
 TEST_CASE("HttpRequestParser reads requests that arrive in pieces, one after the other") {
