--- a/src/testbed/defective_variants/defect.cpp
+++ b/src/testbed/defective_variants/defect.cpp
@@ -112,7 +112,7 @@
 
 }  // namespace
 
-DefectiveVariant::Kind defectiveVariantNamed(const std::string& name) {
+DefectiveVariant::Kind parseDefectiveVariant(const std::string& name) {
     static const std::vector<std::pair<std::string, Kind>> all{{"none", Kind::none},
                                                                {"stillborn", Kind::failsToStart},
                                                                {"hangs", Kind::hangs},
--- a/src/testbed/defective_variants/defect.hpp
+++ b/src/testbed/defective_variants/defect.hpp
@@ -24,7 +24,7 @@
     double size = 0;
 };
 // The kind of that outer name. Throws std::runtime_error for an unknown name.
-DefectiveVariant::Kind defectiveVariantNamed(const std::string& name);
+DefectiveVariant::Kind parseDefectiveVariant(const std::string& name);
 
 // Runs the defective router with the router's own command line and returns the exit code.
 int runDefectiveVariant(int argc, char** argv, const DefectiveVariant& variant);
--- a/src/testbed/defective_variants/main.cpp
+++ b/src/testbed/defective_variants/main.cpp
@@ -11,7 +11,7 @@
     try {
         return poppyscale::testbed::runDefectiveVariant(
             argc, argv,
-            {poppyscale::testbed::defectiveVariantNamed(harm ? harm : "none"), size ? std::atof(size) : 0});
+            {poppyscale::testbed::parseDefectiveVariant(harm ? harm : "none"), size ? std::atof(size) : 0});
     } catch (const std::exception& problem) {
         std::cerr << "poppyscale_defective_variant: " << problem.what() << '\n';
         return 2;
--- a/src/testbed/drivers/live/host_environment.cpp
+++ b/src/testbed/drivers/live/host_environment.cpp
@@ -21,15 +21,15 @@
         .string();
 }
 
-// Makes an update of the state atomic for readers in other processes: the counter `turn` is odd
+// Makes an update of the state atomic for readers in other processes: the counter `sequence` is odd
 // during the update, and readers retry (a seqlock).
 class StateWrite {
   public:
     explicit StateWrite(HostState& state) : state_(state) {
-        state_.turn.fetch_add(1, std::memory_order_acq_rel);
+        state_.sequence.fetch_add(1, std::memory_order_acq_rel);
         std::atomic_thread_fence(std::memory_order_seq_cst);
     }
-    ~StateWrite() { state_.turn.fetch_add(1, std::memory_order_release); }
+    ~StateWrite() { state_.sequence.fetch_add(1, std::memory_order_release); }
     StateWrite(const StateWrite&) = delete;
     StateWrite& operator=(const StateWrite&) = delete;
 
@@ -42,7 +42,8 @@
 HostEnvironment::HostEnvironment(const std::string& file, const std::string& disk, Nanos now) : file_(file) {
     if (!std::filesystem::exists(libraryPath()))
         throw RunError("clock and disk faults need a library that does not exist: " + libraryPath());
-    if (disk.size() >= kLongestFolder) throw RunError("the path of a machine's folder is too long: " + disk);
+    if (disk.size() >= kMaxFolderLength)
+        throw RunError("the path of a machine's folder is too long: " + disk);
     const int fd = ::open(file.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     void* at = MAP_FAILED;
     if (fd >= 0 && ::ftruncate(fd, sizeof(HostState)) == 0)
@@ -65,31 +66,32 @@
         {kHostVariable, file_}, {"LD_PRELOAD", libraryPath()}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-void HostEnvironment::startSegment(Nanos trueAt, Nanos shownAt, double rate) {
-    segments_.push_back({trueAt, shownAt, rate});
+void HostEnvironment::startSegment(Nanos trueTime, Nanos shownTime, double rate) {
+    segments_.push_back({trueTime, shownTime, rate});
     const StateWrite write(*state_);
-    state_->trueAt = trueAt;
-    state_->shownAt = shownAt;
+    state_->trueTime = trueTime;
+    state_->shownTime = shownTime;
     state_->rate = rate;
 }
 
-Nanos HostEnvironment::shownAt(Nanos trueAt) const {
+Nanos HostEnvironment::shownTimeOf(Nanos trueTime) const {
     const ClockSegment& segment = segments_.back();
-    return segment.shownAt + static_cast<Nanos>(static_cast<double>(trueAt - segment.trueAt) * segment.rate);
+    return segment.shownTime +
+           static_cast<Nanos>(static_cast<double>(trueTime - segment.trueTime) * segment.rate);
 }
 
-void HostEnvironment::setClockRate(Nanos now, double rate) { startSegment(now, shownAt(now), rate); }
+void HostEnvironment::setClockRate(Nanos now, double rate) { startSegment(now, shownTimeOf(now), rate); }
 
-void HostEnvironment::jumpWallClock(Nanos by) {
+void HostEnvironment::jumpWallClock(Nanos offset) {
     const StateWrite write(*state_);
-    state_->wallLead += by;
+    state_->wallOffset += offset;
 }
 
 void HostEnvironment::endSleep(Nanos from, Nanos now) {
-    const Nanos shownBefore = shownAt(from), shownNow = shownAt(now);
+    const Nanos shownBefore = shownTimeOf(from), shownNow = shownTimeOf(now);
     startSegment(now, shownBefore, segments_.back().rate);
     const StateWrite write(*state_);
-    state_->slept += shownNow - shownBefore;
+    state_->bootOffset += shownNow - shownBefore;
 }
 
 void HostEnvironment::setReadOnly(bool isReadOnly) {
@@ -99,16 +101,17 @@
 
 void HostEnvironment::setSyncDelay(Nanos delay) {
     const StateWrite write(*state_);
-    state_->syncTakes = delay;
+    state_->syncDelayNs = delay;
 }
 
-void HostEnvironment::failNextSyncs(int count) { state_->syncsFail = static_cast<std::uint32_t>(count); }
+void HostEnvironment::failNextSyncs(int count) { state_->failingSyncs = static_cast<std::uint32_t>(count); }
 
 Nanos HostEnvironment::trueTimeOf(Nanos shown) const {
     std::size_t i = segments_.size();
-    while (i > 1 && segments_[i - 1].shownAt > shown) --i;
+    while (i > 1 && segments_[i - 1].shownTime > shown) --i;
     const ClockSegment& segment = segments_[i - 1];
-    return segment.trueAt + static_cast<Nanos>(static_cast<double>(shown - segment.shownAt) / segment.rate);
+    return segment.trueTime +
+           static_cast<Nanos>(static_cast<double>(shown - segment.shownTime) / segment.rate);
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/host_environment.hpp
+++ b/src/testbed/drivers/live/host_environment.hpp
@@ -26,8 +26,8 @@
 
     // From `now` on, the machine's clocks run `rate` times as fast as the real ones.
     void setClockRate(Nanos now, double rate);
-    // Moves the wall clock forward, or back if `by` is negative.
-    void jumpWallClock(Nanos by);
+    // Moves the wall clock forward, or back if `offset` is negative.
+    void jumpWallClock(Nanos offset);
     // The machine slept from `from` to `now`: its monotonic clock stood still, clocks that run
     // during sleep did not.
     void endSleep(Nanos from, Nanos now);
@@ -42,11 +42,11 @@
 
   private:
     struct ClockSegment {
-        Nanos trueAt, shownAt;
+        Nanos trueTime, shownTime;
         double rate;
     };
-    void startSegment(Nanos trueAt, Nanos shownAt, double rate);
-    Nanos shownAt(Nanos trueAt) const;
+    void startSegment(Nanos trueTime, Nanos shownTime, double rate);
+    Nanos shownTimeOf(Nanos trueTime) const;
 
     std::string file_;
     HostState* state_ = nullptr;
--- a/src/testbed/drivers/live/process_faults.hpp
+++ b/src/testbed/drivers/live/process_faults.hpp
@@ -31,7 +31,7 @@
 
   private:
     std::string file_;
-    fault_injection::FaultPlan* plan_ = nullptr;
+    fault_injection::InjectionPlan* plan_ = nullptr;
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/emulator/scenario.cpp
+++ b/src/testbed/emulator/scenario.cpp
@@ -173,10 +173,10 @@
             fault.magnitude = table.fraction("by", std::nullopt);
             fault.call = table.string("call", std::nullopt);
             fault.effect = table.string("way", std::nullopt);
-            if (!fault_injection::systemCallNamed(fault.call))
+            if (!fault_injection::parseSystemCall(fault.call))
                 table.problem("call",
                               fmt::format("'{}' is not a system call that can be made to fail", fault.call));
-            if (!fault_injection::faultEffectNamed(fault.effect))
+            if (!fault_injection::parseFaultEffect(fault.effect))
                 table.problem("way", fmt::format("'{}' is not an effect that a failing system call can have",
                                                  fault.effect));
             break;
--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -35,19 +35,19 @@
 // How a call fails.
 enum class FaultEffect : std::uint32_t {
     none,
-    interrupted,  // EINTR
-    aborted,      // ECONNABORTED
-    noFiles,      // ENFILE
-    noBuffers,    // ENOBUFS
-    noMemory,     // ENOMEM
-    noAddress,    // EADDRNOTAVAIL
-    unreachable,  // ENETUNREACH
-    noHost,       // EHOSTUNREACH
-    timedOut,     // ETIMEDOUT
-    tryAgain,     // EAGAIN
-    noSpace,      // ENOSPC
-    inputOutput,  // EIO
-    partial,      // transfers less than asked for: 1 to 7 bytes, or half of a write to a file
+    interrupted,         // EINTR
+    aborted,             // ECONNABORTED
+    fileTableFull,       // ENFILE
+    noBuffers,           // ENOBUFS
+    noMemory,            // ENOMEM
+    noAddress,           // EADDRNOTAVAIL
+    networkUnreachable,  // ENETUNREACH
+    hostUnreachable,     // EHOSTUNREACH
+    timedOut,            // ETIMEDOUT
+    tryAgain,            // EAGAIN
+    noSpace,             // ENOSPC
+    inputOutput,         // EIO
+    partial,             // transfers less than asked for: 1 to 7 bytes, or half of a write to a file
     count,
 };
 constexpr std::size_t kFaultEffects = static_cast<std::size_t>(FaultEffect::count);
@@ -60,29 +60,29 @@
     "none",        "EINTR",        "ECONNABORTED", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL",
     "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT",    "EAGAIN", "ENOSPC",  "EIO",    "partial"};
 
-constexpr std::optional<SystemCall> systemCallNamed(std::string_view name) {
+constexpr std::optional<SystemCall> parseSystemCall(std::string_view name) {
     for (std::size_t i = 0; i < kSystemCalls; ++i)
         if (kSystemCallNames[i] == name) return static_cast<SystemCall>(i);
     return std::nullopt;
 }
-constexpr std::optional<FaultEffect> faultEffectNamed(std::string_view name) {
+constexpr std::optional<FaultEffect> parseFaultEffect(std::string_view name) {
     for (std::size_t i = 1; i < kFaultEffects; ++i)
         if (kFaultEffectNames[i] == name) return static_cast<FaultEffect>(i);
     return std::nullopt;
 }
 
-constexpr std::uint32_t kOne = 1U << 20;  // stands for a share of 1
+constexpr std::uint32_t kShareUnit = 1U << 20;  // stands for a share of 1
 
-struct FaultPlan {
+struct InjectionPlan {
     std::uint32_t format = kFormat;
     std::atomic<std::uint32_t> seed{1};
-    // Share of the calls of each kind that end in each effect, in parts of kOne.
+    // Share of the calls of each kind that end in each effect, in parts of kShareUnit.
     std::atomic<std::uint32_t> share[kSystemCalls][kFaultEffects]{};
     // How often each failure has happened: a test whose fault never happened proves nothing.
     std::atomic<std::uint64_t> occurrences[kSystemCalls][kFaultEffects]{};
     // Offset of the wall clock in ns. Monotonic clocks keep the true time.
-    std::atomic<std::int64_t> wallStep{0};
-    // Share of event loop iterations, in parts of kOne, that are delayed by up to `maxDelay` ns before
+    std::atomic<std::int64_t> wallOffset{0};
+    // Share of event loop iterations, in parts of kShareUnit, that are delayed by up to `maxDelay` ns before
     // polling.
     std::atomic<std::uint32_t> delayShare{0};
     std::atomic<std::int64_t> maxDelay{0};
--- a/src/testbed/fault_injection/preload.cpp
+++ b/src/testbed/fault_injection/preload.cpp
@@ -25,20 +25,20 @@
 
 using namespace poppyscale::testbed::fault_injection;
 
-FaultPlan* plan() {
+InjectionPlan* plan() {
     // Without a lock: if two threads get here at once, the file is mapped twice, which is harmless.
-    static std::atomic<FaultPlan*> mapped{nullptr};
+    static std::atomic<InjectionPlan*> mapped{nullptr};
     static std::atomic<bool> isLoaded{false};
     if (isLoaded.load(std::memory_order_acquire)) return mapped.load(std::memory_order_acquire);
     const char* const path = ::getenv(kPlanVariable);
-    FaultPlan* loaded = nullptr;
+    InjectionPlan* loaded = nullptr;
     if (path) {
         const long fd = ::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC);
         if (fd >= 0) {
-            void* const at = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED,
+            void* const at = ::mmap(nullptr, sizeof(InjectionPlan), PROT_READ | PROT_WRITE, MAP_SHARED,
                                     static_cast<int>(fd), 0);
             ::syscall(SYS_close, fd);
-            if (at != MAP_FAILED) loaded = static_cast<FaultPlan*>(at);
+            if (at != MAP_FAILED) loaded = static_cast<InjectionPlan*>(at);
         }
         if (loaded && loaded->format != kFormat) loaded = nullptr;
     }
@@ -69,7 +69,7 @@
 }
 
 FaultEffect drawEffect(SystemCall call) {
-    FaultPlan* const faultPlan = plan();
+    InjectionPlan* const faultPlan = plan();
     if (!faultPlan) return FaultEffect::none;
     const auto callIndex = static_cast<std::size_t>(call);
     std::uint32_t drawn = 0;
@@ -77,7 +77,7 @@
     for (std::size_t effect = 1; effect < kFaultEffects; ++effect) {
         const std::uint32_t share = faultPlan->share[callIndex][effect].load(std::memory_order_relaxed);
         if (share == 0) continue;
-        if (!hasDrawn) drawn = static_cast<std::uint32_t>(draw() % kOne);
+        if (!hasDrawn) drawn = static_cast<std::uint32_t>(draw() % kShareUnit);
         hasDrawn = true;
         if (drawn < share) {
             faultPlan->occurrences[callIndex][effect].fetch_add(1, std::memory_order_relaxed);
@@ -94,7 +94,7 @@
             return EINTR;
         case FaultEffect::aborted:
             return ECONNABORTED;
-        case FaultEffect::noFiles:
+        case FaultEffect::fileTableFull:
             return ENFILE;
         case FaultEffect::noBuffers:
             return ENOBUFS;
@@ -102,9 +102,9 @@
             return ENOMEM;
         case FaultEffect::noAddress:
             return EADDRNOTAVAIL;
-        case FaultEffect::unreachable:
+        case FaultEffect::networkUnreachable:
             return ENETUNREACH;
-        case FaultEffect::noHost:
+        case FaultEffect::hostUnreachable:
             return EHOSTUNREACH;
         case FaultEffect::timedOut:
             return ETIMEDOUT;
@@ -139,8 +139,8 @@
 }
 
 bool isPermanent(FaultEffect effect) {
-    return effect == FaultEffect::timedOut || effect == FaultEffect::noHost ||
-           effect == FaultEffect::unreachable || effect == FaultEffect::inputOutput;
+    return effect == FaultEffect::timedOut || effect == FaultEffect::hostUnreachable ||
+           effect == FaultEffect::networkUnreachable || effect == FaultEffect::inputOutput;
 }
 
 bool mayInject(int fd, FaultEffect effect) {
@@ -161,11 +161,11 @@
 std::size_t shortLength(std::size_t size) { return std::min<std::size_t>(size, 1 + draw() % 7); }
 
 void delayIteration() {
-    FaultPlan* const faultPlan = plan();
+    InjectionPlan* const faultPlan = plan();
     if (!faultPlan) return;
     const std::uint32_t share = faultPlan->delayShare.load(std::memory_order_relaxed);
     const std::int64_t longest = faultPlan->maxDelay.load(std::memory_order_relaxed);
-    if (share == 0 || longest <= 0 || draw() % kOne >= share) return;
+    if (share == 0 || longest <= 0 || draw() % kShareUnit >= share) return;
     const std::int64_t ns =
         longest / 3 + static_cast<std::int64_t>(draw() % static_cast<std::uint64_t>(longest)) * 2 / 3;
     const timespec wait{ns / 1'000'000'000, ns % 1'000'000'000};
@@ -311,11 +311,11 @@
 
 int clock_gettime(clockid_t id, timespec* at) noexcept {
     const long result = ::syscall(SYS_clock_gettime, id, at);
-    const FaultPlan* const faultPlan = plan();
+    const InjectionPlan* const faultPlan = plan();
     if (result != 0 || !faultPlan || (id != CLOCK_REALTIME && id != CLOCK_REALTIME_COARSE))
         return static_cast<int>(result);
     const std::int64_t shiftedTime =
-        at->tv_sec * 1'000'000'000L + at->tv_nsec + faultPlan->wallStep.load(std::memory_order_relaxed);
+        at->tv_sec * 1'000'000'000L + at->tv_nsec + faultPlan->wallOffset.load(std::memory_order_relaxed);
     at->tv_sec = shiftedTime / 1'000'000'000;
     at->tv_nsec = shiftedTime % 1'000'000'000;
     return 0;
--- a/src/testbed/host_emulation/preload.cpp
+++ b/src/testbed/host_emulation/preload.cpp
@@ -59,14 +59,14 @@
 
 EmulatedClocks emulatedClocks(const HostState& state) {
     for (;;) {
-        const std::uint32_t sequence = state.turn.load(std::memory_order_acquire);
+        const std::uint32_t sequence = state.sequence.load(std::memory_order_acquire);
         const std::int64_t now = trueTime(CLOCK_MONOTONIC);
-        const auto passed = static_cast<double>(now - state.trueAt) * state.rate;
-        EmulatedClocks emulated{state.shownAt + static_cast<std::int64_t>(passed), 0, 0};
-        emulated.boot = emulated.monotonic + state.slept;
-        emulated.wall = trueTime(CLOCK_REALTIME) + (emulated.boot - now) + state.wallLead;
+        const auto passed = static_cast<double>(now - state.trueTime) * state.rate;
+        EmulatedClocks emulated{state.shownTime + static_cast<std::int64_t>(passed), 0, 0};
+        emulated.boot = emulated.monotonic + state.bootOffset;
+        emulated.wall = trueTime(CLOCK_REALTIME) + (emulated.boot - now) + state.wallOffset;
         std::atomic_thread_fence(std::memory_order_acquire);
-        if (sequence % 2 == 0 && state.turn.load(std::memory_order_relaxed) == sequence) return emulated;
+        if (sequence % 2 == 0 && state.sequence.load(std::memory_order_relaxed) == sequence) return emulated;
     }
 }
 
@@ -112,13 +112,13 @@
         const long size = ::syscall(SYS_readlinkat, AT_FDCWD, link, path, sizeof path - 1);
         path[size < 0 ? 0 : size] = '\0';
         if (isBelowFolder(*state, AT_FDCWD, path)) {
-            if (state->syncTakes > 0) {
-                timespec left{state->syncTakes / kSecond, state->syncTakes % kSecond};
+            if (state->syncDelayNs > 0) {
+                timespec left{state->syncDelayNs / kSecond, state->syncDelayNs % kSecond};
                 while (::syscall(SYS_nanosleep, &left, &left) != 0 && errno == EINTR) {
                 }
             }
-            std::uint32_t failures = state->syncsFail.load();
-            while (failures > 0 && !state->syncsFail.compare_exchange_weak(failures, failures - 1)) {
+            std::uint32_t failures = state->failingSyncs.load();
+            while (failures > 0 && !state->failingSyncs.compare_exchange_weak(failures, failures - 1)) {
             }
             if (failures > 0) {
                 errno = EIO;
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -26,13 +26,13 @@
         char path[] = "/tmp/poppyscale-faults-XXXXXX";
         const int fd = mkstemp(path);
         file_ = path;
-        if (fd < 0 || ftruncate(fd, sizeof(fault_injection::FaultPlan)) != 0)
+        if (fd < 0 || ftruncate(fd, sizeof(fault_injection::InjectionPlan)) != 0)
             throw std::runtime_error("can't create the file of a fault plan");
         void* const memory =
-            mmap(nullptr, sizeof(fault_injection::FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+            mmap(nullptr, sizeof(fault_injection::InjectionPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         close(fd);
         if (memory == MAP_FAILED) throw std::runtime_error("can't map the file of a fault plan");
-        plan_ = new (memory) fault_injection::FaultPlan;
+        plan_ = new (memory) fault_injection::InjectionPlan;
         setenv(fault_injection::kPlanVariable, path, 1);
         setenv("LD_PRELOAD", POPPYSCALE_FAULT_INJECTION, 1);
         setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
@@ -41,7 +41,7 @@
         unsetenv(fault_injection::kPlanVariable);
         unsetenv("LD_PRELOAD");
         unsetenv("ASAN_OPTIONS");
-        munmap(plan_, sizeof(fault_injection::FaultPlan));
+        munmap(plan_, sizeof(fault_injection::InjectionPlan));
         unlink(file_.c_str());
     }
     FaultPlan(const FaultPlan&) = delete;
@@ -49,7 +49,7 @@
 
     void setShare(fault_injection::SystemCall call, fault_injection::FaultEffect effect, double share) {
         plan_->share[static_cast<std::size_t>(call)][static_cast<std::size_t>(effect)] =
-            static_cast<std::uint32_t>(share * fault_injection::kOne);
+            static_cast<std::uint32_t>(share * fault_injection::kShareUnit);
     }
     std::uint64_t occurrences(fault_injection::SystemCall call, fault_injection::FaultEffect effect) const {
         return plan_->occurrences[static_cast<std::size_t>(call)][static_cast<std::size_t>(effect)];
@@ -57,7 +57,7 @@
 
   private:
     std::string file_;
-    fault_injection::FaultPlan* plan_ = nullptr;
+    fault_injection::InjectionPlan* plan_ = nullptr;
 };
 
 // A cache server that has every key.
@@ -151,8 +151,8 @@
 TEST_CASE("Responds to every client while accepting connections fails intermittently") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    for (const FaultEffect effect : {FaultEffect::noFiles, FaultEffect::noBuffers, FaultEffect::noMemory,
-                                     FaultEffect::aborted, FaultEffect::interrupted}) {
+    for (const FaultEffect effect : {FaultEffect::fileTableFull, FaultEffect::noBuffers,
+                                     FaultEffect::noMemory, FaultEffect::aborted, FaultEffect::interrupted}) {
         CAPTURE(fault_injection::kFaultEffectNames[static_cast<std::size_t>(effect)]);
         checkResponsesDuringFaults({{SystemCall::accept, effect, 0.1}}, 200);
     }
@@ -161,11 +161,11 @@
 TEST_CASE("Responds to every request while connections to servers fail intermittently") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    checkResponsesDuringFaults({{SystemCall::socket, FaultEffect::noFiles, 0.1},
+    checkResponsesDuringFaults({{SystemCall::socket, FaultEffect::fileTableFull, 0.1},
                                 {SystemCall::connect, FaultEffect::noAddress, 0.1},
-                                {SystemCall::connect, FaultEffect::unreachable, 0.1},
+                                {SystemCall::connect, FaultEffect::networkUnreachable, 0.1},
                                 {SystemCall::connect, FaultEffect::timedOut, 0.1},
-                                {SystemCall::read, FaultEffect::noHost, 0.1}},
+                                {SystemCall::read, FaultEffect::hostUnreachable, 0.1}},
                                300);
 }
 
@@ -185,10 +185,10 @@
 TEST_CASE("Responds to every request while accepts, connections, reads, writes and polls all fail at times") {
     using fault_injection::FaultEffect;
     using fault_injection::SystemCall;
-    checkResponsesDuringFaults({{SystemCall::accept, FaultEffect::noFiles, 0.05},
+    checkResponsesDuringFaults({{SystemCall::accept, FaultEffect::fileTableFull, 0.05},
                                 {SystemCall::accept, FaultEffect::aborted, 0.05},
                                 {SystemCall::socket, FaultEffect::noBuffers, 0.5},
-                                {SystemCall::connect, FaultEffect::noHost, 0.5},
+                                {SystemCall::connect, FaultEffect::hostUnreachable, 0.5},
                                 {SystemCall::read, FaultEffect::partial, 0.4},
                                 {SystemCall::read, FaultEffect::timedOut, 0.02},
                                 {SystemCall::write, FaultEffect::partial, 0.4},
