--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -161,9 +161,9 @@
 
 int printCapacity(const std::string& targetFile, const std::string& slopesFile) {
     try {
-        fmt::print("{}", scale::capacityOfFiles(targetFile, slopesFile));
+        fmt::print("{}", scale::capacityMarkdownOfFiles(targetFile, slopesFile));
         return kKept;
-    } catch (const scale::BadInput& problem) {
+    } catch (const scale::CapacityInputError& problem) {
         fmt::print(stderr, "{}\n", problem.what());
         return kBroken;
     }
@@ -303,7 +303,7 @@
         ->check(CLI::Range(2, 100'000));
     measureCommand->add_option("--seeds", module.seeds, "default: 3")->check(CLI::Range(1, 20));
     measureCommand
-        ->add_option("--factor", module.factor,
+        ->add_option("--factor", module.predictionFactor,
                      "the prediction's size as a multiple of the largest size, default: 4")
         ->check(CLI::Range(0, 20));
     measureCommand->add_option("--zones", module.options.zones, "default: 10")->check(CLI::Range(1, 1000));
@@ -326,7 +326,7 @@
         ->check(CLI::Range(0.1, 10'000.0));
     slopesCommand->add_option("--seeds", series.seeds, "default: 3")->check(CLI::Range(1, 20));
     slopesCommand
-        ->add_option("--factor", series.factor,
+        ->add_option("--factor", series.predictionFactor,
                      "the prediction's size as a multiple of the largest size, default: 4")
         ->check(CLI::Range(0, 20));
     series.options.stubRouters = 100;
@@ -371,7 +371,7 @@
     soakCommand->add_option("--out", soak.out, "folder for the logs and reports of each seed");
     auto* auditCommand = app.add_subcommand("audit", "judges the log of an earlier run again");
     std::string folder;
-    scale::Command scaling(app);
+    scale::Command scaleCommand(app);
     auditCommand->add_option("dir", folder, "folder of the run")->required();
     try {
         app.parse(argc, argv);
@@ -379,7 +379,7 @@
         return app.exit(problem) == 0 ? kKept : kUsage;
     }
     try {
-        if (const auto code = scaling.run()) return *code;
+        if (const auto code = scaleCommand.run()) return *code;
         if (*compareCommand) {
             std::vector<Scenario> scenarios;
             for (const auto& file : scenarioFiles)
@@ -413,11 +413,11 @@
             return runLeaseCommand(leases);
         }
         if (*slopesCommand) {
-            series.options.length = static_cast<Nanos>(slopeSeconds * 1e9);
+            series.options.measuredDuration = static_cast<Nanos>(slopeSeconds * 1e9);
             return scale::runSlopes(series, scale::runScaleTest) ? kKept : kBroken;
         }
         if (*capacityCommand) return printCapacity(targetFile, slopesFile);
-        if (*measureCommand) return scale::measureSeries(module) ? kKept : kBroken;
+        if (*measureCommand) return scale::runModuleSeries(module) ? kKept : kBroken;
         if (*soakCommand) {
             if (soak.program.empty()) soak.program = kDefaultProgram;
             return soak::run(soak);
--- a/src/testbed/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -122,7 +122,7 @@
         result = read(root);
         root.finish();
     }
-    if (!problems.none()) throw BadInput(problems.text());
+    if (!problems.none()) throw CapacityInputError(problems.text());
     return result;
 }
 
--- a/src/testbed/scale/capacity_input.hpp
+++ b/src/testbed/scale/capacity_input.hpp
@@ -11,7 +11,7 @@
 namespace poppyscale::testbed::scale {
 
 // All problems of a file, one per line: "FILE:LINE: KEY: what is wrong".
-struct BadInput : std::runtime_error {
+struct CapacityInputError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -40,7 +40,7 @@
     double requestsPerCache() const { return requestsPerSecond / caches; }
 };
 
-// Throws BadInput.
+// Throws CapacityInputError.
 Target readTarget(std::string_view toml, const std::string& file);
 
 // A measured cost as a linear function of the quantity that the runs varied.
@@ -63,7 +63,7 @@
 
 using Slopes = std::map<std::string, Slope, std::less<>>;
 
-// Throws BadInput, also for a slope without a run, with an unknown name, or with another unit or
+// Throws CapacityInputError, also for a slope without a run, with an unknown name, or with another unit or
 // varied quantity than the known slope of that name.
 Slopes readSlopes(std::string_view toml, const std::string& file);
 
--- a/src/testbed/scale/capacity_page.cpp
+++ b/src/testbed/scale/capacity_page.cpp
@@ -84,7 +84,7 @@
 
 std::string readFile(const std::string& file) {
     std::ifstream in(file, std::ios::binary);
-    if (!in) throw BadInput(file + ":1: can't be read");
+    if (!in) throw CapacityInputError(file + ":1: can't be read");
     std::ostringstream text;
     text << in.rdbuf();
     return text.str();
@@ -108,20 +108,20 @@
                        rowsMarkdown(rows), missingMechanismsMarkdown(rows), slopesMarkdown(slopes));
 }
 
-std::string capacityOfFiles(const std::string& targetFile, const std::string& slopesFile) {
+std::string capacityMarkdownOfFiles(const std::string& targetFile, const std::string& slopesFile) {
     std::string problems;
     Target target;
     Slopes slopes;
     const auto attempt = [&](auto read) {
         try {
             read();
-        } catch (const BadInput& error) {
+        } catch (const CapacityInputError& error) {
             problems += (problems.empty() ? "" : "\n") + std::string(error.what());
         }
     };
     attempt([&] { target = readTarget(readFile(targetFile), targetFile); });
     attempt([&] { slopes = readSlopes(readFile(slopesFile), slopesFile); });
-    if (!problems.empty()) throw BadInput(problems);
+    if (!problems.empty()) throw CapacityInputError(problems);
     return capacityMarkdown(target, slopes);
 }
 
--- a/src/testbed/scale/command.cpp
+++ b/src/testbed/scale/command.cpp
@@ -65,7 +65,7 @@
         ->check(CLI::Range(0.1, 86'400.0));
     scale_->add_option("--out", options_.folder, "folder for the run's files")->required();
     scale_->add_option("--seed", options_.seed, "seed of all random draws");
-    scale_->add_option("--without", options_.without,
+    scale_->add_option("--without", options_.defectiveVariant,
                        "defective variant that the run has to detect: apply, order");
     scale_
         ->add_option(
@@ -105,7 +105,7 @@
         fmt::print(stderr, "{}\n", problem.what());
         return kBroken;
     }
-    options_.length = static_cast<Nanos>(seconds_ * 1e9);
+    options_.measuredDuration = static_cast<Nanos>(seconds_ * 1e9);
     options_.progress = showProgress;
     if (comparedRouters_ > 0) return compareRouterKinds(options_);
     const Result result = runScaleTest(options_);
@@ -129,7 +129,7 @@
         Options idle = side;
         idle.folder += "-idle";
         idle.changesPerSecond = 0;
-        idle.length = std::max(options.length / 2, kMinIdleLength);
+        idle.measuredDuration = std::max(options.measuredDuration / 2, kMinIdleLength);
         idle.events.clear();
         Side measured;
         measured.listProcessorShare -= runScaleTest(idle).routerProcessorShare;
--- a/src/testbed/scale/limits.cpp
+++ b/src/testbed/scale/limits.cpp
@@ -35,10 +35,11 @@
         throw std::runtime_error("event " + name + ": needs a distributor, but --distributors is 0");
     if (event.kind == EventKind::restartRouters && options.stubRouters == 0)
         throw std::runtime_error("event " + name + ": needs a stub router, but --routers is 0");
-    if (event.at + event.duration > options.length)
-        throw std::runtime_error(fmt::format(
-            "event {}: ends at {:.1f} s, after the measured time of {:.1f} s", name,
-            static_cast<double>(event.at + event.duration) / 1e9, static_cast<double>(options.length) / 1e9));
+    if (event.at + event.duration > options.measuredDuration)
+        throw std::runtime_error(
+            fmt::format("event {}: ends at {:.1f} s, after the measured time of {:.1f} s", name,
+                        static_cast<double>(event.at + event.duration) / 1e9,
+                        static_cast<double>(options.measuredDuration) / 1e9));
 }
 
 }  // namespace
@@ -46,7 +47,7 @@
 ResourceDemand resourceDemandOf(const Options& options) {
     const double caches = options.caches;
     const int routers = options.stubRouters + options.realRouters;
-    const double changes = options.changesPerSecond * static_cast<double>(options.length) / 1e9;
+    const double changes = options.changesPerSecond * static_cast<double>(options.measuredDuration) / 1e9;
     ResourceDemand demand;
     demand.memoryKib += options.stubRouters * (kStubRouterKib + kStubRouterKibPerCache * caches);
     demand.memoryKib += options.realRouters * (kRealRouterKib + kRealRouterKibPerCache * caches);
@@ -64,10 +65,11 @@
     if (options.caches < 1)
         throw std::runtime_error("a scale run needs at least one cache server (--caches)");
     if (options.zones < 1) throw std::runtime_error("a scale run needs at least one zone (--zones)");
-    if (options.length <= 0)
+    if (options.measuredDuration <= 0)
         throw std::runtime_error("a scale run needs a measured time above 0 s (--seconds)");
-    if (!options.without.empty() && options.without != "apply" && options.without != "order")
-        throw std::runtime_error("--without: unknown defective variant '" + options.without +
+    if (!options.defectiveVariant.empty() && options.defectiveVariant != "apply" &&
+        options.defectiveVariant != "order")
+        throw std::runtime_error("--without: unknown defective variant '" + options.defectiveVariant +
                                  "', expected apply or order");
     if (options.distributors > 0 && options.realRouters > 0)
         throw std::runtime_error(
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -229,7 +229,7 @@
     return cost;
 }
 
-bool measureSeries(const ModuleSeries& series) {
+bool runModuleSeries(const ModuleSeries& series) {
     using Column = Quantity<ModuleCost>;
     static const std::array<Column, 7> columns = {{{"request", "us", &ModuleCost::requestMicros},
                                                    {"change", "us", &ModuleCost::changeMicros},
@@ -245,7 +245,7 @@
         return measureModule(options);
     };
     const std::vector<double> sizes(series.sizes.begin(), series.sizes.end());
-    return runSeries<ModuleCost>("caches", sizes, series.seeds, series.factor,
+    return runSeries<ModuleCost>("caches", sizes, series.seeds, series.predictionFactor,
                                  std::vector<Column>(columns.begin(), columns.end()), measure);
 }
 
--- a/src/testbed/scale/measure.hpp
+++ b/src/testbed/scale/measure.hpp
@@ -39,12 +39,12 @@
 struct ModuleSeries {
     std::vector<int> sizes = {100, 200, 400, 600, 775};
     int seeds = 3;
-    int factor = 4;  // predicted size / largest measured size; 0: no prediction
+    int predictionFactor = 4;  // predicted size / largest measured size; 0: no prediction
     ModuleOptions options;
 };
 
 // Prints the samples, each quantity's fit, and its prediction beside the measurement at that size.
 // Returns whether every prediction held.
-bool measureSeries(const ModuleSeries& series);
+bool runModuleSeries(const ModuleSeries& series);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/processes.cpp
+++ b/src/testbed/scale/processes.cpp
@@ -94,7 +94,7 @@
         if (event.kind == EventKind::slowDiscovery)
             command += fmt::format(" --slow {}:{}:{}", toMillis(event.at), toMillis(event.duration),
                                    toMillis(event.delay));
-    if (options.without == "order") command += " --tell-older";
+    if (options.defectiveVariant == "order") command += " --tell-older";
     return std::make_unique<ChildProcess>(command, std::vector<std::pair<std::string, std::string>>{},
                                           options.folder + "/discovery.log");
 }
@@ -108,7 +108,7 @@
                                               configuration, options.folder, options.zones, options.seed);
     for (const int port : ports) sharedArguments += fmt::format(" --upstream 127.0.0.1:{}", port);
     sharedArguments += restartArguments(options);
-    if (options.without == "apply") sharedArguments += " --without apply";
+    if (options.defectiveVariant == "apply") sharedArguments += " --without apply";
     for (int first = 0; first < options.stubRouters; first += kMaxRoutersPerProcess) {
         const int routers = std::min(kMaxRoutersPerProcess, options.stubRouters - first);
         const auto index = processes.size();
--- a/src/testbed/scale/report.cpp
+++ b/src/testbed/scale/report.cpp
@@ -39,7 +39,7 @@
     std::string script =
         "set terminal svg noenhanced size 920,320 dynamic font 'sans,10'\nset key outside right top\n"
         "set grid lc rgb '#dddddd'\nset xlabel 's'\nset ylabel 'ms'\nset logscale y\n";
-    script += fmt::format("set xrange [0:{}]\n", secondsOf(options.length));
+    script += fmt::format("set xrange [0:{}]\n", secondsOf(options.measuredDuration));
     for (const Event& event : options.events) {
         script += fmt::format(
             "set arrow from first {0}, graph 0 to first {0}, graph 1 nohead lc rgb '#b03030' lw 1\n"
--- a/src/testbed/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -249,7 +249,7 @@
         distributor.processorSecondsBefore = processorSecondsOf(distributor.process->pid());
     Nanos lastProgress = 0;
     std::size_t nextStep = 0;
-    for (Nanos now = 0; now < options_.length; now = monotonicNow() - measurementStart_) {
+    for (Nanos now = 0; now < options_.measuredDuration; now = monotonicNow() - measurementStart_) {
         for (; nextStep < steps_.size() && steps_[nextStep].at <= now; ++nextStep) steps_[nextStep].action();
         if (now - lastProgress >= kSecond) reportProgress("measured", lastProgress = now);
         checkAlive();
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -46,12 +46,12 @@
     int zones = 1;
     int distributors = 0;  // 0: routers poll discovery directly
     double changesPerSecond = 0;
-    Nanos length = 0;
+    Nanos measuredDuration = 0;
     std::uint64_t seed = 1;
     std::string folder;  // for the run's files, which are kept after the run
     std::vector<Event> events;
     Bounds bounds;
-    std::string without;  // defective variant that the run has to detect: "apply" or "order"
+    std::string defectiveVariant;  // that the run has to detect: "apply" or "order"; empty: none
     std::function<void(std::string_view phase, Nanos at)> progress;  // about every second
 };
 
--- a/src/testbed/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -38,11 +38,12 @@
     std::fflush(stdout);
 }
 
-// Returns whether every prediction held. The prediction is for `factor` times the largest size;
+// Returns whether every prediction held. The prediction is for `predictionFactor` times the largest size;
 // with 0 there is no prediction.
 template <class Cost>
-bool runSeries(const std::string& variedName, const std::vector<double>& sizes, int seeds, int factor,
-               const std::vector<Quantity<Cost>>& quantities, const Measure<Cost>& measure) {
+bool runSeries(const std::string& variedName, const std::vector<double>& sizes, int seeds,
+               int predictionFactor, const std::vector<Quantity<Cost>>& quantities,
+               const Measure<Cost>& measure) {
     std::vector<std::vector<Sample>> samples(quantities.size());
     std::vector<std::vector<Cost>> costs(sizes.size());
     // All sizes for one seed, then the next seed: a passing load on the machine must not affect one
@@ -59,9 +60,9 @@
         fits.push_back(fitLine(samples[q]));
         fmt::print("{}\n", describe(quantities[q].name, fits[q], quantities[q].unit));
     }
-    if (factor == 0) return true;
+    if (predictionFactor == 0) return true;
     // Printed before the measurement that tests the predictions.
-    const double largest = factor * fits.front().largestSize;
+    const double largest = predictionFactor * fits.front().largestSize;
     for (std::size_t q = 0; q < quantities.size(); ++q)
         fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, variedName, largest,
                    fits[q].at(largest), quantities[q].unit);
--- a/src/testbed/scale/slopes.cpp
+++ b/src/testbed/scale/slopes.cpp
@@ -81,7 +81,8 @@
         return figuresOf(run(optionsAt(series, size, seed)));
     };
     const auto sizes = series.sizes.empty() ? defaultSizes(series.varied) : series.sizes;
-    return runSeries<Figures>(nameOf(series.varied), sizes, series.seeds, series.factor, quantities, measure);
+    return runSeries<Figures>(nameOf(series.varied), sizes, series.seeds, series.predictionFactor, quantities,
+                              measure);
 }
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/slopes.hpp
+++ b/src/testbed/scale/slopes.hpp
@@ -16,7 +16,7 @@
     Varied varied = Varied::routers;
     std::vector<double> sizes;  // if empty, the default sizes of `varied`
     int seeds = 3;
-    int factor = 4;  // predicted size / largest measured size; 0: no prediction
+    int predictionFactor = 4;  // predicted size / largest measured size; 0: no prediction
     Options options;
 };
 
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -104,7 +104,7 @@
 std::string problemsOf(const std::function<void()>& read) {
     try {
         read();
-    } catch (const scale::BadInput& problem) {
+    } catch (const scale::CapacityInputError& problem) {
         return problem.what();
     }
     return "";
@@ -159,7 +159,7 @@
     REQUIRE(from != std::string::npos);
     REQUIRE(to != std::string::npos);
     CHECK(page.substr(from + begin.size(), to - from - begin.size()) ==
-          scale::capacityOfFiles(kTargetFile, kSlopesFile));
+          scale::capacityMarkdownOfFiles(kTargetFile, kSlopesFile));
 }
 
 TEST_CASE("Computes the rows of the capacity table, as computed by hand") {
