--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -82,8 +82,8 @@
     std::atomic<std::uint64_t> occurrences[kSystemCalls][kFaultEffects]{};
     // Offset of the wall clock in ns. Monotonic clocks keep the true time.
     std::atomic<std::int64_t> wallOffset{0};
-    // Share of event loop iterations, in parts of kShareUnit, that are delayed by up to `maxDelay` ns before
-    // polling.
+    // Share of event loop iterations, in parts of kShareUnit, that are delayed by up to `maxDelay`
+    // ns before polling.
     std::atomic<std::uint32_t> delayShare{0};
     std::atomic<std::int64_t> maxDelay{0};
     std::atomic<std::uint64_t> delays{0};
--- a/src/testbed/host_emulation/host_state.hpp
+++ b/src/testbed/host_emulation/host_state.hpp
@@ -14,9 +14,10 @@
 struct HostState {
     std::uint32_t format;
     std::atomic<std::uint32_t> sequence;  // odd during a write
-    // Monotonic clocks show `shownTime` at the true time `trueTime` and run at `rate` times the true speed.
-    // The boot-time clock, which goes on while the machine sleeps, is ahead of them by `bootOffset`. The wall
-    // clock is offset by `wallOffset`, beyond what rate and sleep cause. All in ns.
+    // Monotonic clocks show `shownTime` at the true time `trueTime` and run at `rate` times the
+    // true speed. The boot-time clock, which goes on while the machine sleeps, is ahead of them by
+    // `bootOffset`. The wall clock is offset by `wallOffset`, beyond what rate and sleep cause. All
+    // in ns.
     double rate;
     std::int64_t trueTime, shownTime, bootOffset, wallOffset;
     // The disk is everything below `folder`.
--- a/src/testbed/scale/capacity.hpp
+++ b/src/testbed/scale/capacity.hpp
@@ -81,8 +81,8 @@
 
 std::string capacityMarkdown(const Target& target, const Slopes& slopes);
 
-// Reads both files and returns the table as Markdown. Throws CapacityInputError with the problems of both
-// files.
+// Reads both files and returns the table as Markdown. Throws CapacityInputError with the problems
+// of both files.
 std::string capacityMarkdownOfFiles(const std::string& targetFile, const std::string& slopesFile);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/capacity_input.hpp
+++ b/src/testbed/scale/capacity_input.hpp
@@ -63,8 +63,8 @@
 
 using Slopes = std::map<std::string, Slope, std::less<>>;
 
-// Throws CapacityInputError, also for a slope without a run, with an unknown name, or with another unit or
-// varied quantity than the known slope of that name.
+// Throws CapacityInputError, also for a slope without a run, with an unknown name, or with another
+// unit or varied quantity than the known slope of that name.
 Slopes readSlopes(std::string_view toml, const std::string& file);
 
 }  // namespace poppyscale::testbed::scale
--- a/src/testbed/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -38,8 +38,8 @@
     std::fflush(stdout);
 }
 
-// Returns whether every prediction held. The prediction is for `predictionFactor` times the largest size;
-// with 0 there is no prediction.
+// Returns whether every prediction held. The prediction is for `predictionFactor` times the largest
+// size; with 0 there is no prediction.
 template <class Cost>
 bool runSeries(const std::string& variedName, const std::vector<double>& sizes, int seeds,
                int predictionFactor, const std::vector<Quantity<Cost>>& quantities,
