--- a/src/testbed/drivers/live/interactive.cpp
+++ b/src/testbed/drivers/live/interactive.cpp
@@ -16,13 +16,14 @@
 
 namespace poppyscale::testbed {
 
-void serveByHand(const Scenario& scenario, const std::string& program) {
+void serveInteractive(const Scenario& scenario, const std::string& program) {
     EventLog eventLog;
     std::vector<std::string> names;
-    eventLog.watch = [&](const LogEvent& event) {
-        if (event.kind == EventKind::server) names.emplace_back(wordAt(event.text, 0));
-        const bool isShown =
-            event.kind == EventKind::sent || event.kind == EventKind::began || event.kind == EventKind::ended;
+    eventLog.onEvent = [&](const LogEvent& event) {
+        if (event.kind == EventKind::serverAdded) names.emplace_back(wordAt(event.text, 0));
+        const bool isShown = event.kind == EventKind::attemptSent ||
+                             event.kind == EventKind::executionStarted ||
+                             event.kind == EventKind::attemptEnded;
         if (!isShown) return;
         fmt::print("{:9.3f} s  router {:2}  {:<10} {:<6} {}\n", static_cast<double>(event.at) / 1e9,
                    event.router, names.at(static_cast<std::size_t>(event.server)), nameOf(event.kind),
@@ -31,7 +32,7 @@
     };
     LiveRunOptions options;
     options.program = program;
-    options.serve = [](const std::string& router) {
+    options.onRoutersReady = [](const std::string& router) {
         fmt::print(
             "Serving; the first router listens at {}. Try: poppyscale_testbed ask {} get plum\nCtrl-C stops "
             "it.\n",
@@ -41,8 +42,8 @@
     runLive(scenario, 1, eventLog, options);
 }
 
-std::string askByHand(const std::string& address, const std::vector<std::string>& words,
-                      const std::string& requestClass) {
+std::string sendInteractiveRequest(const std::string& address, const std::vector<std::string>& words,
+                                   const std::string& requestClass) {
     const auto to = transport::parseAddress(address);
     if (!to) throw RunError(address + " is not an address and port");
     const bool isWrite = words.size() == 3 && words[0] == "set";
--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -23,9 +23,9 @@
 std::size_t toIndex(int index) { return static_cast<std::size_t>(index); }
 
 // The text of a `sent` event: the timeout that the attempt forwards to its server.
-std::string forwardedTimeoutText(const ServerCall& call) {
-    if (!call.forwardedTimeoutMs) return "";
-    return fmt::format("d={} held={}", *call.forwardedTimeoutMs, call.delayedBy / kMillisecond);
+std::string forwardedTimeoutText(const ReceivedAttempt& attempt) {
+    if (!attempt.forwardedTimeoutMs) return "";
+    return fmt::format("d={} held={}", *attempt.forwardedTimeoutMs, attempt.maxReadDelay / kMillisecond);
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
       zipf_(scenario.load.keyCount, scenario.load.zipfExponent) {
     eventLog_.head(head(seed));
     const auto& zones = scenario_.network.zones;
-    Server origin;
+    EmulatedServer origin;
     origin.name = "origin";
     origin.zone = zones[0];
     origin.origin = true;
@@ -73,9 +73,9 @@
     int cacheIndex = 0;
     for (const CachePlan& plan : scenario_.caches)
         for (int i = 0; i < plan.count; ++i, ++cacheIndex) {
-            Server cache;
+            EmulatedServer cache;
             cache.name = fmt::format("{}-{}", plan.name, i);
-            cache.door = static_cast<int>(serverAtAddress_.size());
+            cache.addressIndex = static_cast<int>(serverAtAddress_.size());
             cache.zone = zones[toIndex(cacheIndex) % zones.size()];
             cache.cell = cacheIndex / 8;
             cache.plan = &plan;
@@ -93,9 +93,9 @@
 
 EmulatedDeployment::~EmulatedDeployment() = default;
 
-void EmulatedDeployment::log(Nanos now, EventKind kind, std::uint64_t command, int router, int server,
+void EmulatedDeployment::log(Nanos now, EventKind kind, std::uint64_t requestId, int router, int server,
                              std::uint64_t attemptId, std::int64_t number, std::string text) {
-    eventLog_.add({now, kind, command, router, server, attemptId, number, std::move(text)});
+    eventLog_.add({now, kind, requestId, router, server, attemptId, number, std::move(text)});
 }
 
 nlohmann::json EmulatedDeployment::head(std::uint64_t seed) const {
@@ -107,7 +107,7 @@
                                   {"group", static_cast<int>(plan.requestClass.deduplicationScope)},
                                   {"remembered", plan.requestClass.idempotencyKeyTtl},
                                   {"goal", plan.requestClass.latencyObjective},
-                                  {"limit", plan.limit},
+                                  {"limit", plan.timeout},
                                   {"utility", plan.requestClass.priorityWeight},
                                   {"late", plan.requestClass.lateWeight},
                                   {"write", plan.write}});
@@ -117,10 +117,10 @@
             {"slack", scenario_.slack},
             {"grace", scenario_.drainGrace},
             {"routers", scenario_.routers.count},
-            {"moved", scenario_.routers.moved},
+            {"moved", scenario_.routers.loadWeightedCount},
             {"machines", scenario_.machines.count},
-            {"harmful", scenario_.roll.harmful()},
-            {"longest", scenario_.longestLimit()},
+            {"harmful", scenario_.rollout.isHarmful()},
+            {"longest", scenario_.longestTimeout()},
             {"cold",
              {{"share", scenario_.slowStart.initialFraction},
               {"ramp", scenario_.slowStart.rampDuration},
@@ -145,7 +145,7 @@
             {"verbs", std::move(requestClasses)}};
 }
 
-void EmulatedDeployment::addServer(Server server, Nanos now, bool isCold) {
+void EmulatedDeployment::addServer(EmulatedServer server, Nanos now, bool isCold) {
     ServerModel::Shape shape;
     if (server.origin)
         shape = {scenario_.origin.cores, scenario_.origin.speed, scenario_.origin.queueLimit,
@@ -154,18 +154,18 @@
         shape = {server.plan->cores, server.plan->speed, server.plan->queueLimit, 0};
     const std::size_t keys = server.origin ? 1 : toIndex(server.plan->maxKeys);
     server.startedAt = isCold ? now : 0;
-    server.wallStep = wallClockOffset_;
+    server.wallClockOffset = wallClockOffset_;
     const auto index = static_cast<int>(servers_.size());
     serverStates_.push_back(
         std::make_unique<ServerState>(shape, keys, std::max<Nanos>(scenario_.slowStart.overloadWindow, 1)));
-    log(now, EventKind::server, 0, -1, index, 0, server.startedAt,
+    log(now, EventKind::serverAdded, 0, -1, index, 0, server.startedAt,
         fmt::format("{} {} {} {} {}", server.name, server.zone, server.cell,
                     server.origin ? "origin" : "cache", shape.cores * shape.speed));
     endpoints_.push_back({index, isCold ? EndpointState::removed : EndpointState::ready, server.startedAt});
     servers_.push_back(std::move(server));
 }
 
-std::optional<int> EmulatedDeployment::serverNamed(const std::string& name) const {
+std::optional<int> EmulatedDeployment::findServer(const std::string& name) const {
     for (std::size_t i = servers_.size(); i-- > 0;)
         if (servers_[i].name == name) return static_cast<int>(i);
     return std::nullopt;
@@ -175,11 +175,12 @@
     beganAt_ = now;
     loadUntil_ = now + scenario_.length;
     for (const FaultPlan& fault : scenario_.faults) scheduleFaults(fault);
-    if (scenario_.routers.moved > 0) updateWeights(now);
-    events_.schedule(now + arrivalRandom_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
+    if (scenario_.routers.loadWeightedCount > 0) updateWeights(now);
+    events_.schedule(now + arrivalRandom_.interarrivalTime(rateAt(now)),
+                     [this](Nanos t) { generateRequest(t); });
 }
 
-bool EmulatedDeployment::isOver(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
+bool EmulatedDeployment::hasEnded(Nanos now) const { return now > loadUntil_ && openRequests_.empty(); }
 
 // ---- Clients
 
@@ -213,8 +214,8 @@
     const auto dueSwaps =
         static_cast<int>(load.keyDrift * load.keyCount * static_cast<double>(now - beganAt_) / 1e9);
     for (; keySwaps_ < dueSwaps; ++keySwaps_)
-        std::swap(keyOfRank_[toIndex(keyRandom_.below(load.keyCount))],
-                  keyOfRank_[toIndex(keyRandom_.below(load.keyCount))]);
+        std::swap(keyOfRank_[toIndex(keyRandom_.integerBelow(load.keyCount))],
+                  keyOfRank_[toIndex(keyRandom_.integerBelow(load.keyCount))]);
     const int rank = zipf_.draw(keyRandom_);
     const double draw = keyRandom_.fraction();
     if (draw < activeFaults_.hotKeyShare) return "hot";
@@ -227,13 +228,14 @@
     std::vector<int> candidates;
     for (std::size_t router = 0; router < routers_.size(); ++router)
         if (routers_[router].isAssumedUp) candidates.push_back(static_cast<int>(router));
-    if (candidates.empty()) return networkRandom_.below(static_cast<int>(routers_.size()));
-    return candidates[toIndex(networkRandom_.below(static_cast<int>(candidates.size())))];
+    if (candidates.empty()) return networkRandom_.integerBelow(static_cast<int>(routers_.size()));
+    return candidates[toIndex(networkRandom_.integerBelow(static_cast<int>(candidates.size())))];
 }
 
 void EmulatedDeployment::generateRequest(Nanos now) {
     if (now >= loadUntil_) return;
-    events_.schedule(now + arrivalRandom_.gap(rateAt(now)), [this](Nanos t) { generateRequest(t); });
+    events_.schedule(now + arrivalRandom_.interarrivalTime(rateAt(now)),
+                     [this](Nanos t) { generateRequest(t); });
     ClientRequest request;
     request.requestClass = arrivalRandom_.weightedIndex(scenario_.requestClasses,
                                                         [](const RequestClassPlan& v) { return v.share; });
@@ -245,14 +247,14 @@
     request.work = static_cast<double>(requestClass.work) * arrivalRandom_.factor(requestClass.spread);
     if (arrivalRandom_.chance(activeFaults_.heavyShare)) request.work *= kHeavyWorkFactor;
     if (requestClass.requestClass.idempotency == Idempotency::idempotentWithKey)
-        request.mark = fmt::format("{:016x}", arrivalRandom_.randomWord());
-    request.id = request.firstTryId = arrivalRandom_.randomWord();
+        request.idempotencyKey = fmt::format("{:016x}", arrivalRandom_.uint64());
+    request.id = request.firstTryId = arrivalRandom_.uint64();
     request.dueAt = now;
-    request.deadline = request.finalDeadline = now + requestClass.limit;
+    request.deadline = request.finalDeadline = now + requestClass.timeout;
     const bool isImpatient = arrivalRandom_.chance(scenario_.load.impatientShare);
     request.router = pickRouter();
     const RequestId id = request.id;
-    const Nanos halfway = now + requestClass.limit / 2;
+    const Nanos halfway = now + requestClass.timeout / 2;
     sendRequest(now, std::move(request));
     if (isImpatient) events_.schedule(halfway, [this, id](Nanos t) { abandonRequest(t, id); });
 }
@@ -261,7 +263,7 @@
     const auto it = openRequests_.find(id);
     if (it == openRequests_.end()) return;
     const int router = it->second.router;
-    log(now, EventKind::left, id, router, -1, 0, 0);
+    log(now, EventKind::clientDisconnected, id, router, -1, 0, 0);
     openRequests_.erase(it);
     transport_.disconnectClient(router, id);
 }
@@ -269,7 +271,7 @@
 void EmulatedDeployment::sendRequest(Nanos now, ClientRequest request) {
     const RequestId id = request.id;
     const std::string tenant = request.tenant < 0 ? "-" : scenario_.tenants[toIndex(request.tenant)].name;
-    log(now, EventKind::asked, id, request.router, -1, static_cast<std::uint64_t>(request.dueAt),
+    log(now, EventKind::requestSent, id, request.router, -1, static_cast<std::uint64_t>(request.dueAt),
         request.deadline,
         fmt::format("{} {} {} {:x} {}",
                     scenario_.requestClasses[toIndex(request.requestClass)].requestClass.name, tenant,
@@ -285,7 +287,7 @@
         const auto it = openRequests_.find(id);
         if (it == openRequests_.end()) return;
         const int router = it->second.router;
-        log(t, EventKind::silent, id, router, -1, 0, 0);
+        log(t, EventKind::unanswered, id, router, -1, 0, 0);
         openRequests_.erase(it);
         transport_.disconnectClient(router, id);
     });
@@ -299,8 +301,7 @@
     if (it == openRequests_.end()) {
         // The request is no longer open. A second final response is logged, so that the audit can
         // judge it.
-        static constexpr EventKind kinds[] = {EventKind::answered, EventKind::declined,
-                                              EventKind::terminated};
+        static constexpr EventKind kinds[] = {EventKind::answered, EventKind::rejected, EventKind::failed};
         if (outcome != ClientOutcome::unsent && requestWork_.contains(id))
             log(now, kinds[static_cast<int>(outcome)], id, -1, -1, 0, retryAfter, token);
         return;
@@ -310,12 +311,12 @@
     switch (outcome) {
         case ClientOutcome::answered:
             return log(now, EventKind::answered, id, request.router, -1, 0, 0, token);
-        case ClientOutcome::declined:
-            log(now, EventKind::declined, id, request.router, -1, 0, retryAfter);
+        case ClientOutcome::rejected:
+            log(now, EventKind::rejected, id, request.router, -1, 0, retryAfter);
             return retryLater(now, request,
                               std::max(retryAfter, scenario_.load.initialBackoff << (request.tryNumber - 1)));
-        case ClientOutcome::terminated:
-            log(now, EventKind::terminated, id, request.router, -1, 0, 0);
+        case ClientOutcome::failed:
+            log(now, EventKind::failed, id, request.router, -1, 0, 0);
             // The request may have run, so only a request that may run twice is retried.
             if (scenario_.requestClasses[toIndex(request.requestClass)].requestClass.idempotency ==
                 Idempotency::safe)
@@ -336,10 +337,10 @@
     const auto wait =
         static_cast<Nanos>(static_cast<double>(after) * (0.75 + 0.5 * networkRandom_.fraction()));
     const RequestClassPlan& requestClass = scenario_.requestClasses[toIndex(last.requestClass)];
-    if (now + wait + requestClass.limit / 20 > last.finalDeadline) return;
+    if (now + wait + requestClass.timeout / 20 > last.finalDeadline) return;
     events_.schedule(now + wait, [this, last](Nanos t) {
         ClientRequest request = last;
-        request.id = networkRandom_.randomWord();
+        request.id = networkRandom_.uint64();
         ++request.tryNumber;
         request.router = pickRouter();
         sendRequest(t, std::move(request));
@@ -348,8 +349,8 @@
 
 // ---- Connections and attempts
 
-Nanos EmulatedDeployment::delay(const std::string& from, const std::string& to) {
-    const Nanos mean = from == to ? scenario_.network.same : scenario_.network.crossZoneDelay;
+Nanos EmulatedDeployment::drawNetworkDelay(const std::string& from, const std::string& to) {
+    const Nanos mean = from == to ? scenario_.network.sameZoneDelay : scenario_.network.crossZoneDelay;
     return static_cast<Nanos>(static_cast<double>(mean) * networkRandom_.factor(scenario_.network.jitter));
 }
 
@@ -359,8 +360,8 @@
            (servers_[toIndex(server)].zone == activeFaults_.cutZone);
 }
 
-AddressState EmulatedDeployment::addressState(int router, int address) const {
-    const int server = serverAtAddress_[toIndex(address)];
+AddressState EmulatedDeployment::addressState(int router, int addressIndex) const {
+    const int server = serverAtAddress_[toIndex(addressIndex)];
     const ServerState& serverState = *serverStates_[toIndex(server)];
     if (!isReachable(router, server) || serverState.dropsConnects) return AddressState::silent;
     return serverState.condition == ServerCondition::down || serverState.condition == ServerCondition::gone ||
@@ -371,18 +372,18 @@
 
 void EmulatedDeployment::updateAddressStates(Nanos) {
     for (int router = 0; router < scenario_.routers.count; ++router)
-        for (int address = 0; address < addresses(); ++address)
+        for (int address = 0; address < addressCount(); ++address)
             transport_.setAddressState(router, address, addressState(router, address));
 }
 
-ConnectionId EmulatedDeployment::connect(Nanos now, int router, int address) {
-    const int server = serverAtAddress_[toIndex(address)];
+ConnectionId EmulatedDeployment::beginConnect(Nanos now, int router, int addressIndex) {
+    const int server = serverAtAddress_[toIndex(addressIndex)];
     ServerState& serverState = *serverStates_[toIndex(server)];
     const ConnectionId id = ++lastConnectionId_;
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     const int maxConnections =
         serverInfo.origin ? scenario_.origin.maxConnections : serverInfo.plan->maxConnections;
-    AddressState state = addressState(router, address);
+    AddressState state = addressState(router, addressIndex);
     if (state == AddressState::open && serverState.openConnections >= maxConnections)
         state = AddressState::refused;
     if (state == AddressState::open) {
@@ -394,7 +395,7 @@
     }
     if (state == AddressState::silent) return id;
     const std::string& zone = routers_[toIndex(router)].zone;
-    const Nanos roundTrip = delay(zone, serverInfo.zone) + delay(serverInfo.zone, zone);
+    const Nanos roundTrip = drawNetworkDelay(zone, serverInfo.zone) + drawNetworkDelay(serverInfo.zone, zone);
     events_.schedule(now + roundTrip, [this, id, isAccepted = state == AddressState::open](Nanos) {
         const auto it = connections_.find(id);
         if (it != connections_.end()) it->second.isUp = true;
@@ -403,7 +404,7 @@
     return id;
 }
 
-void EmulatedDeployment::closed(Nanos now, ConnectionId id) {
+void EmulatedDeployment::onConnectionClosed(Nanos now, ConnectionId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     ServerState& serverState = *serverStates_[toIndex(it->second.server)];
@@ -411,8 +412,8 @@
     for (const auto& pending : it->second.pendingReplies) {
         const auto attempt = attempts_.find(pending.attemptId);
         if (attempt == attempts_.end()) continue;
-        log(now, EventKind::closed, attempt->second.call.command, it->second.router, attempt->second.server,
-            pending.attemptId, 0);
+        log(now, EventKind::closed, attempt->second.received.requestId, it->second.router,
+            attempt->second.server, pending.attemptId, 0);
         // A queued attempt is dropped. One that runs or is still on its way to the server
         // continues.
         if (serverState.model.removeQueued(pending.attemptId)) attempts_.erase(attempt);
@@ -420,30 +421,30 @@
     connections_.erase(it);
 }
 
-void EmulatedDeployment::call(Nanos now, ConnectionId id, const ServerCall& call) {
+void EmulatedDeployment::onAttemptReceived(Nanos now, ConnectionId id, const ReceivedAttempt& received) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     ServerConnection& conn = it->second;
-    const Server& serverInfo = servers_[toIndex(conn.server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(conn.server)];
     ServerState& serverState = *serverStates_[toIndex(conn.server)];
     AttemptInFlight attempt;
     attempt.id = ++lastAttemptId_;
     attempt.connection = id;
-    attempt.call = call;
+    attempt.received = received;
     attempt.server = conn.server;
-    const auto work = requestWork_.find(call.command);
+    const auto work = requestWork_.find(received.requestId);
     attempt.work =
         work != requestWork_.end() ? work->second : static_cast<double>(scenario_.requestClasses[0].work);
-    if (serverInfo.origin && !call.write) attempt.work *= scenario_.origin.readWorkFactor;
+    if (serverInfo.origin && !received.write) attempt.work *= scenario_.origin.readWorkFactor;
     const std::uint64_t attemptId = attempt.id;
-    log(now, EventKind::sent, call.command, conn.router, conn.server, attemptId,
-        static_cast<std::int64_t>(attempt.work), forwardedTimeoutText(call));
+    log(now, EventKind::attemptSent, received.requestId, conn.router, conn.server, attemptId,
+        static_cast<std::int64_t>(attempt.work), forwardedTimeoutText(received));
     attempts_[attemptId] = std::move(attempt);
     conn.pendingReplies.push_back({attemptId, std::nullopt});
     if (!isReachable(conn.router, conn.server)) return;
-    conn.lastArrival =
-        std::max(conn.lastArrival,
-                 now + delay(routers_[toIndex(conn.router)].zone, serverInfo.zone) + serverState.readDelay);
+    conn.lastArrival = std::max(
+        conn.lastArrival,
+        now + drawNetworkDelay(routers_[toIndex(conn.router)].zone, serverInfo.zone) + serverState.readDelay);
     const std::uint64_t incarnation = serverState.incarnation;
     events_.schedule(conn.lastArrival, [this, attemptId, incarnation](Nanos t) {
         const auto found = attempts_.find(attemptId);
@@ -459,14 +460,14 @@
 
 void EmulatedDeployment::onRequestArrived(Nanos now, std::uint64_t attemptId) {
     AttemptInFlight& attempt = attempts_.at(attemptId);
-    const Server& serverInfo = servers_[toIndex(attempt.server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(attempt.server)];
     ServerState& serverState = *serverStates_[toIndex(attempt.server)];
     if (serverState.condition != ServerCondition::up) return;
     if (serverState.isDraining) return queueReply(now, attemptId, {Reply::Kind::busy, {}});
     if (serviceRandom_.chance(serverState.errorShare))
         return queueReply(now, attemptId, {Reply::Kind::error, {}});
-    if (!serverInfo.origin && !attempt.call.write &&
-        !(attempt.isHit = serverState.contents.touch(attempt.call.key)))
+    if (!serverInfo.origin && !attempt.received.write &&
+        !(attempt.isHit = serverState.contents.touch(attempt.received.key)))
         attempt.work *= kMissWorkShare;
 
     const double capacityFraction = capacityFractionAt(
@@ -481,7 +482,7 @@
                                              : 0;
     if (overloadMultiple > 0 && serverState.recentWork.sum(now) > overloadMultiple * windowCapacity) {
         const int server = attempt.server;
-        log(now, EventKind::fell, 0, -1, server, 0, 0);
+        log(now, EventKind::serverOverloaded, 0, -1, server, 0, 0);
         stopServer(now, server);
         if (!serverInfo.origin)
             changeEndpoint(now, server, EndpointState::removed, scenario_.discovery.removalDelay);
@@ -498,7 +499,7 @@
 void EmulatedDeployment::startJobs(Nanos now, int server) {
     ServerState& serverState = *serverStates_[toIndex(server)];
     if (serverState.condition != ServerCondition::up) return;
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     const double pace = capacityFractionAt(now, serverInfo.startedAt,
                                            serverInfo.origin ? 1 : scenario_.slowStart.initialFraction,
                                            scenario_.slowStart.rampDuration) /
@@ -507,7 +508,7 @@
         AttemptInFlight& attempt = attempts_.at(started.job);
         attempt.hasBegun = true;
         for (const RequestClassPlan& plan : scenario_.requestClasses) {
-            if (plan.requestClass.name != attempt.call.requestClass ||
+            if (plan.requestClass.name != attempt.received.requestClass ||
                 plan.requestClass.idempotency == Idempotency::safe)
                 continue;
             // A repeated idempotency key that the deduplication scope still knows has no further
@@ -517,11 +518,13 @@
                 scope = "z" + serverInfo.zone;
             if (plan.requestClass.deduplicationScope == DeduplicationScope::cell)
                 scope = fmt::format("c{}", serverInfo.cell);
-            const bool isRepeat = plan.requestClass.idempotency == Idempotency::idempotentWithKey &&
-                                  !attempt.call.mark.empty() &&
-                                  !idempotencyRecords_[scope].recordIfNew(
-                                      now, attempt.call.mark, now + plan.requestClass.idempotencyKeyTtl);
-            if (!isRepeat) log(now, EventKind::began, attempt.call.command, -1, server, started.job, 0);
+            const bool isRepeat =
+                plan.requestClass.idempotency == Idempotency::idempotentWithKey &&
+                !attempt.received.idempotencyKey.empty() &&
+                !idempotencyRecords_[scope].recordIfNew(now, attempt.received.idempotencyKey,
+                                                        now + plan.requestClass.idempotencyKeyTtl);
+            if (!isRepeat)
+                log(now, EventKind::executionStarted, attempt.received.requestId, -1, server, started.job, 0);
         }
         events_.schedule(started.until, [this, attemptId = started.job, incarnation = serverState.incarnation,
                                          server](Nanos t) {
@@ -536,26 +539,26 @@
     AttemptInFlight& attempt = it->second;
     const int server = attempt.server;
     ServerState& serverState = *serverStates_[toIndex(server)];
-    const Server& serverInfo = servers_[toIndex(server)];
+    const EmulatedServer& serverInfo = servers_[toIndex(server)];
     serverState.model.onJobEnded();
     Reply reply{Reply::Kind::value, fmt::format("v{:x}", attemptId)};
     if (serverInfo.origin) {
-        for (std::size_t cache = 1; cache < servers_.size() && attempt.call.write; ++cache)
-            serverStates_[cache]->contents.erase(attempt.call.key);
-        if (const auto missed = missedAt_.find(attempt.call.command);
-            missed != missedAt_.end() && !attempt.call.write) {
+        for (std::size_t cache = 1; cache < servers_.size() && attempt.received.write; ++cache)
+            serverStates_[cache]->contents.erase(attempt.received.key);
+        if (const auto missed = missedAt_.find(attempt.received.requestId);
+            missed != missedAt_.end() && !attempt.received.write) {
             for (const int cache : missed->second)
                 if (serverStates_[toIndex(cache)]->condition == ServerCondition::up)
-                    serverStates_[toIndex(cache)]->contents.insert(attempt.call.key);
+                    serverStates_[toIndex(cache)]->contents.insert(attempt.received.key);
             missedAt_.erase(missed);
         }
     } else if (serviceRandom_.chance(serverInfo.plan->errorShare)) {
         reply = {Reply::Kind::error, {}};
-    } else if (!attempt.call.write && !attempt.isHit) {
+    } else if (!attempt.received.write && !attempt.isHit) {
         reply = {Reply::Kind::miss, {}};
-        missedAt_[attempt.call.command].push_back(server);
+        missedAt_[attempt.received.requestId].push_back(server);
     }
-    if (serviceRandom_.chance(activeFaults_.malformedShare)) reply = {Reply::Kind::spoilt, {}};
+    if (serviceRandom_.chance(activeFaults_.malformedShare)) reply = {Reply::Kind::malformed, {}};
     queueReply(now, attemptId, std::move(reply));
     startJobs(now, server);
 }
@@ -567,7 +570,7 @@
     const AttemptInFlight attempt = std::move(it->second);
     attempts_.erase(it);
     static constexpr std::string_view kinds[] = {"value", "miss", "error", "busy", "spoilt"};
-    log(now, EventKind::ended, attempt.call.command, -1, attempt.server, attemptId, 0,
+    log(now, EventKind::attemptEnded, attempt.received.requestId, -1, attempt.server, attemptId, 0,
         fmt::format("{} {}", kinds[static_cast<int>(reply.kind)], reply.token));
     const auto conn = connections_.find(attempt.connection);
     if (conn == connections_.end()) return;
@@ -584,7 +587,7 @@
         conn.pendingReplies.pop_front();
         if (!isReachable(conn.router, conn.server)) return;
         const Nanos networkDelay =
-            delay(servers_[toIndex(conn.server)].zone, routers_[toIndex(conn.router)].zone);
+            drawNetworkDelay(servers_[toIndex(conn.server)].zone, routers_[toIndex(conn.router)].zone);
         events_.schedule(now + networkDelay, [this, id, reply](Nanos) {
             if (connections_.contains(id)) transport_.sendReply(id, reply);
         });
@@ -597,8 +600,8 @@
     --serverStates_[toIndex(it->second.server)]->openConnections;
     for (const auto& pending : it->second.pendingReplies)
         if (const auto attempt = attempts_.find(pending.attemptId); attempt != attempts_.end())
-            log(now, EventKind::broke, attempt->second.call.command, it->second.router, it->second.server,
-                pending.attemptId, 0);
+            log(now, EventKind::connectionBroken, attempt->second.received.requestId, it->second.router,
+                it->second.server, pending.attemptId, 0);
     connections_.erase(it);
     transport_.breakConnection(id);
 }
@@ -631,9 +634,9 @@
     serverState.condition = ServerCondition::up;
     serverState.isLeaving = serverState.isDraining = false;
     ++serverState.incarnation;
-    Server& serverInfo = servers_[toIndex(server)];
+    EmulatedServer& serverInfo = servers_[toIndex(server)];
     if (!serverInfo.origin) serverInfo.startedAt = now;
-    serverInfo.wallStep = wallClockOffset_;
+    serverInfo.wallClockOffset = wallClockOffset_;
     log(now, EventKind::started, 0, -1, server, 0, serverInfo.startedAt);
     updateAddressStates(now);
     if (!serverInfo.origin)
@@ -644,12 +647,12 @@
 
 EndpointListMessage EmulatedDeployment::completeList() const {
     EndpointListMessage list{version_, true, {}};
-    for (const EndpointLine& line : endpoints_)
+    for (const ListedEndpoint& line : endpoints_)
         if (line.state != EndpointState::removed) list.lines.push_back(line);
     return list;
 }
 
-EndpointListMessage EmulatedDeployment::lastList(int router) const {
+EndpointListMessage EmulatedDeployment::initialEndpointList(int router) const {
     const RouterState& state = routers_[toIndex(router)];
     if (state.knownEndpoints.empty()) return completeList();
     // Version 0, since the lines may be old: the router's first poll brings every later change.
@@ -666,7 +669,7 @@
         if (state == EndpointState::removed && serverState.condition == ServerCondition::up &&
             !serverState.isLeaving)
             return;
-        EndpointLine& line = endpoints_[toIndex(server)];
+        ListedEndpoint& line = endpoints_[toIndex(server)];
         line.state = state;
         line.startedAt = servers_[toIndex(server)].startedAt;
         changes_.push_back({++version_, line});
@@ -678,12 +681,12 @@
 }
 
 void EmulatedDeployment::updateWeights(Nanos now) {
-    for (EndpointLine& line : endpoints_) {
-        const Server& serverInfo = servers_[toIndex(line.server)];
+    for (ListedEndpoint& line : endpoints_) {
+        const EmulatedServer& serverInfo = servers_[toIndex(line.server)];
         if (serverInfo.origin) continue;
         const ServerModel& model = serverStates_[toIndex(line.server)]->model;
         const double held = (model.running() + static_cast<double>(model.queued())) / serverInfo.plan->cores;
-        if (std::exchange(line.heldCommands, held) != held) changes_.push_back({++version_, line});
+        if (std::exchange(line.requestsPerCore, held) != held) changes_.push_back({++version_, line});
     }
     answerLongPolls(now);
     if (now <= loadUntil_)
@@ -696,20 +699,21 @@
     if (discoverySilent_) return poll;
     if (activeFaults_.refusedPollShare > 0 && faultRandom_.chance(activeFaults_.refusedPollShare))
         return refuseAfterDelay(now, router, poll), poll;
-    if (scenario_.discovery.crowded) endOlderPolls(router, poll);
+    if (scenario_.discovery.limitsPolls) endOlderPolls(router, poll);
     const Nanos serviceTime = pollServiceTime();
     discoveryFreeAt_ = std::max(now, discoveryFreeAt_) + serviceTime;
     const bool isLate = discoveryFreeAt_ - now > scenario_.discovery.maxQueueDelay;
-    if (isLate && scenario_.discovery.crowded && !discoveryDown_) {
+    if (isLate && scenario_.discovery.limitsPolls && !discoveryDown_) {
         discoveryFreeAt_ -= serviceTime - serviceTime / kRefusalSpeedup;
         return refuseAfterDelay(now, router, poll), poll;
     }
     if (discoveryDown_ || isLate) {
         if (isLate) discoveryFreeAt_ -= serviceTime;
-        events_.schedule(now + (discoveryDown_ ? scenario_.network.same : scenario_.discovery.maxQueueDelay),
-                         [this, router, poll](Nanos) {
-                             if (pendingPolls_.erase(poll) > 0) transport_.failPoll(router, poll);
-                         });
+        events_.schedule(
+            now + (discoveryDown_ ? scenario_.network.sameZoneDelay : scenario_.discovery.maxQueueDelay),
+            [this, router, poll](Nanos) {
+                if (pendingPolls_.erase(poll) > 0) transport_.failPoll(router, poll);
+            });
         return poll;
     }
     events_.schedule(discoveryFreeAt_, [this, poll, wait](Nanos t) {
@@ -727,11 +731,11 @@
 }
 
 Nanos EmulatedDeployment::pollServiceTime() const {
-    return static_cast<Nanos>(1e9 / scenario_.discovery.perSecond);
+    return static_cast<Nanos>(1e9 / scenario_.discovery.pollRate);
 }
 
 void EmulatedDeployment::refuseAfterDelay(Nanos now, int router, PollId poll) {
-    events_.schedule(now + scenario_.network.same, [this, router, poll](Nanos) {
+    events_.schedule(now + scenario_.network.sameZoneDelay, [this, router, poll](Nanos) {
         if (pendingPolls_.erase(poll) > 0) transport_.refusePoll(router, poll);
     });
 }
@@ -760,7 +764,7 @@
 void EmulatedDeployment::answerLongPolls(Nanos now) {
     for (const PollId id : pollsByRouter()) {
         if (pendingPolls_.at(id).waitsUntil <= now) continue;
-        if (!scenario_.discovery.crowded) {
+        if (!scenario_.discovery.limitsPolls) {
             answerPoll(now, id);
             continue;
         }
@@ -790,7 +794,7 @@
             if (change.version > knownVersion) list.lines.push_back(change.line);
     }
     poll.waitsUntil = 0;
-    events_.schedule(now + drawPollDelay() + scenario_.network.same, [this, id, list](Nanos t) {
+    events_.schedule(now + drawPollDelay() + scenario_.network.sameZoneDelay, [this, id, list](Nanos t) {
         const auto it = pendingPolls_.find(id);
         if (it == pendingPolls_.end() || discoverySilent_) return;
         const int router = it->second.router;
@@ -805,14 +809,14 @@
     if (list.full)
         for (const auto& [server, line] : std::map(known))
             if (std::none_of(list.lines.begin(), list.lines.end(),
-                             [&, s = server](const EndpointLine& l) { return l.server == s; }))
+                             [&, s = server](const ListedEndpoint& l) { return l.server == s; }))
                 recordKnownEndpoint(now, router, {server, EndpointState::removed, line.startedAt},
                                     list.version, false);
-    for (const EndpointLine& line : list.lines) recordKnownEndpoint(now, router, line, list.version, false);
+    for (const ListedEndpoint& line : list.lines) recordKnownEndpoint(now, router, line, list.version, false);
 }
 
 // A list that arrives after a newer one changes nothing.
-void EmulatedDeployment::recordKnownEndpoint(Nanos now, int router, const EndpointLine& line,
+void EmulatedDeployment::recordKnownEndpoint(Nanos now, int router, const ListedEndpoint& line,
                                              std::int64_t version, bool isAssumed) {
     static constexpr std::string_view states[] = {"gone", "ready", "draining"};
     RouterState& routerState = routers_[toIndex(router)];
@@ -849,14 +853,14 @@
 
 // ---- Routers
 
-void EmulatedDeployment::routerUp(Nanos now, int router) {
+void EmulatedDeployment::onRouterUp(Nanos now, int router) {
     RouterState& state = routers_[toIndex(router)];
     state.isUp = state.isAssumedUp = true;
     log(now, EventKind::up, 0, router, -1, 0, 0, state.zone);
-    onEndpointListDelivered(now, router, lastList(router));
+    onEndpointListDelivered(now, router, initialEndpointList(router));
 }
 
-void EmulatedDeployment::routerLeaves(Nanos now, int router, Nanos since) {
+void EmulatedDeployment::onRouterStopping(Nanos now, int router, Nanos since) {
     RouterState& state = routers_[toIndex(router)];
     state.isEnding = true;
     log(now, EventKind::stopping, 0, router, -1, 0, since);
@@ -867,7 +871,7 @@
                      });
 }
 
-void EmulatedDeployment::routerGone(Nanos now, int router) {
+void EmulatedDeployment::onRouterGone(Nanos now, int router) {
     RouterState& state = routers_[toIndex(router)];
     state.isUp = false;
     std::erase_if(pendingPolls_, [router](const auto& poll) { return poll.second.router == router; });
@@ -878,7 +882,7 @@
     for (const auto& [id, conn] : connections_)
         if (conn.router == router) all.push_back(id);
     std::sort(all.begin(), all.end());
-    for (const ConnectionId id : all) closed(now, id);
+    for (const ConnectionId id : all) onConnectionClosed(now, id);
     events_.schedule(now + scenario_.routers.failureDetectionDelay, [this, router, incarnation](Nanos) {
         RouterState& current = routers_[toIndex(router)];
         if (current.incarnation == incarnation && !current.isUp) current.isAssumedUp = false;
@@ -931,21 +935,22 @@
             });
             break;
         case K::slow:
-            forDrawnCaches(
-                [&](int, ServerState& serverState) { serverState.slowdown = std::max(fault.by, 0.01); });
+            forDrawnCaches([&](int, ServerState& serverState) {
+                serverState.slowdown = std::max(fault.magnitude, 0.01);
+            });
             break;
         case K::errors:
-            forDrawnCaches([&](int, ServerState& serverState) { serverState.errorShare = fault.by; });
+            forDrawnCaches([&](int, ServerState& serverState) { serverState.errorShare = fault.magnitude; });
             break;
         case K::replace:
             forDrawnCaches([&](int server, ServerState& serverState) {
                 stopServer(now, server);
                 serverState.condition = ServerCondition::gone;
                 changeEndpoint(now, server, EndpointState::removed, scenario_.discovery.removalDelay);
-                Server replacement = servers_[toIndex(server)];
+                EmulatedServer replacement = servers_[toIndex(server)];
                 replacement.name = fmt::format("{}-new{}", replacement.plan->name, ++lastReplacement_);
                 const auto index = static_cast<int>(servers_.size());
-                serverAtAddress_[toIndex(replacement.door)] = index;
+                serverAtAddress_[toIndex(replacement.addressIndex)] = index;
                 addServer(std::move(replacement), now, true);
                 log(now, EventKind::started, 0, -1, index, 0, now);
                 updateAddressStates(now);
@@ -964,7 +969,7 @@
                 events_.schedule(now + scenario_.drainGrace, [&serverState, isStillLeaving](Nanos) {
                     serverState.isDraining = isStillLeaving();
                 });
-                events_.schedule(now + 2 * scenario_.drainGrace + scenario_.longestLimit(),
+                events_.schedule(now + 2 * scenario_.drainGrace + scenario_.longestTimeout(),
                                  [this, server, isStillLeaving](Nanos t) {
                                      if (!isStillLeaving()) return;
                                      stopServer(t, server);
@@ -972,7 +977,7 @@
                                  });
             });
             break;
-        case K::cut:
+        case K::zonePartition:
             activeFaults_.cutZone = fault.zone;
             updateAddressStates(now);
             break;
@@ -980,37 +985,37 @@
             forDrawnCaches([&](int, ServerState& serverState) { serverState.refusesConnects = true; });
             updateAddressStates(now);
             break;
-        case K::late:
+        case K::connectsDropped:
             forDrawnCaches([&](int, ServerState& serverState) { serverState.dropsConnects = true; });
             updateAddressStates(now);
             break;
-        case K::leave: {
+        case K::clientsLeave: {
             std::vector<RequestId> waiting;
             for (const auto& [id, request] : openRequests_) waiting.push_back(id);
             std::sort(waiting.begin(), waiting.end());  // for the same order in each run of a seed
             for (const RequestId id : waiting)
-                if (faultRandom_.chance(fault.by)) abandonRequest(now, id);
+                if (faultRandom_.chance(fault.magnitude)) abandonRequest(now, id);
             break;
         }
         case K::reset:
-            forDrawnCaches([&](int, ServerState& serverState) { serverState.resetShare = fault.by; });
+            forDrawnCaches([&](int, ServerState& serverState) { serverState.resetShare = fault.magnitude; });
             break;
         case K::slowReader:
             forDrawnCaches([&](int, ServerState& serverState) {
-                serverState.readDelay = static_cast<Nanos>(fault.by * kMillisecond);
+                serverState.readDelay = static_cast<Nanos>(fault.magnitude * kMillisecond);
             });
             break;
         case K::unresponsive:
             forDrawnCaches([&](int, ServerState& serverState) { serverState.dropsReplies = true; });
             break;
         case K::malformedResponses:
-            activeFaults_.malformedShare = fault.by;
+            activeFaults_.malformedShare = fault.magnitude;
             break;
         case K::originStop:
             stopServer(now, 0);
             break;
         case K::originSlow:
-            serverStates_[0]->slowdown = fault.by;
+            serverStates_[0]->slowdown = fault.magnitude;
             break;
         case K::discoveryDown:
             discoveryDown_ = true;
@@ -1020,25 +1025,25 @@
             discoverySilent_ = true;
             break;
         case K::discoverySlow:
-            activeFaults_.pollDelay = static_cast<Nanos>(fault.by * kMillisecond);
+            activeFaults_.pollDelay = static_cast<Nanos>(fault.magnitude * kMillisecond);
             break;
         case K::discoveryRefuse:
-            activeFaults_.refusedPollShare = fault.by;
+            activeFaults_.refusedPollShare = fault.magnitude;
             break;
         case K::discoveryMove:
             transport_.moveDiscovery(++discoveryAddress_);
             break;
         case K::hotKey:
-            activeFaults_.hotKeyShare = fault.by;
+            activeFaults_.hotKeyShare = fault.magnitude;
             break;
         case K::heavy:
-            activeFaults_.heavyShare = fault.by;
+            activeFaults_.heavyShare = fault.magnitude;
             break;
         case K::scan:
-            activeFaults_.scanShare = fault.by;
+            activeFaults_.scanShare = fault.magnitude;
             break;
         case K::load:
-            activeFaults_.loadFactor = fault.by;
+            activeFaults_.loadFactor = fault.magnitude;
             break;
         case K::routerKill: {
             std::vector<int> all;
@@ -1079,16 +1084,16 @@
             for (int router = 0; router < scenario_.routers.count; ++router)
                 if (routers_[toIndex(router)].isUp) transport_.reloadRouter(router);
             break;
-        case K::wallStep:
-            wallClockOffset_ = static_cast<Nanos>(fault.by * kMillisecond);
+        case K::wallClockOffset:
+            wallClockOffset_ = static_cast<Nanos>(fault.magnitude * kMillisecond);
             transport_.injectProcessFault(fault, true);
             break;
         case K::callsFail:
-        case K::holdUp:
+        case K::eventLoopDelay:
             transport_.injectProcessFault(fault, true);
             break;
         default: {  // faults of machines
-            const int drawn = faultRandom_.below(std::max(scenario_.machines.count, 1));
+            const int drawn = faultRandom_.integerBelow(std::max(scenario_.machines.count, 1));
             affected = {fault.machine >= 0 ? fault.machine : drawn};
             transport_.injectMachineFault(fault, affected[0], true);
             break;
@@ -1101,8 +1106,8 @@
 
 void EmulatedDeployment::clearFault(Nanos now, const FaultPlan& fault, const std::vector<int>& affected) {
     log(now, EventKind::fault, 0, -1, -1, 0, 0, fmt::format("ends {} {}", nameOf(fault.kind), fault.zone));
-    if (fault.kind == FaultKind::wallStep) wallClockOffset_ = 0;
-    if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::holdUp)
+    if (fault.kind == FaultKind::wallClockOffset) wallClockOffset_ = 0;
+    if (fault.kind >= FaultKind::callsFail && fault.kind <= FaultKind::eventLoopDelay)
         return transport_.injectProcessFault(fault, false);
     if (fault.kind >= FaultKind::machineKill)
         return transport_.injectMachineFault(fault, affected.at(0), false);
@@ -1129,7 +1134,7 @@
         }
     }
     using K = FaultKind;
-    if (fault.kind == K::cut) {
+    if (fault.kind == K::zonePartition) {
         std::vector<ConnectionId> across;
         for (const auto& [id, conn] : connections_)
             if (!isReachable(conn.router, conn.server)) across.push_back(id);
@@ -1137,7 +1142,8 @@
         activeFaults_.cutZone.clear();
         for (const ConnectionId id : across) breakConnection(now, id);
     }
-    if (fault.kind == K::cut || fault.kind == K::refuse || fault.kind == K::late) updateAddressStates(now);
+    if (fault.kind == K::zonePartition || fault.kind == K::refuse || fault.kind == K::connectsDropped)
+        updateAddressStates(now);
     if (fault.kind == K::malformedResponses) activeFaults_.malformedShare = 0;
     if (fault.kind == K::originStop) restartServer(now, 0);
     if (fault.kind == K::originSlow) serverStates_[0]->slowdown = 1;
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -44,7 +44,7 @@
 constexpr int kUsage = 2;
 constexpr int kLate = 3;
 constexpr const char* kDefaultProgram = "build/poppyscale";
-constexpr double kMaxLatePart = 0.05;  // share of a run's tenths of a second; above it the run is void
+constexpr double kMaxLateShare = 0.05;  // share of a run's tenths of a second; above it the run is void
 
 struct Options {
     std::string file;
@@ -53,8 +53,8 @@
     int routers = 0;
     std::string out;
     std::string program;
-    std::string ctl, changed;
-    bool operated = false;
+    std::string ctlProgram, changedProgram;
+    bool acceptsOperatorFile = false;
 };
 
 Scenario scenarioFor(const Options& options) {
@@ -91,28 +91,28 @@
     LiveResult result;
     {
         EventLog eventLog(logPath(options));
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
-        live.operated = options.operated;
-        live.ctl = options.ctl;
-        live.changed = options.changed;
+        live.acceptsOperatorFile = options.acceptsOperatorFile;
+        live.ctlProgram = options.ctlProgram;
+        live.changedProgram = options.changedProgram;
         if (!options.out.empty()) live.folder = options.out;
         live.progress = progressPrinter(scenario);
         result = runLive(scenario, options.seed, eventLog, live);
     }
-    if (options.operated) {
+    if (options.acceptsOperatorFile) {
         judge.addFigure("upgrades", result.upgrades);
         judge.addFigure("upgrades_failed", result.upgradesFailed);
     }
-    judge.addFigure("late_part", result.latePart);
+    judge.addFigure("late_part", result.lateShare);
     judge.addFigure("cpu_s", result.cpuSeconds);
     judge.addFigure("memory_mb", result.memoryMb);
     const bool kept = judge.writeReport(options.out);
-    if (result.interrupted) return kBroken;
-    if (result.latePart > kMaxLatePart) {
+    if (result.wasInterrupted) return kBroken;
+    if (result.lateShare > kMaxLateShare) {
         fmt::print(stderr, "the testbed was late in {:.0f}% of all tenths of a second: this run is void\n",
-                   100 * result.latePart);
+                   100 * result.lateShare);
         return kLate;
     }
     return kept ? kKept : kBroken;
@@ -123,9 +123,9 @@
     Verdict judge;
     {
         EventLog eventLog(logPath(options));
-        judge.follow(eventLog);
+        judge.observe(eventLog);
         const SimulatedRunResult result =
-            simulate(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
+            runSimulation(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
         judge.addFigure("sim_pace",
                         static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
     }
@@ -139,8 +139,8 @@
     fmt::print(
         "stopped={:d} stage={} harmed={:.6f} went={:d} undone={:d} most={} instances={} after_s={:.1f} "
         "length_s={:.1f}\n",
-        result.stopped, result.stage, result.harmed, result.completed, result.rolledBack, result.most,
-        result.instances, result.detectedAfter, result.seconds);
+        result.stopped, result.stage, result.affectedShare, result.completed, result.rolledBack,
+        result.maxChangedCount, result.instances, result.detectionSeconds, result.seconds);
     return kKept;
 }
 
@@ -150,19 +150,20 @@
         "overlaps={} fell={} changes={} acts={} late_refused={} kills={} without={:.6f} p50_s={:.3f} "
         "p99_s={:.3f} most_s={:.3f} frames_per_second={:.2f} bytes_per_frame={:.0f} cpu_us={:.1f} "
         "digest={} seconds={:.0f} wall_s={:.1f}\n",
-        result.overlaps, result.violations, result.changes, result.acts, result.lateRefused, result.kills,
-        result.without, result.p50, result.p99, result.most, result.framesPerSecond, result.bytesPerFrame,
-        result.cpuMicros, result.digest, result.seconds, result.wall);
-    const bool kept = result.overlaps == 0 && result.violations == 0;
-    fmt::print("verdict: {}\n", kept ? "kept" : "broken: " + result.first);
+        result.overlaps, result.fenceViolations, result.actorChanges, result.acts, result.lateActsRejected,
+        result.killedHolders, result.unheldShare, result.takeoverP50, result.takeoverP99, result.maxTakeover,
+        result.framesPerSecond, result.bytesPerFrame, result.cpuMicros, result.digest, result.seconds,
+        result.wallSeconds);
+    const bool kept = result.overlaps == 0 && result.fenceViolations == 0;
+    fmt::print("verdict: {}\n", kept ? "kept" : "broken: " + result.firstViolation);
     return kept ? kKept : kBroken;
 }
 
 int printCapacity(const std::string& targetFile, const std::string& slopesFile) {
     try {
-        fmt::print("{}", scale::capacityOfFiles(targetFile, slopesFile));
+        fmt::print("{}", scale::capacityMarkdownOfFiles(targetFile, slopesFile));
         return kKept;
-    } catch (const scale::BadInput& problem) {
+    } catch (const scale::CapacityInputError& problem) {
         fmt::print(stderr, "{}\n", problem.what());
         return kBroken;
     }
@@ -188,11 +189,12 @@
         app.add_subcommand("run", "runs a scenario with real router processes over loopback sockets"));
     runCommand->add_option("--program", options.program,
                            "the router's command line; default: build/poppyscale");
-    runCommand->add_option("--changed", options.changed,
+    runCommand->add_option("--changed", options.changedProgram,
                            "the program to which a rollout of change `same` goes");
-    runCommand->add_option("--ctl", options.ctl,
+    runCommand->add_option("--ctl", options.ctlProgram,
                            "path of poppyctl, for scenarios with machines; default: beside the program");
-    runCommand->add_flag("--operated", options.operated, "the program takes --operator and can be upgraded");
+    runCommand->add_flag("--operated", options.acceptsOperatorFile,
+                         "the program takes --operator and can be upgraded");
     auto* simCommand = addScenarioOptions(app.add_subcommand(
         "sim", "runs a scenario with the routing policy in virtual time, without sockets"));
     auto* proxyCommand =
@@ -211,15 +213,15 @@
     faultRouterCommand
         ->add_option("rule", defect, "twice, lost, foreign, drain, cold, crash, tells-whole-time, or none")
         ->required()
-        ->transform(CLI::Transformer(
-            std::map<std::string, BaselineDefect>{{"none", BaselineDefect::none},
-                                                  {"twice", BaselineDefect::twice},
-                                                  {"lost", BaselineDefect::lost},
-                                                  {"foreign", BaselineDefect::foreign},
-                                                  {"drain", BaselineDefect::drain},
-                                                  {"cold", BaselineDefect::cold},
-                                                  {"crash", BaselineDefect::crash},
-                                                  {"tells-whole-time", BaselineDefect::tellsWholeTime}}));
+        ->transform(CLI::Transformer(std::map<std::string, BaselineDefect>{
+            {"none", BaselineDefect::none},
+            {"twice", BaselineDefect::duplicateRequest},
+            {"lost", BaselineDefect::dropRequest},
+            {"foreign", BaselineDefect::fabricateValue},
+            {"drain", BaselineDefect::preferDraining},
+            {"cold", BaselineDefect::overloadColdCache},
+            {"crash", BaselineDefect::crash},
+            {"tells-whole-time", BaselineDefect::forwardsFullTimeout}}));
     auto* compareCommand = app.add_subcommand("compare", "runs two routers on the same seeds in turn");
     ComparisonOptions comparison;
     std::vector<std::string> scenarioFiles;
@@ -265,14 +267,14 @@
         ->check(CLI::Range(0.005, 0.5));
     rollCommand->add_option("--routers", roll.routers, "default: 300")->check(CLI::Range(4, 1000));
     rollCommand->add_option("--machines", roll.machines, "default: 20")->check(CLI::Range(1, 100));
-    rollCommand->add_flag("--unstaged", roll.unstaged,
+    rollCommand->add_flag("--unstaged", roll.isUnstaged,
                           "changes all routers one after another without judging the stages");
     rollCommand->add_flag("--tell", roll.isVerbose, "prints observations and decisions to standard error");
     auto* exploreCommand = app.add_subcommand(
         "explore", "model checker: all orders of events up to bounds, on the real decision code");
     ExplorationCommand exploration;
-    exploreCommand->add_option("what", exploration.what, "leases")->required();
-    exploreCommand->add_option("--without", exploration.without,
+    exploreCommand->add_option("what", exploration.model, "leases")->required();
+    exploreCommand->add_option("--without", exploration.disabledSafeguard,
                                "disables a safeguard; the run has to find a violation then");
     exploreCommand->add_option("--seconds", exploration.seconds, "default: 40")
         ->check(CLI::Range(1.0, 100'000.0));
@@ -301,7 +303,7 @@
         ->check(CLI::Range(2, 100'000));
     measureCommand->add_option("--seeds", module.seeds, "default: 3")->check(CLI::Range(1, 20));
     measureCommand
-        ->add_option("--factor", module.factor,
+        ->add_option("--factor", module.predictionFactor,
                      "the prediction's size as a multiple of the largest size, default: 4")
         ->check(CLI::Range(0, 20));
     measureCommand->add_option("--zones", module.options.zones, "default: 10")->check(CLI::Range(1, 1000));
@@ -324,7 +326,7 @@
         ->check(CLI::Range(0.1, 10'000.0));
     slopesCommand->add_option("--seeds", series.seeds, "default: 3")->check(CLI::Range(1, 20));
     slopesCommand
-        ->add_option("--factor", series.factor,
+        ->add_option("--factor", series.predictionFactor,
                      "the prediction's size as a multiple of the largest size, default: 4")
         ->check(CLI::Range(0, 20));
     series.options.stubRouters = 100;
@@ -369,7 +371,7 @@
     soakCommand->add_option("--out", soak.out, "folder for the logs and reports of each seed");
     auto* auditCommand = app.add_subcommand("audit", "judges the log of an earlier run again");
     std::string folder;
-    scale::Command scaling(app);
+    scale::Command scaleCommand(app);
     auditCommand->add_option("dir", folder, "folder of the run")->required();
     try {
         app.parse(argc, argv);
@@ -377,7 +379,7 @@
         return app.exit(problem) == 0 ? kKept : kUsage;
     }
     try {
-        if (const auto code = scaling.run()) return *code;
+        if (const auto code = scaleCommand.run()) return *code;
         if (*compareCommand) {
             std::vector<Scenario> scenarios;
             for (const auto& file : scenarioFiles)
@@ -388,32 +390,34 @@
         if (options.program.empty()) options.program = kDefaultProgram;
         if (*runCommand) {
             const bool machines = scenarioFor(options).machines.count > 0;
-            return machines ? guarded([&] { return runLiveScenario(options); }) : runLiveScenario(options);
+            return machines ? runInSupervisedChild([&] { return runLiveScenario(options); })
+                            : runLiveScenario(options);
         }
         if (*costCommand) return cost(scenarioFor(options), options.seed, options.program, argv[0]), kKept;
         if (*serveCommand) {
             if (options.file.empty()) options.file = "scenarios/calm.toml";
             options.routers = std::max(options.routers, 1);
-            return serveByHand(scenarioFor(options), options.program), kKept;
+            return serveInteractive(scenarioFor(options), options.program), kKept;
         }
-        if (*askCommand) return fmt::print("{}\n", askByHand(address, words, requestClass)), kKept;
-        if (*proxyCommand) return serveProxy(policy, BaselineDefect::none);
-        if (*faultRouterCommand) return serveProxy(BaselinePolicy::rendezvous, defect);
+        if (*askCommand)
+            return fmt::print("{}\n", sendInteractiveRequest(address, words, requestClass)), kKept;
+        if (*proxyCommand) return runBaselineProxy(policy, BaselineDefect::none);
+        if (*faultRouterCommand) return runBaselineProxy(BaselinePolicy::rendezvous, defect);
         if (*simCommand) return runSimulation(options);
         if (*rollCommand) {
-            roll.defect.kind = defectNamed(harm);
+            roll.defect.kind = parseRouterDefect(harm);
             return runRolloutCommand(roll);
         }
         if (*leasesCommand) {
-            if (!safeguard.empty()) leases.disabledSafeguard = {lease::parseSafeguard(safeguard)};
+            if (!safeguard.empty()) leases.disabledSafeguards = {lease::parseSafeguard(safeguard)};
             return runLeaseCommand(leases);
         }
         if (*slopesCommand) {
-            series.options.length = static_cast<Nanos>(slopeSeconds * 1e9);
+            series.options.measuredDuration = static_cast<Nanos>(slopeSeconds * 1e9);
             return scale::runSlopes(series, scale::runScaleTest) ? kKept : kBroken;
         }
         if (*capacityCommand) return printCapacity(targetFile, slopesFile);
-        if (*measureCommand) return scale::measureSeries(module) ? kKept : kBroken;
+        if (*measureCommand) return scale::runModuleSeries(module) ? kKept : kBroken;
         if (*soakCommand) {
             if (soak.program.empty()) soak.program = kDefaultProgram;
             return soak::run(soak);
--- a/src/testbed/report/figures.cpp
+++ b/src/testbed/report/figures.cpp
@@ -37,31 +37,33 @@
 
 void Figures::onEvent(const LogEvent& entry) {
     slowStartLoad_.onEvent(entry);
-    if (entry.kind != EventKind::server) lastAt_ = std::max(lastAt_, entry.at);
+    if (entry.kind != EventKind::serverAdded) lastAt_ = std::max(lastAt_, entry.at);
     const auto requestOf = [&]() -> RequestState* {
-        const auto first = firstTries_.find(entry.command);
+        const auto first = firstTries_.find(entry.requestId);
         return first == firstTries_.end() ? nullptr : &requests_.at(first->second);
     };
     switch (entry.kind) {
-        case EventKind::server:
+        case EventKind::serverAdded:
             serverNames_.emplace_back(wordAt(entry.text, 0));
             serverZones_.emplace_back(wordAt(entry.text, 1));
             capacities_.push_back(std::atof(std::string(wordAt(entry.text, 4)).c_str()));
             break;
-        case EventKind::asked: {
+        case EventKind::requestSent: {
             const std::uint64_t first =
                 std::strtoull(std::string(wordAt(entry.text, 3)).c_str(), nullptr, 16);
-            firstTries_[entry.command] = first;
+            firstTries_[entry.requestId] = first;
             ++tries_;
             if (wordAt(entry.text, 4) != "1") break;
             const auto requestClass =
                 std::find(requestClassNames_.begin(), requestClassNames_.end(), wordAt(entry.text, 0));
             const auto index = static_cast<int>(requestClass - requestClassNames_.begin());
-            const bool isMoved = entry.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
-            requests_[first] = {index, static_cast<Nanos>(entry.run), true, hasRolloutBegun_, isMoved};
+            const bool isLoadWeighted =
+                entry.router >= head_.at("routers").get<int>() - head_.value("moved", 0);
+            requests_[first] = {index, static_cast<Nanos>(entry.attemptId), true, hasRolloutBegun_,
+                                isLoadWeighted};
             askedInRollout_ += hasRolloutBegun_;
             exposed_ += hasRolloutBegun_ && runsChange_[entry.router];
-            ++askedByMoved_[isMoved];
+            ++askedByLoadWeighted_[isLoadWeighted];
             ++asked_;
             ++askedByClass_.at(static_cast<std::size_t>(index));
             maxUtility_ += head_["verbs"][static_cast<std::size_t>(index)]["utility"].get<double>();
@@ -76,7 +78,7 @@
                 ++answered_;
                 inGoal_ += isInGoal;
                 inGoalInRollout_ += isInGoal && request->isDuringRollout;
-                inGoalByMoved_[request->isMoved] += isInGoal;
+                inGoalByLoadWeighted_[request->isLoadWeighted] += isInGoal;
                 inGoalByClass_[static_cast<std::size_t>(request->requestClass)] += isInGoal;
                 utility_ += requestClass["utility"].get<double>() *
                             (isInGoal ? 1 : requestClass["late"].get<double>());
@@ -86,29 +88,29 @@
                 secondStats.times.add(took);
             }
             break;
-        case EventKind::declined:
-            ++declined_;
-            ++second(entry.at).declined;
+        case EventKind::rejected:
+            ++rejected_;
+            ++second(entry.at).rejected;
             break;
-        case EventKind::terminated:
-            ++terminated_;
-            ++second(entry.at).terminated;
+        case EventKind::failed:
+            ++failed_;
+            ++second(entry.at).failed;
             break;
         case EventKind::unsent:
             ++unsent_;
             break;
-        case EventKind::silent:
-            ++silent_;
+        case EventKind::unanswered:
+            ++unanswered_;
             break;
-        case EventKind::left:
-            if (forwarded_.contains(entry.command)) break;
-            leftAt_[entry.command] = entry.at;
+        case EventKind::clientDisconnected:
+            if (forwarded_.contains(entry.requestId)) break;
+            leftAt_[entry.requestId] = entry.at;
             ++leftWaiting_;
             break;
-        case EventKind::sent: {
+        case EventKind::attemptSent: {
             ++attempts_;
-            forwarded_.insert(entry.command);
-            if (const auto left = leftAt_.find(entry.command); left != leftAt_.end()) {
+            forwarded_.insert(entry.requestId);
+            if (const auto left = leftAt_.find(entry.requestId); left != leftAt_.end()) {
                 sentOn_ += entry.at - left->second > kAbandonedGrace;
                 leftAt_.erase(left);
             }
@@ -122,7 +124,7 @@
             secondStats.originLoad += static_cast<double>(entry.number) / kNanosPerSecond / capacities_.at(0);
             break;
         }
-        case EventKind::ended: {
+        case EventKind::attemptEnded: {
             const auto outcome = wordAt(entry.text, 0);
             busy_ += outcome == "busy";
             errors_ += outcome == "error" || outcome == "spoilt";
@@ -141,12 +143,12 @@
         case EventKind::fault:
             annotations_.push_back({static_cast<double>(entry.at) / kNanosPerSecond, entry.text});
             break;
-        case EventKind::claims:
+        case EventKind::statement:
             if (entry.text == "roll begins") hasRolloutBegun_ = true;
             if (entry.text.starts_with("roll ends ")) rolloutOutcome_ = entry.text.substr(10);
             if (entry.text.starts_with("change ")) runsChange_[entry.router] = entry.text == "change begins";
             break;
-        case EventKind::late:
+        case EventKind::testbedLateness:
             lateness_.add(entry.number);
             break;
         default:
@@ -161,10 +163,10 @@
         {"goal", share(static_cast<double>(inGoal_), static_cast<double>(asked_))},
         {"answered", share(static_cast<double>(answered_), static_cast<double>(asked_))},
         {"utility", share(utility_, maxUtility_)},
-        {"declined", share(static_cast<double>(declined_), static_cast<double>(tries_))},
-        {"terminated", share(static_cast<double>(terminated_), static_cast<double>(tries_))},
+        {"declined", share(static_cast<double>(rejected_), static_cast<double>(tries_))},
+        {"terminated", share(static_cast<double>(failed_), static_cast<double>(tries_))},
         {"unsent", unsent_},
-        {"silent", silent_},
+        {"silent", unanswered_},
         {"p50_ms", times_.quantileMs(0.5)},
         {"p99_ms", times_.quantileMs(0.99)},
         {"p999_ms", times_.quantileMs(0.999)},
@@ -183,21 +185,23 @@
         figures_.emplace_back("sent_on",
                               share(static_cast<double>(sentOn_), static_cast<double>(leftWaiting_)));
     }
-    if (askedByMoved_[0] > 0 && askedByMoved_[1] > 0) {
-        const auto of = [&](int isMoved) { return share(inGoalByMoved_[isMoved], askedByMoved_[isMoved]); };
+    if (askedByLoadWeighted_[0] > 0 && askedByLoadWeighted_[1] > 0) {
+        const auto of = [&](int isLoadWeighted) {
+            return share(inGoalByLoadWeighted_[isLoadWeighted], askedByLoadWeighted_[isLoadWeighted]);
+        };
         figures_.emplace_back("goal_stayed", of(0));
         figures_.emplace_back("goal_moved", of(1));
         figures_.emplace_back("apart", std::abs(of(0) - of(1)));
     }
-    if (slowStartLoad_.servers() > 0) {
-        figures_.emplace_back("cold_servers", slowStartLoad_.servers());
+    if (slowStartLoad_.coldStarts() > 0) {
+        figures_.emplace_back("cold_servers", slowStartLoad_.coldStarts());
         figures_.emplace_back("cold_most_sent", slowStartLoad_.largest().sent);
         figures_.emplace_back("cold_most_allowed", slowStartLoad_.largest().allowed);
         figures_.emplace_back("cold_load", slowStartLoad_.largestRatio());
         figures_.emplace_back("cold_load_mean", slowStartLoad_.meanRatio());
         figures_.emplace_back("cold_excess", slowStartLoad_.largestExcess());
-        figures_.emplace_back("cold_untold", slowStartLoad_.untoldShare());
-        figures_.emplace_back("cold_falls", slowStartLoad_.falls());
+        figures_.emplace_back("cold_untold", slowStartLoad_.shareBeforeNotification());
+        figures_.emplace_back("cold_falls", slowStartLoad_.overloadStops());
     }
     if (hasRolloutBegun_) {
         const bool wasStopped = rolloutOutcome_ == "undone" || rolloutOutcome_ == "notundone";
@@ -217,18 +221,18 @@
     return figures_;
 }
 
-double Figures::of(const std::string& name) const {
+double Figures::valueOf(const std::string& name) const {
     for (const auto& [n, value] : figures_)
         if (n == name) return value;
     return 0;
 }
 
-std::vector<std::string> Figures::missed() const {
+std::vector<std::string> Figures::unmetBounds() const {
     std::vector<std::string> missed;
     const auto& bounds = head_.at("bounds");
     for (const auto& [name, bound] : bounds.items()) {
         const bool isLowerBound = name == "goal" || name == "answered" || name == "went" || name == "undone";
-        const double value = of(name), limit = bound.get<double>();
+        const double value = valueOf(name), limit = bound.get<double>();
         if (isLowerBound ? value < limit : value > limit) missed.push_back("bound-" + name);
     }
     return missed;
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -162,8 +162,8 @@
     const std::string routerFaults =
         "[[faults]]\nkind = \"router_kill\"\nat_ms = 500\n[[faults]]\nkind = \"reload\"\nat_ms = 300\n"
         "[[faults]]\nkind = \"router_restart\"\nat_ms = 2500\nfor_ms = 1000\n";
-    // Two kinds of routers (`moved` or not) share the caches, of which two drain; neither may
-    // starve the other.
+    // Routers with fixed and with load-following weights share the caches, of which two drain;
+    // neither kind may starve the other.
     const std::string drainFaults =
         "[[faults]]\nkind = \"drain\"\nat_ms = 1500\nfor_ms = 2000\ncount = 2\n[holds]\ngoal = 0.8\napart = "
         "0.1\n";
@@ -279,12 +279,12 @@
 }
 
 TEST_CASE("chanceOf gives the probability that paired differences are due to chance") {
-    using poppyscale::testbed::chanceOf;
-    CHECK(chanceOf({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
-    CHECK(chanceOf({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
-    CHECK(chanceOf({0, 0, 0, 0}) == doctest::Approx(1));
+    using poppyscale::testbed::permutationPValue;
+    CHECK(permutationPValue({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
+    CHECK(permutationPValue({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
+    CHECK(permutationPValue({0, 0, 0, 0}) == doctest::Approx(1));
     // Computed by hand: six of the eight sums are at least 2 from zero.
-    CHECK(chanceOf({3, 1, -2}) == doctest::Approx(0.75));
+    CHECK(permutationPValue({3, 1, -2}) == doctest::Approx(0.75));
 }
 
 TEST_CASE("HttpRequestParser reads requests that arrive in pieces, one after the other") {
@@ -299,16 +299,16 @@
     CHECK(parser.feed(piece) == State::more);
     rest.remove_prefix(20);
     CHECK(parser.feed(rest) == State::complete);
-    CHECK(parser.write());
+    CHECK(parser.isWrite());
     CHECK(parser.path() == "/k1");
-    CHECK(parser.id() == "9b");
-    CHECK(parser.info() == "c=put,k=7");
+    CHECK(parser.requestId() == "9b");
+    CHECK(parser.infoList() == "c=put,k=7");
     parser.clear();
     CHECK(parser.feed(rest) == State::complete);
-    CHECK_FALSE(parser.write());
-    CHECK(parser.query("after") == "4");
-    CHECK(parser.query("wait_ms") == "20");
-    CHECK(parser.query("wait") == "");
+    CHECK_FALSE(parser.isWrite());
+    CHECK(parser.queryParameter("after") == "4");
+    CHECK(parser.queryParameter("wait_ms") == "20");
+    CHECK(parser.queryParameter("wait") == "");
     parser.clear();
     std::string_view noise = "\x01\x02 nonsense\r\n";
     CHECK(parser.feed(noise) == State::malformed);
