--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -20,7 +20,7 @@
 // One problem with a file.
 struct ConfigProblem {
     std::string file;
-    std::uint32_t line = 0;  // from 1; 0 for the whole file, shown as line 1
+    std::uint32_t line = 0;  // lines count from 1; 0 for the whole file, shown as line 1
     std::string key;         // the key's path, as in "verbs[0].name"; empty if no key is concerned
     std::string reason;
 
--- a/src/control/console_connection.cpp
+++ b/src/control/console_connection.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Nanos kLineTimeout = 8'000 * kMillisecond;
-constexpr Nanos kCloseTimeout = 1'000 * kMillisecond;  // for the operator to read the reply
+constexpr Nanos kCloseTimeout = 1'000 * kMillisecond;  // time for the operator to read the reply
 
 }  // namespace
 
--- a/src/ctl/agent_endpoint.hpp
+++ b/src/ctl/agent_endpoint.hpp
@@ -66,9 +66,10 @@
     AgentStateStore& store_;
     FleetStatus& status_;
     std::future<PreparedOrder> preparation_;
-    std::vector<PendingReport> pendingReports_;  // in the order of their requests
-    std::vector<std::uint64_t> reportClients_;   // the clients that get the report in progress
-    ControlListener listener_;                   // last, as its handler uses the other members
+    // Clients that wait for a report to begin, in the order of their requests.
+    std::vector<PendingReport> pendingReports_;
+    std::vector<std::uint64_t> reportClients_;  // the clients that get the report in progress
+    ControlListener listener_;                  // last, as its handler uses the other members
 };
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/control_listener.hpp
+++ b/src/ctl/control_listener.hpp
@@ -47,7 +47,7 @@
         FileDescriptor socket;
         std::string received;
         std::string unsent;
-        bool isClosed = false;  // to be removed at the end of the iteration
+        bool isClosed = false;  // a closed client is removed at the end of the iteration
     };
     void listen();
     void acceptClients();
--- a/src/ctl/fleet_host.cpp
+++ b/src/ctl/fleet_host.cpp
@@ -220,7 +220,7 @@
     try {
         status = requestStatus(socketOf(description_, instance));
     } catch (const std::exception&) {
-        return;  // it does not listen yet
+        return;  // the instance does not listen yet
     }
     if (!status.isServing || status.pid != processes_.pid(instance)) return;
     processes_.setReady(instance);
--- a/src/ctl/fleet_status.hpp
+++ b/src/ctl/fleet_status.hpp
@@ -55,7 +55,8 @@
     const InstanceProcesses& processes_;
     std::deque<FleetEvent> events_;
     std::uint64_t lastNumber_ = 0;
-    std::future<std::vector<nlohmann::json>> metrics_;  // by instance; null for one that did not answer
+    // Metrics by instance; null for an instance that did not answer.
+    std::future<std::vector<nlohmann::json>> metrics_;
 };
 
 }  // namespace poppyscale::ctl
--- a/src/ctl/instance_client.cpp
+++ b/src/ctl/instance_client.cpp
@@ -11,7 +11,7 @@
 constexpr int kProcessIdTimeoutMs = 800;
 constexpr int kReloadTimeoutMs = 4'000;
 constexpr int kUpgradeTimeoutMs = 15'000;  // above the instance's own timeout for its new process
-constexpr int kMetricsTimeoutMs = 350;     // for all instances together
+constexpr int kMetricsTimeoutMs = 350;     // limit for the answers of all instances together
 
 }  // namespace
 
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -24,7 +24,7 @@
 using rollout::RolloutOutcome;
 
 constexpr Nanos kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
-constexpr int kAnswerTimeoutMs = 900;    // for all agents together
+constexpr int kAnswerTimeoutMs = 900;    // limit for the answers of all agents together
 constexpr int kPreviewTimeoutMs = 3 * kAnswerTimeoutMs;
 
 std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
--- a/src/ctl/version_installer.hpp
+++ b/src/ctl/version_installer.hpp
@@ -65,8 +65,9 @@
         Nanos deadline = 0;               // while restarting: when the restart counts as failed
     };
     struct Instance {
-        std::future<UpgradeResult> upgrade;  // of a rolling operation; valid while in progress
-        std::optional<Install> install;      // requested by the rollout's agent; set while in progress
+        // Upgrade by a rolling operation; valid while in progress.
+        std::future<UpgradeResult> upgrade;
+        std::optional<Install> install;  // requested by the rollout's agent; set while in progress
     };
     Instance& at(int instance) { return instances_[static_cast<std::size_t>(instance)]; }
     const Instance& at(int instance) const { return instances_[static_cast<std::size_t>(instance)]; }
--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -16,7 +16,7 @@
 // A source of the endpoint list: discovery, or a distributor that speaks its protocol.
 struct EndpointSource {
     transport::Address address;
-    std::string host;  // for the Host header and the log
+    std::string host;  // name of the source in the Host header and in log lines
 };
 
 // A poll times out when no byte of the response has arrived `kMaxSilence` after the end of its wait
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -25,11 +25,11 @@
 class EndpointWatcher : private EndpointPoll::Handler {
   public:
     struct Settings {
-        std::vector<EndpointSource> sources;  // at least one
-        std::uint64_t sourceSeed = 0;         // for the random order of several sources
-        std::int64_t version = 0;             // of the list that is known at the start
+        std::vector<EndpointSource> sources;  // at least one source
+        std::uint64_t sourceSeed = 0;         // seed for the random order of several sources
+        std::int64_t version = 0;             // version of the list that is known at the start
         Nanos maxPollWait = 0;                // how long a long poll may wait at its source
-        std::uint64_t seed = 0;               // for random pauses
+        std::uint64_t seed = 0;               // seed for random pauses
         std::int64_t routerCount = 1;         // routers in the fleet
         std::size_t maxListBytes = 0;
         // A change counts as known to the router as soon as the source has it, even without a poll
@@ -67,8 +67,8 @@
         std::vector<EndpointSource> sources;
         SourceSelector selector;
         Nanos logWindowStart = 0;         // start of the current kMoveLogWindow
-        int loggedMoves = 0;              // within the current window
-        std::uint64_t unloggedMoves = 0;  // since the last logged move
+        int loggedMoves = 0;              // logged source changes within the current window
+        std::uint64_t unloggedMoves = 0;  // source changes since the last logged one
     };
 
     void onResponse(EndpointPoll& poll) override;
--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -104,9 +104,11 @@
 
     std::int64_t routerCount_;
     bool mayBeOverloaded_;
-    int promptResponsesLeft_ = 0;  // until the source no longer counts as overloaded
+    // Number of prompt responses after which the source no longer counts as overloaded; 0 if it
+    // does not count as overloaded now.
+    int promptResponsesLeft_ = 0;
     int promptResponsesNeeded_ = 1;
-    Nanos overloadEndedAt_ = kNever;  // when the source was last overloaded; kNever for never
+    Nanos overloadEndedAt_ = kNever;  // when the source was last overloaded; kNever if it never was
     std::mt19937 random_;
 };
 
--- a/src/discovery/source_selector.hpp
+++ b/src/discovery/source_selector.hpp
@@ -31,11 +31,14 @@
 
 constexpr std::size_t kMaxSources = 8;  // with more, the timeouts of the first round would be too short
 constexpr Nanos kRecoveryBound = 2'000 * kMillisecond;
-constexpr Nanos kLossJitter = 500 * kMillisecond;    // before the first attempt after a loss
-constexpr Nanos kRoundJitter = 50 * kMillisecond;    // before each further attempt of the first round
-constexpr Nanos kFirstBackoff = 500 * kMillisecond;  // of a source, after its first failure in an outage
+// Longest pause before the first attempt after a loss.
+constexpr Nanos kLossJitter = 500 * kMillisecond;
+// Longest pause before each further attempt of the first round.
+constexpr Nanos kRoundJitter = 50 * kMillisecond;
+// Longest pause after a source's first failure in an outage.
+constexpr Nanos kFirstBackoff = 500 * kMillisecond;
 constexpr Nanos kMaxBackoff = 4'000 * kMillisecond;
-constexpr Nanos kMaxTimeout = 2'000 * kMillisecond;  // of one attempt
+constexpr Nanos kMaxTimeout = 2'000 * kMillisecond;  // limit of the timeout of one attempt
 
 // The mechanisms behind the guarantees above. Only tests disable one, to prove that its check finds
 // that.
@@ -43,7 +46,7 @@
 
 struct Attempt {
     std::size_t source = 0;  // index into the sources, in the order of the configuration
-    Nanos at = 0;            // when it begins
+    Nanos at = 0;            // when the attempt begins
 };
 
 enum class ListVerdict : std::uint8_t {
@@ -97,7 +100,7 @@
     std::vector<Source> sources_;
     std::vector<std::size_t> order_;
     std::size_t position_ = 0;
-    std::size_t failures_ = 0;  // of all sources within this outage
+    std::size_t failures_ = 0;  // failures of all sources within this outage
     bool isConfirmed_ = false;
 };
 
--- a/src/endpoint_distribution/ahead_versions.hpp
+++ b/src/endpoint_distribution/ahead_versions.hpp
@@ -57,7 +57,7 @@
     Nanos upstreamWait_;
     std::map<Version, AheadVersion> versions_;
     bool isChecking_ = false;
-    std::vector<bool> isBehind_;  // in the present check, by upstream
+    std::vector<bool> isBehind_;  // whether each upstream was behind in the present check
     Nanos nextCheckAt_ = 0;
 };
 
--- a/src/endpoint_distribution/distributor.hpp
+++ b/src/endpoint_distribution/distributor.hpp
@@ -69,7 +69,7 @@
     Version version = 0;
     std::size_t entries = 0;
     std::size_t tombstones = 0;
-    Nanos age = 0;             // of the list; the time since the start while there is no list
+    Nanos age = 0;             // age of the list; the time since the start while there is no list
     std::string lastFailure;   // why the last poll failed; empty after a successful poll
     std::size_t upstream = 0;  // index of the upstream in use
     std::size_t readers = 0;   // admitted readers
--- a/src/endpoint_distribution/distributor_host.hpp
+++ b/src/endpoint_distribution/distributor_host.hpp
@@ -23,7 +23,7 @@
     int status = 200;           // 200 or 503
     int retryAfterSeconds = 0;  // set with status 503
     std::int64_t listAgeMs = 0;
-    bool closesConnection = false;  // after the response is sent
+    bool closesConnection = false;  // the connection is closed after the response is sent
     SharedBytes body;               // never null
 };
 
--- a/src/endpoint_distribution/epoch_tracker.hpp
+++ b/src/endpoint_distribution/epoch_tracker.hpp
@@ -39,7 +39,8 @@
     Nanos beganAt() const { return beganAt_; }
 
   private:
-    std::vector<bool> hasSentOlder_;          // by upstream
+    // Whether each upstream has sent an older list since the last current one.
+    std::vector<bool> hasSentOlder_;
     std::optional<ListUpdate> newestOlder_;   // the newest rejected list
     std::optional<Version> oldEpochVersion_;  // set until the new epoch's versions exceed it
     Nanos beganAt_ = 0;
--- a/src/endpoint_distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -92,7 +92,8 @@
     std::unordered_map<std::string, RetainedEntries::iterator> tombstoneById_;
     // Cached responses at the newest version.
     SharedBytes completeList_;
-    std::map<Version, SharedBytes> changesCache_;  // by the reader's version
+    // Responses with changes, by the reader's version.
+    std::map<Version, SharedBytes> changesCache_;
     std::size_t changesCacheBytes_ = 0;
 };
 
--- a/src/endpoint_distribution/options.hpp
+++ b/src/endpoint_distribution/options.hpp
@@ -38,9 +38,10 @@
 constexpr std::size_t kMaxAheadVersions = 64;
 
 // Readers.
-constexpr Nanos kDrainTimeout = 5 * kSecond;      // for a reader to receive its whole response
-constexpr Nanos kMaxUnsentTimeout = 1 * kSecond;  // instead, with more than maxUnsentBytes unsent
-constexpr Nanos kIdleTimeout = 60 * kSecond;      // between a reader's requests
+constexpr Nanos kDrainTimeout = 5 * kSecond;  // limit for a reader to receive its whole response
+// Replaces kDrainTimeout for a reader with more than maxUnsentBytes unsent.
+constexpr Nanos kMaxUnsentTimeout = 1 * kSecond;
+constexpr Nanos kIdleTimeout = 60 * kSecond;  // longest time between two requests of a reader
 constexpr Nanos kMaxReaderWait = 60 * kSecond;
 constexpr int kRetryAfterSeconds = 1;
 
--- a/src/endpoint_distribution/reader.hpp
+++ b/src/endpoint_distribution/reader.hpp
@@ -11,8 +11,8 @@
 
 enum class ReaderState : std::uint8_t {
     idle,     // no request is open
-    waiting,  // its request is not answered yet
-    draining  // part of its response is still unsent
+    waiting,  // the request is not answered yet
+    draining  // part of the response is still unsent
 };
 
 // Whether the reader counts towards the maximum number of readers. Decided at its first request,
@@ -24,7 +24,7 @@
     Admission admission = Admission::undecided;
     Nanos stateSince = 0;                 // when the reader entered its state
     Nanos earliestResponseAt = 0;         // limits a reader to one response per batch interval
-    std::size_t unsent = 0;               // bytes
+    std::size_t unsent = 0;               // bytes of the response that are still unsent
     ReaderRequest request;                // valid in the state `waiting`
     std::optional<ReaderRequest> queued;  // received in the state `draining`
     Nanos deadline = kNever;              // when the reader is answered or closed
--- a/src/endpoint_distribution/upstream_poller.cpp
+++ b/src/endpoint_distribution/upstream_poller.cpp
@@ -51,7 +51,7 @@
     consecutiveTimeouts_ = 0;
     isProbing_ = false;
     state_ = State::backingOff;
-    dueAt_ = now;  // without a pause, as the upstream holds the next poll until there is a change
+    dueAt_ = now;  // no pause, as the upstream holds the next poll until there is a change
 }
 
 void UpstreamPoller::requestCompleteList(Nanos now, std::string_view reason) {
--- a/src/endpoint_distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -12,10 +12,13 @@
 namespace poppyscale::endpoint_distributor {
 namespace {
 
-constexpr std::size_t kSpareConnections = 256;  // for rejected readers and for status requests
-constexpr std::size_t kOwnDescriptors = 64;     // stdio, loop, signals, listener, upstream
+// Connections for rejected readers and status requests.
+constexpr std::size_t kSpareConnections = 256;
+// Descriptors of stdio, loop, signals, listener and upstream.
+constexpr std::size_t kOwnDescriptors = 64;
 constexpr std::size_t kSpareBuffers = 256;
-constexpr std::size_t kBuffersPerReader = 2;  // hold one chunk that the kernel has not accepted
+// Enough for one chunk that the kernel has not accepted.
+constexpr std::size_t kBuffersPerReader = 2;
 constexpr Nanos kShutdownTimeout = 1'000 * kMillisecond;
 
 endpoint_distribution::Options optionsOf(const Settings& settings) {
--- a/src/endpoint_distributor/reader_server.hpp
+++ b/src/endpoint_distributor/reader_server.hpp
@@ -58,7 +58,8 @@
     std::unique_ptr<transport::Listener> listener_;
     std::map<endpoint_distribution::ReaderId, std::unique_ptr<ReaderConnection>> connections_;
     endpoint_distribution::ReaderId lastId_ = 0;
-    std::vector<endpoint_distribution::ReaderId> pendingReaders_;  // for the next iteration
+    // Readers to be handled in the next iteration.
+    std::vector<endpoint_distribution::ReaderId> pendingReaders_;
     std::uint64_t bytesSent_ = 0;
 };
 
--- a/src/endpoint_distributor/upstream_client.hpp
+++ b/src/endpoint_distributor/upstream_client.hpp
@@ -46,7 +46,7 @@
     endpoint_distribution::Distributor& distributor_;
     std::vector<Upstream> upstreams_;
     State state_ = State::idle;
-    std::size_t index_ = 0;  // of the polled upstream
+    std::size_t index_ = 0;  // index of the polled upstream
     std::string target_;     // the HTTP request target
     protocol::HttpResponse response_;
     transport::Timer connectTimeout_;
--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -8,8 +8,9 @@
 namespace poppyscale::lease {
 namespace {
 
-constexpr std::size_t kMaxWaiting = 16;      // members per lease; others retry after their backoff
-constexpr int kReservedDurationDivisor = 4;  // of a grant's duration; gives a reservation's
+constexpr std::size_t kMaxWaiting = 16;  // members per lease; others retry after their backoff
+// A reservation lasts a grant's duration divided by this.
+constexpr int kReservedDurationDivisor = 4;
 
 // Whether the request is from the member that was granted the lease last, with the same fencing
 // token.
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -31,18 +31,19 @@
             LeaseAnswer answer;
         };
         struct Recall {
-            int acceptor;  // its number
+            int acceptor;  // number of the acceptor that receives the request
             RecallRequest request;
         };
         struct Recalled {
-            int acceptor;  // its number
+            int acceptor;  // number of the acceptor that receives the answer
             RecallAnswer answer;
         };
         std::vector<Answer> answers;
         std::vector<Recall> recalls;
         std::vector<Recalled> recallAnswers;
-        GrantRecords recordsToPersist;  // to be written and synced, then reported to onPersisted
-        std::uint64_t ticket = 0;       // identifies the records for onPersisted; 0: there are none
+        // Records to be written and synced, then reported to onPersisted.
+        GrantRecords recordsToPersist;
+        std::uint64_t ticket = 0;  // identifies the records for onPersisted; 0: there are none
     };
 
     enum class State : std::uint8_t {
@@ -71,7 +72,7 @@
     // A grant that has not expired, for display.
     struct ActiveGrant {
         Fence fence;
-        Nanos left;  // until it expires
+        Nanos left;  // time until the grant expires
     };
     std::map<LeaseId, ActiveGrant> activeGrants(Nanos now) const;
     // Encodes the state, with times relative to `now`, as text by which the model checker compares
@@ -81,7 +82,7 @@
   private:
     struct Grant {
         GrantRecord record;
-        Nanos validUntil = 0;        // in the past: the lease is free
+        Nanos validUntil = 0;        // end of the grant; the lease is free if this is past
         MemberId reservedFor = 0;    // member to which the lease was transferred; 0: none
         Nanos reservedUntil = 0;     // end of that reservation
         std::set<MemberId> waiting;  // rejected members that are notified of the release
@@ -103,11 +104,12 @@
     int self_;
     State state_;
     bool mayHaveLostState_ = false;
-    Nanos quarantinedUntil_ = 0;      // while recovering
-    Nanos nextRecallAt_ = 0;          // while recovering
-    std::map<int, bool> hasStateBy_;  // of the acceptors that answered a recall, by number
+    Nanos quarantinedUntil_ = 0;  // end of the quarantine; valid while recovering
+    Nanos nextRecallAt_ = 0;      // time of the next recall; valid while recovering
+    // RecallAnswer::hasState of the acceptors that answered, by number.
+    std::map<int, bool> hasStateBy_;
     std::map<LeaseId, Grant> grants_;
-    Actions actions_;  // since the last reconcile
+    Actions actions_;  // actions since the last reconcile
     std::vector<PendingAnswer> pendingAnswers_;
     std::uint64_t lastTicket_ = 0;
     std::uint64_t persistedTicket_ = 0;
--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -11,9 +11,11 @@
 namespace {
 
 constexpr Nanos kNotGranted = std::numeric_limits<Nanos>::min();
-constexpr int kMaxDoublings = 16;                    // of the backoff
+constexpr int kMaxDoublings = 16;                    // the backoff is doubled at most this often
 constexpr std::uint32_t kIncarnationFactor = 7919U;  // separates the random seeds of incarnations
-constexpr int kEarlyRenewalDivisor = 4;              // of the renewal interval
+// When one renewal is due, others that are due within the renewal interval divided by this are
+// sent with it.
+constexpr int kEarlyRenewalDivisor = 4;
 
 }  // namespace
 
--- a/src/lease/lease_holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -50,7 +50,7 @@
     // What the caller has to send after an event.
     struct Actions {
         struct Request {
-            int acceptor;  // its number
+            int acceptor;  // number of the acceptor that receives the request
             LeaseRequest request;
         };
         struct Offer {
@@ -62,8 +62,8 @@
     };
     enum class State : std::uint8_t {
         idle,        // the lease is not wanted
-        backingOff,  // until the next request
-        requesting,  // with a new fencing token
+        backingOff,  // waits until the next request
+        requesting,  // requests the lease with a new fencing token
         holding      // a majority has granted the lease
     };
 
@@ -106,15 +106,15 @@
   private:
     struct LeaseState {
         State state = State::idle;
-        Fence fence = 0;               // with which the lease is requested or held
+        Fence fence = 0;               // fencing token with which the lease is requested or held
         Fence highest = 0;             // the greatest fencing token in any acceptor's answer
-        std::vector<Nanos> sentTimes;  // when the latest granted request was sent, by acceptor
+        std::vector<Nanos> sentTimes;  // when the latest granted request to each acceptor was sent
         // While backing off or holding: when the next request is sent. While requesting: when the
         // request is given up.
         Nanos nextStepAt = 0;
         Nanos validUntil = 0;                // when the grants of a majority expire; 0: no majority
         std::vector<Nanos> rejectionFreeIn;  // LeaseAnswer::freeIn of the acceptors that rejected the request
-        int failedAttempts = 0;              // in a row
+        int failedAttempts = 0;              // consecutive failed attempts
         bool isWanted = false;
     };
     void sendAcquire(Nanos now, LeaseId lease, const LeaseState& state);
@@ -133,7 +133,7 @@
     std::uint32_t incarnation_;
     std::uint32_t backoffCount_ = 0;  // backoffs so far, over all leases
     std::map<LeaseId, LeaseState> leases_;
-    Actions actions_;  // since the last reconcile
+    Actions actions_;  // actions since the last reconcile
     std::uint64_t acquisitionCount_ = 0;
 };
 
--- a/src/lease/messages.hpp
+++ b/src/lease/messages.hpp
@@ -13,14 +13,14 @@
 // From a holder to an acceptor.
 struct LeaseRequest {
     enum class Kind : std::uint8_t {
-        acquire,  // or renew, if the member holds the lease with that fencing token
+        acquire,  // acquires the lease, or renews it if the member holds it with that fencing token
         release,  // the member does not act with that fencing token any more, and never will
         transfer  // like release, and for a while only `to` may acquire the lease
     };
     Kind kind = Kind::acquire;
     LeaseId lease = 0;
     Fence fence = 0;
-    std::uint32_t incarnation = 0;  // of the holder's process; differs with each start
+    std::uint32_t incarnation = 0;  // identifies the holder's process; differs with each start
     Nanos stamp = 0;                // holder's clock when this was sent; echoed by the acceptor
     MemberId to = 0;                // receiver of a transfer
 };
@@ -29,9 +29,9 @@
 // lease has become free.
 struct LeaseAnswer {
     LeaseId lease = 0;
-    Fence fence = 0;                // as requested
-    std::uint32_t incarnation = 0;  // as requested
-    Nanos stamp = 0;                // as requested
+    Fence fence = 0;                // fencing token of the request
+    std::uint32_t incarnation = 0;  // incarnation in the request
+    Nanos stamp = 0;                // stamp of the request
     bool granted = false;
     Fence highest = 0;  // the greatest fencing token that the acceptor has granted, or seen released
     Nanos freeIn = 0;   // time until another member's grant or reservation expires
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -23,7 +23,7 @@
     sync         // an acceptor answers only after its records are durable
 };
 struct NamedSafeguard {
-    std::string_view name;  // for the testbed's command line, which disables the safeguard
+    std::string_view name;  // name on the testbed's command line, which disables the safeguard
     Safeguard safeguard;
 };
 const std::vector<NamedSafeguard>& safeguards();
@@ -32,13 +32,16 @@
 
 // The same for all acceptors and holders of a set of leases. Times are in nanoseconds.
 struct LeaseSettings {
-    int acceptorCount = 3;                       // acceptors; odd, 3 or more
-    Nanos duration = 4'000 * kMillisecond;       // of a grant, on the acceptor's clock
-    double rate = 0.01;                          // by which a clock may run fast or slow, 0 to 0.1
-    Nanos margin = 100 * kMillisecond;           // by which a lease has to outlast a critical section
-    Nanos answerTimeout = 400 * kMillisecond;    // after which a round of requests is given up
-    Nanos renewInterval = 1'200 * kMillisecond;  // while a lease is held
-    Nanos minBackoff = 50 * kMillisecond;        // before the next round; doubled with each failed one
+    int acceptorCount = 3;                  // acceptors; odd, 3 or more
+    Nanos duration = 4'000 * kMillisecond;  // duration of a grant, on the acceptor's clock
+    // A clock may run fast or slow by this fraction, 0 to 0.1.
+    double rate = 0.01;
+    // Time by which a lease has to outlast a critical section.
+    Nanos margin = 100 * kMillisecond;
+    Nanos answerTimeout = 400 * kMillisecond;    // time after which a round of requests is given up
+    Nanos renewInterval = 1'200 * kMillisecond;  // time between the renewals of a held lease
+    // Pause before the next round; doubled with each failed round.
+    Nanos minBackoff = 50 * kMillisecond;
     Nanos maxBackoff = 1'000 * kMillisecond;
     std::set<Safeguard> disabledSafeguards;  // empty except in tests of the checks
 
@@ -55,7 +58,7 @@
 
 // A setting that can't be used.
 struct SettingsProblem {
-    std::string key;  // as in a configuration file
+    std::string key;  // key of the setting in a configuration file
     std::string problem;
 };
 // Checks the settings for critical sections of at most that duration; empty if they can be used.
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -6,7 +6,7 @@
 namespace poppyscale::lease {
 
 using LeaseId = std::uint32_t;
-using MemberId = std::uint16_t;  // from 1; 0: none
+using MemberId = std::uint16_t;  // members are numbered from 1; 0: none
 
 // The fencing token of a lease: greater for each new holder than for all earlier holders, whichever
 // member they are; renewals keep it. The lowest kMemberBits bits are the id of the member that
--- a/src/logging/logger.hpp
+++ b/src/logging/logger.hpp
@@ -42,7 +42,7 @@
     double maxBurstLines_;
     double allowedLines_;
     std::int64_t replenishedAtNs_ = 0;   // when `allowedLines_` was last brought up to date
-    unsigned long suppressedLines_ = 0;  // since the last written line
+    unsigned long suppressedLines_ = 0;  // lines suppressed since the last written line
     std::shared_ptr<spdlog::logger> logger_;
 };
 
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -27,9 +27,10 @@
 
 // Why a request was rejected.
 enum class Rejection : std::uint8_t {
-    requestLimit,        // by the router, at its limit of open requests
-    beforeFirstAttempt,  // by the policy, before any attempt
-    afterAttempt         // by the policy, after an attempt that was not executed or may be repeated
+    requestLimit,        // rejected by the router, at its limit of open requests
+    beforeFirstAttempt,  // rejected by the policy, before any attempt
+    // Rejected by the policy, after an attempt that was not executed or may be repeated.
+    afterAttempt
 };
 
 // Counts requests by request class, and attempts, since the router's start. Staged rollouts compare these
@@ -69,7 +70,7 @@
         std::uint64_t rejectedAfterAttempt = 0;
         std::uint64_t failed = 0;
         std::uint64_t abandoned = 0;
-        LatencyHistogram latencies;  // of succeeded requests, in milliseconds
+        LatencyHistogram latencies;  // latencies of succeeded requests, in milliseconds
     };
     RequestClassMetrics& metricsOf(std::string_view requestClass);
 
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -11,8 +11,9 @@
 constexpr double kMinMedian = 0.01;
 constexpr double kMaxTargetRatio = 0.7;  // bounds the target of servers that are slow when idle
 constexpr double kDecreaseFactor = 0.85;
-constexpr double kOverQuotaFraction = 0.75;  // of the limit
-constexpr Nanos kMaxLatencyRatio = 4;        // bounds a single sample
+// Fraction of the limit that requests over quota may use.
+constexpr double kOverQuotaFraction = 0.75;
+constexpr Nanos kMaxLatencyRatio = 4;  // bounds a single sample
 constexpr Nanos kSlowMedianPeriod = 2'000 * kMillisecond;
 constexpr double kIdleRatioGrowth = 1.0002;  // factor per sample
 
--- a/src/policy/hint_filter.cpp
+++ b/src/policy/hint_filter.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMinCounters = 1 << 8;
-constexpr std::size_t kMaxCounters = 10 << 20;  // for each server and generation
+constexpr std::size_t kMaxCounters = 10 << 20;  // limit for each server and generation
 
 }  // namespace
 
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -46,7 +46,7 @@
   private:
     const PolicySettings& settings_;
     const EndpointRegistry& registry_;
-    double meanLoad_ = 0;  // of the usable cache servers
+    double meanLoad_ = 0;  // mean load of the usable cache servers
 };
 
 }  // namespace poppyscale::policy
--- a/src/policy/origin_fetches.cpp
+++ b/src/policy/origin_fetches.cpp
@@ -8,7 +8,8 @@
 namespace poppyscale::policy {
 namespace {
 
-constexpr double kWarmupMissFraction = 0.25;  // of the origin's limit
+// Fraction of the origin's limit for reads that missed at servers that are warming up.
+constexpr double kWarmupMissFraction = 0.25;
 
 }  // namespace
 
--- a/src/policy/origin_fetches.hpp
+++ b/src/policy/origin_fetches.hpp
@@ -24,7 +24,8 @@
     bool hasCapacity(const Request& request, const Server& origin) const;
 
   private:
-    std::unordered_map<std::uint64_t, const Request*> fetches_;  // by key
+    // Reads in flight at the origin, by key.
+    std::unordered_map<std::uint64_t, const Request*> fetches_;
     int warmupMissesInFlight_ = 0;
 };
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -13,10 +13,12 @@
 
 constexpr Nanos kEjectionDuration = 4'000 * kMillisecond;
 constexpr double kMinFailures = 1.5;
-constexpr double kMinOutcomes = 0.5;     // for a server's failure rate to count
-constexpr double kMinMedianRate = 0.02;  // in the standard deviation
+// A server's failure rate counts from this many recent outcomes on.
+constexpr double kMinOutcomes = 0.5;
+constexpr double kMinMedianRate = 0.02;  // lower bound of the median rate in the standard deviation
 constexpr double kStandardDeviations = 1.5;
-constexpr double kMinExcessRate = 0.1;  // above twice the median rate
+// Failure rates up to this much above twice the median rate are tolerated.
+constexpr double kMinExcessRate = 0.1;
 
 // The largest number of failures among `outcomes` that is still likely at the median failure rate.
 double likelyFailures(double medianRate, double outcomes) {
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -67,7 +67,7 @@
   private:
     // All usable cache servers.
     struct Population {
-        std::vector<double> failureRates;  // of the servers with enough outcomes
+        std::vector<double> failureRates;  // failure rates of the servers with enough outcomes
         std::size_t usable = 0;
         std::size_t ejected = 0;
     };
--- a/src/policy/rendezvous_ranking.hpp
+++ b/src/policy/rendezvous_ranking.hpp
@@ -45,8 +45,8 @@
   private:
     struct Entry {
         std::uint64_t hash = 0;
-        double weight = 0;       // without regard to zones
-        double zonedWeight = 0;  // reduced for other zones
+        double weight = 0;       // weight without regard to zones
+        double zonedWeight = 0;  // weight that is reduced for servers of other zones
         Server* server = nullptr;
     };
     struct ScoredServer {
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -45,9 +45,10 @@
 // Properties that are fixed when a request arrives.
 struct RequestProperties {
     RequestId id = 0;
-    std::shared_ptr<const RequestClass> requestClass;  // as of the arrival of the request
-    std::shared_ptr<TenantUsage> tenantUsage;          // null without a known tenant
-    std::uint64_t key = 0;                             // hash of the key, else of the request id
+    // Request class as of the arrival of the request.
+    std::shared_ptr<const RequestClass> requestClass;
+    std::shared_ptr<TenantUsage> tenantUsage;  // null without a known tenant
+    std::uint64_t key = 0;                     // hash of the key, else of the request id
     bool hasKey = false;
     bool isWrite = false;
     bool isOverQuota = false;
@@ -121,7 +122,8 @@
     RequestState state_;
     std::vector<Attempt> attempts_;
     std::vector<std::shared_ptr<Server>> missedAt_;
-    std::array<bool, 2> mayHaveExecuted_{};  // at a cache server, at the origin
+    // Whether an ended attempt may have been executed: at a cache server, at the origin.
+    std::array<bool, 2> mayHaveExecuted_{};
     bool hasFailedAttempt_ = false;
     bool hasMissedAtWarmingServer_ = false;
     Nanos latestStart_ = kNever;
--- a/src/policy/request_classes.hpp
+++ b/src/policy/request_classes.hpp
@@ -28,7 +28,8 @@
 
   private:
     const PolicySettings& settings_;
-    std::vector<std::shared_ptr<const RequestClass>> classes_;  // in the order of the settings
+    // Request classes in the order of the settings.
+    std::vector<std::shared_ptr<const RequestClass>> classes_;
     const std::shared_ptr<const RequestClass> unknown_ = std::make_shared<const RequestClass>();
     // Running medians over the first attempts of clients, in nanoseconds.
     std::unordered_map<const RequestClass*, double> medianTimeouts_;
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -19,11 +19,13 @@
 
 constexpr ConcurrencyLimiter::Target kTotalTarget{policy::kTargetLatencyRatio};
 constexpr double kInitialTotalLimit = 1;
-constexpr double kOverloadedFactor = 0.7;  // on the limit of a server that reports an overload
-constexpr double kMaxLatencyRatio = 2;     // bounds one outcome in the sums of latency ratios
+// Factor on the limit of a server that reports an overload.
+constexpr double kOverloadedFactor = 0.7;
+constexpr double kMaxLatencyRatio = 2;  // bounds one outcome in the sums of latency ratios
 // The most latency samples in one mean latency, plus one for each attempt of the server's limit.
 constexpr double kMaxSamplesPerLatency = 16;
-constexpr double kPreferredPriorityFactor = 2;  // for writes, and for reads of hinted keys
+// Factor on the priority of writes and of reads of hinted keys.
+constexpr double kPreferredPriorityFactor = 2;
 constexpr Nanos kRecheckInterval = 25 * kMillisecond;
 
 bool isAnswer(AttemptOutcome outcome) {
@@ -208,7 +210,7 @@
             break;
         case AttemptOutcome::connectFailed:
         case AttemptOutcome::connectionLost:
-            server.hints.clear();  // it may have restarted, with nothing cached
+            server.hints.clear();  // the server may have restarted, with nothing cached
             break;
         default:
             break;
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -15,7 +15,7 @@
 
 namespace poppyscale::policy {
 
-constexpr double kMinServerWeight = 1e-9;  // also for a server without a known weight
+constexpr double kMinServerWeight = 1e-9;  // least weight, also of a server without a known weight
 
 // A cache server or the origin: its entry in the endpoint list, and the state that each part of the
 // policy keeps about it. EndpointRegistry creates it and writes the entry. Requests share ownership
@@ -62,7 +62,7 @@
     const std::uint64_t hash_;
     const bool isOrigin_;
     bool awaitsFirstAttempt_ = false;
-    bool wasRemoved_ = false;  // at the end of the last generation
+    bool wasRemoved_ = false;  // whether the server was removed at the end of the last generation
     Nanos readmittedAt_ = -kNever;
 };
 
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -13,12 +13,13 @@
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::nonIdempotent;
-    DeduplicationScope deduplicationScope = DeduplicationScope::all;  // of idempotentWithKey
+    // Applies to idempotentWithKey.
+    DeduplicationScope deduplicationScope = DeduplicationScope::all;
     // How long a key is remembered, from the first attempt that may have executed.
     Nanos idempotencyKeyTtl = 0;
     Nanos latencyObjective = 0;
-    Nanos timeout = 0;          // of a client, over all its retries; 0 if not known
-    double priorityWeight = 1;  // of a response within the latency objective
+    Nanos timeout = 0;          // timeout of a client, over all its retries; 0 if not known
+    double priorityWeight = 1;  // weight of a response within the latency objective
     double lateWeight = 0;      // fraction of the priority weight that a later response has
     bool operator==(const RequestClass&) const = default;
 };
@@ -30,19 +31,20 @@
 };
 
 struct PolicySettings {
-    std::uint64_t seed = 0;  // of all random decisions
+    std::uint64_t seed = 0;  // seed of all random decisions
     int routerCount = 1;     // routers that share the servers, this one included
     // A server that lacks a key responds with a miss, and the router asks the origin.
     bool cacheAside = false;
-    std::string originShape;   // the machine type that marks the origin in the endpoint list
-    std::string zone;          // this router's own
-    double crossZoneCost = 0;  // of an attempt in another zone, as a fraction of a request's priority weight
+    std::string originShape;  // the machine type that marks the origin in the endpoint list
+    std::string zone;         // zone of this router
+    // Cost of an attempt in another zone, as a fraction of a request's priority weight.
+    double crossZoneCost = 0;
     bool pollsEndpoints = false;
     bool retryAfterAllowed = false;
-    int maxAttempts = 1;  // for each request
+    int maxAttempts = 1;  // most attempts for each request
     Nanos maxRetryAfter = 0;
     Nanos pollInterval = 0;
-    Nanos maxFirstPollDelay = kNever;  // from the start to the first poll
+    Nanos maxFirstPollDelay = kNever;  // longest time from the start to the first poll
     // A listed weight falls with the server's load: weight / (1 + requests per core).
     bool weightsFollowLoad = false;
     double initialFraction = 1;  // fraction of its full load that a just started server bears
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -12,7 +12,8 @@
 // window.
 constexpr double kMaxWindowsSaved = 12;
 constexpr Nanos kRampSteps = 32;
-constexpr double kSafetyMargin = 0.5;  // of the load at which a server collapses
+// The budget of a server that is warming up is this fraction of the load at which it collapses.
+constexpr double kSafetyMargin = 0.5;
 
 }  // namespace
 
--- a/src/policy/tenant_fairness.hpp
+++ b/src/policy/tenant_fairness.hpp
@@ -38,7 +38,8 @@
 
     const PolicySettings& settings_;
     const Nanos startedAt_;
-    std::vector<std::shared_ptr<TenantUsage>> usages_;  // in the order of the settings
+    // Usages of the tenants, in the order of the settings.
+    std::vector<std::shared_ptr<TenantUsage>> usages_;
 };
 
 }  // namespace poppyscale::policy
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -14,9 +14,10 @@
 
 // What a repeated execution of a request does.
 enum class Idempotency : std::uint8_t {
-    safe,               // nothing
-    idempotentWithKey,  // nothing, while the servers of its deduplication scope remember its key
-    nonIdempotent       // its effect once more
+    safe,  // has no effect
+    // Has no effect while the servers of the deduplication scope remember the key.
+    idempotentWithKey,
+    nonIdempotent  // has the effect of the request once more
 };
 
 // The servers among which a repeated idempotency key is recognised.
@@ -26,7 +27,7 @@
 
 enum class EndpointUpdateKind : std::uint8_t {
     delta,     // endpoints that changed; others stay as they are
-    complete,  // all endpoints; others are removed
+    complete,  // all endpoints; endpoints that are not listed are removed
     cached,    // all endpoints, as of an unknown time
     failed     // no answer to a poll
 };
@@ -65,12 +66,13 @@
 struct IncomingRequest {
     RequestId id = 0;
     std::string_view requestClass;
-    std::string_view tenant;  // empty if it has none
-    std::string_view key;     // empty if it has none
+    std::string_view tenant;  // empty if the request has none
+    std::string_view key;     // empty if the request has none
     Nanos deadline = 0;       // when the client times out
     bool isWrite = false;
-    bool isRetry = false;        // the client marks it as a repeated attempt
-    bool singleAttempt = false;  // its body is not buffered, so that it can be sent only once
+    bool isRetry = false;  // the client marks it as a repeated attempt
+    // The body is not buffered, so that the request can be sent only once.
+    bool singleAttempt = false;
 };
 
 struct AttemptResult {
@@ -78,7 +80,7 @@
     int attempt = 0;  // counted from 0 for each request, in the order of startAttempt
     AttemptOutcome outcome = AttemptOutcome::succeeded;
     bool requestCompleted = false;  // the client has its final response, or has disconnected
-    Nanos duration = 0;             // since the attempt was started
+    Nanos duration = 0;             // time since the attempt was started
     ReadThroughResult readThrough = ReadThroughResult::unknown;
 };
 
@@ -89,14 +91,14 @@
     EndpointState state = EndpointState::removed;
     bool isEjectedByOperator = false;
     bool isOrigin = false;
-    int inFlight = 0;             // attempts
+    int inFlight = 0;             // attempts in flight
     double concurrencyLimit = 0;  // attempts that may be in flight
-    double warmupFraction = 1;    // of the load that it bears when warmed up
+    double warmupFraction = 1;    // fraction of its full load that the server bears now
     double recentOutcomes = 0;    // ended attempts, a decaying sum
-    double recentFailures = 0;    // of these
+    double recentFailures = 0;    // failed attempts among `recentOutcomes`
     double latencyRatio = 0;      // mean latency as a fraction of the latency objective
-    std::int64_t hintedKeys = 0;  // keys that it is expected to have cached
-    Nanos ejectedUntil = 0;       // as an outlier; not ejected if this is past
+    std::int64_t hintedKeys = 0;  // keys that the server is expected to have cached
+    Nanos ejectedUntil = 0;       // end of the ejection as an outlier; not ejected if this is past
 };
 
 }  // namespace poppyscale
--- a/src/policy/zone_affinity.cpp
+++ b/src/policy/zone_affinity.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr double kMinRemoteWeight = 0.02;
-constexpr double kCopyCost = 0.01;  // of a zone's own copies of keys, as a fraction of the priority weight
+// Cost of a zone's own copies of keys, as a fraction of the priority weight.
+constexpr double kCopyCost = 0.01;
 // Multiplies the excess loss rate of the own zone; from a product of 1 on, remote servers have full
 // weight.
 constexpr double kLossSensitivity = 4;
--- a/src/protocol/request.cpp
+++ b/src/protocol/request.cpp
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
-constexpr std::size_t kMaxArgumentLength = 1024;  // of a key, an id or an info list
-constexpr std::size_t kMaxQuotedLength = 32;      // of a command's name quoted in an error
+constexpr std::size_t kMaxArgumentLength = 1024;  // bytes of a key, an id or an info list
+// Most bytes of a command's name that are quoted in an error.
+constexpr std::size_t kMaxQuotedLength = 32;
 
 constexpr std::string_view kPing = "PING";
 constexpr std::string_view kQuit = "QUIT";
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -7,7 +7,8 @@
 namespace poppyscale::protocol {
 namespace {
 
-constexpr std::size_t kMaxLineLength = 1024;  // with CRLF; also bounds errors and simple strings
+// Bytes including CRLF; also bounds errors and simple strings.
+constexpr std::size_t kMaxLineLength = 1024;
 // The last byte of a streamed bulk string is withheld until its terminator has arrived.
 constexpr std::size_t kWithheldBytes = 1 + kBulkTerminator.size();
 
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -29,8 +29,8 @@
   public:
     struct Limits {
         std::size_t maxBulkLength = 64 * 1024;
-        std::size_t maxItems = 64;              // of one array
-        std::size_t maxDepth = 3;               // of nested arrays
+        std::size_t maxItems = 64;              // items of one array
+        std::size_t maxDepth = 3;               // depth of nested arrays
         std::size_t maxValueSize = 256 * 1024;  // encoded bytes of one value with all its items
         bool commandsOnly = false;              // accepts only arrays of bulk strings
         // A bulk string longer than `maxBulkLength` and at most this long is streamed if it is the
--- a/src/protocol/startup_config.hpp
+++ b/src/protocol/startup_config.hpp
@@ -19,10 +19,10 @@
     std::string console;    // ADDRESS:PORT for operators; no console if empty
     PolicySettings policy;
     EndpointList knownEndpoints;
-    Nanos serverIdleTimeout = 0;      // after this time cache servers close an idle connection
+    Nanos serverIdleTimeout = 0;      // cache servers close a connection that is idle for this time
     bool endpointsArePushed = false;  // a change counts as notified as soon as discovery has it
     Nanos pollWait = 0;               // how long a poll may wait at discovery for a change
-    Nanos connectTimeout = 0;         // to a cache server or the origin
+    Nanos connectTimeout = 0;         // limit for connecting to a cache server or the origin
     Nanos maxRequestTimeout = 0;      // the longest timeout of any request class
     std::size_t maxOpenRequests = 0;
     std::size_t maxDescriptors = 0;
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -11,7 +11,8 @@
 
 constexpr Nanos kLingerDuration = 1'000 * kMillisecond;
 constexpr std::size_t kMaxPipelinedRequests = 128;
-constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // from here on, no more requests are read
+// No requests are read while this many bytes are unsent.
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;
 constexpr std::size_t kMaxReadPerIteration = 32 * 1024;
 constexpr std::size_t kMaxIgnoredBytes = 64 * 1024;  // read from a connection that is closing
 
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -194,7 +194,8 @@
     Nanos lastReadAt_ = 0;    // when bytes were last read, or reading last resumed
     Nanos lastResponseAt_ = 0;
     Nanos requestBegunAt_ = 0;  // start of the incomplete, or awaited first, request; 0 without one
-    Nanos unreadSince_ = 0;     // since when the client has read none of its responses
+    // When the client last read a part of its responses or had none to read.
+    Nanos unreadSince_ = 0;
     std::uint64_t sentBytesAtLastCheck_ = 0;
     std::size_t reportedUnsentBytes_ = 0;
     std::size_t reportedPartialBytes_ = 0;
--- a/src/proxy/client_listener.hpp
+++ b/src/proxy/client_listener.hpp
@@ -103,8 +103,8 @@
     std::size_t maxClients_;
     std::size_t maxBufferedBytes_;
     Nanos maxUnreadDuration_;
-    std::size_t unsentBytes_ = 0;          // of responses, over all clients
-    std::size_t partialRequestBytes_ = 0;  // of incomplete requests, over all clients
+    std::size_t unsentBytes_ = 0;          // unsent bytes of responses, over all clients
+    std::size_t partialRequestBytes_ = 0;  // bytes of incomplete requests, over all clients
     std::size_t clientsWithValidRequest_ = 0;
     std::optional<DrainSchedule> drain_;
     std::size_t clientsAtDrainStart_ = 0;
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -23,9 +23,10 @@
   public:
     struct Limits {
         std::size_t maxConnections = 0;
-        Nanos idleTimeout = 0;             // after which an idle connection is closed
-        Nanos connectTimeout = 0;          // within which a connection must be established
-        std::size_t maxBufferedBytes = 0;  // in incomplete responses of all connections together
+        Nanos idleTimeout = 0;     // an idle connection is closed after this time
+        Nanos connectTimeout = 0;  // a connection must be established within this time
+        // Limit for the incomplete responses of all connections together.
+        std::size_t maxBufferedBytes = 0;
     };
 
     ConnectionPool(transport::EventLoop& loop, transport::BufferPool& buffers, AttemptHandler& handler,
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -40,8 +40,8 @@
     Nanos deadline = 0;
     int attemptCount = 0;
     bool isAwaited = false;  // a client waits for its response
-    std::string server;      // of the attempt in flight; empty without one
-    Nanos sentAt = 0;        // of the attempt in flight
+    std::string server;      // server of the attempt in flight; empty without one
+    Nanos sentAt = 0;        // when the attempt in flight was sent
 };
 
 }  // namespace poppyscale::proxy
--- a/src/proxy/request_pipeline.hpp
+++ b/src/proxy/request_pipeline.hpp
@@ -24,7 +24,7 @@
 
     struct Output {
         std::string bytes;
-        bool closesConnection = false;  // after these bytes
+        bool closesConnection = false;  // the connection is closed after these bytes
     };
     // Takes the bytes that may be written now: the responses up to the first incomplete one, of
     // which the available part is taken if it is being streamed. Stops before the response to
--- a/src/proxy/streamed_write.hpp
+++ b/src/proxy/streamed_write.hpp
@@ -77,9 +77,9 @@
     Owner& owner_;
     State state_ = State::inactive;
     PipelinedRequest* request_ = nullptr;
-    BodySink* sink_ = nullptr;  // while streaming or paused
+    BodySink* sink_ = nullptr;  // receiver of the value; set while streaming or paused
     std::string buffered_;
-    std::size_t bytesLeft_ = 0;  // not yet delivered
+    std::size_t bytesLeft_ = 0;  // bytes of the value that are not yet delivered
     bool isAllRead_ = false;
 };
 
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -111,12 +111,14 @@
     std::unique_ptr<UpstreamCodec> codec_;
     State state_ = State::connecting;
     Attempt* attempt_ = nullptr;
-    BodySink* responseSink_ = nullptr;  // takes a streamed response; null once it has all of it
+    // Receiver of a streamed response; null once all of it was delivered.
+    BodySink* responseSink_ = nullptr;
     std::size_t responseBodyLeft_ = 0;
-    RequestBody* requestBody_ = nullptr;  // is being streamed; null once its last chunk has come
+    // Body that is being streamed; null once the last chunk has come.
+    RequestBody* requestBody_ = nullptr;
     std::size_t requestBodyLeft_ = 0;
     Nanos idleSince_ = 0;
-    std::size_t bufferedBytes_ = 0;  // of an incomplete response
+    std::size_t bufferedBytes_ = 0;  // buffered bytes of an incomplete response
 };
 
 }  // namespace poppyscale::proxy
--- a/src/rollout/decaying_statistics.hpp
+++ b/src/rollout/decaying_statistics.hpp
@@ -49,7 +49,7 @@
     };
 
     Nanos halfLife_;
-    std::map<int, Sum> sums_;  // by instance
+    std::map<int, Sum> sums_;  // sums by instance
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/draining_caches.cpp
+++ b/src/rollout/draining_caches.cpp
@@ -5,7 +5,8 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr int kMaxNotificationWindows = 2;  // until every instance is notified of a drain
+// Every instance is notified of a drain within this many windows.
+constexpr int kMaxNotificationWindows = 2;
 
 }  // namespace
 
--- a/src/rollout/draining_caches.hpp
+++ b/src/rollout/draining_caches.hpp
@@ -17,7 +17,7 @@
     bool isKnownToAll(const std::string& cache) const;
 
   private:
-    std::map<std::string, int> windowsDraining_;  // by cache: consecutive windows
+    std::map<std::string, int> windowsDraining_;  // consecutive windows of draining, by cache
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/evidence.hpp
+++ b/src/rollout/evidence.hpp
@@ -59,8 +59,10 @@
 
     double margin_;
     double allowance_;
-    std::array<double, kRatios.size()> logBinomial_{};  // by ratio: which side the bad events fall to
-    std::array<double, kRatios.size()> logPoisson_{};   // by ratio: how many there are
+    // Log likelihood ratio of how the bad events divide between the sides, for each of kRatios.
+    std::array<double, kRatios.size()> logBinomial_{};
+    // Log likelihood ratio of the changed side's number of bad events, for each of kRatios.
+    std::array<double, kRatios.size()> logPoisson_{};
     double changedBad_ = 0;
     double changedTotal_ = 0;
     double unchangedBad_ = 0;
--- a/src/rollout/fault_detector.hpp
+++ b/src/rollout/fault_detector.hpp
@@ -16,9 +16,9 @@
 
 // A fault began or ended.
 struct FaultTransition {
-    bool isActive = false;  // from now on
+    bool isActive = false;  // whether a fault is active from now on
     double recentRatio = 0;
-    double baselineRatio = 0;  // before this window
+    double baselineRatio = 0;  // ratio of the baseline before this window
 };
 
 class FaultDetector {
--- a/src/rollout/fault_excuses.cpp
+++ b/src/rollout/fault_excuses.cpp
@@ -12,7 +12,8 @@
 constexpr double kMinBurstFactor = 1.25;
 constexpr double kMinSlowAttemptFactor = 1.3;
 constexpr double kMinLostAttemptFactor = 2;
-constexpr double kLostAttemptAllowance = 0.01;  // of all attempts, on top of the factor
+// Fraction of all attempts, tolerated on top of the factor.
+constexpr double kLostAttemptAllowance = 0.01;
 
 double seconds(Nanos duration) { return static_cast<double>(duration) / 1e9; }
 
--- a/src/rollout/fault_excuses.hpp
+++ b/src/rollout/fault_excuses.hpp
@@ -36,9 +36,9 @@
 
     Condition load_;           // requests per second
     Condition attemptTime_;    // ms per attempt
-    Condition lostAttempts_;   // lost per attempt, of the reference instances
-    int cachesReady_ = 0;      // in the last window
-    int baselineCaches_ = 0;   // the most that were ready at once
+    Condition lostAttempts_;   // lost attempts per attempt, at the reference instances
+    int cachesReady_ = 0;      // ready caches in the last window
+    int baselineCaches_ = 0;   // the most caches that were ready at once
     Nanos interruptedAt_ = 0;  // 0: never
 };
 
--- a/src/rollout/fleet_view.hpp
+++ b/src/rollout/fleet_view.hpp
@@ -19,10 +19,10 @@
 
 // The coordinator's view of one agent.
 struct AgentView {
-    std::optional<Report> report;  // the last one
+    std::optional<Report> report;  // the agent's last report
     Nanos lastReportAt = 0;
     std::string rejection;    // why the agent can't carry out its orders; empty: it can
-    Nanos rejectedSince = 0;  // when it began to reject its orders; 0: it does not
+    Nanos rejectedSince = 0;  // when the agent began to reject its orders; 0: it does not
 };
 
 // The coordinator's view of one instance.
@@ -80,8 +80,8 @@
     AgentView& agent(int index) { return agents_.at(static_cast<std::size_t>(index)); }
 
     const RolloutPlan& plan_;
-    std::vector<AgentView> agents_;        // as in the plan
-    std::vector<InstanceView> instances_;  // by agent and position
+    std::vector<AgentView> agents_;        // agents in the order of the plan
+    std::vector<InstanceView> instances_;  // instances in the order of agent and position
     std::set<std::string> zones_;
 };
 
--- a/src/rollout/fleet_window.hpp
+++ b/src/rollout/fleet_window.hpp
@@ -6,7 +6,7 @@
 namespace poppyscale::rollout {
 
 struct FleetWindow {
-    int instances = 0;  // with a known window
+    int instances = 0;  // instances with a known window
     Nanos duration = 0;
     double requests = 0;
     double attempts = 0;
--- a/src/rollout/harm_exclusion.cpp
+++ b/src/rollout/harm_exclusion.cpp
@@ -6,8 +6,8 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr double kErrorProbability = 0.02;  // of ruling out harm that exists
-constexpr double kMinEvents = 60;           // below which a side proves nothing
+constexpr double kErrorProbability = 0.02;  // probability of ruling out harm that exists
+constexpr double kMinEvents = 60;           // a side with fewer events proves nothing
 
 bool isRuledOut(const Comparison& comparison, double harm, bool hasUnchangedInstances) {
     const Evidence& evidence = comparison.evidence;
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -49,7 +49,7 @@
     std::uint64_t attemptsLost = 0;
     std::uint64_t connectionsOpened = 0;
     std::uint64_t endpointPolls = 0;
-    std::uint64_t churned = 0;  // only in a window: connections opened beyond the net growth
+    std::uint64_t churned = 0;  // connections opened beyond the net growth; only in a window
     double attemptMs = 0;       // sum of the durations of answered attempts
     // Levels.
     double memoryKb = 0;
@@ -58,7 +58,7 @@
     double openRequests = 0;
     int cachesReady = 0;
     int cachesListed = 0;
-    Nanos longestIteration = 0;  // of its event loop
+    Nanos longestIteration = 0;  // longest iteration of the event loop
 };
 
 // What one instance did between two samples. Returns nothing if the process was replaced, if a
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -25,12 +25,12 @@
 // The complete state that a coordinator wants of an agent. As it is complete, an order that is lost
 // or arrives twice does no harm.
 struct Order {
-    std::uint64_t number = 0;   // of the rollout; an agent obeys the highest that it has seen
+    std::uint64_t number = 0;   // rollout number; an agent obeys the highest that it has seen
     std::uint64_t step = 0;     // grows with each order of a rollout, so that an outdated order is recognized
     std::string digest;         // identifies the change
     std::string program;        // path; empty where the program stays
-    std::string programDigest;  // of the file at that path; empty if it was not read
-    std::string templateText;   // of the configuration template; empty where it stays
+    std::string programDigest;  // digest of the program's file; empty if it was not read
+    std::string templateText;   // text of the configuration template; empty where it stays
     std::set<int> changed;      // instances that are to have the change; all others are to be as before
     std::set<int> held;         // those of `changed` whose change stays without further orders
     Nanos holdDuration = 0;     // how long the change of the others stays after this order arrived
@@ -39,10 +39,10 @@
 };
 
 enum class InstanceState : std::uint8_t {
-    original,     // runs what ran before the rollout
+    original,     // runs the version from before the rollout
     changing,     // in transition to the change
-    changed,      // runs it
-    rollingBack,  // in transition to what ran before
+    changed,      // runs the change
+    rollingBack,  // in transition to the version from before the rollout
     failed        // the version that it should run could not be installed
 };
 
@@ -59,10 +59,11 @@
 
 struct Report {
     std::uint64_t number = 0;  // the highest rollout number that the agent has seen
-    std::string digest;        // of the change that the agent has or rolls back; empty: none
+    std::string digest;        // change that the agent has or rolls back; empty: none
     bool isFinished = false;
-    bool hasRolledBack = false;  // on its own, because no order arrived in time
-    std::string problem;         // why the agent can't persist its orders; empty: it can
+    // The agent rolled back on its own, because no order arrived in time.
+    bool hasRolledBack = false;
+    std::string problem;  // why the agent can't persist its orders; empty: it can
     std::vector<InstanceReport> instances;
 };
 
--- a/src/rollout/resource_levels.hpp
+++ b/src/rollout/resource_levels.hpp
@@ -27,7 +27,7 @@
     double maxMemoryKb_ = 0;
     double maxDescriptors_ = 0;
     double maxConnections_ = 0;
-    std::map<int, int> excessiveChecks_;  // by instance: consecutive checks with an excess
+    std::map<int, int> excessiveChecks_;  // consecutive checks with an excess, by instance
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -19,10 +19,10 @@
 
 // The state that has to outlive the agent's process.
 struct AgentState {
-    std::uint64_t number = 0;  // of the rollout
-    std::string digest;        // of the change in progress; empty: none
-    Version before;            // what unchanged instances run
-    Version change;            // what changed instances run
+    std::uint64_t number = 0;  // number of the rollout
+    std::string digest;        // identifies the change in progress; empty: none
+    Version before;            // version that unchanged instances run
+    Version change;            // version that changed instances run
     std::set<int> changed;     // instances that are to have the change
     std::set<int> held;        // those of `changed` whose change stays without further orders
     Nanos holdDuration = 0;    // how long the change of the others stays after an order
@@ -86,12 +86,12 @@
         bool ready = true;
         int exitCount = 0;
         std::string problem;
-        Nanos retryAt = 0;  // of the rollback, in InstanceState::failed
+        Nanos retryAt = 0;  // when a rollback is retried; valid in InstanceState::failed
     };
     enum class Persistence : std::uint8_t {
         idle,            // the wanted state is on disk, or could not be written
-        writing,         // it is being written
-        writingOutdated  // an older one is being written; the wanted state is written next
+        writing,         // the wanted state is being written
+        writingOutdated  // an older state is being written; the wanted state is written next
     };
 
     Instance& at(int instance) { return instances_.at(static_cast<std::size_t>(instance)); }
@@ -111,13 +111,15 @@
 
     AgentHost& host_;
     std::vector<Instance> instances_;
-    AgentState persisted_;  // as it is on disk
-    AgentState wanted_;     // as last ordered
+    AgentState persisted_;  // the state on disk
+    // State that the agent works towards: that of the last order, until the agent's own rollback
+    // or a failed write changes it.
+    AgentState wanted_;
     std::uint64_t lastStep_ = 0;
     Persistence persistence_ = Persistence::idle;
     Nanos orderValidUntil_ = 0;
-    bool hasRolledBack_ = false;  // on its own, since the last order
-    std::string problem_;         // of the last write
+    bool hasRolledBack_ = false;  // the agent has rolled back on its own since the last order
+    std::string problem_;         // why the last write failed; empty if it succeeded
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -90,7 +90,8 @@
     struct Discovery {
         std::uint64_t highestNumber = 0;
         bool hasThisChange = false;
-        bool hasOtherChange = false;  // of a rollout that has not ended
+        // An agent has the change of another rollout that has not ended.
+        bool hasOtherChange = false;
     };
 
     Discovery inspectAgents() const;
@@ -118,7 +119,7 @@
     Nanos startedAt_ = 0;     // 0: not yet
     Nanos lastSampleAt_ = 0;  // 0: never
     std::uint64_t number_ = 0;
-    std::uint64_t lastStep_ = 0;  // of the orders
+    std::uint64_t lastStep_ = 0;  // step of the last order
     RolloutOutcome outcome_ = RolloutOutcome::none;
     std::string reason_;
 
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -16,7 +16,7 @@
 
 using config::TomlTable;
 
-constexpr int kMaxInstances = 10'000'000;  // of all machines; also the largest batch
+constexpr int kMaxInstances = 10'000'000;  // limit over all machines; also of the batch size
 
 bool growsBeyond(const Stage& before, const Stage& stage) {
     if (before.share > 0) return stage.instances <= 0 && stage.share > before.share;
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -12,8 +12,8 @@
 
 // How many instances have the change at the end of a stage. One of the two is set.
 struct Stage {
-    int instances = 0;  // of the whole fleet; or
-    double share = 0;   // a part of it, up to 1
+    int instances = 0;  // instances with the change in the whole fleet; 0 if `share` is set
+    double share = 0;   // fraction of the fleet's instances, up to 1; 0 if `instances` is set
 };
 
 // What counts as worse. Shares are fractions of requests or responses; a ratio of 1.2 is a fifth
@@ -42,12 +42,12 @@
     std::string templatePath;  // path on this machine; empty: the configuration template stays
     std::string templateText;
     std::vector<Stage> stages;
-    Nanos minStageDuration = 0;      // for which a stage has to be judged before it completes
+    Nanos minStageDuration = 0;      // time for which a stage has to be judged before it completes
     Nanos maxStageDuration = 0;      // limit for each of changing and judging a stage's instances
-    Nanos settleTime = 0;            // from an instance's change until it is compared
-    Nanos baselineTime = 0;          // for which the fleet is observed before the first stage
-    Nanos agentHoldDuration = 0;     // without orders, after which an agent rolls back
-    Nanos rollbackTimeout = 0;       // after which instances that are not rolled back are named
+    Nanos settleTime = 0;            // time from an instance's change until it is compared
+    Nanos baselineTime = 0;          // time for which the fleet is observed before the first stage
+    Nanos agentHoldDuration = 0;     // time without orders after which an agent rolls back
+    Nanos rollbackTimeout = 0;       // instances not rolled back after this time are named
     int batchSize = 1;               // instances of an agent in transition at once
     int rollbackBatchSize = 2;       // instances of the fleet that roll back at once
     bool continueUndecided = false;  // go on after a stage without a fault that stays undecided
--- a/src/rollout/rollout_schedule.hpp
+++ b/src/rollout/rollout_schedule.hpp
@@ -52,7 +52,7 @@
     std::set<int> firstInOrder(int count) const;
 
     std::vector<int> order_;       // indices of instances
-    std::vector<int> stageSizes_;  // by stage - 1
+    std::vector<int> stageSizes_;  // number of instances in each stage, at index stage - 1
     std::set<int> targets_;
     std::set<int> committed_;
     int stage_ = 0;
--- a/src/rollout/rollout_status.hpp
+++ b/src/rollout/rollout_status.hpp
@@ -15,11 +15,11 @@
 namespace poppyscale::rollout {
 
 enum class RolloutPhase : std::uint8_t {
-    discovering,  // which agents answer, and what they already have
-    observing,    // the fleet's baseline before the first stage
+    discovering,  // finds out which agents answer, and which change they already have
+    observing,    // observes the fleet's baseline before the first stage
     changing,     // a stage's instances are in transition
     judging,      // all of the stage's instances run the change
-    rollingBack,  // all instances return to what they ran before
+    rollingBack,  // all instances return to the version that they ran before
     finishing,    // agents are notified that the rollout has ended
     finished
 };
@@ -29,7 +29,7 @@
     RolloutPhase phase = RolloutPhase::discovering;
     bool isFaultActive = false;
     std::string faultExcuse;
-    Nanos judgedTime = 0;  // of the current stage
+    Nanos judgedTime = 0;  // time for which the current stage has been judged
     RolloutOutcome outcome = RolloutOutcome::none;
     std::string reason;
     std::vector<std::string> unrestoredInstances;
--- a/src/rollout/side_comparison.cpp
+++ b/src/rollout/side_comparison.cpp
@@ -14,7 +14,8 @@
 constexpr double kPressureAllowance = 0.02;
 constexpr double kSlowerAllowance = 0.01;
 constexpr double kAttemptsLostAllowance = 0.02;
-constexpr double kNeverAnsweredDivisor = 8;  // of the plan's allowance
+// The allowance for kNeverAnswered is the plan's allowance divided by this.
+constexpr double kNeverAnsweredDivisor = 8;
 
 void add(EventCount& sum, const EventCount& count) {
     sum.bad += count.bad;
--- a/src/rollout/side_comparison.hpp
+++ b/src/rollout/side_comparison.hpp
@@ -19,9 +19,9 @@
 
 // The comparison of one kind of event.
 struct Comparison {
-    Evidence evidence;              // that the changed side does worse
-    DecayingRatio baseline;         // of the unchanged side, while no fault is active
-    Overdispersion overdispersion;  // among the unchanged instances
+    Evidence evidence;              // evidence that the changed side does worse
+    DecayingRatio baseline;         // ratio of the unchanged side while no fault is active
+    Overdispersion overdispersion;  // overdispersion among the unchanged instances
 
     // The unchanged side's ratio since the start, or its baseline if it had no traffic at the same
     // time as the changed side.
@@ -52,8 +52,8 @@
     // The counts of one window.
     struct WindowCounts {
         std::map<std::string, SideCounts> zones;
-        EventCounts unchanged;                  // of all zones
-        std::map<int, EventCounts> byInstance;  // unchanged ones
+        EventCounts unchanged;                  // counts of the unchanged instances of all zones
+        std::map<int, EventCounts> byInstance;  // counts of each unchanged instance
     };
 
     WindowCounts countWindow(const FleetView& fleet, const SlowLatencyTracker& slowLatencies,
@@ -67,7 +67,7 @@
     Evidence evidenceFor(std::string_view kind) const;
 
     const Thresholds& thresholds_;
-    std::map<std::string, Comparison, std::less<>> comparisons_;  // by kind
+    std::map<std::string, Comparison, std::less<>> comparisons_;  // comparisons by kind of event
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/slow_latency_tracker.hpp
+++ b/src/rollout/slow_latency_tracker.hpp
@@ -25,8 +25,10 @@
   private:
     void setThresholds();
 
-    std::map<std::string, std::vector<double>> latencies_;  // by request class and bucket, decaying
-    std::map<std::string, std::size_t> firstSlowBuckets_;   // by request class
+    // Decaying counts by request class and bucket.
+    std::map<std::string, std::vector<double>> latencies_;
+    // Index of the first slow bucket, by request class.
+    std::map<std::string, std::size_t> firstSlowBuckets_;
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/stage_monitor.hpp
+++ b/src/rollout/stage_monitor.hpp
@@ -35,7 +35,7 @@
     Nanos beganAt_ = 0;
     Nanos judgedTime_ = 0;
     Nanos unexplainedFaultTime_ = 0;
-    int maxExitCount_ = 0;  // of all targets together, over all stages
+    int maxExitCount_ = 0;  // the most exits of all targets together, over all stages
 };
 
 }  // namespace poppyscale::rollout
--- a/src/rollout/window_counts.hpp
+++ b/src/rollout/window_counts.hpp
@@ -15,9 +15,11 @@
 // Kinds of events. These names appear in reasons for a rollback and in the status, where programs
 // read them.
 namespace event_kind {
-inline constexpr std::string_view kUnanswered = "unanswered";  // also by request class, after a space
+// Also counted by request class: the name of the class follows the kind after a space.
+inline constexpr std::string_view kUnanswered = "unanswered";
 inline constexpr std::string_view kNeverAnswered = "never answered";
-inline constexpr std::string_view kLate = "late";  // also by request class, after a space
+// Also counted by request class: the name of the class follows the kind after a space.
+inline constexpr std::string_view kLate = "late";
 inline constexpr std::string_view kSlower = "slower";
 inline constexpr std::string_view kAttemptsLost = "relays lost";
 inline constexpr std::string_view kAttemptsPerRequest = "relays a command";
@@ -29,10 +31,10 @@
 
 struct EventCount {
     double bad = 0;
-    double total = 0;  // of which `bad` is a part, or the denominator of a rate
+    double total = 0;  // total of which `bad` is a part, or the denominator of a rate
 };
 
-using EventCounts = std::map<std::string, EventCount, std::less<>>;  // by kind
+using EventCounts = std::map<std::string, EventCount, std::less<>>;  // counts by kind of event
 
 EventCounts countEvents(const InstanceMetrics& window, const SlowLatencyTracker& slowLatencies,
                         const DrainingCaches& drainingCaches);
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -16,7 +16,7 @@
 // Later than any real clock; the sum of a few such times in nanoseconds does not overflow.
 constexpr std::int64_t kMaxMicros = std::numeric_limits<std::int64_t>::max() / kNanosPerMicro / 8;
 constexpr std::int64_t kMaxAttempt = 1'000'000;
-constexpr std::size_t kMaxQuotedLength = 40;  // of input quoted in an error
+constexpr std::size_t kMaxQuotedLength = 40;  // most bytes of input that are quoted in an error
 constexpr std::size_t kRequestIdDigits = 16;
 
 constexpr std::int64_t kRetryBit = 2;
--- a/src/supervisor/instance_supervisor.hpp
+++ b/src/supervisor/instance_supervisor.hpp
@@ -13,13 +13,15 @@
 // How an InstanceSupervisor restarts instances and paces a rolling operation. All times are in nanoseconds.
 struct SupervisorSettings {
     int instanceCount = 1;
-    int batchSize = 1;            // most instances that a rolling operation takes down at once
-    Nanos readyTimeout = 0;       // from the start of an instance until it must be ready
-    Nanos observationTime = 0;    // for which a batch has to stay ready before the next batch begins
-    Nanos minBackoff = 0;         // before the first restart after an unexpected exit; doubled with each one
+    int batchSize = 1;       // most instances that a rolling operation takes down at once
+    Nanos readyTimeout = 0;  // time from the start of an instance until it must be ready
+    // Time for which a batch has to stay ready before the next batch begins.
+    Nanos observationTime = 0;
+    // Pause before the first restart after an unexpected exit; doubled with each further exit.
+    Nanos minBackoff = 0;
     Nanos maxBackoff = 0;         // bound of the doubled backoff
     Nanos backoffResetAfter = 0;  // time ready after which the backoff is minBackoff again
-    Nanos stopTimeout = 0;        // from the request to stop until the instance is killed
+    Nanos stopTimeout = 0;        // time from the request to stop until the instance is killed
 };
 
 // The actions that an InstanceSupervisor requests. Instances are numbered from 0. Implementations
@@ -114,9 +116,9 @@
     };
     struct Instance {
         InstanceState state = InstanceState::backingOff;
-        Nanos deadline = 0;  // of the state; kNever: none
+        Nanos deadline = 0;  // when the state ends or times out; kNever: never
         Nanos readyAt = 0;   // when the instance last became ready
-        Nanos backoff = 0;   // the last one, without jitter; 0: none yet
+        Nanos backoff = 0;   // the last backoff, without jitter; 0: none yet
         int unexpectedExits = 0;
         bool isStopRequested = false;  // the next exit is expected
     };
