--- a/src/testbed/audit/audit.hpp
+++ b/src/testbed/audit/audit.hpp
@@ -18,7 +18,7 @@
     Nanos at = 0;
     std::string description;
     int router = -1;
-    Nanos deadline = 0;  // of the request; `at` if no request is known
+    Nanos deadline = 0;  // deadline of the request; `at` if no request is known
 };
 
 class Audit {
@@ -27,7 +27,7 @@
     explicit Audit(const nlohmann::json& head, Nanos tolerance = 0);
 
     void onEvent(const LogEvent& entry);
-    // To be called after the last entry. Sorted by time.
+    // To be called after the last entry. The violations are sorted by time.
     const std::vector<Violation>& finish();
 
   private:
@@ -62,17 +62,19 @@
         bool origin = false;
         double capacity = 1;
         Nanos startedAt = 0;
-        // Rule `cold` counts an attempt at a cache server whose router had been told of the server's last
-        // start, and an attempt at the origin whose request had missed at a cold cache server.
+        // Rule `cold` counts an attempt at a cache server whose router had been notified of the
+        // server's last start, and an attempt at the origin whose request had missed at a cold
+        // cache server.
         struct RecentAttempt {
             Nanos at;
             double work;
-            bool isCounted;  // by rule `cold`
+            bool isCounted;  // rule `cold` counts the attempt
         };
         std::deque<RecentAttempt> recentAttempts;
     };
     struct KnownEndpoint {
-        Nanos leavingSince = -1;  // when the router was told that it drains or is gone; -1: ready
+        // Since when the router has known that the server is draining or gone; -1: it is ready.
+        Nanos leavingSince = -1;
         Nanos startedAt = -1;
     };
 
@@ -97,13 +99,14 @@
     std::unordered_map<std::uint64_t, Request> requests_;
     std::vector<Server> servers_;
     std::map<std::pair<int, int>, KnownEndpoint> knownEndpoints_;
-    std::map<int, Nanos> downSince_;  // by router: when it was last killed or told to stop
-    std::map<int, Nanos> upSince_;    // by router: when it last became reachable
+    // By router: when its process last ended or was asked to stop; no entry while the router is up.
+    std::map<int, Nanos> downSince_;
+    std::map<int, Nanos> upSince_;  // by router: when it last became reachable
 
     struct Interval {
         Nanos from, to;
     };
-    std::vector<Interval> clockFaults_;  // in which the monotonic clock of some machine is wrong
+    std::vector<Interval> clockFaults_;  // intervals in which a machine's monotonic clock is wrong
     static bool overlapsAny(const std::vector<Interval>& intervals, Nanos from, Nanos to);
     void onClaim(const LogEvent& entry);
     bool isExcused(const Violation& violation) const;
@@ -111,7 +114,7 @@
     Nanos longestTimeout_ = 0;
     // By router, as its agent and the testbed report it: when it was away, and when it ran the change.
     std::map<int, std::vector<Interval>> awayIntervals_, changedIntervals_;
-    std::map<int, std::string> runningProgram_;  // by router: "change" or "before"
+    std::map<int, std::string> runningProgram_;  // by router: its program, "change" or "before"
     std::string rolloutOutcome_;
     std::vector<Violation> violations_;
 };
--- a/src/testbed/audit/slow_start_load.hpp
+++ b/src/testbed/audit/slow_start_load.hpp
@@ -13,11 +13,12 @@
 namespace poppyscale::testbed {
 
 // Gets the log's entries in their order. A cache server is cold from its start until its slow start is over.
-// Each attempt that a router sends to a cold cache server after it was told of the server's start is judged
-// together with those of the overload window before it, by the rule by which the emulated server stops: their
-// work is compared with the overload multiple ("tip") times the work that the server can do in a window at
-// its present share of its capacity. Both are expressed in attempts of the mean work seen so far. A miss
-// counts with its whole work though it takes less, so these figures are at least what the server sees.
+// Each attempt that a router sends to a cold cache server after being notified of the server's
+// start is judged together with those of the overload window before it, by the rule by which the
+// emulated server stops: their work is compared with the overload multiple ("tip") times the work
+// that the server can do in a window at its present share of its capacity. Both are expressed in
+// attempts of the mean work seen so far. A miss counts with its whole work though it takes less, so
+// these figures are at least the load that reaches the server.
 class SlowStartLoad {
   public:
     explicit SlowStartLoad(const nlohmann::json& head);
@@ -36,15 +37,15 @@
     double largestRatio() const;                          // sent / allowed of that window
     double largestExcess() const { return windowsJudged_ > 0 ? largestExcess_ : 0; }  // over all windows
     double meanRatio() const;  // mean of sent / allowed over all windows
-    // Share of the attempts at cold cache servers that came from routers which had not been told of the start
-    // yet, as when a new server has the address of an old one. No slow start can limit these, so they count
-    // in no window.
+    // Share of the attempts at cold cache servers that came from routers which had not been
+    // notified of the start yet, as when a new server has the address of an old one. No slow start can limit
+    // these attempts, so they count in no window.
     double shareBeforeNotification() const;
 
   private:
     struct Attempt {
         Nanos at;
-        double work;  // in core-ns
+        double work;  // work in core-ns
     };
     struct Server {
         bool origin = false;
@@ -64,8 +65,9 @@
     double overloadMultiple_ = 0;
     Nanos overloadWindow_ = 0;
     std::vector<Server> servers_;
-    std::map<std::pair<int, int>, Nanos> knownStarts_;  // by (router, server): the start it was told of
-    double totalAttempts_ = 0, totalWork_ = 0;          // of all cache servers
+    // By (router, server): the start of the server that the router was last notified of.
+    std::map<std::pair<int, int>, Nanos> knownStarts_;
+    double totalAttempts_ = 0, totalWork_ = 0;  // sums over all cache servers
     int coldStarts_ = 0, overloadStops_ = 0;
     Window largest_;
     double largestExcess_ = 0, ratioSum_ = 0;
--- a/src/testbed/drivers/live/host_environment.hpp
+++ b/src/testbed/drivers/live/host_environment.hpp
@@ -50,7 +50,7 @@
 
     std::string file_;
     HostState* state_ = nullptr;
-    std::vector<ClockSegment> segments_;  // in order of time
+    std::vector<ClockSegment> segments_;  // ordered by time
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -321,7 +321,8 @@
     std::list<PendingUpgrade> pendingUpgrades_;
     bool hasBegun_ = false, isEnding_ = false;
     EventLog& eventLog_;
-    Nanos worstLateness_ = 0, windowEnd_ = 0;  // of the current lateness window
+    // Worst lateness so far and end of the current lateness window.
+    Nanos worstLateness_ = 0, windowEnd_ = 0;
     long lateWindows_ = 0, totalWindows_ = 0;
     std::uint64_t configurationsWritten_ = 0;
     Nanos lastProgressAt_ = 0;
--- a/src/testbed/drivers/live/live_run.hpp
+++ b/src/testbed/drivers/live/live_run.hpp
@@ -19,8 +19,8 @@
 
 struct LiveResult {
     double lateShare = 0;   // share of tenths of a second in which the testbed was over 20 ms late
-    double cpuSeconds = 0;  // of all routers that run at the end, in sum
-    double memoryMb = 0;    // of the router that uses the most at the end
+    double cpuSeconds = 0;  // CPU time of all routers that run at the end, in sum
+    double memoryMb = 0;    // memory of the router that uses the most at the end
     int upgrades = 0;       // successful hot restarts
     int upgradesFailed = 0;
     bool wasInterrupted = false;
@@ -32,8 +32,9 @@
     std::string ctlProgram;  // path of poppyctl, which machines need; beside `program` if empty
     // The program that a rollout of the change `same` installs; a copy of `program` if empty.
     std::string changedProgram;
-    bool acceptsOperatorFile = false;  // the program accepts --operator, so that it can be told to upgrade
-    std::string folder;                // for configurations and the routers' logs; a temporary one if empty
+    // The program accepts --operator, so that it can be requested to upgrade.
+    bool acceptsOperatorFile = false;
+    std::string folder;  // folder for configurations and the routers' logs; empty: a temporary one
     // If set, the run has no load and lasts until interrupted (`poppyscale_testbed serve`). Called
     // once all routers are up.
     std::function<void(const std::string& firstRouter)> onRoutersReady;
--- a/src/testbed/drivers/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -123,9 +123,10 @@
     std::vector<std::vector<std::unique_ptr<NetworkPath>>> networkPaths_;
     int ended_ = 0;
     std::optional<int> rolloutExitCode_;
-    int killedCoordinatorMachine_ = -1;  // of the last killed one; -1: the workstation
-    std::string planChange_;             // the `[change]` part of the coordinators' plan
-    std::string versionBefore_;          // the version that runs before the rollout
+    // Machine of the coordinator that was killed last; -1: the workstation.
+    int killedCoordinatorMachine_ = -1;
+    std::string planChange_;     // the `[change]` part of the coordinators' plan
+    std::string versionBefore_;  // the version that runs before the rollout
     std::vector<pid_t> seenProcesses_;
 };
 
--- a/src/testbed/drivers/live/network_path.cpp
+++ b/src/testbed/drivers/live/network_path.cpp
@@ -14,7 +14,8 @@
 namespace poppyscale::testbed {
 namespace {
 
-constexpr long kStallAfterBytes = 64;  // both directions of a connection together
+// Bytes that a connection of a stalled path relays before it stops, both directions together.
+constexpr long kStallAfterBytes = 64;
 constexpr std::size_t kReadSize = 64 * 1024;
 
 sockaddr_un unixAddress(const std::string& path) {
--- a/src/testbed/drivers/live/network_path.hpp
+++ b/src/testbed/drivers/live/network_path.hpp
@@ -26,7 +26,7 @@
     Nanos delay = 0;
     bool isStalled = false;   // each connection stops after 64 bytes until this is unset
     double dropShare = 0;     // share of new connections that are closed at once
-    void breakConnections();  // after a cut
+    void breakConnections();  // breaks all connections; to be called after a cut
 
     // Accepts connections and relays bytes without blocking; to be called often.
     void pump(Nanos now);
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -24,10 +24,11 @@
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 constexpr Nanos kDiskSyncTime = 4 * kMillisecond;
-constexpr Nanos kLatency = 400 * 1000;  // one way
+constexpr Nanos kLatency = 400 * 1000;  // mean one-way latency, without delays by faults
 constexpr Nanos kCriticalSectionDuration = 200 * kMillisecond;
 constexpr Nanos kActInterval = 500 * kMillisecond;
-constexpr Nanos kRetryInterval = 10 * kMillisecond;  // while a holder may not act yet
+// Interval between the attempts of a router that holds a lease but may not act yet.
+constexpr Nanos kRetryInterval = 10 * kMillisecond;
 
 double cpuSeconds() {
     timespec at{};
@@ -436,8 +437,8 @@
     EventQueue events_;
     std::vector<Router> routers_;
     std::vector<Lease> leases_;
-    std::unordered_map<int, std::vector<std::pair<LeaseId, int>>>
-        candidates_;  // by router: leases, with its rank
+    // By router: the leases for which the router is a candidate, each with the router's rank.
+    std::unordered_map<int, std::vector<std::pair<LeaseId, int>>> candidates_;
     double lossRate_ = 0;
     bool suspendsBeforeActs_ = false;
     int restartCount_ = 0;
--- a/src/testbed/drivers/simulated/lease_run.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -14,8 +14,8 @@
 struct LeaseRunOptions {
     std::uint64_t seed = 1;
     int routers = 300, acceptors = 5, leases = 1000;
-    int candidates = 3;    // for each lease
-    double seconds = 600;  // of virtual time
+    int candidates = 3;    // number of candidate routers for each lease
+    double seconds = 600;  // length of the run in seconds of virtual time
     // none
     // all: random faults, one after another
     // loss: a tenth of all messages is lost
@@ -33,13 +33,15 @@
     long actorChanges = 0;   // acts by another router than the act before
     long killedHolders = 0;  // leases whose holder was killed
     double unheldShare = 0;  // share of the leases' time without a holder, from 2 s on
-    double takeoverP50 = 0, takeoverP99 = 0, maxTakeover = 0;  // s, from the kill of a holder to the next act
-    double framesPerSecond = 0;  // sent per router; a frame carries all messages to one other router
+    // Time from the kill of a holder to the next act, in seconds.
+    double takeoverP50 = 0, takeoverP99 = 0, maxTakeover = 0;
+    // Frames sent per router; a frame carries all messages to one other router.
+    double framesPerSecond = 0;
     double bytesPerFrame = 0;
     double cpuMicros = 0;  // CPU time of the process, per router and virtual second
     double seconds = 0, wallSeconds = 0;
-    std::string digest;          // over all acts
-    std::string firstViolation;  // as text
+    std::string digest;          // digest of all acts
+    std::string firstViolation;  // description of the first violation
 };
 
 LeaseRunResult runSimulatedLeases(const LeaseRunOptions& options);
--- a/src/testbed/drivers/simulated/rollout_run.hpp
+++ b/src/testbed/drivers/simulated/rollout_run.hpp
@@ -25,8 +25,8 @@
     int maxChangedCount = 0;  // instances that had the change at the same time, at most
     int instances = 0;
     double affectedShare = 0;     // share of the requests since the rollout began that the defect affected
-    double detectionSeconds = 0;  // from the first change to the stop
-    double seconds = 0;           // of the whole run
+    double detectionSeconds = 0;  // time from the first change to the stop
+    double seconds = 0;           // length of the whole run in virtual time
     std::string reason;
 };
 
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -19,8 +19,8 @@
 
 // Added to virtual time for the policy, which takes a time of 0 as long ago.
 constexpr Nanos kClockOffset = 1'000'000'000 * kMillisecond;
-constexpr Nanos kTerminationNotice =
-    480 * kMillisecond;  // a router still accepts requests that long after it was told to terminate
+// How long a router still accepts requests after it was asked to terminate.
+constexpr Nanos kTerminationNotice = 480 * kMillisecond;
 
 class SimulatedRun;
 
@@ -113,18 +113,18 @@
     SimulatedRun& run_;
     int index_;
     PollId endpointPoll_ = 0;
-    int slot_;  // in SimulatedRun: each process of a router has its own
+    int slot_;  // index in SimulatedRun::routers_; each process of a router has its own
     Nanos startedAt_;
     RouterDefect defect_;
     std::unique_ptr<metrics::RouterMetrics> metrics_;
     std::uint64_t openedCount_ = 0;
-    std::unordered_map<ConnectionId, ReceivedAttempt>
-        needlessFetches_;  // by connection, which may still be opening
+    // Needless fetches by connection; the connection may still be opening.
+    std::unordered_map<ConnectionId, ReceivedAttempt> needlessFetches_;
     Random random_;
     std::unordered_map<RequestId, OpenRequest> requests_;
     std::unordered_map<ConnectionId, UpstreamConnection> connections_;
-    std::unordered_map<int, std::vector<ConnectionId>> idleConnections_;  // by address
-    std::vector<std::function<void(Nanos)>> events_;                      // for the policy, in order
+    std::unordered_map<int, std::vector<ConnectionId>> idleConnections_;  // keyed by address
+    std::vector<std::function<void(Nanos)>> events_;                      // policy events, in order
     std::vector<Action> actions_;
     std::int64_t listVersion_ = 0;
     Nanos stopAcceptingAt_ = 0;
@@ -330,8 +330,8 @@
     }
 
     const SimulatedRunOptions& options_;
-    std::vector<std::unique_ptr<SimulatedRouter>> routers_;  // by slot
-    std::vector<int> slotByRouter_;                          // by router; -1: it is down
+    std::vector<std::unique_ptr<SimulatedRouter>> routers_;  // routers by slot
+    std::vector<int> slotByRouter_;                          // slot by router; -1: router down
     std::vector<char> isDirty_;
     long requestCount_ = 0, affectedRequestCount_ = 0;
     bool isRunFinished_ = false;
--- a/src/testbed/drivers/simulated/simulated_run.hpp
+++ b/src/testbed/drivers/simulated/simulated_run.hpp
@@ -12,8 +12,8 @@
 namespace poppyscale::testbed {
 
 struct SimulatedRunResult {
-    Nanos length = 0;        // in virtual time
-    double wallSeconds = 0;  // that the run took
+    Nanos length = 0;        // length of the run in virtual time
+    double wallSeconds = 0;  // real time that the run took
 };
 
 // A defect of a router version, which affects a share `size` of its requests or attempts.
--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -610,7 +610,7 @@
     std::vector<ConnectionId> all;
     for (const auto& [id, conn] : connections_)
         if (conn.server == server) all.push_back(id);
-    std::sort(all.begin(), all.end());  // for the same order in each run of a seed
+    std::sort(all.begin(), all.end());  // makes the order depend only on the seed
     for (const ConnectionId id : all) breakConnection(now, id);
 }
 
@@ -992,7 +992,7 @@
         case K::clientsLeave: {
             std::vector<RequestId> waiting;
             for (const auto& [id, request] : openRequests_) waiting.push_back(id);
-            std::sort(waiting.begin(), waiting.end());  // for the same order in each run of a seed
+            std::sort(waiting.begin(), waiting.end());  // makes the order depend only on the seed
             for (const RequestId id : waiting)
                 if (faultRandom_.chance(fault.magnitude)) abandonRequest(now, id);
             break;
--- a/src/testbed/emulator/emulated_deployment.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -34,7 +34,7 @@
     RequestId firstTryId = 0;
     int tryNumber = 1;
     Nanos dueAt = 0;
-    Nanos finalDeadline = 0;  // of all tries together
+    Nanos finalDeadline = 0;  // deadline of all tries together
     double work = 0;          // core-ns
 };
 
@@ -47,7 +47,7 @@
     bool write = false;
     // Item `d` of the attempt's info list: the time that is left until the client's deadline.
     std::optional<std::int64_t> forwardedTimeoutMs = {};
-    Nanos maxReadDelay = 0;  // for how long the attempt may have waited before it was read
+    Nanos maxReadDelay = 0;  // longest time that the attempt may have waited before it was read
 };
 
 struct Reply {
@@ -60,7 +60,7 @@
 struct ListedEndpoint {
     int server = 0;
     EndpointState state = EndpointState::ready;
-    Nanos startedAt = 0;         // in the deployment's time; 0 for long ago
+    Nanos startedAt = 0;         // start on the deployment's clock; 0: long ago
     double requestsPerCore = 0;  // requests running and queued per core, for weights that follow load
 };
 struct EndpointListMessage {
@@ -98,8 +98,8 @@
     virtual void upgradeRouter(int router) = 0;
     // A fault of the routers' processes begins or ends.
     virtual void injectProcessFault(const FaultPlan& /*fault*/, bool /*begins*/) {}
-    // A fault of a machine begins or ends. `machine` is the one that the plan names, or else a
-    // drawn one; coordinators' faults concern no machine in particular.
+    // A fault of a machine begins or ends. `machine` is the machine that the plan names, or else a
+    // drawn machine; coordinators' faults concern no machine in particular.
     virtual void injectMachineFault(const FaultPlan& /*fault*/, int /*machine*/, bool /*begins*/) {}
 };
 
@@ -114,7 +114,7 @@
         const CachePlan* plan = nullptr;
         double speed = 1;
         Nanos startedAt = 0;
-        Nanos wallClockOffset = 0;  // at the time when `startedAt` was set
+        Nanos wallClockOffset = 0;  // wall clock's offset when `startedAt` was set
     };
 
     EmulatedDeployment(const Scenario& scenario, std::uint64_t seed, EventLog& eventLog,
@@ -148,7 +148,7 @@
     // A router's process has come up, or has ended.
     void onRouterUp(Nanos now, int router);
     void onRouterGone(Nanos now, int router);
-    // A router was told to stop, or is about to be killed, at `since`. Requests that it leaves
+    // A router was asked to stop, or is about to be killed, at `since`. Requests that it leaves
     // without an answer are then no violation.
     void onRouterStopping(Nanos now, int router, Nanos since);
     // Logs an event of a router.
@@ -156,8 +156,7 @@
         log(now, kind, 0, router, -1, 0, number, text);
     }
 
-    // The endpoint list that a router starts with: the one it was told of last, or else
-    // discovery's.
+    // The endpoint list that a router starts with: the list that it knew last, or else discovery's.
     EndpointListMessage initialEndpointList(int router) const;
     const std::vector<EmulatedServer>& servers() const { return servers_; }
     int addressCount() const { return static_cast<int>(serverAtAddress_.size()); }
@@ -199,16 +198,17 @@
     struct RouterState {
         std::string zone;
         bool isUp = false;
-        bool isAssumedUp = true;  // by the clients' load balancer
+        bool isAssumedUp = true;  // the clients' load balancer takes the router for up
         std::uint64_t incarnation = 0;
-        bool isEnding = false;  // it was told to stop, or killed
+        bool isEnding = false;  // the router was asked to stop, or killed
         std::map<int, ListedEndpoint> knownEndpoints;
-        std::map<int, std::int64_t> knownVersion;  // by server: the list version that its line came with
+        // By server: the version of the list from which the router knows the server.
+        std::map<int, std::int64_t> knownVersion;
     };
     struct PendingPoll {
         int router = 0;
         std::optional<std::int64_t> after;
-        Nanos waitsUntil = 0;  // while the poll waits for a change, else 0
+        Nanos waitsUntil = 0;  // end of the poll's wait for a change; 0 if it does not wait
     };
     struct EndpointChange {
         std::int64_t version;
@@ -245,8 +245,8 @@
     // Discovery
     EndpointListMessage completeList() const;
     void onEndpointListDelivered(Nanos now, int router, const EndpointListMessage& list);
-    // Records what a router knows of a server from a list of this version. `isAssumed`: the router
-    // is assumed to know it, whether or not a list with it has arrived.
+    // Records a router's knowledge of a server from a list of this version. `isAssumed`: the router
+    // is assumed to know the server's state, whether or not a list with it has arrived.
     void recordKnownEndpoint(Nanos now, int router, const ListedEndpoint& line, std::int64_t version,
                              bool isAssumed);
     void changeEndpoint(Nanos now, int server, EndpointState state, Nanos after);
@@ -289,17 +289,17 @@
     std::unordered_map<RequestId, double> requestWork_;
     std::deque<RequestId> rememberedRequests_;  // bounds requestWork_ and missedAt_
     std::vector<EndpointChange> changes_;
-    std::vector<ListedEndpoint> endpoints_;  // by server, as discovery has them
+    std::vector<ListedEndpoint> endpoints_;  // endpoints by server, as discovery lists them
     std::int64_t version_ = 1;
     Nanos discoveryFreeAt_ = 0;
     bool discoveryDown_ = false, discoverySilent_ = false;
     Nanos discoveryReachableSince_ = 0;
-    Nanos wallClockOffset_ = 0;  // of the wall clock that all machines share
+    Nanos wallClockOffset_ = 0;  // offset of the wall clock that all machines share
     std::map<PollId, PendingPoll> pendingPolls_;
     ActiveFaults activeFaults_;
     std::uint64_t lastAttemptId_ = 0, lastConnectionId_ = 0, lastPollId_ = 0, lastScanKey_ = 0;
     int lastReplacement_ = 0, discoveryAddress_ = 0, keySwaps_ = 0;
-    std::map<std::string, IdempotencyRecords> idempotencyRecords_;  // by deduplication scope
+    std::map<std::string, IdempotencyRecords> idempotencyRecords_;  // keyed by deduplication scope
     std::vector<int> keyOfRank_;
     Nanos beganAt_ = 0;
     Nanos loadUntil_ = 0;
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -42,7 +42,7 @@
     attemptEnded,      // text "value|miss|error|busy|spoilt TOKEN", the server's reply to the router
     closed,            // the router closed the connection while the attempt was in flight
     connectionBroken,  // the server or the network closed the connection while the attempt was in flight
-    listed,            // a router was told of a server; text the server's state, number its start time
+    listed,            // a router was notified of a server; text its state, number its start time
     started,           // a server came up; number its start time
     serverOverloaded,  // an overloaded server stopped
     killed,            // a router's process ended, for good or until its restart
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -62,18 +62,18 @@
 // stops them.
 struct SlowStartPlan {
     double initialFraction = 1;  // share of its capacity that a cache server starts with
-    Nanos rampDuration = 0;      // until the full capacity is reached
+    Nanos rampDuration = 0;      // time until the full capacity is reached
     // A cold cache server stops when the work that arrives within `overloadWindow` exceeds this
     // multiple of its present capacity.
     double overloadMultiple = 1;
     Nanos overloadWindow = 0;
-    Nanos outageDuration = 0;  // how long it stays down after such a stop
+    Nanos outageDuration = 0;  // how long the cache server stays down after such a stop
 };
 
 struct DiscoveryPlan {
-    Nanos removalDelay = 0;   // from a server's end until discovery lists it as gone
-    Nanos returnDelay = 0;    // from a server's start until discovery lists it as ready
-    double pollRate = 0;      // polls that discovery can answer
+    Nanos removalDelay = 0;   // time from a server's end until discovery lists it as gone
+    Nanos returnDelay = 0;    // time from a server's start until discovery lists it as ready
+    double pollRate = 0;      // polls that discovery can answer per second
     Nanos maxQueueDelay = 0;  // a poll that would wait longer for its turn fails
     Nanos pollInterval = 0;
     // When set, a router has one poll in flight at a time, and an older one is answered 503; a poll
@@ -90,7 +90,7 @@
     std::vector<std::string> zones;
     Nanos sameZoneDelay = 0;   // one-way delay within a zone
     Nanos crossZoneDelay = 0;  // one-way delay between zones
-    double jitter = 0;         // standard deviation of both, as a share
+    double jitter = 0;         // standard deviation of both delays, as a share of the delay
     double crossZoneCost = 0;  // passed to the routers: cost of an attempt to another zone, as a part of a
                                // request's priority weight
 };
@@ -120,8 +120,8 @@
     int maxAttempts = 1;
     Nanos connectTimeout = 0;
     Nanos idleTimeout = 0;
-    Nanos failureDetectionDelay = 0;  // until the load balancer notices that a router has died
-    Nanos restartDelay = 0;           // until a router whose process has ended is started again
+    Nanos failureDetectionDelay = 0;  // time until the load balancer notices that a router has died
+    Nanos restartDelay = 0;           // time until a router that has ended is started again
     Nanos maxRetryAfter = 0;
 };
 
@@ -166,7 +166,7 @@
     machinePartition,  // the machine's network paths lose everything in the directions that are cut
     agentKill,         // SIGKILL to the machine's agent only
     agentStop,         // SIGSTOP to the machine's agent only
-    machineSleep,      // as machineStop, and only those clocks go on that do so in suspend
+    machineSleep,      // as machineStop, but the clocks that count suspended time go on
     diskFull,          // the agent's writes fail
     diskReadOnly,      // no file on the machine can be created, opened for writing or renamed
     diskSlow,          // each sync takes `magnitude` ms longer
@@ -210,13 +210,14 @@
     // "same" for an equal version, the name of a program's defect, or one of deaf, halved and
     // misnamed: settings that are valid but harmful.
     std::string change;
-    double size = 0;  // of a program's defect
+    double size = 0;  // size of a program's defect
     Nanos minStageDuration = 0, maxStageDuration = 0, settleTime = 0, baselineTime = 0, agentHoldDuration = 0,
           rollbackTimeout = 0;
     double harm = 0.02;
     double silent = 0.02;             // share of requests without an answer that must be ruled out
     std::vector<std::string> stages;  // "1", "5", "0.25"
-    int machine = -1;                 // on which the coordinator runs; -1: on the operator's machine
+    // Machine on which the coordinator runs; -1: the operator's machine.
+    int machine = -1;
     bool isHarmful() const { return isEnabled && change != "same"; }
     bool changesSettings() const { return change == "deaf" || change == "halved" || change == "misnamed"; }
 };
@@ -228,8 +229,8 @@
     double attempts = 1e9;     // most attempts per request
     double apart = 1;          // largest difference of `goal` between the routers with load-following weights
                                // and the others
-    double sentOn = 1;         // of requests whose clients left waiting, largest share that is sent to a
-                               // server more than 0.3 s later
+    double sentOn = 1;         // largest share of the requests abandoned by their clients that is
+                               // sent to a server more than 0.3 s after the client left
     double connections = 1e9;  // most connections opened to caches and the origin, per request
     double crossings = 1e9;    // most attempts to another zone, per request
     double coldLoad = 1e9;     // most work at a cold cache server in a window, over the work allowed
@@ -293,8 +294,9 @@
     double size = 1;
     bool origin = false;
 };
-// The same settings as a template of the operator's file, with placeholders in braces for what
-// differs between instances. `change` is the rollout's change of settings, made in this template.
+// The same settings as a template of the operator's file, with placeholders in braces for the
+// values that differ between instances. `change` is the rollout's change of settings, made in this
+// template.
 std::string operatorTemplateOf(const Scenario& scenario, const std::vector<TemplateServer>& servers,
                                int discoveryPort, const std::string& change);
 // The same settings as the platform's configuration of one router's process.
--- a/src/testbed/emulator/server_model.hpp
+++ b/src/testbed/emulator/server_model.hpp
@@ -59,8 +59,8 @@
     std::deque<Job> queue_;
 };
 
-// The work that arrived within a sliding window. A server stops when this exceeds a multiple of
-// what it can do in that window.
+// The work that arrived within a sliding window. A server stops when this work exceeds a multiple
+// of the work that the server can do in that window.
 class WorkWindow {
   public:
     explicit WorkWindow(Nanos span) : span_(span) {}
--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -23,7 +23,7 @@
     read,      // read, readv, recv, recvmsg of sockets
     write,     // write, writev, send, sendmsg of sockets
     pollWait,  // epoll_wait, epoll_pwait
-    open,      // for writing only
+    open,      // only calls that open a file for writing
     fileWrite,
     sync,
     rename,
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -116,7 +116,7 @@
     void startHolder(int process);
     bool beginAct(int process, lease::Fence fence, bool isLate);
     bool canAct(int process) const;
-    bool isActing(int process) const;  // one of its acts is in progress
+    bool isActing(int process) const;  // an act of the process is in progress
     bool isLeaseHeld() const;
 
     LeaseModelOptions options_;
@@ -128,8 +128,9 @@
     std::vector<lease::LeaseHolder> holders_;
     std::vector<Message> messagesInFlight_;
     std::vector<ActiveSection> activeSections_;
-    std::vector<std::optional<lease::CriticalSection>> suspended_;  // by holder: what it is suspended in
-    lease::Fence highestFence_ = 0;                                 // that the receiver of the acts has seen
+    // By holder: the critical section in which the holder is suspended.
+    std::vector<std::optional<lease::CriticalSection>> suspended_;
+    lease::Fence highestFence_ = 0;  // highest fencing token that the receiver of the acts has seen
     std::uint32_t lastIncarnation_ = 1;
     int lastActor_ = -1, actorChangeCount_ = 0;
     std::string violation_;
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -33,15 +33,15 @@
     double seconds = 40;
     std::uint64_t seed = 1;
     int walkLength = 120;                     // steps of a random run
-    std::size_t maxStatesPerDepth = 400'000;  // at one depth, kept in memory: a few KB each
-    bool hasRandomWalks = true;               // after the breadth-first search
-    double breadthFirstShare = 0.5;           // of `seconds`
+    std::size_t maxStatesPerDepth = 400'000;  // most states in memory at one depth, a few KB each
+    bool hasRandomWalks = true;               // random walks follow the breadth-first search
+    double breadthFirstShare = 0.5;           // share of `seconds` for the breadth-first search
 };
 
 template <class Model>
 struct ExplorationResult {
     std::uint64_t states = 0, steps = 0, walks = 0;
-    int depth = 0;              // to which every order was explored
+    int depth = 0;              // depth to which every order was explored
     bool isExhaustive = false;  // no state was left to explore
     double seconds = 0;
     std::string violation;
--- a/src/testbed/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -58,14 +58,14 @@
         Nanos dueAt = 0;
         bool isOpen = true;
         bool isDuringRollout = false;  // first tried after a rollout began
-        bool isLoadWeighted = false;   // its first try went to a router with load-following weights
+        bool isLoadWeighted = false;   // the first try went to a router with load-following weights
     };
     Second& second(Nanos at);
 
     nlohmann::json head_;
     std::vector<std::string> requestClassNames_;
     std::unordered_map<std::uint64_t, std::uint64_t> firstTries_;  // the first try's id by each try's id
-    std::unordered_map<std::uint64_t, RequestState> requests_;     // by the first try's id
+    std::unordered_map<std::uint64_t, RequestState> requests_;     // requests by the first try's id
     std::vector<Second> seconds_;
     std::vector<Annotation> annotations_;
     std::vector<std::string> serverNames_, serverZones_;
--- a/src/testbed/report/verdict.hpp
+++ b/src/testbed/report/verdict.hpp
@@ -14,9 +14,9 @@
 
 class Verdict {
   public:
-    // `tolerance` is that of the audit; 0 takes the one of the log's head.
+    // `tolerance` is the audit's tolerance; 0: the tolerance in the log's head.
     explicit Verdict(Nanos tolerance = 0) : tolerance_(tolerance) {}
-    // Observes what is written to the log. To be called before the log's head is written.
+    // Observes everything written to the log. To be called before the log's head is written.
     void observe(EventLog& eventLog);
     void onHead(const nlohmann::json& head);
     void onEvent(const LogEvent& entry);
--- a/src/testbed/scale/capacity_input.hpp
+++ b/src/testbed/scale/capacity_input.hpp
@@ -22,7 +22,8 @@
     double purgesPerSecond = 0, changesPerDay = 0;
     double failuresPerDay = 0, restartsPerDay = 0, partitionHours = 0;
     double maxPurgeSeconds = 0, maxPropagationSeconds = 0;
-    double maxRouterProcessorPercent = 0;  // of one core; control work only, as are the next two
+    // The three `maxRouter...` limits are for control work; the first is in percent of one core.
+    double maxRouterProcessorPercent = 0;
     double maxRouterMegabytes = 0, maxRouterKilobytesPerSecond = 0;
     double controlMachines = 0;
     // Assumptions that the operators did not state, marked as assumed in the table's budgets.
--- a/src/testbed/scale/discovery.hpp
+++ b/src/testbed/scale/discovery.hpp
@@ -6,7 +6,7 @@
 // its folder:
 //   discovery.ports   once listening: the port for stub routers and distributors, then one per real
 //   changes.tsv       per version: version, CLOCK_MONOTONIC ns, digest of the list, kind of change
-//   real.records      `PropagationRecord`s of real routers, whose next poll tells their version
+//   real.records      `PropagationRecord`s of real routers, whose next poll carries their version
 //   real.ready        once every real router has polled with a version
 //   discovery.json    totals
 #pragma once
@@ -20,7 +20,7 @@
 namespace poppyscale::testbed::scale {
 
 struct SlowPeriod {
-    Nanos at = 0;  // since the measured time began
+    Nanos at = 0;  // start, counted from the start of the measured time
     Nanos length = 0;
     Nanos delay = 0;  // added to each response
 };
--- a/src/testbed/scale/limits.cpp
+++ b/src/testbed/scale/limits.cpp
@@ -22,7 +22,8 @@
 constexpr double kControlKib = 50'000;  // discovery, or a distributor
 constexpr double kControlKibPerCache = 2;
 constexpr double kControlKibPerRouter = 40;
-constexpr double kRecordKibPerChange = 0.1;  // in the driver, per router and change
+// Memory for records in the driver, per router and change.
+constexpr double kRecordKibPerChange = 0.1;
 constexpr int kReservedDescriptors = 64;
 
 void validateEvent(const Options& options, const Event& event) {
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -220,7 +220,7 @@
     for (const std::string& key : keys) policy.handleRequest(key);
     cost.requestMicros = (threadCpuMicros() - start) / options.requests;
     cost.usedMemoryKib = heapKib() - before;
-    // A request that is not served costs less than one that is: with over 1% of them the figure is
+    // Rejected and failed requests cost less than served ones: with over 1% of them the figure is
     // too low.
     if (policy.unservedCount() > options.requests / 100)
         throw std::runtime_error(fmt::format("{} of {} requests were rejected or failed, over 1%",
--- a/src/testbed/scale/measure.hpp
+++ b/src/testbed/scale/measure.hpp
@@ -14,7 +14,7 @@
 struct ModuleOptions {
     int caches = 100;
     int zones = 10;
-    int routers = 12'000;  // only passed to the module as a setting
+    int routers = 12'000;  // router count in the module's settings; has no other use
     int requests = 40'000;
     int changes = 300;
     std::uint64_t seed = 1;
@@ -25,7 +25,7 @@
 // influence.
 struct ModuleCost {
     double requestMicros = 0;    // arrival, choice and end of one request
-    double changeMicros = 0;     // one changed entry, with its extra work in the next request
+    double changeMicros = 0;     // one changed entry, and its extra work in the next request
     double wholeListMillis = 0;  // a complete list and the first request, in an empty module
     double parseMillis = 0;      // parsing the same list from discovery's JSON
     double listBytes = 0;        // size of that JSON
--- a/src/testbed/scale/record.hpp
+++ b/src/testbed/scale/record.hpp
@@ -16,8 +16,9 @@
     std::uint32_t router = 0;
     std::uint32_t reserved = 0;
     std::int64_t version = 0;
-    std::uint64_t digest = 0;  // of the router's complete list; 0 if unknown, as for real routers
-    std::int64_t at = 0;       // CLOCK_MONOTONIC, ns
+    // Digest of the router's complete list; 0 if unknown, as for real routers.
+    std::uint64_t digest = 0;
+    std::int64_t at = 0;  // CLOCK_MONOTONIC, ns
 };
 static_assert(sizeof(PropagationRecord) == 32);
 
--- a/src/testbed/scale/scale.cpp
+++ b/src/testbed/scale/scale.cpp
@@ -29,7 +29,8 @@
 constexpr Nanos kPollInterval = 5 * kMillisecond;
 constexpr Nanos kReadyTimeout = 60 * kSecond;
 constexpr Nanos kStopTimeout = 20 * kSecond;
-constexpr Nanos kSettleTime = 5 * kSecond;  // for changes under way at the end of the measured time
+// How long changes under way at the end of the measured time may take to arrive.
+constexpr Nanos kSettleTime = 5 * kSecond;
 constexpr int kSlowReaderRequests = 1'000;  // their responses exceed the kernel's socket buffers
 
 std::int64_t monotonicNow() {
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -1,5 +1,5 @@
 // A scale run: many stub routers and some real ones poll a changing endpoint list with the
-// product's list code over loopback sockets. The run measures what that costs each role.
+// product's list code over loopback sockets. The run measures the cost of this for each role.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
 
 struct Event {
     EventKind kind = EventKind::killDistributor;
-    Nanos at = 0;  // since the start of the measured time
+    Nanos at = 0;  // time since the start of the measured time
     Nanos duration = 0;
     Nanos delay = 0;
     double fraction = 0.1;  // fraction of the routers of each stub process
@@ -35,7 +35,7 @@
     Nanos maxPropagationTime = 0;              // longest propagation time of a change to a router
     Nanos maxPropagationTimeDuringOutage = 0;  // the same for changes during a distributor outage
     double maxRouterBytesPerSecond = 0;
-    double maxRouterProcessorShare = 0;  // of one core
+    double maxRouterProcessorShare = 0;  // share of one core
     double maxRouterMemoryKib = 0;
 };
 
@@ -48,10 +48,11 @@
     double changesPerSecond = 0;
     Nanos measuredDuration = 0;
     std::uint64_t seed = 1;
-    std::string folder;  // for the run's files, which are kept after the run
+    std::string folder;  // folder for the run's files, which are kept after the run
     std::vector<Event> events;
     Bounds bounds;
-    std::string defectiveVariant;  // that the run has to detect: "apply" or "order"; empty: none
+    // Defective variant that the run has to detect: "apply" or "order"; empty: none.
+    std::string defectiveVariant;
     std::function<void(std::string_view phase, Nanos at)> progress;  // about every second
 };
 
@@ -65,7 +66,7 @@
     double propagationMaxMs = 0;
     double routerBytesPerSecond = 0;      // control traffic of one router, both directions
     double routerPeakBytesPerSecond = 0;  // largest figure of any router in any second
-    double routerProcessorShare = 0;      // of one core
+    double routerProcessorShare = 0;      // share of one core
     double routerMemoryKib = 0;
     double controlProcessorShare = 0;  // discovery and distributors together, of one core
     double controlMemoryKib = 0;
@@ -80,8 +81,9 @@
     double realMessagesPerSecond = 0;  // responses to one router
     double realProcessorShare = 0;
     double realMemoryKib = 0;
-    double routerMessagesPerSecond = 0;       // polls of one stub router
-    double propagationMaxMsDuringOutage = 0;  // for changes made during a distributor outage
+    double routerMessagesPerSecond = 0;  // polls of one stub router
+    // Longest propagation time of the changes made during a distributor outage.
+    double propagationMaxMsDuringOutage = 0;
     double measuredSeconds = 0;
     int moduleMismatches = 0;  // stub routers whose module's servers differ from the list
 };
--- a/src/testbed/scale/server_list.cpp
+++ b/src/testbed/scale/server_list.cpp
@@ -123,7 +123,8 @@
     bool first = true;
     for (std::int64_t version = after + 1; version <= version_; ++version) {
         const Server& server = servers_[changedServers_[static_cast<std::size_t>(version - 2)]];
-        if (server.lastChangedVersion != version) continue;  // only its last change is sent
+        // Only the server's last change is sent.
+        if (server.lastChangedVersion != version) continue;
         if (!first) json += ',';
         first = false;
         json += entryJson(server);
--- a/src/testbed/scale/server_list.hpp
+++ b/src/testbed/scale/server_list.hpp
@@ -49,7 +49,7 @@
     int caches_;
     int zones_;
     Random random_;
-    std::vector<Server> servers_;              // by number; removed servers stay
+    std::vector<Server> servers_;              // servers by number; removed servers stay
     std::vector<std::size_t> draining_;        // server numbers, longest draining first
     std::vector<std::size_t> changedServers_;  // the server changed in each version after the first
     std::int64_t version_ = 0;
--- a/src/testbed/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr Nanos kQuietStart = 1 * kSecond;  // without faults, for the fleet to start
-constexpr Nanos kQuietEnd = 4 * kSecond;    // after the last fault, so that late effects are seen
+constexpr Nanos kQuietStart = 1 * kSecond;  // time without faults in which the fleet starts
+// Time after the last fault, so that late effects are seen.
+constexpr Nanos kQuietEnd = 4 * kSecond;
 constexpr Nanos kShortestFault = 500 * kMillisecond;
 constexpr Nanos kLongestFault = 9 * kSecond;
 constexpr double kFaultsPerSecond = 0.8;
-constexpr double kLimitedDiscoveryShare = 0.35;  // of days, with a low rate of discovery calls
+constexpr double kLimitedDiscoveryShare = 0.35;  // share of days with a low rate of discovery calls
 constexpr double kMinDiscoveryRoundS = 1.5;
 constexpr double kMaxDiscoveryRoundS = 3;
 
--- a/src/testbed/stub_routers/list_image.hpp
+++ b/src/testbed/stub_routers/list_image.hpp
@@ -51,7 +51,7 @@
     }
 
     std::vector<std::uint64_t> digests_;  // digests by server number; 0 if not listed
-    std::vector<EndpointState> states_;   // by server number
+    std::vector<EndpointState> states_;   // states by server number
     std::uint64_t digest_ = 0;
 };
 
--- a/src/testbed/stub_routers/main.cpp
+++ b/src/testbed/stub_routers/main.cpp
@@ -31,7 +31,8 @@
 using transport::EventLoop;
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-constexpr int kDropEveryNthDelta = 50;  // for the defective variant "apply"
+// The defective variant "apply" drops one list of changes in this many.
+constexpr int kDropEveryNthDelta = 50;
 constexpr std::size_t kPoolBuffers = 4'096;
 constexpr std::size_t kMaxSourcesPerRouter = 3;  // distributors given to one router
 
@@ -51,7 +52,7 @@
 };
 
 struct Restart {
-    Nanos at = 0;         // since the start of the measured time
+    Nanos at = 0;         // time since the start of the measured time
     double fraction = 0;  // fraction of the routers
 };
 
--- a/src/testbed/stub_routers/socket_meter.hpp
+++ b/src/testbed/stub_routers/socket_meter.hpp
@@ -26,7 +26,7 @@
         std::uint64_t in = 0;
         std::uint64_t out = 0;
     };
-    using ByteCountsByInode = std::map<std::uint64_t, ByteCounts>;  // by socket inode
+    using ByteCountsByInode = std::map<std::uint64_t, ByteCounts>;  // keyed by socket inode
     static ByteCountsByInode readByteCounts();
 
     ByteCountsByInode lastCounts_;
--- a/src/testbed/stub_routers/stub_router.hpp
+++ b/src/testbed/stub_routers/stub_router.hpp
@@ -52,8 +52,8 @@
 
     // Drops the list and reconnects, as a new process does.
     void restart();
-    // Does what one iteration of a real router's event loop does. Returns a record if another list
-    // version is in force afterwards.
+    // Does the work of one iteration of a real router's event loop. Returns a record if another
+    // list version is in force afterwards.
     std::optional<scale::PropagationRecord> runIteration();
 
     bool hasList() const { return currentVersion_ > 0; }
--- a/tests/attempt_deadline_test.cpp
+++ b/tests/attempt_deadline_test.cpp
@@ -17,7 +17,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr long kClientTimeoutMs = 6'000;
-constexpr int kResponseDelayMs = 300;  // before a server responds or accepts
+constexpr int kResponseDelayMs = 300;  // how long a server waits before it responds or accepts
 
 nlohmann::json startWithLongTimeouts() {
     auto start = minimalStartConfig();
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -240,7 +240,7 @@
         {with(scale::Mechanism::scopedView, 20), with(scale::Mechanism::purgeStream, 30),
          with(scale::Mechanism::listWatch, 990), noPath, with(scale::Mechanism::listDistributors, 11),
          with(scale::Mechanism::listDistributors, 12), with(scale::Mechanism::listDistributors, 9)});
-    REQUIRE(all.size() == 4);  // without listWatch, which is built
+    REQUIRE(all.size() == 4);  // listWatch is left out, since it is built
     CHECK(all[0].mechanism == scale::Mechanism::listDistributors);
     CHECK(all[0].exceededBudgets == 2);
     CHECK(all[0].worstRatio == Approx(1.2));
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -19,8 +19,10 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::milliseconds;
 
-constexpr Milliseconds kMaxStartDelay{100};  // from the client's close to the start of an attempt
-constexpr Milliseconds kWatchDuration{300};  // for late attempts, once nothing delays them any more
+// Longest time from the client's close to the start of an attempt.
+constexpr Milliseconds kMaxStartDelay{100};
+// How long the tests watch for late attempts once nothing delays them any more.
+constexpr Milliseconds kWatchDuration{300};
 // In bytes: more than the 64 KiB up to which a value is buffered, and little enough that the close
 // that follows it reaches the router's kernel while the value is unread.
 constexpr std::size_t kLongValueSize = 66'000;
--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -27,7 +27,7 @@
 
 // The operators' limit for the time from the recovery of discovery until a router has the new list.
 constexpr milliseconds kMaxUpdateDelay = 6s;
-constexpr int kFirstVersion = 7;  // of the list that a router is started with
+constexpr int kFirstVersion = 7;  // version of the list that a router is started with
 constexpr int kNextVersion = 8;
 
 enum class Failure {
@@ -82,7 +82,8 @@
         bool isAbandoned = false;
         bool mustReset = false;
         bool isCounted = false;
-        std::optional<Clock::time_point> waitsUntil;  // while a long poll waits for a change
+        // When a long poll's wait for a change ends; empty if no long poll waits.
+        std::optional<Clock::time_point> waitsUntil;
     };
 
     void run() {
@@ -241,7 +242,7 @@
     const milliseconds timePerRequest_;
     int listener_ = -1;
     int filler_ = -1;
-    bool hasFailedRequest_ = false;  // since the duration of the current step ended
+    bool hasFailedRequest_ = false;  // a request has failed since the current step's duration ended
     std::list<std::unique_ptr<Peer>> peers_;
     mutable std::mutex mutex_;
     std::vector<milliseconds> delays_;
--- a/tests/endpoint_distribution_reader_test.cpp
+++ b/tests/endpoint_distribution_reader_test.cpp
@@ -7,7 +7,7 @@
 using namespace poppyscale;
 using namespace poppyscale::test;
 
-// A reader that polls before the first list arrives must be told to retry; an empty list would
+// A reader that polls before the first list arrives must be asked to retry; an empty list would
 // remove all its servers.
 TEST_CASE("Answers with Retry-After until there is a list, then with the complete list or changes") {
     Fixture fixture;
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -527,7 +527,8 @@
 // Routers that move to another source at the same moment would overload it.
 TEST_CASE("thirty routers that lose a source spread their arrival at the other one over time") {
     constexpr int kRouters = 30;
-    constexpr std::size_t kMinRouters = 5;  // at each source before the loss
+    // Least number of routers at each source before the loss.
+    constexpr std::size_t kMinRouters = 5;
     StandInSource a, b;
     const std::string section = distributorsSection({a.address(), b.address()});
     std::vector<std::unique_ptr<RouterProcess>> routers;
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -45,7 +45,7 @@
 }
 
 // One end of a connection. When the expected bytes do not arrive within kWaitTimeoutMs, or the peer
-// closes the connection, the functions that read return what has arrived until then.
+// closes the connection, the functions that read return the bytes that have arrived until then.
 class Socket {
   public:
     explicit Socket(int descriptor) : descriptor_(descriptor) {}
--- a/tests/instance_supervisor_test.cpp
+++ b/tests/instance_supervisor_test.cpp
@@ -66,7 +66,7 @@
     CHECK(many.reconcileAfter(50 * ms) == "");
     const std::string started = many.reconcileAfter(25 * ms);
     CHECK(started.size() > 0);
-    CHECK(started.size() < 16);  // not all at once
+    CHECK(started.size() < 16);  // the eight instances do not all start at once
 }
 
 // A process that hangs while it starts or stops would otherwise keep its instance out of service
@@ -76,7 +76,7 @@
     fleet.supervisor.onExited(fleet.now, 0);
     CHECK(fleet.reconcileAfter(100 * ms) == "+0");
     CHECK(fleet.reconcileAfter(1'000 * ms) == "!0");
-    CHECK(fleet.reconcileAfter(1'000 * ms) == "");  // only once
+    CHECK(fleet.reconcileAfter(1'000 * ms) == "");  // the instance is killed only once
     fleet.supervisor.onExited(fleet.now, 0);
     CHECK(fleet.reconcileAfter(200 * ms) == "+0");
     fleet.supervisor.onReady(fleet.now, 0);
@@ -97,7 +97,7 @@
     CHECK(fleet.reconcileAfter() == "-0-1");
     fleet.supervisor.onExited(fleet.now, 0);
     fleet.supervisor.onExited(fleet.now, 1);
-    CHECK(fleet.reconcileAfter() == "+0+1");  // without a backoff, as these exits were requested
+    CHECK(fleet.reconcileAfter() == "+0+1");  // no backoff, as these exits were requested
     fleet.supervisor.onReady(fleet.now, 0);
     CHECK(fleet.reconcileAfter(900 * ms) == "");
     fleet.supervisor.onReady(fleet.now, 1);
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -253,7 +253,7 @@
 }
 
 TEST_CASE("RemovedEndpoints holds ids up to its capacity in bytes, and evicts the oldest first") {
-    constexpr std::size_t kCapacity = 16'000'000 / 32;  // at the lowest memory limit
+    constexpr std::size_t kCapacity = 16'000'000 / 32;  // the capacity at the lowest memory limit
     discovery::RemovedEndpoints known(kCapacity);
     const auto longId = [](int number) { return serverId("gone", number) + std::string(237, 'x'); };
     REQUIRE(longId(0).size() >= 256);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -79,7 +79,7 @@
         group.now, 1, group.settings.holdDuration()));  // the lease would expire before its end
     group.holders[1].acquire(group.now, 1);
     group.advance(20'000 * ms);
-    CHECK(group.holders[0].isHolding(group.now, 1));  // by renewals
+    CHECK(group.holders[0].isHolding(group.now, 1));  // renewals have kept the lease
     CHECK(group.holders[0].fence(1) == first->fence);
     CHECK_FALSE(group.holders[1].enterCriticalSection(group.now, 1, 1));
     CHECK(group.holders[0].acquisitionCount() == 1);
@@ -155,9 +155,9 @@
     recovering.reconcile(now + settings.duration);
     CHECK(recovering.state() == Acceptor::State::voting);
     CHECK_FALSE(recovering.mayHaveLostState());
-    recovering.onRequest(
-        now + settings.duration, 6,
-        LeaseRequest{LeaseRequest::Kind::acquire, 1, request.fence, 1, 7, 0});  // not greater
+    // The fencing token is not greater than the recorded one.
+    recovering.onRequest(now + settings.duration, 6,
+                         LeaseRequest{LeaseRequest::Kind::acquire, 1, request.fence, 1, 7, 0});
     actions = recovering.reconcile(now + settings.duration);
     recovering.onPersisted(now + settings.duration, actions.ticket ? actions.ticket : 1);
     for (const auto& [to, answer] : recovering.reconcile(now + settings.duration).answers)
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -318,7 +318,8 @@
 TEST_CASE("Bounds the memory of sixty long responses to slow clients, with long writes in flight") {
     auto start = minimalStartConfig();
     start["limits"]["memory_mb"] = 32;
-    setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);  // else freed memory would count as resident
+    // Without this limit, freed memory in AddressSanitizer's quarantine would count as resident.
+    setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
     RouterFixture fixture(4, start);
     unsetenv("ASAN_OPTIONS");
     const std::string response = hit(longValue(4 * kMebibyte));
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -157,7 +157,7 @@
     at.send(hit("V"));
     CHECK(busy.readResponse() == "V");
     CHECK(busy.isClosedByPeer());
-    CHECK(idle.isQuiet(200));  // not closed at once, since a request may be on its way
+    CHECK(idle.isQuiet(200));  // the connection stays open for now, as a request may be on its way
     CHECK(idle.isClosedByPeer());
     // The connection was closed after 0.8 s at the earliest, and requests are accepted for up to 1.9 s.
     usleep(1'300'000);
@@ -332,7 +332,7 @@
     CHECK(bothShow("open; out: c0"));
     old->program.signal(SIGTERM);
     CHECK(old->program.exitCode() == 0);
-    // A killed process has written what it acknowledged.
+    // A killed process has written the changes that it acknowledged.
     CHECK(consoleReply(next->console, "maint-on c1").starts_with("ACK"));
     next->program.signal(SIGKILL);
     next->program.exitCode();
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -17,7 +17,7 @@
 struct RecordedAction {
     ActionKind kind;
     RequestId id;
-    std::string server;  // of an attempt
+    std::string server;  // server of an attempt, else empty
     Nanos time;          // deadline of an attempt, Retry-After of a rejection
     Nanos latestStart = kNever;
 };
--- a/tests/rollout_agent_decisions_test.cpp
+++ b/tests/rollout_agent_decisions_test.cpp
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-// Guards against a change that an agent forgets in a crash, one that takes several instances out of
-// service at once, and one that stays although its coordinator is gone.
+// Guards against a change that an agent forgets in a crash, a change that takes several instances
+// out of service at once, and a change that stays although its coordinator is gone.
 TEST_CASE("Changes one instance at a time after its order is on disk, and rolls back without orders") {
     RecordingAgentHost host;
     RolloutAgent agent(3, kOld, host);
@@ -85,7 +85,7 @@
     CHECK(agent.report(8 * s).hasRolledBack);
     CHECK(agent.versionOf(0) == kNew);
     CHECK(agent.versionOf(1) == kOld);
-    CHECK_FALSE(agent.setOriginalVersion(kNew));  // not during a rollout
+    CHECK_FALSE(agent.setOriginalVersion(kNew));  // refused during a rollout
 }
 
 // An agent that changed instances by an order that is not on disk would forget the change in a
@@ -106,7 +106,7 @@
     CHECK(host.take() == "K+0");
     agent.onOrder(2 * s, orderOf(1, 3, {}), kNew);
     agent.reconcile(2 * s);
-    CHECK(host.take() == "K-0");  // without waiting for the disk
+    CHECK(host.take() == "K-0");  // the rollback does not wait for the disk
     agent.onPersisted(2 * s, "no space");
     agent.onInstalled(2 * s, 0, "can't write");
     CHECK(agent.report(2 * s).instances[0].state == InstanceState::failed);
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -149,7 +149,7 @@
     RolloutPlan plan;
     std::vector<Agent> agents;
     double baselineHarm = 0.002;  // share of rejected requests
-    double addedHarm = 0;         // on changed instances
+    double addedHarm = 0;         // share of requests that changed instances reject in addition
     double pressure = 1;          // attempts of a changed instance per unchanged one's
     bool rollbackFails = false;
     bool changedReportMetrics = false;  // overrides reportsMetrics for changed instances
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -326,7 +326,8 @@
             const std::string expectedLog =
                 isMalformed ? "the old configuration stays in effect" : "reloaded the configuration";
             CHECK(becomesTrue([&] { return router.program.log().find(expectedLog) != std::string::npos; }));
-            usleep(900'000);  // after the new timeouts, and after the end of a drain based on them
+            // Lasts beyond the new timeouts, and beyond the end of a drain based on them.
+            usleep(900'000);
             CHECK(client.isQuiet(0));
             origin.send(http(200, "receipt"));
             CHECK(client.readResponse() == "receipt");
@@ -852,7 +853,7 @@
 }
 
 // An old process can exit after the new one is ready and before it has reported this to the
-// supervisor. Starting another process for this instance would then replace one that serves.
+// supervisor. Starting another process for this instance would then replace a serving process.
 TEST_CASE("supervisor: a serving process that it does not know of is adopted, and no other is started") {
     SupervisedFleet fleet;
     CAPTURE(fleet.log());
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -51,7 +51,8 @@
     CHECK(fixture.host.actions.back().latestStart == kNever);
     fixture.now += 300 * ms;
     CHECK(fixture.endAttempt(1, 0, AttemptOutcome::connectionLost).size() == 1);
-    // The host may have to wait for a connection, so it is told until when the key is remembered.
+    // The host may have to wait for a connection, so it receives the time until which the key is
+    // remembered.
     CHECK(fixture.host.actions.back().latestStart == first + 2'000 * ms);
     fixture.now += 2'001 * ms;
     fixture.sendRequest(2, "k", "mark");
@@ -300,11 +301,11 @@
         return fixture.finalResponses(2) == 1;
     };
     CHECK(isRejected(450 * ms, true));         // the first attempt came 550 ms ago
-    CHECK_FALSE(isRejected(450 * ms, false));  // a client with a short timeout
-    CHECK_FALSE(isRejected(550 * ms, true));   // after a rejection
+    CHECK_FALSE(isRejected(450 * ms, false));  // not a retry: the client has a short timeout
+    CHECK_FALSE(isRejected(550 * ms, true));   // a retry after 450 ms, as after a rejection
     settings.requestClasses[0].lateWeight = 0.3;
     CHECK_FALSE(isRejected(450 * ms, true));
     settings.requestClasses[0].lateWeight = 0;
-    settings.requestClasses[0].timeout = 0;  // not known
+    settings.requestClasses[0].timeout = 0;  // the class's timeout is not known
     CHECK_FALSE(isRejected(450 * ms, true));
 }
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -218,9 +218,8 @@
         }
     }
     CHECK(popularKeyServers.size() > 3);
-    // By rank alone, the server in slow start would get one of a router's forty requests, half of
-    // what a warmed-up server gets. With the budget of a single window it would get a tenth of
-    // that.
+    // By rank alone, the server in slow start would get one of a router's forty requests, half as
+    // many as a warmed-up server. With the budget of a single window it would get a tenth of that.
     CHECK(onWarmingServer > 20);
     CHECK(onWarmingServer < 200);
 }
@@ -270,7 +269,7 @@
     CHECK(ZonesFixture(4, 8).crossingFraction(400, AttemptOutcome::succeeded) < 0.2);
     CHECK(ZonesFixture(4, 8, 0.01).crossingFraction(400, AttemptOutcome::succeeded) > 0.2);
     // One of two routers has a larger share of the traffic than its zone has of the servers: only
-    // what its zone can bear stays there.
+    // the traffic that its zone can bear stays there.
     CHECK(ZonesFixture(4, 8, 0.03, "here", 2).crossingFraction(400, AttemptOutcome::succeeded) > 0.35);
     CHECK(ZonesFixture(2, 10).crossingFraction(400, AttemptOutcome::succeeded) > 0.3);
     // Zones are ignored if crossing is free, and if the own zone is not known, has no servers or
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -278,7 +278,8 @@
     fixture.program.signal(SIGSTOP);
     cache.send(hit("V"));
     origin.send(http(200, "receipt"));
-    usleep(2'700'000);  // after both timeouts and the timeout for the rest of a partial request
+    // Lasts beyond both timeouts and the timeout for the rest of a partial request.
+    usleep(2'700'000);
     partialClient.send(late.substr(20));
     fixture.program.signal(SIGCONT);
     CHECK(client.readResponse() == "V");
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -27,15 +27,15 @@
 
 constexpr milliseconds kMaxUpdateDelay = 6s;
 constexpr milliseconds kObservedFor = 20s;  // above the limit, so that a failed check shows the delay
-constexpr int kFirstVersion = 7;            // of the list that a router is started with
+constexpr int kFirstVersion = 7;            // version of the list that a router is started with
 constexpr int kNextVersion = 8;
 
 // How discovery treats the polls that it serves after the change.
 struct Behaviour {
     std::string name;
-    // Before the first byte of a response, whose content is fixed when the poll arrives.
+    // Delay before the first byte of a response, whose content is fixed when the poll arrives.
     milliseconds delay = 0ms;
-    milliseconds spread = 0ms;          // from the first byte of a response to its last
+    milliseconds spread = 0ms;          // time from the first byte of a response to its last
     int resets = 0;                     // number of first polls whose connection is reset
     double rejectedShare = 0;           // share of polls that are rejected with 503 at once
     milliseconds timePerRequest = 0ms;  // if set, polls are served one at a time, each for this time
@@ -77,8 +77,9 @@
         std::string unread;
         std::string unsent;
         Clock::time_point sendsFrom, sendsUntil;
-        std::size_t length = 0;                       // of the response
-        std::optional<Clock::time_point> waitsUntil;  // while a long poll waits for a change
+        std::size_t length = 0;  // length of the response in bytes
+        // When a long poll's wait for a change ends; empty if no long poll waits.
+        std::optional<Clock::time_point> waitsUntil;
         bool isClosed = false;
     };
 
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -110,7 +110,7 @@
     const auto next = model.startJobs(20 * ms, 0.5);  // a cold server, at half the pace
     REQUIRE(next.size() == 1);
     CHECK(next[0].until == 60 * ms);
-    CHECK_FALSE(model.removeQueued(3));  // it runs already
+    CHECK_FALSE(model.removeQueued(3));  // the job runs already
     model.enqueue(4, 10e6);
     CHECK(model.removeQueued(4));
     model.addHandshakeWork(5e6);  // a handshake's work is added to the next job that starts
@@ -331,7 +331,8 @@
     declined.addEvent(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
     declined.addEvent(4 * ms, EventKind::rejected, 1, -1, 0, 0, "");
     CHECK(declined.violatedRules() == "twice");
-    RunFixture upload;  // its deduplication scope is the zone; the other zone does not know its key
+    // The deduplication scope is the zone: the other zone does not know the idempotency key.
+    RunFixture upload;
     upload.asked(0, 1, "upload");
     upload.sent(1 * ms, 1, 1, 11);
     upload.addEvent(3 * ms, EventKind::closed, 1, 1, 11, 0, "");
