--- a/src/testbed/audit/slow_start_load.hpp
+++ b/src/testbed/audit/slow_start_load.hpp
@@ -38,8 +38,8 @@
     double largestExcess() const { return windowsJudged_ > 0 ? largestExcess_ : 0; }  // over all windows
     double meanRatio() const;  // mean of sent / allowed over all windows
     // Share of the attempts at cold cache servers that came from routers which had not been
-    // notified of the start yet, as when a new server has the address of an old one. No slow start can limit
-    // these attempts, so they count in no window.
+    // notified of the start yet, as when a new server has the address of an old one. No slow start
+    // can limit these attempts, so they count in no window.
     double shareBeforeNotification() const;
 
   private:
