--- a/src/testbed/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -14,7 +14,7 @@
 
 // Probability of a false "differs" over all scenarios of a comparison together.
 constexpr double kSignificanceLevel = 0.05;
-constexpr std::size_t kMaxPairs = 20;  // chanceOf() goes through 2^kMaxPairs sign patterns
+constexpr std::size_t kMaxPairs = 20;  // a permutation test tries up to 2^kMaxPairs sign patterns
 // A run in which the testbed itself was late too often is repeated.
 constexpr int kMaxTries = 2;
 constexpr double kMaxLateShare = 0.05;  // share of a run's tenths of a second
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -278,7 +278,7 @@
     for (const pid_t r : routers) CHECK(kill(r, 0) != 0);
 }
 
-TEST_CASE("chanceOf gives the probability that paired differences are due to chance") {
+TEST_CASE("permutationPValue is the share of sign patterns with a sum at least as extreme as observed") {
     using poppyscale::testbed::permutationPValue;
     CHECK(permutationPValue({1, 1, 1, 1, 1, 1}) == doctest::Approx(2.0 / 64));
     CHECK(permutationPValue({1, -1, 1, -1, 1, -1}) == doctest::Approx(1));
