--- a/src/discovery/removed_endpoints.hpp
+++ b/src/discovery/removed_endpoints.hpp
@@ -27,7 +27,7 @@
 
     std::size_t capacityBytes_;
     std::size_t usedBytes_ = 0;
-    std::list<std::string> byAge_;                              // ids of servers, the latest last
+    std::list<std::string> byAge_;                              // server ids, oldest removal first
     std::unordered_map<std::string_view, Position> positions_;  // keys are the strings in `byAge_`
 };
 
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -36,15 +36,15 @@
     count
 };
 
-// Counts what was blocked and what was violated. Each guard belongs to one dispatcher and its thread.
+// Counts blocked actions and violated invariants. Each guard belongs to one dispatcher and its thread.
 class InvariantGuard {
   public:
     using Log = std::function<void(std::string_view)>;
     explicit InvariantGuard(Log log) : log_(std::move(log)) {}
 
     void recordBlocked(BlockedAction reason) { ++blocked_[static_cast<std::size_t>(reason)]; }
-    // Counts and logs a violation. `subject` says what was about to happen, to which request,
-    // server or client.
+    // Counts and logs a violation. `subject` describes the action and the request, server or client
+    // concerned.
     void reportViolation(Invariant invariant, const std::string& subject);
 
     // All counts, under the names that replies on the operator socket use.
--- a/src/testbed/audit/audit.cpp
+++ b/src/testbed/audit/audit.cpp
@@ -138,8 +138,8 @@
                 if (request->requestClass->effect == 0) break;
                 for (Attempt& attempt : request->attempts) {
                     if (attempt.id == entry.attemptId) attempt.hasExecuted = true;
-                    // A receipted request may execute again on a server that does not know its idempotency
-                    // key; onAttemptSent() checks whether it may be sent there.
+                    // A request with an idempotency key may execute again on a server that does not know
+                    // the key; onAttemptSent() checks whether it may be sent there.
                     else if (attempt.hasExecuted && request->requestClass->effect == 2)
                         addViolation("twice", entry,
                                      fmt::format("executed at {} and at {}",
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -1,5 +1,5 @@
 // The append-only event log of a run. It records what happened at the clients, on the network and
-// at the servers, and nothing of what a router believes. Each event is one line of tab-separated
+// at the servers, and holds no internal state of a router. Each event is one line of tab-separated
 // columns. The audit and the figures read nothing else.
 #pragma once
 
