--- a/tests/testbed_rollout_test.cpp
+++ b/tests/testbed_rollout_test.cpp
@@ -20,6 +20,17 @@
 constexpr std::uintmax_t kMinFreeMemory =
     4ULL * 1024 * 1024 * 1024;  // programs, copies and logs of five scenarios
 
+constexpr int kScenarioMs = 45'000;  // length_ms of the scenario roll-same
+// The disk faults end with the scenario and must outlast the rollback that they prevent: under the limits of
+// runRollout's [roll], it ends after 119 s at the latest, plus a few seconds for the agents' answers. The run
+// itself ends 2 s after its rollout, so this length does not prolong it.
+constexpr int kLongScenarioMs = 150'000;
+// After the first stage's order, which must still be written (usually at 4.9 s), and before the second
+// stage's: the first begins after at least 4.5 s (at_ms, watch_ms) and takes at least 4 s (settle_ms,
+// least_ms).
+constexpr int kDiskFaultBeginMs = 7'500;
+constexpr int kDiskFaultLengthMs = kLongScenarioMs - kDiskFaultBeginMs;
+
 struct RunResult {
     std::string name;
     int code = kInconclusive;
@@ -27,12 +38,13 @@
     bool contains(const std::string& expected) const { return text.find(expected) != std::string::npos; }
 };
 
-// The scenario roll-same with another change and with faults.
+// The scenario roll-same with another change, with faults and possibly with another length.
 struct RolloutScenario {
     std::string name;
     std::string change = "same";
     std::string faults;
     std::string rollSettings;  // further lines of [roll]
+    int lengthMs = kScenarioMs;
 };
 
 std::string fault(const std::string& kind, int at, int length, const std::string& settings = "") {
@@ -100,6 +112,7 @@
     RunResult runRollout(const RolloutScenario& rollout) const {
         // Two machines and less load, as programs with sanitizers are slow.
         std::vector<std::pair<std::string, std::string>> changes{
+            {"length_ms = " + std::to_string(kScenarioMs), "length_ms = " + std::to_string(rollout.lengthMs)},
             {"count = 4", "count = 2"},
             {"instances = 5", "instances = 3"},
             {"per_second = 500", "per_second = 150"},
@@ -168,6 +181,9 @@
     const std::string drained = fault("drain", 7000, 3000, "count = 4") +
                                 fault("drain", 10500, 3000, "count = 4") +
                                 fault("drain", 14000, 3000, "count = 4");
+    const std::string diskFull = fault("disk_full", kDiskFaultBeginMs, kDiskFaultLengthMs, "machine = 0");
+    const std::string diskReadOnly =
+        fault("disk_read_only", kDiskFaultBeginMs, kDiskFaultLengthMs, "machine = 0");
     const std::vector<Expected> all{
         {{"coordinator-killed", "same", killed, ""}, completed, "number=2"},
         {{"two-coordinators", "same", twoCoordinators, ""}, completed, "overtaken"},
@@ -184,10 +200,8 @@
         {{"lossy", "lossy", "", "size = 0.05\n"}, rolledBack, "answered"},
         {{"drains", "drains", drained, ""}, rolledBack, "relays"},
         {{"deaf", "deaf", "", ""}, rolledBack, "stops"},
-        {{"disk-full", "same", fault("disk_full", 6000, 38000, "machine = 0"), ""},
-         rollbackIncomplete,
-         "can't write"},
-        {{"read-only", "same", fault("disk_read_only", 6000, 38000, "machine = 0"), ""},
+        {{"disk-full", "same", diskFull, "", kLongScenarioMs}, rollbackIncomplete, "can't write"},
+        {{"read-only", "same", diskReadOnly, "", kLongScenarioMs},
          rollbackIncomplete,
          "Read-only file system"},
         {{"way-back-gone", "slower", fault("program_gone", 5500, 500, "machine = 0"), "size = 0.6\n"},
