--- a/tests/testbed_rollout_test.cpp
+++ b/tests/testbed_rollout_test.cpp
@@ -20,15 +20,17 @@
 constexpr std::uintmax_t kMinFreeMemory =
     4ULL * 1024 * 1024 * 1024;  // programs, copies and logs of five scenarios
 
-constexpr int kScenarioMs = 45'000;  // length_ms of the scenario roll-same
+constexpr int kScenarioMs = 45'000;         // length_ms of the scenario roll-same
+constexpr int kMinStageDurationMs = 3'000;  // least_ms
 // The disk faults end with the scenario and must outlast the rollback that they prevent: under the limits of
 // runRollout's [roll], it ends after 119 s at the latest, plus a few seconds for the agents' answers. The run
 // itself ends 2 s after its rollout, so this length does not prolong it.
 constexpr int kLongScenarioMs = 150'000;
-// After the first stage's order, which must still be written (usually at 4.9 s), and before the second
-// stage's: the first begins after at least 4.5 s (at_ms, watch_ms) and takes at least 4 s (settle_ms,
-// least_ms).
-constexpr int kDiskFaultBeginMs = 7'500;
+// The disk faults begin after the first stage's order is written and before the second stage's. The first
+// usually comes at 4.9 s, but later if the machine is busy and the fleet is watched for longer. A higher
+// least_ms leaves room for that: with at_ms, watch_ms and settle_ms, the second can't come before 15.5 s.
+constexpr int kLongMinStageDurationMs = 10'000;
+constexpr int kDiskFaultBeginMs = 11'000;
 constexpr int kDiskFaultLengthMs = kLongScenarioMs - kDiskFaultBeginMs;
 
 struct RunResult {
@@ -38,13 +40,14 @@
     bool contains(const std::string& expected) const { return text.find(expected) != std::string::npos; }
 };
 
-// The scenario roll-same with another change, with faults and possibly with another length.
+// The scenario roll-same with another change, with faults and possibly with other times.
 struct RolloutScenario {
     std::string name;
     std::string change = "same";
     std::string faults;
     std::string rollSettings;  // further lines of [roll]
     int lengthMs = kScenarioMs;
+    int minStageDurationMs = kMinStageDurationMs;
 };
 
 std::string fault(const std::string& kind, int at, int length, const std::string& settings = "") {
@@ -117,7 +120,7 @@
             {"instances = 5", "instances = 3"},
             {"per_second = 500", "per_second = 150"},
             {"watch_ms = 4000", "watch_ms = 2500"},
-            {"least_ms = 4000", "least_ms = 3000"},
+            {"least_ms = 4000", "least_ms = " + std::to_string(rollout.minStageDurationMs)},
             {"settle_ms = 2000", "settle_ms = 1000"},
             {"0.25", "0.34"},
             {"harm = 0.03", "harm = 0.05"},
@@ -200,8 +203,10 @@
         {{"lossy", "lossy", "", "size = 0.05\n"}, rolledBack, "answered"},
         {{"drains", "drains", drained, ""}, rolledBack, "relays"},
         {{"deaf", "deaf", "", ""}, rolledBack, "stops"},
-        {{"disk-full", "same", diskFull, "", kLongScenarioMs}, rollbackIncomplete, "can't write"},
-        {{"read-only", "same", diskReadOnly, "", kLongScenarioMs},
+        {{"disk-full", "same", diskFull, "", kLongScenarioMs, kLongMinStageDurationMs},
+         rollbackIncomplete,
+         "can't write"},
+        {{"read-only", "same", diskReadOnly, "", kLongScenarioMs, kLongMinStageDurationMs},
          rollbackIncomplete,
          "Read-only file system"},
         {{"way-back-gone", "slower", fault("program_gone", 5500, 500, "machine = 0"), "size = 0.6\n"},
