--- a/src/policy/admission_queue.hpp
+++ b/src/policy/admission_queue.hpp
@@ -17,8 +17,8 @@
     void push(Request& request) { entries_.push_back({&request, 0}); }
 
     // Sorts requests within their tenant's quota before those over it, then by descending priority;
-    // equal requests keep their order. Calls `priorityOf(Request&)` for each request in the current
-    // order.
+    // equal requests keep their order. First calls `priorityOf(Request&)` for each request in the
+    // current order, unless only one request waits.
     template <class PriorityOf>
     void prioritize(PriorityOf priorityOf) {
         if (entries_.size() < 2) return;
@@ -44,8 +44,9 @@
     // the limit over all cache servers has ever been lowered; until then no request is expected to
     // wait long. `successInterval`: the mean time between two successful attempts.
     void beginEstimates(bool isOverloaded, Nanos successInterval);
-    // Whether a server is expected to be free for the request within half of `timeLeft`. To be
-    // called in queue order, once for each request that finds no server.
+    // Whether a server is expected to be free for the request within half of `timeLeft`, the time
+    // until the latest start of an attempt that would still be of use. To be called in queue order,
+    // once for each request that finds no server.
     bool hasTimeToWait(Nanos timeLeft);
 
   private:
--- a/src/policy/candidate_selector.cpp
+++ b/src/policy/candidate_selector.cpp
@@ -21,7 +21,8 @@
 namespace {
 
 constexpr std::size_t kPreferredCandidates = 2;  // further candidates are a last resort
-// A server is busy from this multiple of the mean attempts in flight or of the median latency.
+// A server counts as busy from this multiple of the mean number of attempts in flight per server,
+// and above this multiple of the median latency ratio.
 constexpr double kBusyRatio = 2;
 constexpr double kMinBusyInFlight = 2;
 
--- a/src/policy/candidate_selector.hpp
+++ b/src/policy/candidate_selector.hpp
@@ -19,9 +19,11 @@
 class SlowStart;
 class ZoneAffinity;
 
-// Prefers the candidate whose hints contain the request's key, then rendezvous order, and passes
-// over busy candidates. Returns only servers that every other class of the policy allows at this
-// time; all of these checks are made here. Owns no state.
+// Prefers a candidate whose hints contain the request's key, then rendezvous order, and passes over
+// busy candidates. Where the servers are cache-aside, also decides between the cache servers and
+// the origin. Returns only servers that the concurrency limits, the retry policy, the slow start
+// and the limits of tenants and origin fetches allow at this time; all of these checks are made
+// here. Owns no state.
 class CandidateSelector {
   public:
     // The inputs of the choice; all of them outlive the selector.
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -44,8 +44,8 @@
 
 void ConcurrencyLimiter::recordLatency(Nanos now, Nanos latency, Nanos latencyObjective) {
     const Nanos objective = std::max(latencyObjective, kMillisecond);
-    // Bounds the sample, so that one implausible report cannot distort the medians and pauses for
-    // long.
+    // Bounds the sample, so that one implausible latency cannot distort the medians and the pauses
+    // between attempts for long.
     const Nanos bounded = std::clamp<Nanos>(latency, 0, kMaxLatencyRatio * objective);
     updateMedians(now, static_cast<double>(bounded) / static_cast<double>(objective));
     const double target = targetRatio();
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -11,9 +11,10 @@
 
 // Learns from latencies how many attempts may be in flight at one server, or at all cache servers
 // together: raises the limit by small steps while it is nearly reached, and lowers it by a factor
-// when both medians of the latency lie above the target. All latencies are taken as ratios to the
-// latency objective of their request, so that requests of different classes can be compared. Limits
-// below one are enforced by a pause between attempts.
+// when the fast median of the latency lies above the target and the slow median is close to it (60
+// to 80%, depending on the latency of the idle server) or above. All latencies are taken as ratios
+// to the latency objective of their request, so that requests of different classes can be compared.
+// Limits below one are enforced by a pause between attempts.
 //
 // Owns the count of attempts in flight: each onAttemptStarted() is followed by one
 // onAttemptEnded().
@@ -72,7 +73,7 @@
     int sampleCount_ = 0;
     int inFlight_ = 0;
     Nanos lastDecreaseAt_ = 0;  // 0: never
-    Nanos nextAttemptAt_ = 0;   // 0 unless the limit is below one
+    Nanos nextAttemptAt_ = 0;   // 0 if the limit was at least one at the last sample
     Nanos lastSampleAt_ = 0;
 };
 
--- a/src/policy/counting_bloom_filter.hpp
+++ b/src/policy/counting_bloom_filter.hpp
@@ -19,7 +19,7 @@
     // Only for a key for which mayContain() is true.
     void remove(std::uint64_t key);
 
-    // Whether further keys would raise the rate of false positives above the guaranteed one.
+    // Whether further keys would raise the rate of false positives above 0.4%.
     bool isFull() const;
     std::size_t counterCount() const { return counters_.size(); }
     std::int64_t keyCount() const { return keyCount_; }
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -30,7 +30,7 @@
     return hasChanged;
 }
 
-// Returns whether anything but the weight has changed.
+// Returns whether the server is new, or its start or its state has changed.
 bool EndpointRegistry::applyEntry(Nanos now, const Endpoint& listed) {
     const auto known = servers_.find(listed.name);
     const bool isNew = known == servers_.end();
@@ -56,7 +56,8 @@
     return server;
 }
 
-// A server that is listed without a weight keeps its last known weight, or gets the minimum.
+// Where weights follow load, the weight stays as it is, because LoadEstimator sets it. Otherwise a
+// server that is listed without a weight keeps its last known weight, or gets the minimum.
 double EndpointRegistry::weightOf(const Endpoint& listed, const Server& server) const {
     const double known = server.endpoint().weight;
     if (settings_.weightsFollowLoad) return known;
--- a/src/policy/endpoint_registry.hpp
+++ b/src/policy/endpoint_registry.hpp
@@ -40,7 +40,7 @@
     // Whether the endpoint list and the operators allow attempts at `server`.
     bool isUsable(const Server& server) const;
     // All known servers, unusable ones included, in the order in which they were first listed.
-    // Valid until the next event.
+    // Valid until the next call of applyUpdate() or endGenerations().
     const std::vector<Server*>& cacheServers() const { return cacheServers_; }
     const std::vector<Server*>& origins() const { return origins_; }
 
--- a/src/policy/hint_filter.hpp
+++ b/src/policy/hint_filter.hpp
@@ -18,12 +18,15 @@
     void insert(std::uint64_t key);
     void remove(std::uint64_t key);
     void clear();
-    // Begins a generation and drops the keys that were not inserted in the one that ends.
+    // Starts a new generation, and drops the keys that were not inserted in the generation that
+    // ends.
     void startGeneration();
+    // The number of keys; a key that was inserted in both generations counts twice.
     std::int64_t keyCount() const;
 
   private:
-    // When the last filter is full, one of twice its size is added.
+    // The filters of one generation. When the last of them is full, a filter of twice its size is
+    // added, as long as the maximum size of a generation allows.
     using Generation = std::vector<CountingBloomFilter>;
 
     static bool contains(const Generation& generation, std::uint64_t key);
--- a/src/policy/key_popularity.hpp
+++ b/src/policy/key_popularity.hpp
@@ -22,7 +22,7 @@
   private:
     static constexpr std::size_t kRecentKeys = 64;
 
-    std::array<std::uint64_t, kRecentKeys> recent_{};  // a ring
+    std::array<std::uint64_t, kRecentKeys> recent_{};  // ring buffer
     std::size_t next_ = 0;
 };
 
--- a/src/policy/latency_statistics.cpp
+++ b/src/policy/latency_statistics.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kMinSuccessesForMean = 0.5;
-constexpr double kMinSuccessesForInterval = 32;
+constexpr double kMinSuccessesForInterval = 32;  // lower bound of the count in successInterval()
 
 }  // namespace
 
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -27,8 +27,9 @@
 };
 
 // Where listed weights follow load, splits each into a full weight, which the ranking uses, and a
-// load. The full weight is the largest one listed for servers of the same shape, so that a change
-// in load does not change the ranking. Owns the mean load; each server has its LoadReport.
+// load. The full weight is the largest plausible weight listed for usable servers of the same
+// shape. It never falls, so that a change in load does not change the ranking. Owns the mean load;
+// each server has its LoadReport.
 class LoadEstimator {
   public:
     LoadEstimator(const PolicySettings& settings, const EndpointRegistry& registry)
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -13,7 +13,7 @@
 
 constexpr Nanos kEjectionDuration = 4'000 * kMillisecond;
 constexpr double kMinFailures = 1.5;
-// A server's failure rate counts from this many recent outcomes on.
+// A server's failure rate counts towards the median from this many recent outcomes on.
 constexpr double kMinOutcomes = 0.5;
 constexpr double kMinMedianRate = 0.02;  // lower bound of the median rate in the standard deviation
 constexpr double kStandardDeviations = 1.5;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -17,9 +17,9 @@
 // outlier. Each server has one; only OutlierDetector ejects.
 class OutcomeHistory {
   public:
-    // Records that an attempt ended. Returns whether it is the first that ended at this time:
-    // responses on one connection come in order, so that those delayed by a heavy one arrive at the
-    // same time as it does.
+    // Records that an attempt ended. Returns whether it is the first attempt that ended at this
+    // time. Responses on one connection come in order: those that are delayed by a heavy request
+    // arrive at the same time as its response, and their latencies must not count as well.
     bool noteEnd(Nanos now);
     // `latencyRatio`: the latency divided by the latency objective. A success or a cache miss
     // resets consecutiveTimeouts().
