--- a/src/policy/rendezvous_ranking.cpp
+++ b/src/policy/rendezvous_ranking.cpp
@@ -80,7 +80,8 @@
     for (const Entry& entry : entries_) {
         // Uniform in (0, 1), the same at all routers.
         const double uniform = (static_cast<double>(mixBits(key ^ entry.hash) >> 11) + 0.5) * 0x1p-53;
-        // Since -log(u) is at least 1 - u, most are known to score too little without the logarithm.
+        // Since -log(u) is at least 1 - u, most servers are known to score too little before the
+        // logarithm is computed.
         if (entry.*weight <= top.back().score * (1 - uniform)) continue;
         const ScoredServer scored{entry.*weight / -std::log(uniform), entry.server};
         if (scored.score <= top.back().score) continue;
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -48,7 +48,7 @@
     // Request class as of the arrival of the request.
     std::shared_ptr<const RequestClass> requestClass;
     std::shared_ptr<TenantUsage> tenantUsage;  // null without a known tenant
-    std::uint64_t key = 0;                     // hash of the key, else of the request id
+    std::uint64_t key = 0;                     // hash of the key, or of the request id if there is no key
     bool hasKey = false;
     bool isWrite = false;
     bool isOverQuota = false;
@@ -89,9 +89,10 @@
     // The first attempt that may have executed the request, in flight or ended; null if there is
     // none.
     const Attempt* firstThatMayHaveExecuted() const;
-    // Whether an ended attempt at the origin, or at a cache server, may have been executed.
+    // Whether an ended attempt may have executed the request: at the origin if `atOrigin` is true,
+    // else at a cache server.
     bool mayHaveExecuted(bool atOrigin) const { return mayHaveExecuted_[atOrigin ? 1 : 0]; }
-    // Whether an attempt ended with anything but a response or a cache miss.
+    // Whether an attempt ended with anything but success or a cache miss.
     bool hasFailedAttempt() const { return hasFailedAttempt_; }
     // Whether an attempt ended with a cache miss at a server that was warming up.
     bool hasMissedAtWarmingServer() const { return hasMissedAtWarmingServer_; }
@@ -108,7 +109,7 @@
     void endAttempt(AttemptOutcome outcome);
     void addMiss(Server& server) { missedAt_.push_back(sharedServer(server)); }
     void noteMissAtWarmingServer() { hasMissedAtWarmingServer_ = true; }
-    // Makes the request wait after an attempt that ended without a response: `queued`, or
+    // Makes the request wait after an attempt that did not succeed: its state is `queued`, or
     // `unservable` if a further attempt would be of no use.
     void queue(AttemptOutcome outcome, bool isServable);
     void close() { state_ = RequestState::closed; }
@@ -122,7 +123,7 @@
     RequestState state_;
     std::vector<Attempt> attempts_;
     std::vector<std::shared_ptr<Server>> missedAt_;
-    // Whether an ended attempt may have been executed: at a cache server, at the origin.
+    // Whether an ended attempt may have executed the request: [0] at a cache server, [1] at the origin.
     std::array<bool, 2> mayHaveExecuted_{};
     bool hasFailedAttempt_ = false;
     bool hasMissedAtWarmingServer_ = false;
--- a/src/policy/request_classes.cpp
+++ b/src/policy/request_classes.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMedianStep = 0.01;
-// A retry with at least this fraction of the median timeout left is treated like a first attempt.
+// A retry with at least this fraction of the median timeout left is treated like a first request.
 constexpr double kFullTimeout = 0.98;
 
 }  // namespace
--- a/src/policy/request_classes.hpp
+++ b/src/policy/request_classes.hpp
@@ -21,9 +21,9 @@
     void applySettings();
     // For an unknown name, returns a default class that guarantees nothing.
     std::shared_ptr<const RequestClass> find(std::string_view name) const;
-    // Records the timeout of a first attempt of a client, and returns until when a response meets
-    // the latency objective. All retries of a client share one timeout, so that the deadline of a
-    // late retry shows when the first attempt came.
+    // Returns until when a response meets the latency objective. Also records the client's timeout
+    // unless the request is a client's retry. The timeout covers a request and all its retries, so
+    // that the deadline of a late retry shows when the first request came.
     Nanos objectiveDeadline(const RequestClass& requestClass, const IncomingRequest& incoming, Nanos now);
 
   private:
@@ -31,7 +31,8 @@
     // Request classes in the order of the settings.
     std::vector<std::shared_ptr<const RequestClass>> classes_;
     const std::shared_ptr<const RequestClass> unknown_ = std::make_shared<const RequestClass>();
-    // Running medians over the first attempts of clients, in nanoseconds.
+    // Running medians of the time left to the client's deadline when a request that is not a retry
+    // arrives, in nanoseconds.
     std::unordered_map<const RequestClass*, double> medianTimeouts_;
 };
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -22,7 +22,8 @@
 // Factor on the limit of a server that reports an overload.
 constexpr double kOverloadedFactor = 0.7;
 constexpr double kMaxLatencyRatio = 2;  // bounds one outcome in the sums of latency ratios
-// The most latency samples in one mean latency, plus one for each attempt of the server's limit.
+// Within one mean latency, a server's limiter takes at most this many latency samples, plus one for
+// each attempt that its limit allows in flight.
 constexpr double kMaxSamplesPerLatency = 16;
 // Factor on the priority of writes and of reads of hinted keys.
 constexpr double kPreferredPriorityFactor = 2;
@@ -89,8 +90,8 @@
     const bool hasRankingChanged = registry_.applyUpdate(now, kind, endpoints);
     const bool haveWeightsChanged = loadEstimator_.update();
     if (hasRankingChanged || haveWeightsChanged) ranking_.invalidate();
-    // Divided among all routers: a thousand routers that start with a few attempts each would
-    // overload the servers.
+    // The initial limit is divided among all routers: a thousand routers that start with a few
+    // attempts each would overload the servers.
     const auto serverCount = static_cast<double>(registry_.cacheServers().size());
     const double initialLimit = policy::kInitialAttemptsPerServer * serverCount / settings_.routerCount;
     if (!totalLimiter_.hasDecreased()) totalLimiter_.raiseLimitTo(initialLimit);
@@ -329,8 +330,8 @@
 
 void RoutingPolicy::respondFinally(Request& request, Nanos now) {
     if (retryPolicy_.mayReject(request)) {
-        // Up to half of Retry-After is random, since clients with equal values would return in one
-        // wave.
+        // Up to half of Retry-After is random, since clients with equal values would all retry at
+        // the same time.
         const Nanos half = settings_.retryAfterAllowed ? settings_.maxRetryAfter / 2 : 0;
         host_.reject(request.id(), half + random_.jitter(half));
     } else {
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -1,4 +1,4 @@
-// All decisions of a router: events go in, actions come out through a PolicyHost.
+// Makes all decisions of a router: receives events, and requests actions from a PolicyHost.
 #pragma once
 
 #include <cstdint>
@@ -37,8 +37,8 @@
 // only reconcile() asks the host for actions on requests.
 //
 // Guarantees that each request gets exactly one final response, unless its client disconnects
-// first, and that no request is executed twice that must not be (see policy::RetryPolicy). The same
-// seed and events give the same actions. Not thread-safe.
+// first, and that a request that must not be repeated is not executed twice (see
+// policy::RetryPolicy). The same seed and events give the same actions. Not thread-safe.
 class RoutingPolicy {
   public:
     // `host` must outlive the policy. The constructor does not call it.
@@ -64,7 +64,8 @@
     // To be called once after all events of one point in time, and at each wake-up. Starts
     // attempts, and gives final responses to requests that no server will serve in time.
     void reconcile(Nanos now);
-    // In the order in which the servers were first listed, the origin last.
+    // The state of each known server, in the order in which the servers were first listed, the origin
+    // last.
     std::vector<EndpointStatus> endpointStatuses(Nanos now);
 
   private:
--- a/src/policy/server.cpp
+++ b/src/policy/server.cpp
@@ -9,7 +9,8 @@
 
 constexpr double kInitialLimit = 4;
 constexpr double kRestartedLimit = 2;
-// Below that of cache servers, since the origin's latency adds to that of a cache miss.
+// Lower than the target ratio of cache servers, since the latency of the origin adds to the latency
+// of a cache miss.
 constexpr double kOriginLatencyRatio = 0.25;
 constexpr ConcurrencyLimiter::Target kCacheServerTarget{kTargetLatencyRatio};
 constexpr ConcurrencyLimiter::Target kOriginTarget{kOriginLatencyRatio, kOriginLatencyRatio};
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -28,8 +28,9 @@
     // Hash of the name, which determines the server's place in the rendezvous ranking of each key.
     std::uint64_t hash() const { return hash_; }
     bool isOrigin() const { return isOrigin_; }
-    // As listed, except for a start before the last readmission, and for a weight that follows load
-    // or is not known.
+    // The server's entry in the endpoint list, with three exceptions. `startedAt` is not before the
+    // last readmission. `weight` is the full weight where weights follow load (see LoadEstimator),
+    // else the last known weight. `state` is `removed` if a complete list leaves the server out.
     const Endpoint& endpoint() const { return endpoint_; }
     // Whether an operator's ejection was lifted and no attempt has been sent to the server since.
     bool awaitsFirstAttempt() const { return awaitsFirstAttempt_; }
@@ -46,8 +47,8 @@
     // and outcomes reset.
     void readmit(Nanos now);
     void endWaitForFirstAttempt() { awaitsFirstAttempt_ = false; }
-    // Ends a hint generation. Returns whether the server was removed at the end of this and the
-    // last one.
+    // Ends a hint generation. Returns whether the server was removed at the end of this generation
+    // and of the one before.
     bool endGeneration();
 
     HintFilter hints;
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -43,14 +43,14 @@
     bool retryAfterAllowed = false;
     int maxAttempts = 1;  // most attempts for each request
     Nanos maxRetryAfter = 0;
-    Nanos pollInterval = 0;
+    Nanos pollInterval = 0;            // a failed poll is repeated after at most half of this
     Nanos maxFirstPollDelay = kNever;  // longest time from the start to the first poll
     // A listed weight falls with the server's load: weight / (1 + requests per core).
     bool weightsFollowLoad = false;
     double initialFraction = 1;  // fraction of its full load that a just started server bears
     Nanos rampDuration = 0;      // time from its start until a server bears its full load
     // A server that is warming up collapses at this multiple of the load that it bears, counted
-    // over the window.
+    // over `overloadWindow`.
     double overloadMultiple = 1;
     Nanos overloadWindow = 0;
     std::vector<RequestClass> requestClasses;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,8 +8,8 @@
 namespace poppyscale::policy {
 namespace {
 
-// More than one, since a router with little traffic rarely has a request for the server within one
-// window.
+// The most windows for which a budget is filled at once. More than one, since a router with little
+// traffic rarely has a request for the server within one window.
 constexpr double kMaxWindowsSaved = 12;
 constexpr Nanos kRampSteps = 32;
 // The budget of a server that is warming up is this fraction of the load at which it collapses.
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -32,11 +32,11 @@
 
 // Guarantees that all routers together send a server that is warming up at most half of the load at
 // which it collapses, as long as the routers receive about equal traffic: the load is estimated
-// from the answers that this router gets from warmed-up servers. Owns that throughput and the
-// weight of the warmed-up servers.
+// from the answers that this router gets from warmed-up servers. Owns the throughput and the weight
+// of the warmed-up servers.
 class SlowStart {
   public:
-    // `settings` is read at each call, but for its overloadWindow.
+    // `settings` is read at each call, except for its overloadWindow, which must not change.
     explicit SlowStart(const PolicySettings& settings);
 
     // The fraction of its full load that a server bears. Rises linearly from the server's start to
--- a/src/policy/tenant_fairness.hpp
+++ b/src/policy/tenant_fairness.hpp
@@ -20,7 +20,7 @@
 
 // Compares each tenant's recent requests with its quota. Owns the usage of all tenants. A router
 // does not know its share of all traffic, so it allows each tenant the fraction of its quota that
-// the median tenant has sent, or an even share of all routers if that is larger.
+// the median tenant has sent, or the quota divided by the number of routers if that is larger.
 class TenantFairness {
   public:
     TenantFairness(const PolicySettings& settings, Nanos now);
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -32,13 +32,14 @@
     failed     // no answer to a poll
 };
 
-// How an attempt ended. Those from `overloaded` on prove that the request was not executed there.
+// How an attempt ended. The outcomes from `overloaded` on prove that the attempt did not execute the
+// request.
 enum class AttemptOutcome : std::uint8_t {
     succeeded,
     failed,
     timedOut,
     connectionLost,
-    notExecuted,
+    notExecuted,  // counts as if the attempt may have executed the request
     overloaded,
     connectFailed,
     notSent,
--- a/src/policy/zone_affinity.hpp
+++ b/src/policy/zone_affinity.hpp
@@ -39,7 +39,8 @@
   private:
     static constexpr Nanos kTimeConstant = 5'000 * kMillisecond;
 
-    // Of the requests whose first server is in the own zone, or of those where it is not.
+    // Decaying sums over the requests whose first server is in the own zone, or over all other
+    // requests.
     struct Outcomes {
         double lossRate(Nanos now) { return lost.read(now) / (requests.read(now) + 1); }
         DecayingSum requests{kTimeConstant};
