--- a/tests/overload_control_test.cpp
+++ b/tests/overload_control_test.cpp
@@ -233,7 +233,7 @@
 }
 
 TEST_CASE(
-    "while a quarter of all attempts hang, tenants over quota are shed though the median latency is low") {
+    "while a quarter of all attempts hang, requests over quota are shed though the median latency is low") {
     PolicySettings settings = smallPolicySettings(false);
     settings.tenants = {{"greedy", 1}, {"modest", 1}, {"third", 1}};
     PolicyFixture fixture(settings, 8);
@@ -305,7 +305,8 @@
     }
     MESSAGE(attemptsAtReadmitted, " attempts at the readmitted server, at the others: ", attemptsAtOthers);
     CHECK(attemptsAtReadmitted >= 60);
-    // A fifth of what each of the three other servers bears, times three.
+    // In slow start, the server bears a fifth of the load of each of the three other servers, and
+    // collapses at three times as much.
     CHECK(attemptsAtReadmitted < 0.2 * 3 * (attemptsAtOthers / 3.0));
 }
 
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -68,7 +68,7 @@
         policy.onEndpointUpdate(0, EndpointUpdateKind::cached, endpoints);
         policy.reconcile(0);
     }
-    // Sends a request and returns the server of its first attempt ("" if none was started).
+    // Sends a request and returns the first action that follows, as firstActionSince() does.
     std::string sendRequest(RequestId id, std::string_view key = "k", std::string_view requestClass = "read",
                             bool isWrite = false, std::string_view tenant = "") {
         const auto before = host.actions.size();
@@ -76,7 +76,8 @@
         policy.reconcile(now);
         return firstActionSince(before);
     }
-    // Ends an attempt and returns the server of the next one, "rejected", "failed", or "".
+    // Ends an attempt and returns the first action that follows, as firstActionSince() does. The
+    // action may concern another request, which was waiting.
     std::string endAttempt(RequestId id, int attempt, AttemptOutcome outcome, bool requestCompleted = false,
                            Nanos duration = 20 * ms) {
         const auto before = host.actions.size();
@@ -85,6 +86,8 @@
         policy.reconcile(now);
         return firstActionSince(before);
     }
+    // The first action since the host had recorded `before` actions: the server of an attempt, "rejected",
+    // "failed", or "" if there is none.
     std::string firstActionSince(std::size_t before) const {
         if (host.actions.size() <= before) return "";
         const RecordedAction& action = host.actions[before];
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -94,7 +94,8 @@
 }
 
 TEST_CASE(
-    "an attempt too late for another within the objective times out early only if late responses count") {
+    "if a second attempt would miss the latency objective, the first times out early only where late "
+    "responses count") {
     for (const double lateWeight : {0.0, 0.3}) {
         PolicySettings settings = smallPolicySettings(false);
         settings.requestClasses[0].latencyObjective = 170 * ms;
@@ -265,7 +266,7 @@
     CHECK(fixture.serveRequest(++id, "k") == ejected);
     for (const EndpointStatus& status : fixture.policy.endpointStatuses(fixture.now))
         if (status.name == ejected) CHECK(status.warmupFraction == doctest::Approx(0.2));
-    // A start that is listed late, from before the readmission, does not advance its slow start.
+    // A start from before the readmission that is listed only now does not advance the slow start.
     fixture.now += 1'000 * ms;
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta,
                                     {{ejected, "z", "m", EndpointState::ready, fixture.now - 3'000 * ms}});
@@ -300,9 +301,9 @@
         fixture.policy.reconcile(fixture.now);
         return fixture.finalResponses(2) == 1;
     };
-    CHECK(isRejected(450 * ms, true));         // the first attempt came 550 ms ago
+    CHECK(isRejected(450 * ms, true));         // the first request came 550 ms ago
     CHECK_FALSE(isRejected(450 * ms, false));  // not a retry: the client has a short timeout
-    CHECK_FALSE(isRejected(550 * ms, true));   // a retry after 450 ms, as after a rejection
+    CHECK_FALSE(isRejected(550 * ms, true));   // 450 ms after the first request, as after a rejection
     settings.requestClasses[0].lateWeight = 0.3;
     CHECK_FALSE(isRejected(450 * ms, true));
     settings.requestClasses[0].lateWeight = 0;
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -141,10 +141,10 @@
 TEST_CASE(
     "weights that follow load do not change the ranking, implausible ones are ignored, and loaded servers "
     "are avoided") {
-    // Counts of sixty requests, each for another key.
+    // Counts over sixty requests, each for a different key.
     struct AttemptCounts {
         int moved = 0;    // sent to another server than with equal weights
-        int onFirst = 0;  // sent to the first server
+        int onFirst = 0;  // sent to server "a"
         bool operator==(const AttemptCounts&) const = default;
     };
     PolicySettings settings = smallPolicySettings(false);
@@ -310,9 +310,9 @@
     for (const int localCount : {1, 4}) {
         ZonesFixture zones(localCount, 8);
         zones.crossingFraction(100, AttemptOutcome::succeeded);
-        zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // past the objective
+        zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms);  // the objective is 500 ms
         CHECK(zones.crossingFraction(60, AttemptOutcome::succeeded, 700 * ms) > 0.5);
-        // A server with many late responses is passed over for that long.
+        // A server with many late responses is passed over for up to a minute.
         zones.fixture.now += 60'000 * ms;
         zones.crossingFraction(200, AttemptOutcome::succeeded);
         CHECK(zones.crossingFraction(200, AttemptOutcome::succeeded) < (localCount == 1 ? 0.8 : 0.3));
