--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -15,7 +15,7 @@
     Idempotency idempotency = Idempotency::nonIdempotent;
     // Applies to idempotentWithKey.
     DeduplicationScope deduplicationScope = DeduplicationScope::all;
-    // How long a key is remembered, from the first attempt that may have executed.
+    // How long an idempotency key is remembered, from the first attempt that may have executed.
     Nanos idempotencyKeyTtl = 0;
     Nanos latencyObjective = 0;
     Nanos timeout = 0;          // timeout of a client, over all its retries; 0 if not known
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -15,7 +15,7 @@
 // What a repeated execution of a request does.
 enum class Idempotency : std::uint8_t {
     safe,  // has no effect
-    // Has no effect while the servers of the deduplication scope remember the key.
+    // Has no effect while the servers of the deduplication scope remember the idempotency key.
     idempotentWithKey,
     nonIdempotent  // has the effect of the request once more
 };
@@ -98,7 +98,7 @@
     double recentOutcomes = 0;    // ended attempts, a decaying sum
     double recentFailures = 0;    // failed attempts among `recentOutcomes`
     double latencyRatio = 0;      // mean latency as a fraction of the latency objective
-    std::int64_t hintedKeys = 0;  // keys that the server is expected to have cached
+    std::int64_t hintedKeys = 0;  // approximate number of keys that the server is expected to have cached
     Nanos ejectedUntil = 0;       // end of the ejection as an outlier; not ejected if this is past
 };
 
