--- a/src/proxy/attempt.cpp
+++ b/src/proxy/attempt.cpp
@@ -20,7 +20,8 @@
 
 RequestBody* Attempt::takeBody() { return std::exchange(body_, nullptr); }
 
-// The request's timeout counts from the last byte of its value, at the client and at the origin.
+// The client and the origin count the request's timeout from the last byte of its value, so the attempt's
+// timeout is counted from there, too.
 void Attempt::onBodySent(Nanos now) {
     sentAt_ = now;
     timeout_.start(now + message_.timeout);
--- a/src/proxy/attempt.hpp
+++ b/src/proxy/attempt.hpp
@@ -19,9 +19,9 @@
   public:
     struct Parameters {
         RequestId requestId = 0;
-        int number = 0;               // attempts of a request count from 0
+        int number = 0;               // the attempts of a request are numbered from 0
         Nanos startedAt = 0;          // when the attempt was decided on
-        Nanos deadline = 0;           // the response must be complete by then
+        Nanos deadline = 0;           // the response must be complete by then, unless a value is streamed
         Nanos latestStart = kNever;   // the request must not be written after this
         RequestBody* body = nullptr;  // the value of a write if it is streamed
     };
--- a/src/proxy/body_stream.hpp
+++ b/src/proxy/body_stream.hpp
@@ -1,8 +1,9 @@
 // Interfaces for passing a value that is too long to be buffered from a source to a sink, in chunks
 // and with backpressure.
 //
-// Neither side owns the other. Each side notifies the other when it goes away (`BodySink::onAborted`,
-// `BodySource::cancel`) and is not called again after that.
+// Neither side owns the other. A side that ends the stream early notifies the other one, and is not
+// called again after that: the source calls `BodySink::onAborted`, and the sink calls
+// `BodySource::cancel` or returns `FlowControl::closed`.
 #pragma once
 
 #include <cstdint>
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -31,8 +31,8 @@
 // In `closing`, the last response is known and no further input is parsed. In `lingering`, all
 // responses have been written and the client has 1 s to read them. The connection can be removed in
 // every state: its owner destroys it within the call of `Owner::remove`, and the object must not be
-// used afterwards. Functions after which a caller continues return `Existence` if they may remove
-// the connection.
+// used afterwards. A function that may remove the connection returns `Existence` if its callers use
+// the connection after the call.
 class ClientConnection : private transport::Connection::Handler,
                          private PipelinedRequest::Owner,
                          private StreamedWrite::Owner {
@@ -56,8 +56,8 @@
         virtual void onActive(ClientConnection& connection) = 0;
         // The client has sent its first valid request.
         virtual void onFirstValidRequest() = 0;
-        // The number of bytes that the connection buffers of responses, or of incomplete requests,
-        // has changed.
+        // The number of buffered bytes of the connection's responses, or of its incomplete requests,
+        // has changed from `before` to `after`.
         virtual void updateUnsentBytes(std::size_t before, std::size_t after) = 0;
         virtual void updatePartialRequestBytes(std::size_t before, std::size_t after) = 0;
         // Calls `continueReading` in the next iteration.
@@ -184,16 +184,19 @@
     std::string unparsed_;  // input after a streamed write, until that write is finished
     State state_ = State::open;
 
-    bool isReadingAllowed_ = false;  // whether it may be read, apart from its share of this iteration
-    std::uint64_t readIteration_ = 0;
-    std::size_t readInIteration_ = 0;  // bytes
+    // Whether the connection may be read, unless its share of the current iteration is used up.
+    bool isReadingAllowed_ = false;
+    std::uint64_t readIteration_ = 0;  // the last iteration in which bytes were read
+    std::size_t readInIteration_ = 0;  // the number of bytes read in `readIteration_`
     std::size_t ignoredBytes_ = 0;     // read after the connection left the state `open`
     PeerLiveness liveness_;
     bool hasSentValidRequest_ = false;
     Nanos lastActivity_ = 0;  // when the client last sent something or got a response
     Nanos lastReadAt_ = 0;    // when bytes were last read, or reading last resumed
     Nanos lastResponseAt_ = 0;
-    Nanos requestBegunAt_ = 0;  // start of the incomplete, or awaited first, request; 0 without one
+    // When the wait for the client's first request, or for the rest of an incomplete one, began; 0 if
+    // neither is awaited.
+    Nanos requestBegunAt_ = 0;
     // When the client last read a part of its responses or had none to read.
     Nanos unreadSince_ = 0;
     std::uint64_t sentBytesAtLastCheck_ = 0;
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -19,9 +19,9 @@
 
 constexpr Nanos kExhaustionReportInterval = 1'000 * kMillisecond;
 // The transport does not report the close of a connection that is not being read, so connections
-// with a pending request are checked at this interval, to free their resources. This check is not
-// what keeps attempts from starting after a close: `ClientConnection::isClientConnected` is asked
-// before each one.
+// with a pending request are checked at this interval, to free their resources. Attempts do not
+// depend on this check: `ClientConnection::isClientConnected` is called before each one, so that none
+// starts after a close.
 constexpr Nanos kDisconnectCheckInterval = 50 * kMillisecond;
 
 }  // namespace
@@ -117,9 +117,9 @@
 
 // ---- Closing of connections
 
-// Closes the first that is found of: a connection whose client is only reading its last response;
-// the least recently active one without a valid request, so that clients which send nothing, or
-// nothing valid, displace each other; the one that has idled longest.
+// At the limit, closes the first of these connections that exists: one whose client is only reading
+// its last response; the least recently active one without a valid request, so that clients which
+// send nothing, or nothing valid, displace each other; the one that has idled longest.
 bool ClientListener::ensureCapacity() {
     if (clients_.size() < maxClients_) return true;
     auto victim = std::find_if(clients_.begin(), clients_.end(),
--- a/src/proxy/dispatcher_events.hpp
+++ b/src/proxy/dispatcher_events.hpp
@@ -40,7 +40,7 @@
     bool isEjected;
 };
 
-// Applied in the order in which they occurred.
+// Events are applied in the order in which the dispatcher recorded them.
 struct DispatcherEvent {
     Nanos occurredAt;
     std::variant<RequestArrived, AttemptEnded, ClientDisconnected, EndpointsUpdated, SettingsChanged,
@@ -54,7 +54,7 @@
     Nanos latestStart;
 };
 
-// Executed in the order in which the policy asked for them.
+// Actions are executed in the order in which the policy asked for them.
 struct DispatcherAction {
     RequestId id;
     std::variant<StartAttempt, FinalResponse> payload;
--- a/src/proxy/drain_schedule.hpp
+++ b/src/proxy/drain_schedule.hpp
@@ -11,11 +11,11 @@
 // outstanding. The closing of idle connections is spread over an interval, so that few of them are
 // closed while a request is on its way. All times are absolute, on the monotonic clock.
 struct DrainSchedule {
-    Nanos startedAt = 0;    // connections with a response from then on may be closed
+    Nanos startedAt = 0;    // a connection may be closed once a response was sent on it after this
     Nanos idleFrom = 0;     // when the first idle connections are closed
     Nanos idleUntil = 0;    // when the last idle connections are closed
     Nanos acceptUntil = 0;  // when requests are no longer accepted
-    Nanos deadline = std::numeric_limits<Nanos>::max();  // requests that may last longer are not accepted
+    Nanos deadline = std::numeric_limits<Nanos>::max();  // requests that may last beyond it are not accepted
 
     // Whether a request whose client waits up to `timeout` is accepted at `now`.
     bool acceptsRequests(Nanos timeout, Nanos now) const;
--- a/src/proxy/invariant_guard.hpp
+++ b/src/proxy/invariant_guard.hpp
@@ -6,8 +6,8 @@
 // - Sending: the bytes of a request are sent to a server only while the endpoint list shows the server
 //   as ready at that address, no operator has ejected it, the request's client is connected, and the
 //   request's deadline has not passed.
-// - Repeating: a request that may have executed and must not execute twice is not sent again. One that
-//   may be repeated for a limited time is repeated only within that time.
+// - Repeating: a request that may have executed and must not execute twice is not sent again. A
+//   request that may be repeated for a limited time is repeated only within that time.
 // - Closing: the router does not close a client's connection while a request on it has no response,
 //   unless the client breaks the protocol, does not read, or fills the memory.
 // - Starting: an attempt starts only for an open request that has no other attempt in flight.
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -19,7 +19,7 @@
     RequestId id = 0;
     Nanos acceptedAt = 0;
     protocol::Request message;
-    ResponseSink* sink = nullptr;  // null after the final response, or if the client has disconnected
+    ResponseSink* sink = nullptr;  // null once the final response has begun, or the client has disconnected
     RequestBody* body = nullptr;   // value of a streamed write, until an attempt takes it
     Nanos deadline = 0;
     int attemptCount = 0;
@@ -36,10 +36,10 @@
     std::string requestClass;
     std::string tenant;
     std::string key;
-    Nanos since = 0;
+    Nanos since = 0;  // when the request arrived
     Nanos deadline = 0;
     int attemptCount = 0;
-    bool isAwaited = false;  // a client waits for its response
+    bool isAwaited = false;  // a client waits, and the final response has not begun
     std::string server;      // server of the attempt in flight; empty without one
     Nanos sentAt = 0;        // when the attempt in flight was sent
 };
--- a/src/proxy/pipelined_request.hpp
+++ b/src/proxy/pipelined_request.hpp
@@ -36,7 +36,8 @@
 
     explicit PipelinedRequest(Owner& owner) : owner_(owner) {}
 
-    // The dispatcher's request; null if it accepted none, or once it has released this sink.
+    // The dispatcher's request; null if the dispatcher accepted none, or has released
+    // this sink.
     PendingRequest* pending() const { return pending_; }
     void setPending(PendingRequest* pending) { pending_ = pending; }
 
@@ -49,7 +50,7 @@
 
     // The part of the response that is not written yet.
     const std::string& unsent() const { return unsent_; }
-    // Begins the response with `text`.
+    // Sets the whole response or, if it is streamed, the header before its chunks.
     void respond(std::string_view text);
     void append(std::string_view text) { unsent_.append(text); }
     void clearUnsent() { unsent_.clear(); }
@@ -58,7 +59,7 @@
     bool countStreamed(std::size_t size);
     // Detaches the source during a call that may destroy this request, so that it is not cancelled.
     BodySource* takeSource();
-    // Attaches the source again. It is paused if it was told that the sink is full.
+    // Attaches the source again. `isPaused` says whether it was told that the sink is full.
     void restoreSource(BodySource* source, bool isPaused);
     // Resumes a paused source.
     void resumeSource();
--- a/src/proxy/request_dispatcher.hpp
+++ b/src/proxy/request_dispatcher.hpp
@@ -64,9 +64,9 @@
     virtual void onClientDisconnected(PendingRequest& request);
     // The number of requests that are accepted and still held.
     std::size_t openRequests() const { return requests_.size(); }
-    // Of all requests that are held, the oldest first.
+    // The statuses of all open requests, the oldest first.
     std::vector<RequestStatus> requestStatuses() const;
-    // Completes all requests within this call: rejects those without an attempt, fails the others.
+    // Completes all requests within this call: rejects those that had no attempt, fails the others.
     void failAll();
 
     // ---- Upstream servers
--- a/src/proxy/request_pipeline.hpp
+++ b/src/proxy/request_pipeline.hpp
@@ -18,7 +18,7 @@
     PipelinedRequest& add(PipelinedRequest::Owner& owner) { return requests_.emplace_back(owner); }
     void remove(const PipelinedRequest& request);
 
-    // `respond` begins the response to a request with `text`, `append` adds to it.
+    // `respond` sets the response to a request, or the header of a streamed one; `append` adds to it.
     void respond(PipelinedRequest& request, std::string_view text);
     void append(PipelinedRequest& request, std::string_view text);
 
--- a/src/proxy/upstream_codec.hpp
+++ b/src/proxy/upstream_codec.hpp
@@ -26,8 +26,8 @@
     // The bytes that follow a streamed value; may be empty.
     virtual std::string_view bodyTerminator() const = 0;
 
-    // Consumes bytes from the front of `bytes`, at most up to the end of a response or of one chunk of
-    // it. After `chunk` it must be called again, even without bytes.
+    // Consumes bytes from the front of `bytes`, possibly all of them, and reports the end of a response
+    // or one chunk of it. After `chunk` it must be called again, even without bytes.
     virtual State feed(std::string_view& bytes) = 0;
     // The connection ended after the bytes fed so far. Returns `complete` if the response extends to
     // the end of the connection.
@@ -39,7 +39,7 @@
     virtual protocol::AttemptResponse takeResponse() = 0;
     // After `complete`: whether another request may be sent on the connection.
     virtual bool isReusable() const = 0;
-    // Bytes buffered of an incomplete response.
+    // The number of buffered bytes of an incomplete response.
     virtual std::size_t bufferedBytes() const = 0;
     // Prepares for the next response.
     virtual void clear() = 0;
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -68,7 +68,8 @@
     if (!success) return onConnectFailed();
     state_ = State::idle;
     owner_.onActivity();
-    // While the connection was being established, the server became unusable or its address changed.
+    // The server may have become unusable, or its address may have changed, while the connection was
+    // being established.
     if (isStale()) return owner_.remove(*this);
     connection_.setReading(true);
     becomeIdle();
@@ -135,8 +136,8 @@
     if (responseBodyLeft_ == 0) responseSink_ = nullptr;
     extendTimeout();
     if (control == FlowControl::full && responseSink_) {
-        // The client reads slowly. Its own connection limits for how long it may, so the attempt's timeout
-        // is stopped.
+        // The client reads slowly. `ClientConnection` limits for how long it may do so, so the attempt's
+        // timeout is stopped.
         connection_.setReading(false);
         attempt_->stopTimeout();
     }
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -15,8 +15,8 @@
 
 namespace poppyscale::proxy {
 
-// Carries one attempt at a time: responses come in order, so a second request would wait behind the
-// first if that one is slow.
+// Carries one attempt at a time: responses come in order, so a second request would wait behind a slow
+// first one.
 //
 //     connecting --> idle <--> busy
 //
@@ -90,7 +90,8 @@
 
     // Passes a chunk of a streamed response to the client. False when the connection was removed.
     bool forwardChunk(std::size_t length, std::string_view bytes);
-    // Removes the connection if the pool's buffer limit is exceeded.
+    // Sets the count of buffered response bytes. Ends the attempt and removes the connection if the
+    // pool's buffer limit is exceeded.
     void setBufferedBytes(std::size_t bytes);
     void extendTimeout();
 
@@ -100,7 +101,7 @@
     void endAttempt(protocol::AttemptResponse response, bool isReusable);
     // Removes the connection, and ends its attempt.
     void breakOff(AttemptOutcome outcome);
-    // Removes the connection, and ends an attempt that it does not carry any more; none if null.
+    // Removes the connection, and ends `attempt`, which is not attached to it any more; null for none.
     void removeAndEnd(Attempt* attempt, AttemptOutcome outcome);
 
     Owner& owner_;
@@ -114,7 +115,7 @@
     // Receiver of a streamed response; null once all of it was delivered.
     BodySink* responseSink_ = nullptr;
     std::size_t responseBodyLeft_ = 0;
-    // Body that is being streamed; null once the last chunk has come.
+    // Request body that is being streamed; null once its last chunk has arrived.
     RequestBody* requestBody_ = nullptr;
     std::size_t requestBodyLeft_ = 0;
     Nanos idleSince_ = 0;
--- a/src/proxy/upstream_server.cpp
+++ b/src/proxy/upstream_server.cpp
@@ -162,8 +162,9 @@
     connection->releaseAttempt();
     remove(*connection);
     // If the server sent no byte while the attempt was in flight, its machine may be cut off, which leaves
-    // its connections open and silent. The idle ones are closed then: the next attempt on a new connection
-    // fails as not executed, while on an old one it would time out and might have executed.
+    // its connections open although nothing arrives on them. The idle ones are closed then: the next attempt
+    // on a new connection fails as not executed, while on an old one it would time out and might have
+    // executed.
     while (lastActivity_ < attempt.sentAt()) {
         UpstreamConnection* const silent = mostRecentlyUsedIdle();
         if (!silent) break;
