--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -104,8 +104,8 @@
                     }) == 0;
         return isWriting;
     }
-    // Uses libuv's count for the first chunk: libuv calls back one iteration after the kernel took its
-    // last byte.
+    // Uses libuv's count for the first chunk: libuv calls back one iteration after the kernel took the
+    // chunk's last byte.
     std::size_t unsentBytes() const {
         if (!isWriting) return queuedBytes;
         const auto* const uvStream = reinterpret_cast<const uv_stream_t*>(&socket);
@@ -180,7 +180,7 @@
         },
         [](uv_stream_t* s, ssize_t count, const uv_buf_t*) {
             Handle& handle = Handle::of(s->data);
-            // Moved out before the call, since the handler may destroy this connection.
+            // The buffer is moved out before the call, since the handler may destroy this connection.
             auto buffer = std::move(handle.readBuffer);
             if (count == UV_EOF) handle.hasPeerFinished = handle.hasNoSocketError();
             if (handle.handler && count > 0)
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -6,9 +6,10 @@
 namespace poppyscale::transport {
 namespace {
 
-// Short, so that a poll that ends late shows that the process was held up.
+// Polls are short, so that a late end of one shows that the process was held up.
 constexpr Nanos kMaxPollDuration = 20 * kMillisecond;
 constexpr Nanos kMinHoldUp = 10 * kMillisecond;  // shorter delays occur on any busy machine
+// 1,000,000 s; see `EventLoop::now`.
 constexpr Nanos kClockOffset = 1'000'000 * kMillisecond * 1000;
 
 }  // namespace
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -108,7 +108,7 @@
     if (accepted < 0) {
         if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptStatus::backlogEmpty;
         const bool isExhausted = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-        // Other errors concern only this call or the first connection in the backlog, which is gone.
+        // Other errors concern only this call or the first connection in the backlog, which no longer exists.
         return isExhausted ? AcceptStatus::exhausted : AcceptStatus::retry;
     }
     bool isAdopted = false;
