--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-// Later than any real clock, and small enough not to overflow in nanoseconds.
+// A time later than any real clock shows, in milliseconds, that does not overflow in nanoseconds.
 constexpr std::int64_t kMaxStartedMs = 8'000'000'000'000;
 
 // The longest quotation of a name or value from a list in an error.
@@ -21,8 +21,8 @@
 
 enum class Source : std::uint8_t { discovery, configuration };
 
-// The start of `text`, up to kMaxQuotedBytes, followed by "..." if that is not all of it. Cut between
-// two UTF-8 characters, because errors are also sent as JSON.
+// The start of `text`, up to kMaxQuotedBytes, followed by "..." if that is not all of it. The cut is
+// between two UTF-8 characters, because errors are also sent as JSON.
 std::string quotableStart(std::string_view text) {
     if (text.size() <= kMaxQuotedBytes) return std::string(text);
     const auto isContinuation = [](char byte) { return (static_cast<unsigned char>(byte) & 0xC0) == 0x80; };
@@ -76,7 +76,7 @@
     return entry;
 }
 
-// Reads a list entry by entry and drops what is not needed as soon as it is parsed. A whole list as
+// Reads a list entry by entry and drops unneeded values as soon as they are parsed. A whole list as
 // a JSON tree takes five to forty times the memory of its text, and only the length of the text is
 // bounded.
 class EndpointListReader {
--- a/src/protocol/http_response.cpp
+++ b/src/protocol/http_response.cpp
@@ -98,8 +98,8 @@
     interimResponses_ = 0;
     listAgeMs_ = 0;
     streamedLength_ = 0;
-    // Replaced rather than cleared, to release their memory: each idle connection has one of these
-    // objects.
+    // The strings are replaced rather than cleared, to release their memory: each idle connection has
+    // one of these objects.
     headerField_ = std::string();
     headerValue_ = std::string();
     body_ = std::string();
--- a/src/protocol/http_response.hpp
+++ b/src/protocol/http_response.hpp
@@ -23,6 +23,8 @@
     HttpResponse& operator=(const HttpResponse&) = delete;
 
     enum class State : std::uint8_t { more, complete, malformed };
+    // Parses all of `bytes`. Those after the end of the response are ignored, but make `isKeepAlive`
+    // false.
     State feed(std::string_view bytes);
     // To be called when the connection has ended, which also ends a body without a Content-Length.
     State end();
--- a/src/protocol/request.cpp
+++ b/src/protocol/request.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
 constexpr std::size_t kMaxArgumentLength = 1024;  // bytes of a key, an id or an info list
-// Most bytes of a command's name that are quoted in an error.
+// The maximum number of bytes of a command's name that an error quotes.
 constexpr std::size_t kMaxQuotedLength = 32;
 
 constexpr std::string_view kPing = "PING";
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -64,7 +64,7 @@
         return (bulkBytesLeft_ || streamedLength_) && openArrays_.size() == 1 &&
                openArrays_[0].array.items.size() == limits_.streamedItem;
     }
-    // The bytes buffered of an incomplete value.
+    // The number of buffered bytes of an incomplete value.
     std::size_t bufferedBytes() const { return bufferedBytes_; }
 
   private:
--- a/src/protocol/startup_config.cpp
+++ b/src/protocol/startup_config.cpp
@@ -13,7 +13,7 @@
 
 // Bounds nested brackets, which take forty times the memory of their text.
 constexpr int kMaxDepth = 8;
-// Twice the longest backoff before discovery is polled again.
+// The longest backoff after a failed poll is half of the poll interval: 50 ms with this one.
 constexpr Nanos kMinPollInterval = 100 * kMillisecond;
 constexpr std::int64_t kMaxOpenRequests = 100'000'000;
 
@@ -25,9 +25,9 @@
 // Bounds the delays of polls by the drain grace period, which begins when a router counts as
 // notified of a change. Where routers poll, that is 6 s after discovery has the change, even for a
 // process that has just started with an older list. The first poll is made within half of the grace
-// period, which leaves the rest for its response. Where changes are pushed, that is the first
-// moment of a process and the first moment after a failure, so that every poll has to fit into the
-// grace period.
+// period, which leaves the rest for its response. Where changes are pushed, a router counts as
+// notified from the first moment of its process and from the first moment after a failure, so that
+// every poll has to fit into the grace period.
 void setPollIntervalWithin(Nanos gracePeriod, StartupConfig& config) {
     config.policy.maxFirstPollDelay = std::max(gracePeriod / 2, kMinPollInterval);
     if (config.policy.pollsEndpoints) return;
