--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -19,15 +19,15 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::milliseconds;
 
-// Longest time from the client's close to the start of an attempt.
+// The longest allowed time from the client's close to the start of an attempt.
 constexpr Milliseconds kMaxStartDelay{100};
 // How long the tests watch for late attempts once nothing delays them any more.
 constexpr Milliseconds kWatchDuration{300};
-// In bytes: more than the 64 KiB up to which a value is buffered, and little enough that the close
-// that follows it reaches the router's kernel while the value is unread.
+// The size of a value, in bytes: above the 64 KiB up to which values are buffered, and small enough that
+// the close that follows the value reaches the router's kernel while the value is unread.
 constexpr std::size_t kLongValueSize = 66'000;
 
-// Between a client's close and the event that lets the router start an attempt.
+// The delays between a client's close and the event that lets the router start an attempt.
 constexpr Milliseconds kDelays[] = {Milliseconds{0},  Milliseconds{30},  Milliseconds{60},
                                     Milliseconds{90}, Milliseconds{110}, Milliseconds{150}};
 
@@ -232,8 +232,7 @@
 }
 
 TEST_CASE("no late attempt when request and close arrive while the router is suspended") {
-    // After a suspension of just over 0.1 s, the router may take the request for younger than 0.1
-    // s.
+    // After a suspension of just over 0.1 s, the router may take the request to be less than 0.1 s old.
     for (int round = 0; round < 3; ++round)
         for (const int suspendedMs : {101, 103, 105, 108, 112, 120, 150}) {
             CAPTURE(suspendedMs);
@@ -320,7 +319,7 @@
         REQUIRE(attempts.size() == 1);
         attempts.front().send(answer.substr(0, answer.size() - withheld));
         CHECK(client.readBytes(kLongValueSize - withheld).size() == kLongValueSize - withheld);
-        // More than the router reads in one iteration.
+        // These are more bytes than the router reads in one iteration.
         client.send(manyGets(600, "k"));
         usleep(50'000);
         client.discardUnread();
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -92,7 +92,7 @@
     CHECK(decodeInChunks(elsewhere, "*3\r\n$1\r\nv\r\n$70001\r\n", 64).state == State::malformed);
 }
 
-TEST_CASE("Streams a long HTTP body; malformed if over 4 MiB, without a length or of an error response") {
+TEST_CASE("Streams a long HTTP body; one over 4 MiB, without a length or with an error status is malformed") {
     using State = protocol::HttpResponse::State;
     const std::string value = longValue(100'000);
     for (const std::size_t size : {1UL, 7UL, 50'000UL, 200'000UL}) {
@@ -182,7 +182,7 @@
     CHECK(isSame(client.readResponse(), value));
 }
 
-TEST_CASE("Closes the client's connection, and runs on, when a long response is broken off or malformed") {
+TEST_CASE("Closes the client's connection, and keeps running, if a long response breaks off or is invalid") {
     RouterFixture fixture;
     const std::string response = hit(longValue(200'000));
     for (const bool isMalformed : {false, true}) {
@@ -293,7 +293,7 @@
     }
 }
 
-TEST_CASE("Allows 2 s for a request's head, more for a value that keeps arriving; fails a stalled one") {
+TEST_CASE("Allows 2.5 s for a request's head, more for a value that keeps arriving; fails a stalled one") {
     RouterFixture fixture;
     const std::string value = longValue(100'000);
     Socket slow = fixture.client(), stalled = fixture.client(), unknown = fixture.client();
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -84,7 +84,8 @@
           "X-Call-Info: c=mark,t=north,d=120,k=5c,size=9\r\nContent-Length: 1\r\n\r\nV");
 }
 
-// Otherwise a client could add headers or another request to what the origin receives.
+// Unencoded keys and line breaks would let a client add headers or another request to the bytes that the
+// origin receives.
 TEST_CASE("A key is percent-encoded in the origin's path, and arguments with line breaks are errors") {
     CHECK(originRequest(requestOf(test::get("u:k/a?b%#")), "h", 5 * test::ms)
               .starts_with("GET /u:k%2Fa%3Fb%25%23 HTTP/1.1\r\n"));
@@ -236,8 +237,8 @@
     CHECK(errorFor(a32 + "a", -1) == "the weight of server '" + a32 + "...' is -1, expected at least 0");
 }
 
-// If the process polled later, it would still send requests to a draining server that may close at the
-// end of its grace period.
+// A process that polled later could still send requests to a draining server, which may close at the end
+// of its grace period.
 TEST_CASE("A process that starts with an old list polls within half of the drain grace period") {
     auto start = test::minimalStartConfig();
     start["listen"] = start["discovery"] = "127.0.0.1:1";
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -285,7 +285,7 @@
     serveOne(fixture, client, "e");
 }
 
-TEST_CASE("a response of another form closes its connection, and so do bytes that follow a valid one") {
+TEST_CASE("a response of unexpected form closes its connection, and so do bytes that follow a valid one") {
     RouterFixture fixture;
     Socket client = fixture.client();
     client.send(get("k"));
@@ -300,8 +300,8 @@
     cache.send(hit("vb") + hit("va"));
     CHECK(client.readResponse() == "vb");
     CHECK(cache.isClosedByPeer());
-    // Two requests at once, the second of which may wait for the connection of the first: the
-    // duplicate of the first one's response must not be taken for the second one's.
+    // Two requests are in flight at once, and the second may wait for the connection of the first. The
+    // duplicate of the first response must not be taken for the response to the second request.
     client.send(get("c"));
     cache = fixture.caches[0].accept();
     cache.readCommand();
@@ -492,8 +492,8 @@
     for (; answered < 1000 && !cache.isQuiet(300); ++answered) {
         cache.readCommand();
         cache.send(hit(value));
-        // Each request has an id of its own: it may arrive before the previous response is
-        // complete, and an id that is in use gets an error.
+        // Each request has an id of its own: a request may arrive before the previous response is
+        // complete, and one whose id is in use gets an error.
         unresponsive.send(get("k" + std::to_string(answered)));
     }
     CHECK(answered > 1);
