--- a/src/protocol/startup_config.hpp
+++ b/src/protocol/startup_config.hpp
@@ -18,7 +18,7 @@
     std::string discovery;  // ADDRESS:PORT
     std::string console;    // ADDRESS:PORT for operators; no console if empty
     PolicySettings policy;
-    EndpointList knownEndpoints;
+    EndpointList knownEndpoints;      // used until discovery has answered; may be outdated
     Nanos serverIdleTimeout = 0;      // cache servers close a connection that is idle for this time
     bool endpointsArePushed = false;  // a change counts as notified as soon as discovery has it
     Nanos pollWait = 0;               // how long a poll may wait at discovery for a change
