--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -20,8 +20,9 @@
 };
 
 // A poll times out when no byte of the response has arrived `kMaxSilence` after the end of its wait
-// at the source. Once the response has begun, the timeout is extended while bytes arrive. Handler,
-// loop and pool have to outlive the poll; the handler may destroy the poll in any callback.
+// at the source. Once the response has begun, the poll times out `kMaxStall` after the last byte
+// that arrived, and `kMaxResponseDuration` after the end of the wait at the latest. Handler, loop
+// and pool have to outlive the poll; the handler may destroy the poll in any callback.
 class EndpointPoll : private transport::Connection::Handler {
   public:
     class Handler {
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -32,8 +32,8 @@
         std::uint64_t seed = 0;               // seed for random pauses
         std::int64_t routerCount = 1;         // routers in the fleet
         std::size_t maxListBytes = 0;
-        // A change counts as known to the router as soon as the source has it, even without a poll
-        // in flight.
+        // The router counts as notified of a change as soon as the source has it, even without a
+        // poll in flight.
         bool isPushed = false;
     };
 
@@ -76,7 +76,8 @@
     void onRequestSent() override { ++pollsSent_; }
 
     void replaceSources(std::vector<EndpointSource> sources);
-    // True while one of several sources is tried: it has not responded since it became current.
+    // Whether there are several sources, and the current one has not responded since it became
+    // current.
     bool isProbing() const { return sourceSet_ && !sourceSet_->selector.isConfirmed(); }
     EndpointPoll::Request nextRequest();
     // Polls on a new connection, beside the polls in flight.
--- a/src/discovery/poll_pacing.hpp
+++ b/src/discovery/poll_pacing.hpp
@@ -1,4 +1,5 @@
-// When polls for the endpoint list begin, and how long each is kept. Free of I/O.
+// Decides when polls for the endpoint list begin, and how long each may wait at the source. Free of
+// I/O.
 //
 // A source that rejects polls counts as overloaded until it has responded promptly a few times. An
 // overloaded source may end a poll when the same router begins another one, so its polls are far
@@ -38,14 +39,16 @@
 // kMaxResponseDuration after the end of its wait at the latest.
 constexpr Nanos kMaxStall = 2'500 * kMillisecond;
 constexpr Nanos kMaxResponseDuration = 15'000 * kMillisecond;
-// From the end of its wait until a long poll without a response is overdue. A change counts as
-// known to the router 2 s after the wait; the second that remains is for another poll.
+// From the end of its wait until a long poll without a response is overdue. A router counts as
+// notified of a change 2 s after the end of the wait, even if no response has arrived; the second
+// that remains is for another poll.
 constexpr Nanos kLongPollGrace = 1'000 * kMillisecond;
 // From the start of a poll that has no response yet to the start of the next one.
 constexpr Nanos kMaxInterval = 2'200 * kMillisecond;
 constexpr Nanos kMinInterval = 1'800 * kMillisecond;
-// The same at an overloaded source: longer than the 3 to 4.5 s that the source needs for the polls
-// ahead, and short enough for another poll within 6 s.
+// From the start of a poll without a response to the start of the next one at an overloaded source.
+// It is longer than the 3 to 4.5 s that the source needs for the polls queued before this one, and
+// short enough for another poll within 6 s.
 constexpr Nanos kOverloadedInterval = 4'600 * kMillisecond;
 // From the start of a poll that an overloaded source responded to, to the start of the next one.
 constexpr Nanos kOverloadedPeriod = 5'000 * kMillisecond;
@@ -72,13 +75,14 @@
 constexpr Nanos kMaxPause = 1'500 * kMillisecond;
 constexpr Nanos kPausePerRouter = 5 * kMillisecond;
 
-// Its decisions depend only on the seed and on the responses, rejections and times passed to it.
-// All random pauses come from one generator, in the order of the calls.
+// Makes the decisions above for one router. They depend only on the seed and on the responses,
+// rejections and times passed in. All random pauses come from one generator, in the order of the
+// calls.
 class PollPacing {
   public:
     // `routerCount`: routers that poll the same source. `mayBeOverloaded`: whether a source may
-    // count as overloaded. False where changes count as known as soon as the source has them, or
-    // where another source can be polled instead.
+    // count as overloaded. False where a router counts as notified of a change as soon as the source
+    // has it, or where another source can be polled instead.
     PollPacing(std::int64_t routerCount, std::uint64_t seed, bool mayBeOverloaded);
     void setMayBeOverloaded(bool mayBeOverloaded);
     void setRouterCount(std::int64_t routerCount) { routerCount_ = routerCount; }
--- a/src/discovery/server_start_times.hpp
+++ b/src/discovery/server_start_times.hpp
@@ -27,10 +27,11 @@
 
 class ServerStartTimes {
   public:
-    // How long an offset is kept after a step away from it.
+    // How long an offset is kept after a step of the wall clock has replaced it by another.
     static constexpr Nanos kOffsetRetention = 600'000 * kMillisecond;
-    // A difference up to this one is the drift of the clock, or a start just recorded on another
-    // machine.
+    // Offsets that differ by at most this much count as one: the difference is the drift of the
+    // clock. A start time that is at most this far in the future counts as the present: a server on
+    // another machine has just started.
     static constexpr Nanos kTolerance = 50 * kMillisecond;
     static constexpr std::size_t kMaxOffsets = 16;
 
--- a/src/discovery/source_selector.hpp
+++ b/src/discovery/source_selector.hpp
@@ -7,10 +7,10 @@
 //   spread over the sources, and the routers that lose one spread over the others.
 // - Jitter: the pause after the loss of a source is random within kLossJitter, so that routers that
 //   lose a source together don't arrive at another one together.
-// - Bound: with any one of the sources alive, its response arrives within kRecoveryBound after the
-//   failure is detected, if each attempt ends within its timeout and the living source responds
-//   within that timeout. This holds for the first round of an outage, in which each source is
-//   polled once, the lost one last.
+// - Bound: if at least one source works, its response arrives within kRecoveryBound after the
+//   failure is detected, provided that each attempt ends within its timeout and the working source
+//   responds within that timeout. This holds for the first round of an outage, in which each source
+//   is polled once, the lost one last.
 // - Backoff: after the first round, each source is polled again after a backoff of its own: a
 //   random time between half and all of a limit that doubles with each failure, up to kMaxBackoff.
 //   Timeouts grow up to kMaxTimeout, for slow sources.
@@ -40,8 +40,8 @@
 constexpr Nanos kMaxBackoff = 4'000 * kMillisecond;
 constexpr Nanos kMaxTimeout = 2'000 * kMillisecond;  // limit of the timeout of one attempt
 
-// The mechanisms behind the guarantees above. Only tests disable one, to prove that its check finds
-// that.
+// The mechanisms behind the guarantees above. Only tests disable one, to prove that the check of its
+// guarantee then fails.
 enum class Safeguard : std::uint8_t { stickiness, spread, jitter, bound, backoff, versionGuard };
 
 struct Attempt {
