--- a/src/endpoint_distribution/distributor.hpp
+++ b/src/endpoint_distribution/distributor.hpp
@@ -91,8 +91,8 @@
     void onReaderBytesSent(Nanos now, ReaderId reader, std::size_t unsent);
     void onReaderClosed(Nanos now, ReaderId reader);
 
-    // The result of the last `pollUpstream`. `upstreamAge` is the age that the upstream reports for
-    // its list.
+    // The result of the last `DistributorHost::pollUpstream`. `upstreamAge` is the age that the
+    // upstream reports for its list.
     void onUpstreamResponse(Nanos now, ListUpdate update, Nanos upstreamAge);
     void onUpstreamFailed(Nanos now, Failure failure, std::string_view reason);
 
--- a/src/endpoint_distribution/list_state.hpp
+++ b/src/endpoint_distribution/list_state.hpp
@@ -29,7 +29,8 @@
     // disconnected for longer, a complete list is cheaper.
     static constexpr std::size_t kDefaultTombstones = 65'536;
 
-    // Which limits `hasChangesSince` respects. Only tests disable one, to prove that they notice.
+    // Which limits `hasChangesSince` respects. Only tests disable one, to prove that they fail
+    // without it.
     struct RetainedBounds {
         bool gaps = true;
         bool droppedTombstones = true;
--- a/src/endpoint_distribution/upstream_poller.hpp
+++ b/src/endpoint_distribution/upstream_poller.hpp
@@ -4,9 +4,9 @@
 // When an upstream fails, the next one is polled. The pauses between attempts grow from kMinBackoff
 // to kMaxBackoff; they are divided by the number of upstreams and have jitter. The first poll after
 // a failure does not wait for a change, so that an upstream which accepts connections but never
-// responds is detected within the response timeout. When as many polls in a row have timed out as
-// there are upstreams, that timeout is doubled, up to kMaxResponseTimeout. It is reset
-// kResponseTimeoutRetention after the last poll that timed out.
+// responds is detected within the response timeout. When as many polls as there are upstreams have
+// timed out without a successful one in between, that timeout is doubled, up to
+// kMaxResponseTimeout. It is reset kResponseTimeoutRetention after the last poll that timed out.
 #pragma once
 
 #include <cstddef>
@@ -76,7 +76,7 @@
     Nanos dueAt_;
     bool needsCompleteList_ = true;
     bool isProbing_ = true;  // no successful poll since the last failure
-    int failures_ = 0;       // consecutive
+    int failures_ = 0;       // pauses since the last successful poll
     std::string lastFailure_ = "no upstream has responded yet";
 
     Nanos responseTimeout_ = kResponseTimeout;
--- a/src/endpoint_distributor/reader_connection.cpp
+++ b/src/endpoint_distributor/reader_connection.cpp
@@ -14,8 +14,8 @@
 using endpoint_distribution::ReaderId;
 using endpoint_distribution::SharedBytes;
 
-constexpr std::size_t kMaxPendingBytes = 16 * 1024;  // received before the open request is answered
-constexpr std::size_t kChunkBytes = 32 * 1024;       // passed to the connection at a time
+constexpr std::size_t kMaxPendingBytes = 16 * 1024;  // limit for unparsed bytes behind an open request
+constexpr std::size_t kChunkBytes = 32 * 1024;       // most bytes passed to the connection at a time
 
 const char* reasonPhrase(int status) {
     switch (status) {
--- a/src/endpoint_distributor/reader_connection.hpp
+++ b/src/endpoint_distributor/reader_connection.hpp
@@ -42,7 +42,8 @@
     ReaderConnection(transport::EventLoop& loop, transport::BufferPool& pool, Owner& owner,
                      endpoint_distribution::ReaderId id);
 
-    // Accepts a connection by `accept`. Returns false if that failed.
+    // Calls `accept` to take over the accepted socket, and starts to read. Returns false if `accept`
+    // failed.
     bool start(const std::function<bool(transport::Connection&)>& accept);
     // Answers the open request. Returns the number of bytes that are still to be sent.
     std::size_t respond(const endpoint_distribution::ListResponse& response);
