--- a/src/control/operator_session.hpp
+++ b/src/control/operator_session.hpp
@@ -39,8 +39,8 @@
     bool passDescriptor(int descriptor);
     // Whether the peer has closed, though bytes that it sent before may not have been read yet.
     bool hasPeerClosed() const { return connection_.hasPeerClosed(); }
-    // Called once when the session ends on its side: the peer has closed, or the session is closed
-    // for an error. Not called when the owner destroys the session on its own.
+    // Called once after the peer has closed, or the session has been closed for an error; the session
+    // is destroyed by then. Not called when the owner destroys the session for another reason.
     std::function<void()> onPeerClosed;
 
   private:
--- a/src/process/hot_restart/hot_restart.hpp
+++ b/src/process/hot_restart/hot_restart.hpp
@@ -22,9 +22,10 @@
 
 // Owns the hot restart in progress; there is at most one. The new process is started by this
 // process on an operator's `upgrade` command, or independently, for example by a supervisor.
-// Guarantees: this process serves until the new one has reported that it is ready and its
-// connection is still open. Otherwise the hot restart fails, the reason is logged and sent to the
-// operator, and a new process that was started here is killed. Runs on the event loop.
+// Guarantees: this process serves until the new one has reported that it is ready, over a connection
+// that is still open when the report is read. Otherwise the hot restart fails, the reason is logged
+// and sent to the operator, and a new process that was started here is killed. Runs on the event
+// loop.
 class HotRestart {
   public:
     // Called on the event loop.
--- a/src/process/hot_restart/messages.hpp
+++ b/src/process/hot_restart/messages.hpp
@@ -20,8 +20,8 @@
 inline constexpr std::string_view kClientCountNotice = "holds";       // between peers, without an answer
 inline constexpr std::string_view kOperatorCommandNotice = "word";    // between peers, without an answer
 
-// The name of a request; empty without one. All reading functions throw nlohmann::json::exception
-// for a malformed message.
+// The value of the field "do"; empty if the message has none. All reading functions throw
+// nlohmann::json::exception for a malformed message.
 std::string requestName(const nlohmann::json& message);
 
 // The program in an operator's `upgrade` request, if any.
--- a/src/process/hot_restart/peer_processes.hpp
+++ b/src/process/hot_restart/peer_processes.hpp
@@ -44,8 +44,8 @@
     bool isAlone() const { return peers_.empty(); }
     // The number of clients of all other processes.
     std::size_t peerClientCount() const;
-    // Sends the number of clients of this process to the peers when it has changed enough. To be
-    // called in each iteration.
+    // Sends the number of clients of this process to the peers when it has changed by at least eight
+    // since the last report, or has fallen to 0. To be called in each iteration.
     void reportClientCount(std::size_t clients);
 
   private:
--- a/src/process/operator_state_store.hpp
+++ b/src/process/operator_state_store.hpp
@@ -48,8 +48,8 @@
     // Applies a change made at another process of this router; returns whether it changed this
     // state.
     bool applyFromPeer(std::string_view line);
-    // Reads the file again, which another process may have written; a file that can't be read
-    // changes nothing.
+    // Reads the file again, which another process may have written. A file with any problem changes
+    // nothing; a missing file counts as an empty state.
     void reload();
 
   private:
--- a/src/process/resource_limits.cpp
+++ b/src/process/resource_limits.cpp
@@ -10,10 +10,11 @@
 // For the standard streams, event loop, signals, client listener, discovery and the operator's
 // socket.
 constexpr std::size_t kReservedDescriptors = 32;
-// Without partial requests and unsent responses, which have their own limit (`maxClientBytes`).
+// Memory of one client, without its partial requests and unsent responses, which have their own limit
+// (`maxClientBytes`).
 constexpr std::size_t kBytesPerClient = 8 * 1024;
-// While a list is being parsed, memory also holds a growing copy of half of it and the entries made
-// from it.
+// A list may be as long as this part of the memory limit. While it is read, memory also holds the
+// shorter buffer that it has outgrown, half of its length, and the entries parsed from it.
 constexpr std::size_t kListMemoryDivisor = 32;
 constexpr std::size_t kShownRequestsMemoryDivisor = 32;
 
