--- a/src/base/decaying_sum.hpp
+++ b/src/base/decaying_sum.hpp
@@ -31,8 +31,8 @@
     Nanos updatedAt_ = 0;
 };
 
-// The value of a DecayingSum, `elapsed` after its start, to which 1 was added in each nanosecond. A
-// sum divided by this value is a rate per nanosecond, even when the sum is younger than its time
+// The value that a DecayingSum has `elapsed` after its start if 1 is added to it in each nanosecond.
+// A sum divided by this value is a rate per nanosecond, even when the sum is younger than its time
 // constant.
 inline double effectiveDuration(Nanos timeConstant, Nanos elapsed) {
     const auto constant = static_cast<double>(timeConstant);
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -6,8 +6,9 @@
 
 namespace poppyscale {
 
-// A point in time or a duration, in nanoseconds. Points in time are those of the monotonic clock that the
-// program, or the simulator, passes in; nothing below the programs reads a clock.
+// A point in time or a duration, in nanoseconds. Points in time are those of one monotonic clock:
+// `transport::EventLoop::now` in the programs, virtual time in the simulator. Code that does no I/O reads
+// no clock; it gets the time as an argument.
 using Nanos = std::int64_t;
 
 constexpr Nanos kMillisecond = 1'000'000;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -74,8 +74,8 @@
     return addresses;
 }
 
-// Rejects the deployment's tables: if it were described in two places, these would contradict each
-// other in time.
+// Rejects the deployment's tables: two descriptions of one deployment would sooner or later
+// contradict each other.
 void rejectDeploymentConfig(TomlTable& root) {
     for (const char* const key : kDeploymentTables) {
         if (root.has(key))
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -57,7 +57,7 @@
     TomlTable(const toml::table& table, ConfigProblems& problems, std::string path = "")
         : table_(table), problems_(problems), path_(std::move(path)) {}
 
-    // Records a problem with `key`, or with the table where the key is missing.
+    // Records a problem with `key`, at the line of the key, or of the table if it lacks the key.
     void problem(std::string_view key, std::string_view reason);
 
     double number(std::string_view key, std::optional<double> defaultValue, double min = 0,
--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -41,7 +41,8 @@
     // Adds new request classes and takes over latency objectives; removed classes keep their counters.
     void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
-    // Each accepted request ends with one of the next four calls.
+    // Each accepted request ends with one call of `recordSucceeded`, `recordRejected`, `recordFailed`
+    // or `recordAbandoned`. A request beyond the limit of open requests is only recorded as rejected.
     void recordAccepted(std::string_view requestClass);
     void recordSucceeded(std::string_view requestClass, Nanos latency);
     void recordRejected(std::string_view requestClass, Rejection reason);
@@ -77,7 +78,7 @@
     std::map<std::string, RequestClassMetrics, std::less<>> requestClasses_;
     std::uint64_t attempts_ = 0;
     std::uint64_t originAttempts_ = 0;
-    std::uint64_t failed_ = 0;  // attempts, like the four counters below
+    std::uint64_t failed_ = 0;  // counts attempts, as the four counters below do
     std::uint64_t timedOut_ = 0;
     std::uint64_t connectionsLost_ = 0;
     std::uint64_t overloaded_ = 0;
