--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -27,7 +27,7 @@
 
 // Why a request was rejected.
 enum class Rejection : std::uint8_t {
-    requestLimit,        // rejected by the router, at its limit of open requests
+    requestLimit,        // rejected by the router, at its limit of open requests or of buffered bytes
     beforeFirstAttempt,  // rejected by the policy, before any attempt
     // Rejected by the policy, after an attempt that was not executed or may be repeated.
     afterAttempt
@@ -42,7 +42,7 @@
     void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
     // Each accepted request ends with one call of `recordSucceeded`, `recordRejected`, `recordFailed`
-    // or `recordAbandoned`. A request beyond the limit of open requests is only recorded as rejected.
+    // or `recordAbandoned`. A request rejected for `requestLimit` is never accepted.
     void recordAccepted(std::string_view requestClass);
     void recordSucceeded(std::string_view requestClass, Nanos latency);
     void recordRejected(std::string_view requestClass, Rejection reason);
