--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -41,9 +41,9 @@
     outdated,   // an older version than the router's
 };
 
-// Lasts for `duration`, and then until one more request has failed, so that the router is at the
-// beginning of a pause or timeout when the step ends. Refused and hanging connections can't be
-// observed: these steps end after `duration`.
+// One failure of discovery. It lasts for `duration`, and then until one more request has failed, so
+// that the router is at the beginning of a pause or timeout when the step ends. Refused and hanging
+// connections can't be observed: these steps end after `duration`.
 struct Step {
     Failure failure;
     milliseconds duration;
@@ -443,7 +443,7 @@
 
 // A router needs a descriptor for its poll. Clients that take all descriptors would cut it off from
 // discovery.
-TEST_CASE("receives the list within 6 s after discovery recovers while idle clients take all client places") {
+TEST_CASE("receives the list within 6 s after discovery recovers while idle clients fill the client limit") {
     constexpr std::size_t kDescriptors = 128;
     TestServer oldCache, newCache, origin;
     ReservedPort reservedPort, consolePort;
--- a/tests/endpoint_distributor_test.cpp
+++ b/tests/endpoint_distributor_test.cpp
@@ -92,7 +92,7 @@
     CHECK(migrateTo(0));
 }
 
-// Guards against changes that are lost or late when the upstream in use dies, and against a
+// Guards against changes that are lost or late when the upstream in use is killed, and against a
 // restarted distributor that does not serve again.
 TEST_CASE("Fails over from a killed upstream distributor, which serves again after its restart") {
     Discovery discovery;
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -1,4 +1,4 @@
-// A router process with several sources of its endpoint list, which the test plays.
+// Tests of a router process with several sources of its endpoint list. The test emulates the sources.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -27,7 +27,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kChangeWithin{5'000};
-constexpr milliseconds kStartWithin{30'000};  // a process with sanitizers on a busy machine
+constexpr milliseconds kStartWithin{30'000};  // enough for a process with sanitizers on a busy machine
 
 // Each test run has a range of versions of its own. A source's port may have belonged to another
 // run whose router still polls it; that router's requests are recognized by their versions.
@@ -60,7 +60,7 @@
         const std::lock_guard lock(mutex_);
         behaviour_ = behaviour;
     }
-    // Every waiting request is answered, even with an older version.
+    // Changes the version of the list. Every waiting request is answered, even with an older version.
     void publish(int step) {
         const std::lock_guard lock(mutex_);
         version_ = versionOf(step);
@@ -236,7 +236,7 @@
     Program program;
 };
 
-// Whether a request line, from the one of that index on, starts with `prefix`.
+// Whether a request line starts with `prefix`, not counting the first `from` requests.
 bool hasRequest(const StandInSource& source, const std::string& prefix, std::size_t from = 0) {
     const auto all = source.requests();
     return std::any_of(all.begin() + static_cast<long>(std::min(from, all.size())), all.end(),
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -46,8 +46,8 @@
     std::string path;
 };
 
-// A router with a memory limit of 56 MB, one of 350, with a console and an operators' socket. The
-// test plays its discovery.
+// One of 350 routers, with a memory limit of 56 MB, a console and an operators' socket. The test
+// emulates its discovery server.
 class LargeDeployment {
   public:
     LargeDeployment() : program_(configuration().dump(), "[admin]\nsocket = \"{}/admin.sock\"\n") {
@@ -117,8 +117,8 @@
     Socket pollConnection_{-1};
 };
 
-// The process that listens at an operators' socket; 0 for none, as between the two of a hot
-// restart.
+// The process that listens at an operators' socket; 0 if there is none, which may be so for a moment
+// during a hot restart.
 pid_t pidAt(const std::string& socket) try {
     return ctl::sendRequest(socket, {{"do", "status"}}, kResponseTimeoutMs).value("pid", 0);
 } catch (const ctl::Unreachable&) {
@@ -138,7 +138,7 @@
 
 }  // namespace
 
-// Buffers for a list, its size limit and the memory limit have to hold for lists of this size.
+// The buffers for a list, its size limit and the memory limit have to suffice for lists of this size.
 TEST_CASE("one of 350 routers applies lists of 1,500 servers, 1,500 others, and 3,100, as indented JSON") {
     LargeDeployment deployment;
     CHECK(deployment.askAdmin("status")
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -72,7 +72,8 @@
     nlohmann::json config;
 };
 
-// Serves the cache servers, each connection on a thread of its own. The response is the request's id.
+// Answers the requests to the cache servers, each connection on a thread of its own. The value in a
+// response is the request's id.
 class RespondingCaches {
   public:
     explicit RespondingCaches(Deployment& deployment) {
@@ -368,7 +369,8 @@
                     const std::string key = std::to_string(c) + "-" + std::to_string(i);
                     if (!client.isQuiet(0)) client = deployment.client();  // closed meanwhile
                     std::string response = client.send(get(key)).readResponse();
-                    // The router closed while the request was on its way, so that it may be retried once.
+                    // The router closed the connection while the request was on its way, so that the
+                    // request may be retried once.
                     if (response.empty()) {
                         ++retried;
                         client = deployment.client();
--- a/tests/router_process_test.cpp
+++ b/tests/router_process_test.cpp
@@ -81,8 +81,8 @@
             const std::string line = message.dump() + "\n";
             (void)!::send(descriptor, line.data(), line.size(), MSG_NOSIGNAL);
         }
-        // Discarded JSON when the other side has closed or sends nothing in time. Reads single
-        // bytes, because a descriptor may follow the line.
+        // Returns a discarded JSON value when the other side has closed or sends nothing in time.
+        // Reads single bytes, because a descriptor may follow the line.
         nlohmann::json receive(int timeoutMs = 3 * kWaitTimeoutMs) const {
             std::string line;
             for (char byte = 0; becomesReadable(descriptor, timeoutMs) &&
@@ -326,7 +326,7 @@
             const std::string expectedLog =
                 isMalformed ? "the old configuration stays in effect" : "reloaded the configuration";
             CHECK(becomesTrue([&] { return router.program.log().find(expectedLog) != std::string::npos; }));
-            // Lasts beyond the new timeouts, and beyond the end of a drain based on them.
+            // This pause exceeds the new timeouts, and the duration of a drain based on them.
             usleep(900'000);
             CHECK(client.isQuiet(0));
             origin.send(http(200, "receipt"));
@@ -404,7 +404,7 @@
         CHECK(passedSocket >= 0);
         CHECK(router.request({{"do", "take-over"}}).contains("error"));
         CHECK(router.request({{"do", "reload"}}).at("error") == "a hot restart is in progress");
-        CHECK(router.request({{"do", "ready"}}).contains("error"));  // reported by another connection
+        CHECK(router.request({{"do", "ready"}}).contains("error"));  // reported over another connection
         close(passedSocket);
     }
     CHECK(becomesTrue([&] { return !router.request({{"do", "status"}}).at("upgrading").get<bool>(); }));
@@ -495,7 +495,7 @@
     }
     router.program.signal(SIGKILL);
     router.program.exitCode();
-    // From now on this test plays the old process.
+    // From now on the test acts as the old process.
     unlink(router.program.operatorSocketPath().c_str());
     const int oldProcessSocket = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_un address{};
@@ -593,10 +593,10 @@
     CHECK(client.readResponse() == "-ERR failed");  // the request may have been executed
 }
 
-// Discovery accepts polls and does not answer some of them. A router that waited on would send
-// requests to a cache server that drains.
+// Discovery accepts polls and does not answer some of them. A router that continued to wait for them
+// would send requests to a cache server that drains.
 TEST_CASE(
-    "an unanswered endpoint poll is repeated before a missed drain counts, and is shown in the status") {
+    "an unanswered endpoint poll is repeated before the router counts as notified; the status shows it") {
     auto start = minimalStartConfig();
     start["settings"]["rules"]["askWithinUs"] = 2'000'000;
     RouterInstance router(start);
@@ -612,8 +612,8 @@
     const auto pollWaitMs = [](const std::string& request) {
         return std::stoi(request.substr(request.find("wait_ms=") + 8));
     };
-    // The first poll and the poll after the first response are not answered. A change that a poll
-    // has missed counts from two seconds (askWithinUs) after its poll wait.
+    // The first poll and the poll after the first response are not answered. A router counts as
+    // notified of a change two seconds (askWithinUs) after the wait of a poll that missed the change.
     std::vector<int> pollWaitsMs;
     Socket unanswered = router.discovery.accept();
     for (int version : {8, 9}) {
@@ -912,8 +912,9 @@
 // Without a free descriptor the old process can't accept the connection of the new one. The hot
 // restart must fail without effect on clients, and a later one must succeed.
 TEST_CASE("hot restart: fails while the old process has no free descriptor, and succeeds afterwards") {
-    // Without discovery, whose poll could time out meanwhile: UBSan needs free descriptors (a pipe) to
-    // read a vtable, and without them reports a valid object as an invalid vptr.
+    // The router has no discovery, as a poll could time out while no descriptor is free: UBSan needs
+    // free descriptors (a pipe) to read a vtable, and without them reports a valid object as an invalid
+    // vptr.
     RouterInstance router(kRequestClasses, "descriptors = 256\n");
     Socket client = router.client();
     CHECK(client.send(array({"PING"})).readLine() == "+PONG");
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -85,7 +85,7 @@
     CHECK(clocks.ageOf("always", 0) == clocks.now);
 }
 
-TEST_CASE("after two steps between two lists the lowest age counts whose start is not in the future") {
+TEST_CASE("after two steps between two lists, the lowest age whose start is not in the future counts") {
     Clocks clocks;
     clocks.receiveList();
     clocks.advance(kSecond);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -181,8 +181,8 @@
     CHECK(fixture.caches[1].isQuiet(0));
 }
 
-// The retry waits for a connection that is established after the idempotency key may have expired.
-// Sent then, the retry could be executed a second time.
+// The retry waits for a connection that is established after the idempotency key may have expired. If
+// the retry were sent then, the request could be executed a second time.
 TEST_CASE("a retry is not sent once its idempotency key may have expired, however late its connection is") {
     auto start = startWithLongConnectTimeout();
     start["settings"]["verbs"][1]["keyTtlUs"] = 900'000;
@@ -278,7 +278,7 @@
     fixture.program.signal(SIGSTOP);
     cache.send(hit("V"));
     origin.send(http(200, "receipt"));
-    // Lasts beyond both timeouts and the timeout for the rest of a partial request.
+    // This pause exceeds both timeouts and the timeout for the rest of a partial request.
     usleep(2'700'000);
     partialClient.send(late.substr(20));
     fixture.program.signal(SIGCONT);
--- a/tests/source_selector_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -26,7 +26,8 @@
 // Each check returns a description of the first violation of its guarantee, or nothing.
 using Violation = std::optional<std::string>;
 
-// Per seed, one outage with one random source alive; each of the others fails at once or times out.
+// For each seed, there is an outage in which one random source works, and each of the others fails at
+// once or times out.
 Violation checkBound(const DisabledSafeguards& disabled) {
     for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
         std::mt19937_64 random(seed);
@@ -40,7 +41,7 @@
             now = next.at;
             const bool isAlive = next.source == alive;
             const bool failsAtOnce = !isAlive && random() % 2 == 0;
-            // The living source responds as late as its timeout allows.
+            // The working source responds as late as its timeout allows.
             if (!failsAtOnce) now += selector.attemptTimeout();
             if (now - kBegin > kRecoveryBound)
                 return "seed " + std::to_string(seed) +
