--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -36,7 +36,7 @@
     // Delay before the first byte of a response, whose content is fixed when the poll arrives.
     milliseconds delay = 0ms;
     milliseconds spread = 0ms;          // time from the first byte of a response to its last
-    int resets = 0;                     // number of first polls whose connection is reset
+    int resets = 0;                     // the connections of the first `resets` polls are reset
     double rejectedShare = 0;           // share of polls that are rejected with 503 at once
     milliseconds timePerRequest = 0ms;  // if set, polls are served one at a time, each for this time
     milliseconds maxQueueTime = 3s;     // a poll that would wait longer is rejected with 503
@@ -248,8 +248,8 @@
         std::chrono::duration_cast<milliseconds>(Clock::now() - trial.discovery.changedAt());
     becomesTrue([&] { return trial.discovery.delays().size() >= routers; }, kObservedFor - observed);
     auto delays = trial.discovery.delays();
-    // Each router polls with the new version repeatedly. The first of these polls of all routers
-    // come before any repetition.
+    // Each router polls with the new version repeatedly. Every router's first such poll comes before
+    // any repetition.
     if (delays.size() > routers) delays.resize(routers);
     const auto latest = delays.empty() ? kObservedFor : *std::max_element(delays.begin(), delays.end());
     MESSAGE(trial.name << ": " << delays.size() << " of " << routers
