--- a/src/metrics/router_metrics.hpp
+++ b/src/metrics/router_metrics.hpp
@@ -27,7 +27,7 @@
 
 // Why a request was rejected.
 enum class Rejection : std::uint8_t {
-    requestLimit,        // rejected by the router, at its limit of open requests
+    requestLimit,        // rejected by the router, at its limit of open requests or of buffered bytes
     beforeFirstAttempt,  // rejected by the policy, before any attempt
     // Rejected by the policy, after an attempt that was not executed or may be repeated.
     afterAttempt
@@ -41,7 +41,8 @@
     // Adds new request classes and takes over latency objectives; removed classes keep their counters.
     void updateRequestClasses(const std::vector<RequestClass>& requestClasses);
 
-    // Each accepted request ends with one of the next four calls.
+    // Each accepted request ends with one call of `recordSucceeded`, `recordRejected`, `recordFailed`
+    // or `recordAbandoned`. A request rejected for `requestLimit` is never accepted.
     void recordAccepted(std::string_view requestClass);
     void recordSucceeded(std::string_view requestClass, Nanos latency);
     void recordRejected(std::string_view requestClass, Rejection reason);
@@ -77,7 +78,7 @@
     std::map<std::string, RequestClassMetrics, std::less<>> requestClasses_;
     std::uint64_t attempts_ = 0;
     std::uint64_t originAttempts_ = 0;
-    std::uint64_t failed_ = 0;  // attempts, like the four counters below
+    std::uint64_t failed_ = 0;  // counts attempts, as the four counters below do
     std::uint64_t timedOut_ = 0;
     std::uint64_t connectionsLost_ = 0;
     std::uint64_t overloaded_ = 0;
