--- a/src/rollout/decaying_statistics.cpp
+++ b/src/rollout/decaying_statistics.cpp
@@ -6,7 +6,7 @@
 namespace poppyscale::rollout {
 namespace {
 
-constexpr double kMinExpected = 0.5;  // events; the chi-square approximation fails below it
+constexpr double kMinExpected = 0.5;  // events of an instance; with fewer, the chi-square approximation fails
 // Prior: added to both the chi-square and the degrees of freedom, so that few instances do not give
 // extreme values.
 constexpr double kPriorDegreesOfFreedom = 3;
--- a/src/rollout/decaying_statistics.hpp
+++ b/src/rollout/decaying_statistics.hpp
@@ -38,7 +38,7 @@
     void add(Nanos now, int instance, double bad, double expected);
     // Drops an instance that no longer serves as a reference.
     void forget(int instance) { sums_.erase(instance); }
-    // At least 1.
+    // At least 1, which means no more difference than chance gives, or too few events to tell.
     double value() const;
 
   private:
--- a/src/rollout/evidence.hpp
+++ b/src/rollout/evidence.hpp
@@ -1,23 +1,23 @@
 // Sequential evidence that the changed side does worse than the unchanged side. It may be read
 // after any window and at any time without inflating the rate of false alarms.
 //
-// If both sides do alike, up to margin and allowance, each bad event of a window falls to the
+// If both sides perform alike, up to margin and allowance, each bad event of a window is on the
 // changed side with probability q, which is the changed side's part of all expected bad events. If
-// the changed side's rate is r times as high, the probability is qr / (1 - q + qr). If nothing is
-// worse, the product over windows of the likelihood ratios, mixed over a few r, is a martingale
-// that starts at 1. By Ville's inequality it then ever reaches 1/a with probability a at most (Wald
-// 1945; Robbins 1970; the form used for A/B tests: Johari, Pekelis and Walsh, "Always valid
-// inference", 2015). Each window and zone is compared separately, so a fault that hits both sides
-// alike is no evidence.
+// the changed side's rate is r times as high, the probability is qr / (1 - q + qr). If the changed
+// side is no worse, the product over windows of the likelihood ratios, averaged over a few values
+// of r, is a martingale that starts at 1. By Ville's inequality, the probability that it ever
+// reaches 1/a is then at most a (Wald 1945; Robbins 1970; the form used for A/B tests: Johari,
+// Pekelis and Walsh, "Always valid inference", 2015). Each window and zone is compared separately,
+// so a fault that hits both sides alike is no evidence.
 //
 // This comparison says little where the unchanged side has almost no bad events: all bad events
-// then fall to the changed side, whether the change is harmful or not. Therefore the changed side's
+// are then on the changed side, whether the change is harmful or not. Therefore the changed side's
 // count is also compared with a Poisson distribution at the tolerated rate: the baseline or, if
 // greater, the unchanged side's ratio in this window, with margin and allowance. The evidence is
 // the mean of both martingales, which is a martingale too.
 //
 // Events come in bursts and instances differ, so chance may look like evidence. Overdispersion
-// measures by how much; the evidence of a window is raised to the power 1 / overdispersion. A
+// measures how strong this effect is; the evidence of a window is raised to the power 1 / overdispersion. A
 // martingale raised to a power below one is a supermartingale, so the bound still applies.
 #pragma once
 
@@ -54,7 +54,8 @@
     double unchangedRatio() const { return unchangedTotal_ > 0 ? unchangedBad_ / unchangedTotal_ : 0; }
 
   private:
-    // Alternative hypotheses that are mixed: by which factor the changed side is worse.
+    // Alternative hypotheses over which the evidence is averaged: how many times as high the changed
+    // side's rate is.
     static constexpr std::array<double, 6> kRatios{1.15, 1.4, 2, 4, 10, 40};
 
     double margin_;
--- a/src/rollout/fault_detector.cpp
+++ b/src/rollout/fault_detector.cpp
@@ -6,12 +6,12 @@
 constexpr Nanos kRecentHalfLife = 3'000 * kMillisecond;
 constexpr Nanos kBaselineHalfLife = 60'000 * kMillisecond;
 // A fault begins above kFaultFactor times the baseline plus kFaultAllowance and ends below
-// kRecoveryFactor times the baseline plus kRecoveryAllowance. The gap keeps it from flapping.
+// kRecoveryFactor times the baseline plus kRecoveryAllowance. The gap prevents flapping.
 constexpr double kFaultFactor = 2;
 constexpr double kFaultAllowance = 0.01;
 constexpr double kRecoveryFactor = 1.5;
 constexpr double kRecoveryAllowance = 0.005;
-constexpr double kMinFaultEvents = 6;
+constexpr double kMinFaultEvents = 6;  // unsuccessful or late requests; fewer are no fault
 // A fault ends this long after it was last seen, at the earliest.
 constexpr Nanos kMinRecoveryTime = 2'000 * kMillisecond;
 
--- a/src/rollout/fault_detector.hpp
+++ b/src/rollout/fault_detector.hpp
@@ -1,8 +1,8 @@
 // Detects faults: periods in which the unchanged instances do worse than before. No stage begins or
 // completes during a fault.
 //
-// A fault with an excuse is not attributed to the change. A fault without an excuse that begins
-// during a stage is.
+// An excuse is a condition of the fleet that explains a fault (see fault_excuses.hpp). A fault with
+// an excuse is not attributed to the change; a fault without one is, if it begins during a stage.
 #pragma once
 
 #include <optional>
@@ -35,9 +35,10 @@
     Nanos beganAt() const { return beganAt_; }
     // What explains the fault, in words for the log; empty if nothing does.
     const std::string& excuse() const { return excuse_; }
-    // Fraction of requests of the reference instances that are unsuccessful or late: in the last
-    // seconds, and before.
+    // Fraction of requests of the reference instances (see FleetWindow) that are unsuccessful or
+    // late, over the last seconds.
     double recentRatio() const { return recent_.value(); }
+    // The same fraction over about the last minute without a fault.
     double baselineRatio() const { return baseline_.value(); }
 
   private:
--- a/src/rollout/fault_excuses.cpp
+++ b/src/rollout/fault_excuses.cpp
@@ -8,7 +8,7 @@
 constexpr Nanos kRecentHalfLife = 3'000 * kMillisecond;
 constexpr Nanos kBaselineHalfLife = 60'000 * kMillisecond;
 constexpr Nanos kInterruptionAftermath = 5'000 * kMillisecond;
-// Ratios to the baseline from which a condition is an excuse.
+// Ratios to the baseline above which a condition is an excuse.
 constexpr double kMinBurstFactor = 1.25;
 constexpr double kMinSlowAttemptFactor = 1.3;
 constexpr double kMinLostAttemptFactor = 2;
--- a/src/rollout/fault_excuses.hpp
+++ b/src/rollout/fault_excuses.hpp
@@ -1,8 +1,8 @@
 // Finds conditions of the fleet that explain why requests fail on both sides, so that these
 // failures are not attributed to the change.
 //
-// Each condition compares the last seconds with a baseline, which is learned only while there is no
-// fault.
+// Interrupted machines and unreachable agents are excuses in themselves. The other conditions compare
+// the last seconds or the last window with a baseline, which is learned only while there is no fault.
 #pragma once
 
 #include <string>
--- a/src/rollout/fleet_view.cpp
+++ b/src/rollout/fleet_view.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Nanos kMaxReportAge = 2'500 * kMillisecond;  // an older report says nothing about the present
-// Between two samples of an instance; a longer gap means that its machine was interrupted.
+// A gap of this length or more between two samples of an instance means that its machine was interrupted.
 constexpr Nanos kMaxSampleGap = 1'900 * kMillisecond;
 
 }  // namespace
--- a/src/rollout/fleet_view.hpp
+++ b/src/rollout/fleet_view.hpp
@@ -33,7 +33,7 @@
     std::string zone;
     std::optional<InstanceMetrics> lastSample;
     Nanos lastSampleAt = 0;
-    std::optional<InstanceMetrics> window;  // between the last two samples; empty: unknown
+    std::optional<InstanceMetrics> window;  // metrics between the last two samples; empty: unknown
 };
 
 class FleetView {
--- a/src/rollout/fleet_window.hpp
+++ b/src/rollout/fleet_window.hpp
@@ -6,8 +6,8 @@
 namespace poppyscale::rollout {
 
 struct FleetWindow {
-    int instances = 0;  // instances with a known window
-    Nanos duration = 0;
+    int instances = 0;   // instances with a known window
+    Nanos duration = 0;  // the longest window of an instance
     double requests = 0;
     double attempts = 0;
     double attemptMs = 0;  // sum of the durations of answered attempts
--- a/src/rollout/harm_exclusion.cpp
+++ b/src/rollout/harm_exclusion.cpp
@@ -7,13 +7,14 @@
 namespace {
 
 constexpr double kErrorProbability = 0.02;  // probability of ruling out harm that exists
-constexpr double kMinEvents = 60;           // a side with fewer events proves nothing
+// Requests or responses. A changed side or a baseline with fewer proves nothing.
+constexpr double kMinEvents = 60;
 
 bool isRuledOut(const Comparison& comparison, double harm, bool hasUnchangedInstances) {
     const Evidence& evidence = comparison.evidence;
-    // Unchanged instances without metrics prove nothing. A coordinator that resumed a rollout after
-    // all instances had changed never saw an unchanged one: it has only the changed side's own
-    // ratio.
+    // Unchanged instances without metrics prove nothing. Without any unchanged instance, no reference
+    // is required: a coordinator that resumed a rollout after all instances had changed has only the
+    // changed side's ratio.
     const bool hasReference =
         evidence.unchangedTotal() > 0 || comparison.baseline.denominator() >= kMinEvents;
     if (!hasReference && hasUnchangedInstances) return false;
--- a/src/rollout/harm_exclusion.hpp
+++ b/src/rollout/harm_exclusion.hpp
@@ -8,9 +8,9 @@
 
 namespace poppyscale::rollout {
 
-// True if, for unanswered, late, slower and never answered requests, the upper confidence bound of
-// the changed side's ratio exceeds the unchanged side's ratio by no more than the plan's harm. Too
-// little traffic on either side is no proof.
+// True if, for unanswered, late and slower requests, and from the second stage on for never answered
+// requests, the upper confidence bound of the changed side's ratio exceeds the unchanged side's ratio
+// by no more than the plan's harm. Returns false if there was too little traffic to tell.
 bool isHarmRuledOut(const SideComparison& comparison, const Thresholds& thresholds,
                     const RolloutSchedule& schedule);
 
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -35,10 +35,11 @@
     bool isDraining = false;
 };
 
-// Counters since the start of one process, and levels as they are now.
+// Counters since the start of one process and its current levels. A window between two samples has
+// the same type: the counters of the time between them, and the levels of the later sample.
 struct InstanceMetrics {
     std::int64_t incarnation = 0;  // identifies the process; a new process counts from zero
-    Nanos up = 0;                  // time since its start, by its own clock
+    Nanos up = 0;                  // time since the process started, by the instance's clock
     std::string program;
     std::string zone;
     std::map<std::string, RequestClassMetrics> requestClasses;
@@ -46,7 +47,7 @@
     // Counters.
     std::uint64_t attempts = 0;
     std::uint64_t originAttempts = 0;
-    std::uint64_t attemptsLost = 0;
+    std::uint64_t attemptsLost = 0;  // failed, timed out, cut off, not connected, or rejected for overload
     std::uint64_t connectionsOpened = 0;
     std::uint64_t endpointPolls = 0;
     std::uint64_t churned = 0;  // connections opened beyond the net growth; only in a window
--- a/src/rollout/messages_codec.cpp
+++ b/src/rollout/messages_codec.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// By InstanceState.
+// Names in reports, indexed by InstanceState.
 constexpr std::array<std::string_view, 5> kStateNames = {"before", "changing", "changed", "back", "stuck"};
 
 // Latency buckets are numbered from -1: bucket -1 holds responses faster than those of all other
--- a/src/rollout/rollback.hpp
+++ b/src/rollout/rollback.hpp
@@ -1,5 +1,5 @@
-// Rolls all instances back to what they ran before the rollout. Instances that changed last go
-// first, and at most a batch of the plan's size is in transition at once.
+// Rolls all instances back to the version that they ran before the rollout, in the reverse order of
+// their change. At most a batch of the plan's size is in transition at once.
 #pragma once
 
 #include <cstdint>
@@ -20,9 +20,9 @@
     explicit Rollback(const RolloutPlan& plan) : plan_(plan) {}
 
     void begin(Nanos now) { beganAt_ = now; }
-    // Withdraws the next targets. Returns the outcome once all instances run what they ran before
-    // or the plan's timeout has passed. `number`: of the rollout; an agent that has not seen it is
-    // not known to have rolled back.
+    // Withdraws the next targets. Returns the outcome once all instances run the version from before
+    // the rollout or the plan's timeout has passed. `number`: number of the rollout. An agent that
+    // reports another number is not known to have rolled back.
     std::optional<RolloutOutcome> advance(Nanos now, std::uint64_t number, const FleetView& fleet,
                                           RolloutSchedule& schedule);
 
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -242,7 +242,7 @@
 }
 
 // A rollback begins at once, without waiting for the disk. Once the rollout has ended, the change
-// stays, even if its end is not on disk yet.
+// stays, even if the end of the rollout is not on disk yet.
 bool RolloutAgent::mayRollBack(Nanos now, int index) const {
     if (wanted_.changed.contains(index) || wanted_.isFinished) return false;
     const Instance& instance = at(index);
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Nanos kMinSampleInterval = 900 * kMillisecond;
-constexpr Nanos kDiscoveryTimeout = 5'000 * kMillisecond;  // where no rollout is in progress
+constexpr Nanos kDiscoveryTimeout = 5'000 * kMillisecond;  // if no agent reports a change in progress
 constexpr double kFaultBoundFactor = 1.4;                  // raises the bound on evidence during a fault
 
 }  // namespace
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -1,9 +1,9 @@
 // The coordinator of a staged rollout. Free of I/O and of any clock: reports and time come in,
 // orders go out.
 //
-// A rollout discovers what the agents have, observes the fleet before any change, and then goes
-// through its stages one after the other: the instances of a stage change, and once all of them run
-// the change they are compared with the unchanged ones. The first reason to stop begins the
+// A rollout discovers which change the agents already have, observes the fleet before any change,
+// and then carries out its stages one after the other: the instances of a stage change, and once all
+// of them run the change they are compared with the unchanged ones. The first reason to stop begins the
 // rollback.
 //
 // Guarantees:
@@ -43,8 +43,8 @@
 
 class RolloutController {
   public:
-    // `digest` identifies the change: two coordinators with the same one roll out the same change. `host` has
-    // to outlive the controller.
+    // `digest` identifies the change: two coordinators with the same digest roll out the same change. `host`
+    // has to outlive the controller.
     RolloutController(const RolloutPlan& plan, std::string digest, RolloutHost& host);
     RolloutController(const RolloutController&) = delete;
     RolloutController& operator=(const RolloutController&) = delete;
@@ -71,14 +71,15 @@
     const std::string& reason() const { return reason_; }
     // Instances that could not be rolled back, by name and with the reason.
     const std::vector<std::string>& unrestoredInstances() const { return rollback_.unrestoredInstances(); }
-    // Counted from 1; 0 before the first.
+    // The current stage, counted from 1; 0 before the first stage.
     int stage() const { return schedule_.stage(); }
     int stageCount() const { return schedule_.stageCount(); }
     // Number of instances that are to have the change now.
     int changedCount() const { return schedule_.targetCount(); }
+    // The largest changedCount() so far.
     int maxChangedCount() const { return schedule_.maxTargetCount(); }
     int instanceCount() const { return schedule_.instanceCount(); }
-    // Number of the rollout: one more than any agent had seen. 0 until it is known.
+    // Number of the rollout: one more than the highest that any agent had seen. 0 until it is known.
     std::uint64_t number() const { return number_; }
     // The status as JSON, for operators and programs.
     nlohmann::json status(Nanos now) const;
@@ -86,7 +87,7 @@
   private:
     using Phase = RolloutPhase;
 
-    // What the agents have when the rollout begins.
+    // The rollout numbers and changes that the agents report when the rollout begins.
     struct Discovery {
         std::uint64_t highestNumber = 0;
         bool hasThisChange = false;
--- a/src/rollout/rollout_host.hpp
+++ b/src/rollout/rollout_host.hpp
@@ -7,7 +7,8 @@
 
 namespace poppyscale::rollout {
 
-// How a rollout ended; `none` while it is in progress.
+// How a rollout ended; `none` while it is in progress. `notPossible`: it could not begin, the operator
+// stopped it before any change, or a newer rollout has superseded it.
 enum class RolloutOutcome : std::uint8_t { none, completed, rolledBack, rollbackIncomplete, notPossible };
 
 // Receives the rollout's events. It must not call back into the controller.
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -16,15 +16,15 @@
     double share = 0;   // fraction of the fleet's instances, up to 1; 0 if `instances` is set
 };
 
-// What counts as worse. Shares are fractions of requests or responses; a ratio of 1.2 is a fifth
-// more.
+// Limits beyond which the changed side counts as worse than the unchanged side. Shares are fractions
+// of requests or responses; a ratio of 1.2 is a fifth more.
 struct Thresholds {
-    double falseAlarms = 0.01;  // probability that a rollout without a difference stops
+    double falseAlarms = 0.01;  // probability that a change without any effect is rolled back
     double harm = 0.02;         // share of unanswered or late requests to rule out before a stage completes
-    double silent = 0.003;      // share never answered to rule out, from the second stage on
+    double silent = 0.003;      // share of never answered requests to rule out, from the second stage on
     double allowance = 0.002;   // tolerated share of additional bad requests, on top of `ratio`
     double ratio = 1.2;         // tolerated ratio of bad requests, changed to unchanged side
-    double slower = 1.05;       // the same of responses in the unchanged side's slowest quarter
+    double slower = 1.05;       // tolerated ratio of slow responses: the unchanged side's slowest quarter
     double slowHarm = 0.05;     // share of additional slow responses to rule out
     // Tolerated ratio of attempts per request, connections per attempt, and endpoint polls.
     double pressure = 1.5;
@@ -42,15 +42,17 @@
     std::string templatePath;  // path on this machine; empty: the configuration template stays
     std::string templateText;
     std::vector<Stage> stages;
-    Nanos minStageDuration = 0;      // time for which a stage has to be judged before it completes
-    Nanos maxStageDuration = 0;      // limit for each of changing and judging a stage's instances
-    Nanos settleTime = 0;            // time from an instance's change until it is compared
-    Nanos baselineTime = 0;          // time for which the fleet is observed before the first stage
-    Nanos agentHoldDuration = 0;     // time without orders after which an agent rolls back
-    Nanos rollbackTimeout = 0;       // instances not rolled back after this time are named
+    Nanos minStageDuration = 0;   // time for which a stage has to be judged before it completes
+    Nanos maxStageDuration = 0;   // limit for each of changing and judging a stage's instances
+    Nanos settleTime = 0;         // time from an instance's change until it is compared
+    Nanos baselineTime = 0;       // time for which the fleet is observed before the first stage
+    Nanos agentHoldDuration = 0;  // time without orders after which an agent rolls back
+    // Limit for the rollback, after which instances that are not rolled back are named, and for the
+    // agents' confirmations that the rollout has ended.
+    Nanos rollbackTimeout = 0;
     int batchSize = 1;               // instances of an agent in transition at once
     int rollbackBatchSize = 2;       // instances of the fleet that roll back at once
-    bool continueUndecided = false;  // go on after a stage without a fault that stays undecided
+    bool continueUndecided = false;  // whether a stage that stays undecided passes if no fault is active
     Thresholds thresholds;
 };
 
--- a/src/rollout/rollout_schedule.hpp
+++ b/src/rollout/rollout_schedule.hpp
@@ -30,7 +30,7 @@
     // For a rollback: no target keeps its change without further orders.
     void withdrawCommitments() { committed_.clear(); }
 
-    // Counted from 1; 0 before the first.
+    // The current stage, counted from 1; 0 before the first stage.
     int stage() const { return stage_; }
     int stageCount() const { return static_cast<int>(stageSizes_.size()); }
     bool hasNextStage() const { return stage_ < stageCount(); }
@@ -52,7 +52,7 @@
     std::set<int> firstInOrder(int count) const;
 
     std::vector<int> order_;       // indices of instances
-    std::vector<int> stageSizes_;  // number of instances in each stage, at index stage - 1
+    std::vector<int> stageSizes_;  // number of targets at the end of each stage, at index stage - 1
     std::set<int> targets_;
     std::set<int> committed_;
     int stage_ = 0;
--- a/src/rollout/side_comparison.cpp
+++ b/src/rollout/side_comparison.cpp
@@ -22,7 +22,7 @@
     sum.total += count.total;
 }
 
-// Null if there is no traffic of that kind.
+// Returns null if no traffic of that kind was counted.
 const EventCount* findTraffic(const EventCounts& counts, const std::string& kind) {
     const auto found = counts.find(kind);
     return found != counts.end() && found->second.total > 0 ? &found->second : nullptr;
--- a/src/rollout/stage_monitor.hpp
+++ b/src/rollout/stage_monitor.hpp
@@ -16,7 +16,7 @@
     // `plan` has to outlive the monitor.
     explicit StageMonitor(const RolloutPlan& plan) : plan_(plan) {}
 
-    // Begins a stage, with no time judged.
+    // Begins a stage, and resets the judged time and the duration of an unexplained fault.
     void beginStage(Nanos now);
     // Adds time in which all of the stage's instances ran the change and nothing prevented judging
     // them.
--- a/src/rollout/window_counts.cpp
+++ b/src/rollout/window_counts.cpp
@@ -26,8 +26,8 @@
     unanswered.bad += unsuccessful;
     unanswered.total += requests;
     counts[ofClass(event_kind::kUnanswered, name)] = {unsuccessful, requests};
-    // Counts clients that disconnected while they waited: few other faults cause many of these so
-    // soon.
+    // A request that is never answered ends when its client disconnects. Few other faults make many
+    // clients disconnect so soon.
     EventCount& neverAnswered = at(counts, event_kind::kNeverAnswered);
     neverAnswered.bad += static_cast<double>(metrics.abandoned);
     neverAnswered.total += requests;
