--- a/src/lease/lease_holder.cpp
+++ b/src/lease/lease_holder.cpp
@@ -160,8 +160,9 @@
     state.nextStepAt += *nth;
 }
 
-// Doubles with each failed attempt, with jitter so that competing members don't collide again. Each
-// sample uses a new generator, which keeps copies of this object small.
+// The backoff doubles with each failed attempt, up to maxBackoff, and has jitter so that competing
+// members don't collide again. Each sample uses a new generator, which keeps copies of this object
+// small.
 Nanos LeaseHolder::nextBackoff(LeaseState& state) {
     const int doublings = std::min(state.failedAttempts, kMaxDoublings);
     ++state.failedAttempts;
@@ -175,8 +176,8 @@
 // ---- time
 
 LeaseHolder::Actions LeaseHolder::reconcile(Nanos now) {
-    // Renewals that are due soon are sent together with one that is due now: messages are counted
-    // per pair of processes, not per lease.
+    // Renewals that are due soon are sent together with a renewal that is due now: one frame from
+    // this process to an acceptor's process can carry the renewals of many leases.
     const bool isRenewalDue = std::any_of(leases_.begin(), leases_.end(), [now](const auto& entry) {
         return entry.second.state == State::holding && now >= entry.second.nextStepAt;
     });
--- a/src/lease/lease_holder.hpp
+++ b/src/lease/lease_holder.hpp
@@ -4,9 +4,10 @@
 // new holder's fencing token is greater than those of all holders before it, provided that
 // - no clock in use runs faster or slower than true time by more than the settings' rate, and
 //   clocks go on while a machine sleeps (clocks of two machines are never compared);
-// - an acceptor that is given its records back has everything that it ever answered; and
-// - the resource that a critical section acts on rejects a fencing token that is less than one that
-//   it has seen, in case a holder is suspended between enterCriticalSection and its action.
+// - the records with which an acceptor restarts include everything that it ever answered; and
+// - the resource that a critical section acts on rejects a fencing token that is less than the
+//   greatest that it has seen, in case a holder is suspended between enterCriticalSection and its
+//   action.
 //
 // Why it holds: an acceptor grants a lease to one holder at a time, for `duration` on its clock
 // from when the request arrived, which is at least duration / (1 + rate) of true time. A holder
@@ -29,8 +30,7 @@
 
 namespace poppyscale::lease {
 
-// Permission for an action, with the fencing token by which the resource acted on rejects a late
-// one.
+// Permission for an action on a resource. The resource rejects a late action by its fencing token.
 struct CriticalSection {
     Fence fence = 0;
     Nanos validUntil = 0;  // when the action has to be over, on this member's clock
--- a/src/lease/messages.hpp
+++ b/src/lease/messages.hpp
@@ -25,8 +25,8 @@
     MemberId to = 0;                // receiver of a transfer
 };
 
-// From an acceptor to a holder. A fence of 0 is not an answer but notifies the holder that the
-// lease has become free.
+// From an acceptor to a holder: the answer to an acquire request. With a fence of 0 it answers no
+// request, but notifies the holder that the lease has become free.
 struct LeaseAnswer {
     LeaseId lease = 0;
     Fence fence = 0;                // fencing token of the request
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -10,7 +10,7 @@
 
 // The fencing token of a lease: greater for each new holder than for all earlier holders, whichever
 // member they are; renewals keep it. The lowest kMemberBits bits are the id of the member that
-// holds with it. 0: none.
+// requests or holds the lease with it. 0: none.
 using Fence = std::uint64_t;
 constexpr int kMemberBits = 16;
 constexpr MemberId memberOf(Fence fence) { return static_cast<MemberId>(fence); }
