--- a/src/ctl/fleet_description.hpp
+++ b/src/ctl/fleet_description.hpp
@@ -24,7 +24,7 @@
     std::string templateText;
 };
 
-// Reads a description strictly. Throws std::runtime_error with one line for each problem.
+// Reads a description. Throws std::runtime_error with one line for each problem, also for each unknown key.
 FleetDescription readFleetDescription(const std::string& file);
 
 // True if both describe the same instances, so that `other` can replace `one` while the instances run. Their
--- a/src/ctl/fleet_host.cpp
+++ b/src/ctl/fleet_host.cpp
@@ -176,7 +176,7 @@
 }
 
 // Attaches a process that serves as the instance without this supervisor's knowledge, and returns true if
-// there is one. For example, the old process of a hot restart may have died before it could report the new
+// there is one. For example, the old process of a hot restart may have exited before it could report the new
 // process. A second process could not be started, as the address is in use.
 bool FleetHost::attachServingInstance(int instance) {
     InstanceStatus status;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -97,7 +97,7 @@
         fmt::print("{} open requests\n", answer["open"].get<int>());
 }
 
-// Values of the command line.
+// Options and arguments of the command line.
 struct Arguments {
     std::string socket = "/run/poppyscale.sock";
     bool asJson = false;
--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -62,7 +62,7 @@
             controller_.reconcile(monotonicNow());
             waitForSignal(signals, startedAt);
             while (signals.next()) {
-                // On a second signal the agents roll back on their own the changes that are not held.
+                // No orders follow a second signal, so the agents roll back the changes that are not held.
                 if (isAbandoned) return kExitNotPossible;
                 isAbandoned = true;
                 controller_.abandon(monotonicNow());
--- a/src/ctl/version_installer.cpp
+++ b/src/ctl/version_installer.cpp
@@ -11,7 +11,7 @@
 namespace poppyscale::ctl {
 namespace {
 
-// Begins the errors of version_store.cpp about files that can't be read, written or run.
+// The errors of version_store.cpp about files that can't be read, written or run begin with this text.
 constexpr std::string_view kFileProblemPrefix = "can't ";
 
 }  // namespace
--- a/src/rollout/fault_detector.hpp
+++ b/src/rollout/fault_detector.hpp
@@ -25,7 +25,7 @@
   public:
     FaultDetector();
 
-    // Reads the fleet's last window.
+    // Reads the fleet's last window. Returns a transition if a fault began or ended.
     std::optional<FaultTransition> observe(Nanos now, const FleetView& fleet);
     // Records that machines were interrupted.
     void noteInterruption(Nanos now) { excuses_.noteInterruption(now); }
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -155,7 +155,7 @@
     Message message_;  // parsed from line_, into which its views point
     Nanos now_ = 0;
     std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
-    std::vector<std::int64_t> changed_;  // instances with events in this batch, by their first event
+    std::vector<std::int64_t> changed_;  // instances with events in this batch, in order of their first event
     std::array<std::optional<std::vector<Endpoint>>, 16> tables_;
 };
 
