--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -16,9 +16,9 @@
 //
 // Guarantees: a grant lasts for the settings' duration on this acceptor's clock from when the
 // request arrived, and until then no other member is granted that lease; a new grant has a greater
-// fencing token than all grants and releases before it; and no answer is sent before the
-// grants and releases on which it depends are durable. An acceptor that has lost its state answers no
-// lease request until it can give these guarantees again.
+// fencing token than all grants and releases before it; and no answer is sent before the grants and
+// releases on which it depends are durable. An acceptor that has lost its state answers no lease
+// request until it can give these guarantees again.
 //
 // Free of I/O and of any clock: messages and time come in, answers and records to persist go out.
 // Owns the grants and the answers that wait for the disk. Not thread-safe.
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -14,7 +14,7 @@
 // Mechanisms on which the guarantee of leases (lease_holder.hpp) depends. One can be disabled to
 // prove that a check detects its absence.
 enum class Safeguard : std::uint8_t {
-    quarantine,  // an acceptor without its state does not answer until its possible grants expire
+    quarantine,  // an acceptor without its state answers no lease request until its possible grants expire
     rate,        // holders allow for clocks that run fast or slow
     sentTime,    // holders count a grant from when the request was sent, not from the answer
     majority,    // more than half of the acceptors have to grant
