--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -90,8 +90,8 @@
     group.cutOff = {};
     group.advance(5'000 * ms);
     CHECK(group.holders[0].isHolding(group.now, 1) != group.holders[1].isHolding(group.now, 1));
-    // A holder's process ends without a release: the next member holds within the lease's duration
-    // and a second.
+    // A holder's process ends without a release: the next member acquires the lease within the
+    // lease's duration and a second.
     LeaseGroup other(2);
     other.holders[0].acquire(other.now, 1);
     other.exchangeMessages();
@@ -194,7 +194,8 @@
         options.clocks = 0b00111;
         testbed::ExplorationOptions exploration;
         exploration.seconds = seconds;
-        exploration.maxStatesPerDepth = 2'000;  // long runs find violations soonest
+        // Ends the breadth-first search early: the long runs of the random walks find violations soonest.
+        exploration.maxStatesPerDepth = 2'000;
         return testbed::StateExplorer(testbed::LeaseModel(options), exploration).explore();
     };
     const auto complete = explore({}, 3);
--- a/tests/rollout_agent_decisions_test.cpp
+++ b/tests/rollout_agent_decisions_test.cpp
@@ -130,7 +130,7 @@
     agent.onInstalled(11 * s, 1, "");
     agent.reconcile(13 * s);
     CHECK(host.take() == "K-1");
-    // What can't be changed is rolled back, reported, and not retried without a new rollout.
+    // An instance that can't be changed is rolled back, reported, and not retried without a new rollout.
     RolloutAgent other(1, kOld, host);
     other.onOrder(s, orderOf(1, 1, {0}), kNew);
     other.onPersisted(s, "");
@@ -165,7 +165,8 @@
     CHECK(host.take() == "");
     CHECK(agent.versionOf(0) == kNew);
     CHECK(agent.report(60 * s).isFinished);
-    // A rollout can't end before all are changed; another change waits until this one is rolled back.
+    // A rollout can't end before all instances are changed, and another change waits until this change
+    // is rolled back.
     RolloutAgent partial(2, kOld, host);
     partial.onOrder(s, orderOf(1, 1, {0}), kNew);
     partial.onPersisted(s, "");
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -56,7 +56,7 @@
         controller = std::make_unique<RolloutController>(plan, digest, static_cast<RolloutHost&>(*this));
     }
 
-    // Half a second of requests.
+    // Adds half a second of requests to the instance's metrics.
     void serve(Instance& instance, bool isChanged, const std::string& zone) {
         InstanceMetrics& metrics = instance.metrics;
         metrics.up += 500 * ms;
@@ -150,7 +150,7 @@
     std::vector<Agent> agents;
     double baselineHarm = 0.002;  // share of rejected requests
     double addedHarm = 0;         // share of requests that changed instances reject in addition
-    double pressure = 1;          // attempts of a changed instance per unchanged one's
+    double pressure = 1;          // ratio of a changed instance's attempts to an unchanged instance's
     bool rollbackFails = false;
     bool changedReportMetrics = false;  // overrides reportsMetrics for changed instances
     std::mt19937 random{7};
@@ -173,8 +173,8 @@
 }
 
 // Changed instances reject 4 % more requests, or send four times the attempts. Too weak evidence
-// would let such a change reach the whole fleet.
-TEST_CASE("Stops and rolls back a change that harms a few percent, before more than a quarter has it") {
+// would let either change reach the whole fleet.
+TEST_CASE("A harmful change reaches at most a quarter of the instances and is rolled back") {
     FakeFleet fleet(4, 5);
     fleet.addedHarm = 0.04;
     fleet.plan.rollbackBatchSize = 1;
--- a/tests/rollout_evidence_test.cpp
+++ b/tests/rollout_evidence_test.cpp
@@ -83,7 +83,7 @@
 
 // Counters restart with a new process, and an old program or a corrupt answer may report anything.
 // Taken as numbers, such metrics would count as a window with good results.
-TEST_CASE("Metrics that fall, come from the future or have another format are unknown") {
+TEST_CASE("Metrics are unknown if a counter falls, a value is implausible, or process or format differ") {
     nlohmann::json json{{"format", 1},
                         {"pid", 7},
                         {"up_ms", 1000},
@@ -120,7 +120,7 @@
     next["up_ms"] = 2000;
     next["relays"] = 9;
     CHECK(windowOf(*first, *readInstanceMetrics(next), s)->attempts == 4);
-    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), -s));  // no time has passed here
+    CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), -s));  // the instance's clock is ahead
     next["relays"] = 4;
     CHECK_FALSE(windowOf(*first, *readInstanceMetrics(next), s));
     next["relays"] = 9;
