--- a/src/ctl/agent_endpoint.hpp
+++ b/src/ctl/agent_endpoint.hpp
@@ -20,9 +20,10 @@
 
 // Receives requests at the agent's socket, passes orders to the RolloutAgent and sends the answers.
 //
-// Guarantees: an accepted order is answered only once the agent's new state is durable. The program and the
-// template of an order are stored before the agent receives the order. One order is prepared at a time; an
-// order that arrives meanwhile gets the answer "busy". Never blocks on the disk or on an instance.
+// Guarantees: an accepted order is answered only once the agent's new state is durable, or its write has
+// failed; the answer then states the problem. The program and the template of an order are stored before the
+// agent receives the order. One order is prepared at a time; an order that arrives meanwhile gets the answer
+// "busy". Never blocks on the disk or on an instance.
 //
 // Owns the socket, the order in preparation and the requests that wait for an answer. All constructor
 // arguments must outlive it. Used only on the loop's thread.
@@ -43,7 +44,8 @@
     // A request for a report, or an order, which is answered with a report too.
     struct PendingReport {
         std::uint64_t client = 0;
-        bool isDurable = false;  // the agent's state after the order is on disk; true for a report request
+        // The agent's state after the order is on disk, or its write has failed. True for a report request.
+        bool isDurable = false;
     };
     struct PreparedOrder {
         std::uint64_t client = 0;
--- a/src/ctl/instance_client.hpp
+++ b/src/ctl/instance_client.hpp
@@ -1,4 +1,5 @@
-// Typed requests to an instance through its operators' socket. Their JSON keys are used only here.
+// Typed requests to an instance through its operators' socket. No other file uses their JSON
+// keys, except for main.cpp, which sends an operator's request and prints the answer.
 #pragma once
 
 #include <sys/types.h>
--- a/src/ctl/version_store.hpp
+++ b/src/ctl/version_store.hpp
@@ -14,8 +14,8 @@
 std::string digestOfFile(const std::string& path);
 
 // Replaces a file so that after a crash it has the old or the new content: writes and syncs a temporary file
-// beside it, renames that file, and syncs the folder. Throws std::runtime_error whose text begins with "can't
-// " and contains the path and the system's error.
+// beside it, renames that file, and syncs the folder. Throws std::runtime_error; its text begins with
+// "can't " and contains the path and the system's error.
 void writeAtomically(const std::string& path, std::string_view content, int mode = 0644);
 
 // Removes the temporary files that killed processes have left in a folder and its subfolders. Must not be
@@ -37,7 +37,8 @@
   public:
     explicit VersionStore(std::string folder) : folder_(std::move(folder)) {}
 
-    // Stores a copy, unless it is stored already, and returns its digest. Throws std::runtime_error.
+    // Store a copy of the program at a path, or of a template's text, unless it is stored already. Return its
+    // digest. Throw std::runtime_error.
     std::string storeProgram(const std::string& path) const;
     std::string storeTemplate(const std::string& text) const;
 
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -4,7 +4,8 @@
 //  - It obeys only the orders of the highest rollout number that it has seen.
 //  - A change that is not held stays for the order's hold duration after the last order. Then the
 //    agent rolls it back on its own.
-//  - An order is on disk before it is acknowledged.
+//  - An order is on disk before it is acknowledged, unless its write has failed; the report that
+//    acknowledges it then states the problem.
 #pragma once
 
 #include <cstdint>
