--- a/src/ctl/agent_codec.hpp
+++ b/src/ctl/agent_codec.hpp
@@ -1,6 +1,7 @@
 // The JSON of a machine's agent, for agent and coordinator: the requests to the agent's socket, its answers
 // and its state on disk. No other file of this folder uses these keys, except for `error`, and for the JSON
-// that `poppyctl roll --dry` prints. Orders and reports are encoded and decoded by rollout/messages_codec.hpp.
+// that `poppyctl roll --dry` prints. Orders and reports are encoded and decoded by
+// rollout/messages_codec.hpp.
 #pragma once
 
 #include <cstdint>
--- a/src/ctl/instance_client.hpp
+++ b/src/ctl/instance_client.hpp
@@ -1,4 +1,4 @@
-// Typed requests to an instance through its operators' socket. No other file uses their JSON
+// Typed requests to an instance through its operators' socket. No other file of this folder uses their JSON
 // keys, except for main.cpp, which sends an operator's request and prints the answer.
 #pragma once
 
