--- a/src/testbed/emulator/emulated_deployment.cpp
+++ b/src/testbed/emulator/emulated_deployment.cpp
@@ -11,13 +11,13 @@
 namespace poppyscale::testbed {
 namespace {
 
-// Where discovery is crowded, refusing a poll takes 1 / kRefusalSpeedup of the time that answering
-// one takes.
+// When discovery limits polls (DiscoveryPlan::limitsPolls), refusing a poll takes 1 / kRefusalSpeedup
+// of the time that answering one takes.
 constexpr int kRefusalSpeedup = 30;
 constexpr double kMissWorkShare = 0.25;  // work of a read that misses, as a share of that of a hit
 constexpr double kHeavyWorkFactor = 10;
 constexpr std::size_t kMaxRememberedRequests = 1 << 18;
-// Until the clients' load balancer stops using a router that got SIGTERM.
+// Time until the clients' load balancer stops using a router that got SIGTERM.
 constexpr Nanos kTerminationDetectionDelay = 300 * kMillisecond;
 
 std::size_t toIndex(int index) { return static_cast<std::size_t>(index); }
@@ -43,7 +43,7 @@
     bool refusesConnects = false, dropsConnects = false;
     bool dropsReplies = false;
     double slowdown = 1;
-    double errorShare = 0;  // requests that fail at once, by a fault
+    double errorShare = 0;  // share of requests that fail at once because of a fault
     double resetShare = 0;
     Nanos readDelay = 0;
     int openConnections = 0;
@@ -414,7 +414,7 @@
         if (attempt == attempts_.end()) continue;
         log(now, EventKind::closed, attempt->second.received.requestId, it->second.router,
             attempt->second.server, pending.attemptId, 0);
-        // A queued attempt is dropped. One that runs or is still on its way to the server
+        // A queued attempt is dropped. An attempt that runs or is still on its way to the server
         // continues.
         if (serverState.model.removeQueued(pending.attemptId)) attempts_.erase(attempt);
     }
@@ -563,8 +563,8 @@
     startJobs(now, server);
 }
 
-// Ends an attempt with the server's reply, which is sent once the earlier requests of its
-// connection have theirs.
+// Ends an attempt with the server's reply. The reply is sent once all earlier requests of the
+// connection have been answered.
 void EmulatedDeployment::queueReply(Nanos now, std::uint64_t attemptId, Reply reply) {
     const auto it = attempts_.find(attemptId);
     const AttemptInFlight attempt = std::move(it->second);
--- a/src/testbed/emulator/emulated_deployment.hpp
+++ b/src/testbed/emulator/emulated_deployment.hpp
@@ -129,10 +129,10 @@
     void schedule(Nanos when, std::function<void(Nanos)> action) {
         events_.schedule(when, std::move(action));
     }
-    // Sets the time from which no more requests are generated. A run with a rollout moves it on
+    // Sets the time from which no more requests are generated. A run with a rollout postpones it
     // until the rollout has ended.
     void setLoadEnd(Nanos now) { loadUntil_ = now; }
-    // No more requests are generated, and none is open.
+    // Returns true once no more requests are generated and none is open.
     bool hasEnded(Nanos now) const;
 
     // Calls from routers, through the driver.
@@ -198,7 +198,7 @@
     struct RouterState {
         std::string zone;
         bool isUp = false;
-        bool isAssumedUp = true;  // the clients' load balancer takes the router for up
+        bool isAssumedUp = true;  // the clients' load balancer considers the router up
         std::uint64_t incarnation = 0;
         bool isEnding = false;  // the router was asked to stop, or killed
         std::map<int, ListedEndpoint> knownEndpoints;
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -20,7 +20,7 @@
     using std::runtime_error::runtime_error;
 };
 
-// The order is that of the words in event_log.cpp, by which log files name the kinds.
+// The order must match kEventNames in event_log.cpp, which holds the names used in log files.
 enum class EventKind : std::uint8_t {
     // A server exists. Text "NAME ZONE CELL origin|cache CAPACITY", number its start time, 0 for
     // long ago.
@@ -42,7 +42,9 @@
     attemptEnded,      // text "value|miss|error|busy|spoilt TOKEN", the server's reply to the router
     closed,            // the router closed the connection while the attempt was in flight
     connectionBroken,  // the server or the network closed the connection while the attempt was in flight
-    listed,            // a router was notified of a server; text its state, number its start time
+    // A router was notified of a server, or is assumed to know its state. Text the state, followed by
+    // " counted" if the knowledge is only assumed; number the server's start time.
+    listed,
     started,           // a server came up; number its start time
     serverOverloaded,  // an overloaded server stopped
     killed,            // a router's process ended, for good or until its restart
--- a/src/testbed/emulator/scenario.cpp
+++ b/src/testbed/emulator/scenario.cpp
@@ -481,8 +481,8 @@
         milliseconds(scenario.slowStart.rampDuration), scenario.slowStart.overloadMultiple,
         milliseconds(scenario.slowStart.overloadWindow));
     for (const RequestClassPlan& plan : scenario.requestClasses) {
-        // An eighth of the latency objective, as objective and timeout of the first request class:
-        // a response that takes its usual time is then too late.
+        // The change "halved" sets the objective and the timeout of the first request class to an
+        // eighth of its latency objective. A response that takes its usual time is then too late.
         const bool halved = change == "halved" && &plan == &scenario.requestClasses.front();
         out += fmt::format(
             "[[verbs]]\nname = \"{}\"\neffect = \"{}\"\ngoal_ms = {}\nlimit_ms = {}\nutility = "
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -80,8 +80,8 @@
     // whose turn would come after `maxQueueDelay` is answered 503 at once; the answer to a long
     // poll takes a turn too.
     bool limitsPolls = false;
-    // So long after a change, or after discovery became reachable again, the change counts as known
-    // to all running routers; 0: never.
+    // Time after a change, or after discovery became reachable again, from which all running routers
+    // count as knowing the change; 0: never.
     Nanos assumedKnownAfter = 0;
     Nanos weightInterval = 0;  // how often the weights that follow load are updated
 };
@@ -120,13 +120,13 @@
     int maxAttempts = 1;
     Nanos connectTimeout = 0;
     Nanos idleTimeout = 0;
-    Nanos failureDetectionDelay = 0;  // time until the load balancer notices that a router has died
+    Nanos failureDetectionDelay = 0;  // time until the load balancer notices that a router has ended
     Nanos restartDelay = 0;           // time until a router that has ended is started again
     Nanos maxRetryAfter = 0;
 };
 
 enum class FaultKind : std::uint8_t {
-    crash,    // cache servers die: connections are reset, then refused; they return cold under the same id
+    crash,    // cache servers stop: connections are reset, then refused; they return cold under the same id
     hang,     // cache servers accept requests and never answer
     slow,     // cache servers run slower by the factor `magnitude`
     errors,   // a share `magnitude` of the requests sent to cache servers fails at once
@@ -140,7 +140,7 @@
     slowReader,          // cache servers read requests `magnitude` ms later
     unresponsive,        // one-way loss: requests arrive, replies are lost
     malformedResponses,  // a share `magnitude` of replies is malformed
-    originStop,          // the origin dies and returns when the fault ends
+    originStop,          // the origin stops and returns when the fault ends
     originSlow,          // the origin runs slower by the factor `magnitude`
     discoveryDown,       // polls fail
     discoverySilent,     // polls are never answered
@@ -185,14 +185,16 @@
     FaultKind kind = FaultKind::crash;
     Nanos at = 0;
     Nanos length = 0;
-    int count = 1;  // cache servers or routers, drawn with the seed
+    int count = 1;  // cache servers or routers, drawn with the seed; syncFails: number of syncs
     double magnitude = 0;
     std::string zone;
     int repetitions = 1;                           // spread over `length`
     int machine = -1;                              // -1: drawn
     bool cutsInbound = true, cutsOutbound = true;  // machinePartition: paths to, from the machine
     std::string call, effect;  // system call and effect, as named in fault_injection/fault_plan.hpp
-    std::vector<int> peers;    // machines that it is cut off from; empty: all others and the operator's
+    // machinePartition: machines that the machine is cut off from; empty: all others and the
+    // operator's machine.
+    std::vector<int> peers;
 };
 
 // With machines, routers run on them. A machine has a zone, a folder that is its disk, and an agent
