--- a/src/testbed/drivers/live/baseline_proxy.cpp
+++ b/src/testbed/drivers/live/baseline_proxy.cpp
@@ -34,13 +34,12 @@
 using transport::Connection;
 
 constexpr int kMaxAttempts = 3;
-// The policy `boundedLoad` passes by caches with this many times the mean number of requests in
-// flight.
+// The policy `boundedLoad` skips caches with this many times the mean number of requests in flight.
 constexpr double kBoundedLoadFactor = 1.25;
 constexpr Nanos kLongPollWait = 10'000 * kMillisecond;
 constexpr Nanos kLongPollGrace = 2'000 * kMillisecond;
 constexpr Nanos kCrashAfter = 3'000 * kMillisecond;
-// After SIGTERM the proxy goes on accepting for this long, then ends once no request is open.
+// After SIGTERM the proxy accepts connections for this long, then ends once no request is open.
 constexpr Nanos kDrainTime = 480 * kMillisecond;
 // The defects `dropRequest` and `fabricateValue` affect one request in this many.
 constexpr std::uint32_t kRequestsPerDefect = 20;
@@ -507,8 +506,8 @@
     if (it == openRequests_.end()) return;
     OpenRequest& open = it->second;
     if (outcome.outcome == AttemptOutcome::succeeded) {
-        // Sent again although it is not idempotent, and only after it succeeded, so that no other
-        // rule is broken.
+        // The defect sends the request again although it is not idempotent, but only after it has
+        // succeeded, so that no other rule is broken.
         if (defect_ == BaselineDefect::duplicateRequest && open.idempotency == Idempotency::nonIdempotent &&
             !std::exchange(open.wasDuplicated, true)) {
             open.triedServers.clear();
--- a/src/testbed/drivers/live/baseline_proxy.hpp
+++ b/src/testbed/drivers/live/baseline_proxy.hpp
@@ -9,7 +9,7 @@
 enum class BaselinePolicy : std::uint8_t {
     random,       // any ready cache
     rendezvous,   // the key's first ready cache in rendezvous order
-    boundedLoad,  // the first one in rendezvous order with less than 1.25 times the mean in flight
+    boundedLoad,  // the first ready cache in rendezvous order with less than 1.25 times the mean in flight
     passThrough   // ready caches in turn, no retries: the least work that a proxy can do
 };
 
@@ -18,7 +18,7 @@
     duplicateRequest,    // sends a non-idempotent request again after it succeeded
     dropRequest,         // never answers one request in 20
     fabricateValue,      // answers one request in 20 with a value that no server returned
-    preferDraining,      // prefers draining caches
+    preferDraining,      // sends reads to a draining cache if there is one
     overloadColdCache,   // sends all reads to the cache that started last
     crash,               // exits by itself after three seconds
     forwardsFullTimeout  // forwards the client's whole timeout, however much of it has passed
--- a/src/testbed/drivers/live/http_request.hpp
+++ b/src/testbed/drivers/live/http_request.hpp
@@ -17,6 +17,7 @@
     enum class State : std::uint8_t { more, complete, malformed };
     // Consumes `bytes` up to the end of one request at most; `bytes` keeps the rest.
     State feed(std::string_view& bytes);
+    // Prepares the parser for the next request; required after a complete one.
     void clear();
 
     bool isWrite() const { return parser_.method == HTTP_PUT; }
@@ -40,6 +41,7 @@
     bool isComplete_ = false;
 };
 
+// `extra` holds further header lines, each with its line end.
 std::string httpResponse(int status, std::string_view extra, std::string_view body);
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -45,7 +45,7 @@
 // A window counts as late if the testbed was later than the threshold at any time in it.
 constexpr Nanos kLateThreshold = 20 * kMillisecond;
 constexpr Nanos kLatenessWindow = 100 * kMillisecond;
-// How long the load goes on past the scenario's length while a rollout is not over.
+// Longest time that the load continues past the scenario's length while a rollout is not over.
 constexpr Nanos kMaxRolloutOvertime = 30 * kSecond;
 // After discovery has moved, connections to its old address stay open for this long.
 constexpr Nanos kOldDiscoveryLinger = 1'500 * kMillisecond;
@@ -127,7 +127,7 @@
   private:
     void onData(std::string_view bytes) override;
     void onClosed() override;
-    // How long before it was read the data may have arrived.
+    // The longest time that the data may have waited before it was read.
     Nanos maxArrivalDelay() const;
     void readAttempt(const protocol::RespValue& value);
 
@@ -163,7 +163,7 @@
 class ClientConnectionHandler : private Connection::Handler {
   public:
     ClientConnectionHandler(LiveRun& live, int router);
-    // False when the connection can't be started because the system lacks resources.
+    // Returns false if the connection can't be started because the system lacks resources.
     bool open(const Address& to);
     void send(const ClientRequest& request);
     RequestId requestId() const { return request_.id; }
@@ -321,7 +321,7 @@
     std::list<PendingUpgrade> pendingUpgrades_;
     bool hasBegun_ = false, isEnding_ = false;
     EventLog& eventLog_;
-    // Worst lateness so far and end of the current lateness window.
+    // Worst lateness within the current lateness window, and the end of that window.
     Nanos worstLateness_ = 0, windowEnd_ = 0;
     long lateWindows_ = 0, totalWindows_ = 0;
     std::uint64_t configurationsWritten_ = 0;
@@ -349,8 +349,8 @@
 }
 
 void ServerConnectionHandler::onData(std::string_view bytes) {
-    // The time of reading, also when the testbed itself was delayed. If the attempt were dated back
-    // to its possible arrival, it would seem to precede the response that it follows.
+    // Attempts are dated at the time of reading, even if the testbed itself was delayed. An attempt
+    // dated back to its possible arrival would seem to precede the response after which it was sent.
     const Nanos at = live_.now();
     while (!bytes.empty()) {
         if (addressIndex_ == 0) {
@@ -752,7 +752,7 @@
                         endpointListJson(router, deployment.initialEndpointList(router)));
     const std::string path = fmt::format("{}/r{}.json", folder_, router);
     std::ofstream(path + ".new") << json.dump(1) << '\n';
-    // Renamed into place, so that a reader sees either the old file or the new one as a whole.
+    // The file is renamed into place, so that a reader sees either the whole old file or the whole new one.
     std::filesystem::rename(path + ".new", path);
 }
 
@@ -792,8 +792,8 @@
         });
     if (options_.onRoutersReady) return options_.onRoutersReady(formatAddress(addressOf(0, kRouterPort)));
     windowEnd_ = now() + kLatenessWindow;
-    // Tests wait for this line before they act on a running load. On a slow machine, files and
-    // elapsed time would show the begin too early.
+    // Tests wait for this line before they act on a running load. On a slow machine, a test that
+    // looked at files or at the elapsed time would act too early.
     if (!options_.folder.empty()) fmt::print(stderr, "the load begins\n");
     deployment.begin(now());
 }
@@ -861,8 +861,8 @@
                                    lastLine(fmt::format("{}/r{}.log", folder_, r)));
             return loop.stop();
         }
-        // Clients' connections to the router end by themselves; the emulated deployment drops the
-        // rest of its state.
+        // The clients' connections to the router end by themselves. The emulated deployment drops the
+        // rest of the router's state.
         if (!isEnding_) deployment.onRouterGone(now(), static_cast<int>(r));
     }
 }
--- a/src/testbed/drivers/live/machines.cpp
+++ b/src/testbed/drivers/live/machines.cpp
@@ -500,8 +500,8 @@
     const ssize_t size =
         state.pid > 0 ? ::readlink(fmt::format("/proc/{}/exe", state.pid).c_str(), path, sizeof path) : -1;
     if (size <= 0 || !state.isUp) return "nothing";
-    // Taken from the process itself, not from its agent: the program from /proc, settings from the
-    // status that the process reports.
+    // The version is taken from the process itself, not from its agent: the program from /proc, the
+    // settings from the status that the process reports.
     const std::string program(path, static_cast<std::size_t>(size));
     const auto slash = versionBefore_.find('/');
     if (scenario_.rollout.changesSettings()) {
@@ -528,6 +528,7 @@
     if (roll.change == "misnamed") return "nowhere";
     if (roll.change == "halved")
         return fmt::format("goal {} ms", requestClass.latencyObjective / 8 / kMillisecond);
+    // The change `deaf` adds 20,000 to the servers' ports. The first cache server has port 10,001.
     return fmt::format(":{} ", 30'001);
 }
 
--- a/src/testbed/drivers/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -64,6 +64,7 @@
     std::optional<int> rolloutExitCode() const { return rolloutExitCode_; }
     // The version that a router runs now: "before", "change" or "nothing".
     std::string runningVersion(int router) const;
+    // The last line of the coordinators' log that states how a coordinator ended; empty if there is none.
     std::string coordinatorOutcome() const;
 
   private:
@@ -75,7 +76,7 @@
         std::string response;
         Nanos lastPollAt = 0;
         std::uint64_t lastEvent = 0;
-        bool isDown = false;  // the machine or its agent is down by a fault
+        bool isDown = false;  // the machine or its agent is down because of a fault
         std::vector<pid_t> stoppedProcesses;
         Nanos asleepSince = 0;
     };
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -398,7 +398,7 @@
                 routerAt(index).lossRate = 0.1 + 0.8 * faultRandom_.fraction();
                 return events_.schedule(now + length, [this, index](Nanos) { routerAt(index).lossRate = 0; });
             case 6:
-                // Longer than a lease's duration at times.
+                // The delay can exceed a lease's duration.
                 routerAt(index).addedDelay = length;
                 return events_.schedule(now + length,
                                         [this, index](Nanos) { routerAt(index).addedDelay = 0; });
--- a/src/testbed/drivers/simulated/lease_run.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -1,6 +1,6 @@
 // The leases of a whole fleet in virtual time: the real acceptors and lease holders with faults of the
-// network, disks, clocks and processes, for hours per seed. A run is deterministic: the same seed gives the
-// same digest of all acts.
+// network, disks, clocks and processes, for hours per seed. An act is one use of a lease by a router that
+// holds it. A run is deterministic: the same seed gives the same digest of all acts.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,8 @@
 };
 
 struct LeaseRunResult {
-    // Overlapping acts; acts with a lower fencing token than one seen.
+    // Acts during another router's act on the same lease; acts with a lower fencing token than an earlier
+    // act.
     long overlaps = 0, fenceViolations = 0;
     long acts = 0, lateActsRejected = 0;
     long actorChanges = 0;   // acts by another router than the act before
--- a/src/testbed/drivers/simulated/rollout_run.cpp
+++ b/src/testbed/drivers/simulated/rollout_run.cpp
@@ -241,7 +241,7 @@
     long requestsBefore_ = 0;
 };
 
-// Adds a fault during a stage that has nothing to do with the change. "drawn": a random one of the kinds.
+// Adds the fault that the options name, which has nothing to do with the change, during a stage.
 void addFault(Scenario& scenario, const RolloutRunOptions& options) {
     if (options.fault.empty()) return;
     Random random(options.seed * 13 + 5);
--- a/src/testbed/drivers/simulated/rollout_run.hpp
+++ b/src/testbed/drivers/simulated/rollout_run.hpp
@@ -11,7 +11,9 @@
 struct RolloutRunOptions {
     std::uint64_t seed = 1;
     RouterDefect defect;
-    std::string fault;       // unrelated, during a stage: "", "cache", "zone", "burst", "origin" or "drawn"
+    // A fault during a stage that is unrelated to the change: "" (none), "cache", "zone", "burst", "origin"
+    // or "drawn" (a random one of the four).
+    std::string fault;
     double maxSlowHarm = 0;  // threshold of the plan; 0: its default
     int routers = 300;
     int machines = 20;
--- a/src/testbed/drivers/simulated/simulated_run.cpp
+++ b/src/testbed/drivers/simulated/simulated_run.cpp
@@ -17,7 +17,7 @@
 namespace poppyscale::testbed {
 namespace {
 
-// Added to virtual time for the policy, which takes a time of 0 as long ago.
+// Added to virtual time for the policy, to which a time of 0 means long ago.
 constexpr Nanos kClockOffset = 1'000'000'000 * kMillisecond;
 // How long a router still accepts requests after it was asked to terminate.
 constexpr Nanos kTerminationNotice = 480 * kMillisecond;
@@ -314,7 +314,7 @@
         for (const ConnectionId conn : conns) deployment.onConnectionClosed(now, conn);
     }
     void reconcile() {
-        // In slot order, so that a run is reproducible.
+        // Routers run in slot order, so that a run is reproducible.
         while (!dirtySlots_.empty()) {
             std::vector<int> slots;
             slots.swap(dirtySlots_);
--- a/src/testbed/drivers/simulated/simulated_run.hpp
+++ b/src/testbed/drivers/simulated/simulated_run.hpp
@@ -51,7 +51,7 @@
     // Called before the first request. Routers keep metrics only if this is set.
     std::function<void(SimulatedFleet&)> onStart;
     std::function<void()> onEnd;  // called after the run, while the fleet still exists
-    RouterDefect defect;
+    RouterDefect defect;          // of the routers that SimulatedFleet::replaceRouter() starts as defective
     // A known misconfiguration: changes the policy settings of every router, while the deployment and the
     // audit keep the right ones.
     std::function<void(PolicySettings&)> misconfigure = {};
