--- a/src/testbed/drivers/live/live_run.cpp
+++ b/src/testbed/drivers/live/live_run.cpp
@@ -948,7 +948,7 @@
     onClaim(-1, steadyTime(),
             "roll ends " + (word == words.end() ? fmt::format("code{}", code) : word->second));
     fmt::print(stderr, "{}\n", machines_->coordinatorOutcome());
-    // The load goes on for two more seconds, so that effects of the rollout's end are observed.
+    // The load continues for two more seconds, so that effects of the rollout's end are observed.
     deployment.schedule(now() + 2 * kSecond, [this](Nanos t) { deployment.setLoadEnd(t); });
 }
 
--- a/src/testbed/drivers/live/machines.hpp
+++ b/src/testbed/drivers/live/machines.hpp
@@ -83,7 +83,7 @@
     struct RouterState {
         pid_t pid = -1;
         bool isUp = false;
-        bool isAway = false;
+        bool isAway = false;  // has ended or was told to stop, and has not become ready since
         bool runsChange = false;
     };
     int firstRouterOf(int machine) const { return machine * scenario_.machines.instances; }
--- a/src/testbed/drivers/live/network_path.hpp
+++ b/src/testbed/drivers/live/network_path.hpp
@@ -23,7 +23,7 @@
     // Bytes sent in a direction that is cut are lost. Connections stay open during the cut; the
     // caller breaks them after it.
     bool isForwardCut = false, isBackwardCut = false;
-    Nanos delay = 0;
+    Nanos delay = 0;          // added to the transfer of all bytes, in both directions
     bool isStalled = false;   // each connection stops after 64 bytes until this is unset
     double dropShare = 0;     // share of new connections that are closed at once
     void breakConnections();  // breaks all connections; to be called after a cut
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -381,8 +381,8 @@
             case 0:
                 return kill(now, index, true, length);
             case 1:
-                // Acceptors lose their disks one at a time: if a majority loses them at once, only the
-                // quarantine is guaranteed.
+                // Acceptors lose their disks one at a time. If a majority lost them at once, the quarantine
+                // would still rule out overlapping grants, but fencing tokens could be forgotten.
                 return kill(now, index, isAcceptor(index) && !areAllAcceptorsVoting(), length);
             case 2:
                 return suspend(now, index, length);
--- a/src/testbed/drivers/simulated/lease_run.hpp
+++ b/src/testbed/drivers/simulated/lease_run.hpp
@@ -27,8 +27,7 @@
 };
 
 struct LeaseRunResult {
-    // Acts during another router's act on the same lease; acts with a lower fencing token than an earlier
-    // act.
+    // Acts during another router's act on the same lease; acts with a fencing token below an earlier one.
     long overlaps = 0, fenceViolations = 0;
     long acts = 0, lateActsRejected = 0;
     long actorChanges = 0;   // acts by another router than the act before
--- a/src/testbed/emulator/event_log.hpp
+++ b/src/testbed/emulator/event_log.hpp
@@ -47,12 +47,15 @@
     listed,
     started,           // a server came up; number its start time
     serverOverloaded,  // an overloaded server stopped
-    killed,            // a router's process ended, for good or until its restart
-    stopping,          // SIGTERM to a router
-    up,                // a router can be reached; text its zone
-    fault,             // text "begins|ends KIND ..."
-    testbedLateness,   // number: the testbed's largest lateness since the last event of this kind
-    opened,            // a router opened a connection to a server, which accepted it
+    // A router's process ended, for good or until its restart. Text "asked" if the testbed or an agent
+    // ended it, else "by itself".
+    killed,
+    // A router was asked to stop, or is about to be killed with its machine. Number the time of that, or 0.
+    stopping,
+    up,               // a router can be reached; text its zone
+    fault,            // text "begins|ends KIND ..."
+    testbedLateness,  // number: the testbed's largest lateness since the last event of this kind
+    opened,           // a router opened a connection to a server, which accepted it
     statement  // a process's statement about itself; text "WHAT begins|ends" or "runs WHAT", number the time
 };
 
--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -166,7 +166,7 @@
     machinePartition,  // the machine's network paths lose everything in the directions that are cut
     agentKill,         // SIGKILL to the machine's agent only
     agentStop,         // SIGSTOP to the machine's agent only
-    machineSleep,      // as machineStop, but the clocks that count suspended time go on
+    machineSleep,      // as machineStop, but the clocks that count suspended time keep running
     diskFull,          // the agent's writes fail
     diskReadOnly,      // no file on the machine can be created, opened for writing or renamed
     diskSlow,          // each sync takes `magnitude` ms longer
@@ -215,7 +215,7 @@
     double size = 0;  // size of a program's defect
     Nanos minStageDuration = 0, maxStageDuration = 0, settleTime = 0, baselineTime = 0, agentHoldDuration = 0,
           rollbackTimeout = 0;
-    double harm = 0.02;
+    double harm = 0.02;               // share of unanswered or late requests that must be ruled out
     double silent = 0.02;             // share of requests without an answer that must be ruled out
     std::vector<std::string> stages;  // "1", "5", "0.25"
     // Machine on which the coordinator runs; -1: the operator's machine.
@@ -235,13 +235,13 @@
                                // sent to a server more than 0.3 s after the client left
     double connections = 1e9;  // most connections opened to caches and the origin, per request
     double crossings = 1e9;    // most attempts to another zone, per request
-    double coldLoad = 1e9;     // most work at a cold cache server in a window, over the work allowed
-    double coldExcess = 1e9;   // largest used part of the margin for chance above the work allowed
+    double coldLoad = 1e9;     // most work in a window at a cold cache server, divided by the work allowed
+    double coldExcess = 1e9;   // most work above that allowed, as a multiple of what chance may add
     double coldFalls = 1e9;    // most stops of overloaded cold cache servers
     double went = 0, undone = 0;  // 1: the rollout must have been completed, or rolled back; 0: need not
     double harmed = 1;            // largest share of requests since the rollout's start that are not
                                   // answered within their latency objective
-    double originMean = 1e9;      // largest mean load of the origin, over its capacity
+    double originMean = 1e9;      // largest mean load of the origin, as a share of its capacity
 };
 
 struct Scenario {
