--- a/src/testbed/audit/audit.cpp
+++ b/src/testbed/audit/audit.cpp
@@ -229,9 +229,10 @@
                        [&](const Interval& interval) { return interval.from <= to && from <= interval.to; });
 }
 
-// Missing answers of a router that was away are no violations, nor is anything that a router did while it ran
-// a change that the scenario rolls out as harmful. Agents and testbed read the same clock, but their reports
-// may be late by the tolerance.
+// Returns whether a violation does not count. These do not: a wrong forwarded timeout while a machine's clock
+// was wrong, a missing answer of a router that was away, and anything that a router did while it ran a change
+// that the scenario rolls out as harmful. Agents and testbed read the same clock, but their reports may be
+// late by the tolerance.
 bool Audit::isExcused(const Violation& violation) const {
     if (violation.router < 0) return false;
     const Nanos slack = 4 * std::max<Nanos>(tolerance_, kMillisecond);
--- a/src/testbed/audit/audit.hpp
+++ b/src/testbed/audit/audit.hpp
@@ -34,7 +34,7 @@
     struct RequestClassRules {
         std::string name;
         int effect = 2;  // 0: safe to repeat, 1: idempotent with key, 2: not idempotent
-        int group = 0;   // who shares idempotency keys: 0: all servers, 1: those of a zone, 2: of a cell
+        int group = 0;  // servers that share idempotency keys: 0: all, 1: those of a zone, 2: those of a cell
         Nanos idempotencyKeyTtl = 0;
     };
     struct Attempt {
@@ -112,7 +112,8 @@
     bool isExcused(const Violation& violation) const;
     bool hasMachines_ = false, hasHarmfulChange_ = false;
     Nanos longestTimeout_ = 0;
-    // By router, as its agent and the testbed report it: when it was away, and when it ran the change.
+    // By router, as its agent and the testbed report it: when it was away (down, stopping or suspended), and
+    // when it ran the change.
     std::map<int, std::vector<Interval>> awayIntervals_, changedIntervals_;
     std::map<int, std::string> runningProgram_;  // by router: its program, "change" or "before"
     std::string rolloutOutcome_;
--- a/src/testbed/model_checker/command.cpp
+++ b/src/testbed/model_checker/command.cpp
@@ -30,8 +30,8 @@
     return false;
 }
 
-// First with fast clocks at the acceptors and slow clocks at the holders, where a grant is shortest and a
-// holder relies on it longest; then with random clocks.
+// Explores first with fast clocks at the acceptors and slow clocks at the holders, where a grant is shortest
+// and a holder relies on it longest; then with random clocks.
 bool exploreLeases(const ExplorationCommand& command) {
     LeaseModelOptions modelOptions;
     if (!command.disabledSafeguard.empty())
@@ -39,7 +39,7 @@
     ExplorationOptions exploration;
     exploration.seed = command.seed;
     modelOptions.clocks = 0b00111;
-    // Complete runs with one, two, ... deviations from the fair order.
+    // First come complete runs with one, two, ... deviations from the fair order.
     constexpr int kMostDeviations = 4;
     exploration.hasRandomWalks = false;
     modelOptions.ticks = 16;  // about three leases, or a lease, a quarantine and the next lease
@@ -57,7 +57,7 @@
             return false;
         if (!result.isExhaustive) break;
     }
-    // Every order from the start, with any number of deviations; then long random runs.
+    // Then come every order from the start, with any number of deviations, and long random runs.
     modelOptions.deviations = -1;
     modelOptions.ticks = LeaseModelOptions{}.ticks;
     exploration = {};
@@ -70,7 +70,7 @@
     std::mt19937 random(static_cast<std::mt19937::result_type>(command.seed));
     constexpr int kMixedRuns = 6;
     exploration.seconds = command.seconds * 0.25 / kMixedRuns;
-    exploration.maxStatesPerDepth = 1;  // goes straight to the random runs
+    exploration.maxStatesPerDepth = 1;  // leaves almost all the time to the random runs
     exploration.walkLength = 200;
     modelOptions.holders = 3;
     modelOptions.diskLosses = modelOptions.crashes = modelOptions.releases = 3;
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -342,8 +342,8 @@
         case StepKind::restartAcceptor:
         case StepKind::loseDisk: {
             if (!isAcceptor(step.process)) return false;
-            // One acceptor at a time: if a majority loses its disks at once, only the quarantine is
-            // guaranteed.
+            // Acceptors lose their disks one at a time. If a majority lost them at once, the quarantine
+            // would still rule out overlapping grants, but fencing tokens could be forgotten.
             if (step.kind == StepKind::loseDisk)
                 for (int v = 0; v < acceptors(); ++v)
                     if (acceptor(v).state() != lease::Acceptor::State::voting) return false;
@@ -444,7 +444,6 @@
     }
     for (const ActiveSection& a : activeSections_)
         if (a.until > now_) text += fmt::format("x{},{},{};", a.holder, a.fence, a.until - now_);
-    // Messages in flight.
     std::vector<std::string> lines;
     for (const Message& message : messagesInFlight_) {
         std::string line = fmt::format("{}>{}:{}:{}:", message.from, message.to, message.body.index(),
--- a/src/testbed/model_checker/lease_model.hpp
+++ b/src/testbed/model_checker/lease_model.hpp
@@ -51,7 +51,7 @@
         StepKind kind = StepKind::tick;
         int process = 0;
         // For steps of a message: its sender, its kind, and its index among the messages in flight of the
-        // same sender, receiver and kind. No times, so that a step means the same in every run.
+        // same sender, receiver and kind. A step holds no times, so that it means the same in every run.
         int from = 0, messageKind = 0, ordinal = 0;
         bool operator==(const Step&) const = default;
     };
@@ -65,7 +65,7 @@
     std::string describe(const Step& step) const;
     Step randomStep(std::mt19937& random) const;
     void endFaults();
-    // How often another holder acted than before.
+    // How often an act was by another holder than the act before it.
     int actorChangeCount() const { return actorChangeCount_; }
 
   private:
--- a/src/testbed/model_checker/state_explorer.hpp
+++ b/src/testbed/model_checker/state_explorer.hpp
@@ -140,8 +140,8 @@
         }
     }
 
-    // The violation of a run, which may be another one than before: any will do. `needed`: the steps of the
-    // run that could happen.
+    // Returns the violation that a run leads to; empty: none. It may differ from the one found before: any
+    // will do. `needed` gets the steps of the run that could happen.
     std::string replay(const std::vector<Step>& run, std::vector<Step>& needed,
                        bool& isFoundAfterFaults) const {
         Model model = start_;
--- a/src/testbed/report/figures.hpp
+++ b/src/testbed/report/figures.hpp
@@ -78,10 +78,10 @@
     long asked_ = 0, answered_ = 0, inGoal_ = 0, tries_ = 0, rejected_ = 0, failed_ = 0, attempts_ = 0,
          hits_ = 0, reads_ = 0, connectionsOpened_ = 0, crossZoneAttempts_ = 0, busy_ = 0, errors_ = 0,
          unsent_ = 0, unanswered_ = 0;
-    // Tries that have had an attempt; when the client left, for tries without an attempt until then; the
-    // number of these; and how many of these had an attempt more than kAbandonedGrace after the client left.
-    std::unordered_set<std::uint64_t> forwarded_;
+    std::unordered_set<std::uint64_t> forwarded_;  // tries that have had an attempt
+    // When the client left, for tries that had no attempt until then.
     std::unordered_map<std::uint64_t, Nanos> leftAt_;
+    // Number of those tries, and of those with an attempt over kAbandonedGrace after the client left.
     long leftWaiting_ = 0, sentOn_ = 0;
     double originWork_ = 0, utility_ = 0, maxUtility_ = 0;
     Nanos lastAt_ = 0;
--- a/src/testbed/soak/draw.cpp
+++ b/src/testbed/soak/draw.cpp
@@ -13,7 +13,7 @@
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
 constexpr Nanos kQuietStart = 1 * kSecond;  // time without faults in which the fleet starts
-// Time after the last fault, so that late effects are seen.
+// Time after the last fault in which late effects can show.
 constexpr Nanos kQuietEnd = 4 * kSecond;
 constexpr Nanos kShortestFault = 500 * kMillisecond;
 constexpr Nanos kLongestFault = 9 * kSecond;
@@ -42,6 +42,7 @@
     {"write", "EHOSTUNREACH", 0.01},   {"poll", "EINTR", 0.2},
 };
 
+// The kinds that are drawn. A kind that is listed several times is drawn more often.
 constexpr std::array kFaultKinds{
     FaultKind::crash,
     FaultKind::hang,
