--- a/src/testbed/defective_variants/defect.cpp
+++ b/src/testbed/defective_variants/defect.cpp
@@ -22,7 +22,7 @@
 using Kind = DefectiveVariant::Kind;
 
 constexpr double kDefaultExitDelayS = 3;
-// So short that no connection serves another attempt than the one it was opened for.
+// So short that each connection serves only the attempt that it was opened for.
 constexpr Nanos kIdleTimeout = 5 * kMillisecond;
 
 class DefectiveDispatcher : public proxy::RequestDispatcher {
--- a/src/testbed/defective_variants/defect.hpp
+++ b/src/testbed/defective_variants/defect.hpp
@@ -6,7 +6,7 @@
 
 namespace poppyscale::testbed {
 
-// The defect, with a `size` for those kinds that name one or a share.
+// A defect. `size` is the share or the `size` in the comment of its kind; other kinds ignore it.
 struct DefectiveVariant {
     enum class Kind : std::uint8_t {
         none,
@@ -18,12 +18,12 @@
         dropsRequests,         // never answers this share of requests
         leaksMemory,           // leaks `size` KiB per request
         connectionPerAttempt,  // opens a connection for each attempt
-        ignoresDraining        // goes on sending to servers that are draining
+        ignoresDraining        // keeps sending to servers that are draining
     };
     Kind kind = Kind::none;
     double size = 0;
 };
-// The kind of that outer name. Throws std::runtime_error for an unknown name.
+// The kind with that name in $POPPYSCALE_TESTBED_PROGRAM_HARM. Throws std::runtime_error for an unknown name.
 DefectiveVariant::Kind parseDefectiveVariant(const std::string& name);
 
 // Runs the defective router with the router's own command line and returns the exit code.
--- a/src/testbed/fault_injection/fault_plan.hpp
+++ b/src/testbed/fault_injection/fault_plan.hpp
@@ -20,8 +20,8 @@
     connect,
     bind,
     listen,
-    read,      // read, readv, recv, recvmsg of sockets
-    write,     // write, writev, send, sendmsg of sockets
+    read,      // read, readv of sockets
+    write,     // write, writev, sendmsg of sockets
     pollWait,  // epoll_wait, epoll_pwait
     open,      // only calls that open a file for writing
     fileWrite,
--- a/src/testbed/fault_injection/preload.cpp
+++ b/src/testbed/fault_injection/preload.cpp
@@ -26,7 +26,7 @@
 using namespace poppyscale::testbed::fault_injection;
 
 InjectionPlan* plan() {
-    // Without a lock: if two threads get here at once, the file is mapped twice, which is harmless.
+    // No lock is needed: if two threads get here at once, the file is mapped twice, which is harmless.
     static std::atomic<InjectionPlan*> mapped{nullptr};
     static std::atomic<bool> isLoaded{false};
     if (isLoaded.load(std::memory_order_acquire)) return mapped.load(std::memory_order_acquire);
@@ -47,7 +47,7 @@
     return loaded;
 }
 
-// Differs between routers by their name, so that those of a fleet do not fail at the same calls.
+// A value that differs by router name, so that the routers of a fleet do not fail at the same calls.
 std::uint64_t processSalt() {
     static const std::uint64_t salt = [] {
         std::uint64_t hash = 14695981039346656037ULL;
@@ -129,8 +129,9 @@
     return error != 0;
 }
 
-// By descriptor, whether this process connected the socket. A permanent read or write error there stands for
-// a failure of a server or the network; on a client's socket it would lose the response that the router owes.
+// By descriptor, whether this process connected the socket. On such a socket a permanent read or write error
+// stands for a failure of the server or the network. On a client's socket it would lose the response that the
+// router owes.
 constexpr int kMaxDescriptors = 65'536;
 std::atomic<bool> isUpstreamSocket[kMaxDescriptors];
 
--- a/src/testbed/host_emulation/host_state.hpp
+++ b/src/testbed/host_emulation/host_state.hpp
@@ -9,13 +9,14 @@
 
 constexpr std::uint32_t kHostFormat = 1;
 constexpr int kMaxFolderLength = 512;
+// The environment variable that holds the path of the file.
 constexpr const char* kHostVariable = "POPPYSCALE_TESTBED_PROGRAM_HOST";
 
 struct HostState {
     std::uint32_t format;
     std::atomic<std::uint32_t> sequence;  // odd during a write
     // Monotonic clocks show `shownTime` at the true time `trueTime` and run at `rate` times the
-    // true speed. The boot-time clock, which goes on while the machine sleeps, is ahead of them by
+    // true speed. The boot-time clock, which runs while the machine sleeps, is ahead of them by
     // `bootOffset`. The wall clock is offset by `wallOffset`, beyond what rate and sleep cause. All
     // in ns.
     double rate;
@@ -24,7 +25,7 @@
     char folder[kMaxFolderLength];
     std::uint32_t readOnly;
     std::int64_t syncDelayNs;                 // added to each sync
-    std::atomic<std::uint32_t> failingSyncs;  // number of next syncs that fail with EIO
+    std::atomic<std::uint32_t> failingSyncs;  // how many of the next syncs fail with EIO
 };
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/host_emulation/preload.cpp
+++ b/src/testbed/host_emulation/preload.cpp
@@ -27,7 +27,7 @@
 constexpr std::int64_t kSecond = 1'000'000'000;
 
 HostState* hostState() {
-    // Without a lock: if two threads get here at once, the file is mapped twice, which is harmless.
+    // No lock is needed: if two threads get here at once, the file is mapped twice, which is harmless.
     static std::atomic<HostState*> mappedState{nullptr};
     static std::atomic<bool> isLoaded{false};
     if (isLoaded.load(std::memory_order_acquire)) return mappedState.load(std::memory_order_acquire);
