--- a/src/testbed/scale/discovery.hpp
+++ b/src/testbed/scale/discovery.hpp
@@ -4,7 +4,8 @@
 // It answers GET /api/targets[?after=V&wait_ms=W]. SIGUSR1 starts the measured time and the changes
 // of the list, SIGUSR2 ends both, SIGTERM writes the totals and ends the process. Files written to
 // its folder:
-//   discovery.ports   once listening: the port for stub routers and distributors, then one per real
+//   discovery.ports   once listening: the port for stub routers and distributors, then one port per
+//                     real router
 //   changes.tsv       per version: version, CLOCK_MONOTONIC ns, digest of the list, kind of change
 //   real.records      `PropagationRecord`s of real routers, whose next poll carries their version
 //   real.ready        once every real router has polled with a version
--- a/src/testbed/scale/in_force.hpp
+++ b/src/testbed/scale/in_force.hpp
@@ -30,6 +30,7 @@
   public:
     explicit PropagationStatistics(std::vector<Change> versions);
 
+    // Adds the records of one router, in order of time.
     void add(const std::vector<PropagationRecord>& router);
 
     struct PerChange {
@@ -38,8 +39,10 @@
         std::uint64_t lost = 0;           // routers where it never came into force
     };
     const std::vector<PerChange>& changes() const { return changes_; }
+    // (router, change) pairs where the change came into force, and where it never did.
     std::uint64_t delivered() const { return delivered_; }
     std::uint64_t lost() const { return lost_; }
+    // Lists used at a router after a newer one.
     std::uint64_t stale() const { return stale_; }
     // Quantile of the propagation time over all (router, change) pairs; 0 if there are none.
     double quantileMs(double fraction) const;
--- a/src/testbed/scale/measure.cpp
+++ b/src/testbed/scale/measure.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr Nanos kSecond = 1'000 * kMillisecond;
-// The module takes times near 0 as long ago, so its clock starts far above 0.
+// To the module a time near 0 means long ago, so its clock starts far above 0.
 constexpr Nanos kClockStart = 1'000'000 * kSecond;
 constexpr Nanos kResponseTime = 2 * kMillisecond;
 constexpr Nanos kLatencyObjective = 100 * kMillisecond;
--- a/src/testbed/scale/scale.hpp
+++ b/src/testbed/scale/scale.hpp
@@ -16,9 +16,9 @@
     killDistributor,  // a distributor gets SIGKILL and is started again after `duration`
     stopDistributor,  // a distributor is stopped with SIGSTOP for `duration`
     restartRouters,   // a fraction of the stub routers drop their list and reconnect at once
-    cutZone,          // the routers of one zone are cut off the network for `duration`
+    cutZone,          // the routers of one zone are cut off the network for `duration`; not built
     slowDiscovery,    // discovery delays each response by `delay`
-    loseRack,         // a distributor and the routers of one zone are killed for `duration`
+    loseRack,         // a distributor and the routers of one zone are killed for `duration`; not built
     slowReader,       // a connection sends requests but never reads the responses
 };
 
--- a/src/testbed/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -46,8 +46,8 @@
                const Measure<Cost>& measure) {
     std::vector<std::vector<Sample>> samples(quantities.size());
     std::vector<std::vector<Cost>> costs(sizes.size());
-    // All sizes for one seed, then the next seed: a passing load on the machine must not affect one
-    // size alone.
+    // All sizes are measured with one seed before the next seed, so that a passing load on the
+    // machine does not affect one size alone.
     for (int seed = 1; seed <= seeds; ++seed)
         for (std::size_t i = 0; i < sizes.size(); ++i) costs[i].push_back(measure(sizes[i], seed));
     for (std::size_t i = 0; i < sizes.size(); ++i) {
@@ -61,7 +61,7 @@
         fmt::print("{}\n", describe(quantities[q].name, fits[q], quantities[q].unit));
     }
     if (predictionFactor == 0) return true;
-    // Printed before the measurement that tests the predictions.
+    // The predictions are printed before the measurement that tests them.
     const double largest = predictionFactor * fits.front().largestSize;
     for (std::size_t q = 0; q < quantities.size(); ++q)
         fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, variedName, largest,
--- a/src/testbed/stub_routers/stub_router.cpp
+++ b/src/testbed/stub_routers/stub_router.cpp
@@ -9,9 +9,8 @@
 namespace poppyscale::testbed::stub_routers {
 namespace {
 
-// The limits of `poppyscale` for a poll's wait, its connections and the longest list
-// (src/process/data_path.cpp
-// and resource_limits.cpp).
+// The limits of `poppyscale` for a poll's wait, the connections to servers and the longest list, as in
+// src/process/data_path.cpp and src/process/resource_limits.cpp.
 constexpr Nanos kMinPollWait = 1'000 * kMillisecond;
 constexpr Nanos kMaxPollWait = 20'000 * kMillisecond;
 constexpr std::size_t kListMemoryDivisor = 32;  // a list may take up to 1/32 of the router's memory
