--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -162,7 +162,7 @@
           scale::capacityMarkdownOfFiles(kTargetFile, kSlopesFile));
 }
 
-TEST_CASE("Computes the rows of the capacity table, as computed by hand") {
+TEST_CASE("The rows of the capacity table equal those computed by hand") {
     const auto rows = scale::capacityTable(target(), slopesByHand());
     // List of 50 + 100 x 3,100 bytes and request of 250 bytes, at 23,000 bytes per second.
     const scale::Row& restart = rowOf(rows, "restart wave", "router", "time until its list is whole");
--- a/tests/testbed_emulator_test.cpp
+++ b/tests/testbed_emulator_test.cpp
@@ -299,10 +299,10 @@
     for (std::uint64_t c = 1; c <= 4; ++c) addEvent(0, EventKind::requestSent, c, "read alder k1 1 1");
     addEvent(50 * ms, EventKind::attemptSent, 3);
     for (std::uint64_t c = 1; c <= 4; ++c) addEvent(100 * ms, EventKind::clientDisconnected, c);
-    // Within the 0.3 s that an attempt may already be on its way.
+    // This attempt does not count: it is within the 0.3 s in which it may already be on its way.
     addEvent(350 * ms, EventKind::attemptSent, 2);
     addEvent(500 * ms, EventKind::attemptSent, 1);
-    addEvent(900 * ms, EventKind::attemptSent, 3);  // a further attempt, the first was sent before
+    addEvent(900 * ms, EventKind::attemptSent, 3);  // not the first attempt, so it does not count
     figures.finish();
     CHECK(figures.valueOf("left_waiting") == 3);
     CHECK(figures.valueOf("sent_on") == doctest::Approx(1.0 / 3));
@@ -476,7 +476,7 @@
 }
 
 TEST_CASE(
-    "Thirty routers share a cold cache server's budget, and break its bounds with a whole budget each") {
+    "Thirty routers keep a cold cache server's bounds by sharing its budget, not with a whole budget each") {
     const Scenario scenario = parseScenario(readFile(SCENARIOS "/cold-thirty.toml"), "cold-thirty.toml");
     const auto run = [&](const SimulatedRunOptions& options) {
         Verdict verdict;
--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -236,7 +236,7 @@
     }
 }
 
-TEST_CASE("Exits with 2 and names the scenario, key or program that is at fault") {
+TEST_CASE("The testbed exits with 2 and names the scenario, key or program that is at fault") {
     const TemporaryFolder folder;
     const std::string badScenario = writeScenario(folder, "bad", 3000, {{"zipf = 1.0", "zpif = 1.0"}}, "");
     const CommandResult result = runTestbed("sim " + badScenario);
@@ -251,7 +251,7 @@
     CHECK(runTestbed("audit " + folder.path).exitCode == 2);
 }
 
-TEST_CASE("Exits with 3 when the testbed itself was stopped during the run") {
+TEST_CASE("The testbed exits with 3 when it was itself stopped during the run") {
     const TemporaryFolder folder;
     const std::string file = writeScenario(folder, "calm", 3000, {}, "");
     TestbedProcess testbed({"run", file, "--program", POPPYSCALE_PROGRAM, "--out", folder.path + "/out"});
--- a/tests/testbed_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -270,7 +270,7 @@
     const Output eventsOutput = eventsRun.get();
     CHECK_MESSAGE(eventsOutput.code == 0, eventsOutput.text);
     CHECK_MESSAGE(figure(eventsOutput.lastLine, "lost") == 0, eventsOutput.text);
-    // Changes made while discovery delays each response by 400 ms.
+    // A change made while discovery delays each response by 400 ms takes at least that long.
     CHECK_MESSAGE(figure(eventsOutput.lastLine, "in_force_max_ms") >= 400, eventsOutput.text);
 }
 
