--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -381,8 +381,8 @@
             case 0:
                 return kill(now, index, true, length);
             case 1:
-                // Acceptors lose their disks one at a time: if a majority loses them at once, only the
-                // quarantine is guaranteed.
+                // Acceptors lose their disks one at a time. If a majority lost them at once, the quarantine
+                // would still rule out overlapping grants, but fencing tokens could be forgotten.
                 return kill(now, index, isAcceptor(index) && !areAllAcceptorsVoting(), length);
             case 2:
                 return suspend(now, index, length);
@@ -398,7 +398,7 @@
                 routerAt(index).lossRate = 0.1 + 0.8 * faultRandom_.fraction();
                 return events_.schedule(now + length, [this, index](Nanos) { routerAt(index).lossRate = 0; });
             case 6:
-                // Longer than a lease's duration at times.
+                // The delay can exceed a lease's duration.
                 routerAt(index).addedDelay = length;
                 return events_.schedule(now + length,
                                         [this, index](Nanos) { routerAt(index).addedDelay = 0; });
