--- a/src/policy/admission_queue.hpp
+++ b/src/policy/admission_queue.hpp
@@ -32,8 +32,8 @@
     void visitAll(Visit visit) {
         std::size_t kept = 0;
         for (const Entry entry : entries_) {
-            const bool stays = visit(*entry.request);
-            if (!stays) continue;
+            const bool isKept = visit(*entry.request);
+            if (!isKept) continue;
             entries_[kept] = entry;
             ++kept;
         }
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -13,7 +13,7 @@
 constexpr double kDecreaseFactor = 0.85;
 // Fraction of the limit that requests over quota may use.
 constexpr double kOverQuotaFraction = 0.75;
-constexpr Nanos kMaxLatencyRatio = 4;  // bounds a single sample
+constexpr Nanos kMaxSampleRatio = 4;  // bounds a single sample
 constexpr Nanos kSlowMedianPeriod = 2'000 * kMillisecond;
 constexpr double kIdleRatioGrowth = 1.0002;  // factor per sample
 
@@ -46,7 +46,7 @@
     const Nanos objective = std::max(latencyObjective, kMillisecond);
     // Bounds the sample, so that one implausible latency cannot distort the medians and the pauses
     // between attempts for long.
-    const Nanos bounded = std::clamp<Nanos>(latency, 0, kMaxLatencyRatio * objective);
+    const Nanos bounded = std::clamp<Nanos>(latency, 0, kMaxSampleRatio * objective);
     updateMedians(now, static_cast<double>(bounded) / static_cast<double>(objective));
     const double target = targetRatio();
     const bool isOverTarget = fastMedian_ > target;
--- a/src/policy/latency_statistics.cpp
+++ b/src/policy/latency_statistics.cpp
@@ -39,6 +39,8 @@
     return static_cast<Nanos>(duration / std::max(successes_.read(now), kMinSuccessesForInterval));
 }
 
-bool LatencyStatistics::doMostSucceed(Nanos now) { return successes_.read(now) > outcomes_.read(now) / 2; }
+bool LatencyStatistics::haveMostSucceeded(Nanos now) {
+    return successes_.read(now) > outcomes_.read(now) / 2;
+}
 
 }  // namespace poppyscale::policy
--- a/src/policy/latency_statistics.hpp
+++ b/src/policy/latency_statistics.hpp
@@ -25,7 +25,7 @@
     // The mean time between two successes, as seen by this router.
     Nanos successInterval(Nanos now);
     // Whether more than half of the recent attempts succeeded.
-    bool doMostSucceed(Nanos now);
+    bool haveMostSucceeded(Nanos now);
     // Whether responses are so slow that requests over their tenant's quota have to be shed.
     bool isUnderPressure() const { return isUnderPressure_; }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -39,15 +39,15 @@
 bool RetryPolicy::mayAttempt(const Request& request, const Server& server, Nanos now) const {
     if (!request.isWaiting()) return false;
     if (attemptsLeft(request) <= 0 || now >= request.deadline() || !registry_.isUsable(server)) return false;
-    const Attempt* executed = request.firstThatMayHaveExecuted();
-    if (!executed) return true;
+    const Attempt* possiblyExecuted = request.firstThatMayHaveExecuted();
+    if (!possiblyExecuted) return true;
     switch (request.requestClass().idempotency) {
         case Idempotency::safe:
             return true;
         case Idempotency::nonIdempotent:
             return false;
         case Idempotency::idempotentWithKey:
-            return isInScope(request.requestClass().deduplicationScope, server, *executed->server) &&
+            return isInScope(request.requestClass().deduplicationScope, server, *possiblyExecuted->server) &&
                    now < request.latestStart();
     }
     return false;
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -21,7 +21,7 @@
 constexpr double kInitialTotalLimit = 1;
 // Factor on the limit of a server that reports an overload.
 constexpr double kOverloadedFactor = 0.7;
-constexpr double kMaxLatencyRatio = 2;  // bounds one outcome in the sums of latency ratios
+constexpr double kMaxOutcomeRatio = 2;  // bounds one outcome in the sums of latency ratios
 // Within one mean latency, a server's limiter takes at most this many latency samples, plus one for
 // each attempt that its limit allows in flight.
 constexpr double kMaxSamplesPerLatency = 16;
@@ -184,7 +184,7 @@
     const auto objective = static_cast<double>(std::max(latencyObjective, kMillisecond));
     const bool hasLatency = isAnswer(result.outcome) || result.outcome == AttemptOutcome::timedOut;
     const double latencyRatio =
-        hasLatency ? std::clamp(static_cast<double>(result.duration) / objective, 0.0, kMaxLatencyRatio) : 1;
+        hasLatency ? std::clamp(static_cast<double>(result.duration) / objective, 0.0, kMaxOutcomeRatio) : 1;
     server.outcomes.record(result.outcome, latencyRatio, now);
     statistics_.recordOutcome(latencyRatio, now);
     const auto meanLatency = static_cast<double>(statistics_.meanLatency(now));
@@ -195,7 +195,7 @@
     server.limiter.recordLatency(now, result.duration, latencyObjective);
     // While most attempts succeed, a second timeout in a row shows that only this server hangs; its
     // latencies then do not count for the limit over all cache servers.
-    const bool isHanging = server.outcomes.consecutiveTimeouts() > 1 && statistics_.doMostSucceed(now);
+    const bool isHanging = server.outcomes.consecutiveTimeouts() > 1 && statistics_.haveMostSucceeded(now);
     if (!server.isOrigin() && !isHanging) totalLimiter_.recordLatency(now, result.duration, latencyObjective);
 }
 
--- a/src/policy/zone_affinity.cpp
+++ b/src/policy/zone_affinity.cpp
@@ -52,8 +52,9 @@
     // traffic and that the other routers are spread evenly over the zones.
     const auto zoneCount = static_cast<double>(weightByZone.size());
     const double localTraffic = (1 + (settings_.routerCount - 1.0) / zoneCount) / settings_.routerCount;
-    const double bearable = std::min(1.0, local / total / localTraffic);
-    effectiveRemoteWeight_ = std::max(remoteWeight_, (1 - bearable) / bearable * local / (total - local));
+    const double localFraction = std::min(1.0, local / total / localTraffic);
+    effectiveRemoteWeight_ =
+        std::max(remoteWeight_, (1 - localFraction) / localFraction * local / (total - local));
 }
 
 double ZoneAffinity::weightFactor(const Server& server, double warmupFraction) const {
