--- a/src/process/status_report.cpp
+++ b/src/process/status_report.cpp
@@ -57,7 +57,7 @@
             {"verb", request.requestClass},
             {"customer", request.tenant},
             {"key", request.key},
-            {"age_ms", toMillis(now - request.since)},
+            {"age_ms", toMillis(now - request.acceptedAt)},
             {"left_ms", toMillis(request.deadline - now)},
             {"relays", request.attemptCount},
             {"waited_for", request.isAwaited},
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -343,9 +343,9 @@
     const bool isShareUsed = readIteration_ == owner_.iteration() && readInIteration_ >= kMaxReadPerIteration;
     const bool isDeferred = isAllowed && isShareUsed;
     if (isDeferred) owner_.deferReading(*this);
-    const bool reads = isAllowed && !isDeferred;
-    if (!reads) liveness_.onReadingStopped();
-    connection_.setReading(reads);
+    const bool isReading = isAllowed && !isDeferred;
+    if (!isReading) liveness_.onReadingStopped();
+    connection_.setReading(isReading);
 }
 
 // Sets the timer to the time by which the client must complete a request that it has begun, send
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // A connection may idle for `kIdleTimeout` between two requests. Once clients that have sent a
-// valid request take more than `kCrowdedFrom` of `maxClients`, the timeout is
-// `kCrowdedIdleTimeout`, and it shrinks to `kShortestTimeoutFraction` of that as they approach
+// valid request take more than `kReducedTimeoutFrom` of `maxClients`, the timeout is
+// `kReducedIdleTimeout`, and it shrinks to `kShortestTimeoutFraction` of that as they approach
 // `kShortestTimeoutFrom`. Otherwise, behind a load balancer that opens a limited number of
 // connections, those that are used once and kept open would leave none for other clients.
 constexpr Nanos kIdleTimeout = 2'000 * kMillisecond;
-constexpr Nanos kCrowdedIdleTimeout = 250 * kMillisecond;
-constexpr double kCrowdedFrom = 0.5;           // fraction of `maxClients`
+constexpr Nanos kReducedIdleTimeout = 250 * kMillisecond;
+constexpr double kReducedTimeoutFrom = 0.5;    // fraction of `maxClients`
 constexpr double kShortestTimeoutFrom = 0.65;  // fraction of `maxClients`
 constexpr double kShortestTimeoutFraction = 0.1;
 
@@ -134,10 +134,11 @@
 
 Nanos ClientListener::idleTimeout() const {
     const double taken = static_cast<double>(clientsWithValidRequest_) / static_cast<double>(maxClients_);
-    if (taken <= kCrowdedFrom) return kIdleTimeout;
-    const double fraction = std::clamp((kShortestTimeoutFrom - taken) / (kShortestTimeoutFrom - kCrowdedFrom),
-                                       kShortestTimeoutFraction, 1.0);
-    return static_cast<Nanos>(fraction * static_cast<double>(kCrowdedIdleTimeout));
+    if (taken <= kReducedTimeoutFrom) return kIdleTimeout;
+    const double fraction =
+        std::clamp((kShortestTimeoutFrom - taken) / (kShortestTimeoutFrom - kReducedTimeoutFrom),
+                   kShortestTimeoutFraction, 1.0);
+    return static_cast<Nanos>(fraction * static_cast<double>(kReducedIdleTimeout));
 }
 
 ClientListener::Position ClientListener::longestIdle() {
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -36,7 +36,7 @@
     std::string requestClass;
     std::string tenant;
     std::string key;
-    Nanos since = 0;  // when the request arrived
+    Nanos acceptedAt = 0;  // when the request arrived
     Nanos deadline = 0;
     int attemptCount = 0;
     bool isAwaited = false;  // a client waits, and the final response has not begun
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -107,7 +107,7 @@
         status.requestClass = request->message.requestClass;
         status.tenant = request->message.tenant;
         status.key = request->message.key;
-        status.since = request->acceptedAt;
+        status.acceptedAt = request->acceptedAt;
         status.deadline = request->deadline;
         status.attemptCount = request->attemptCount;
         status.isAwaited = request->sink != nullptr;
--- a/src/proxy/upstream_server.cpp
+++ b/src/proxy/upstream_server.cpp
@@ -166,9 +166,9 @@
     // on a new connection fails as not executed, while on an old one it would time out and might have
     // executed.
     while (lastActivity_ < attempt.sentAt()) {
-        UpstreamConnection* const silent = mostRecentlyUsedIdle();
-        if (!silent) break;
-        remove(*silent);
+        UpstreamConnection* const idle = mostRecentlyUsedIdle();
+        if (!idle) break;
+        remove(*idle);
     }
     endAttempt(attempt, outcome);
 }
