--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -101,12 +101,12 @@
         const toml::node* const node = find(key, isRequired);
         const toml::table emptyTable;
         if (node && !node->is_table()) problem(key, "is not a table");
-        const bool isThere = node && node->is_table();
+        const bool isPresent = node && node->is_table();
         // For a required table only the table itself is reported as missing, not also each of its
         // keys.
         ConfigProblems ignored("");
-        TomlTable inner(isThere ? *node->as_table() : emptyTable,
-                        isThere || !isRequired ? problems_ : ignored, childPath(key));
+        TomlTable inner(isPresent ? *node->as_table() : emptyTable,
+                        isPresent || !isRequired ? problems_ : ignored, childPath(key));
         read(inner);
         inner.finish();
     }
--- a/src/discovery/endpoint_poll.hpp
+++ b/src/discovery/endpoint_poll.hpp
@@ -67,7 +67,7 @@
     std::string progress() const;
 
   private:
-    void onConnected(bool up) override;
+    void onConnected(bool isConnected) override;
     void onData(std::string_view bytes) override;
     void onClosed() override;
 
--- a/src/endpoint_distribution/upstream_poller.cpp
+++ b/src/endpoint_distribution/upstream_poller.cpp
@@ -48,7 +48,7 @@
         host_.log("receiving the endpoint list from upstream " + std::to_string(upstream_));
     lastFailure_.clear();
     failures_ = 0;
-    consecutiveTimeouts_ = 0;
+    timeoutsSinceSuccess_ = 0;
     isProbing_ = false;
     state_ = State::backingOff;
     dueAt_ = now;  // no pause, as the upstream holds the next poll until there is a change
@@ -96,9 +96,9 @@
 
 void UpstreamPoller::recordTimeout(Nanos now) {
     lastTimeoutAt_ = now;
-    ++consecutiveTimeouts_;
-    if (consecutiveTimeouts_ < options_.upstreams || !options_.isEnabled(Safeguard::growingTimeout)) return;
-    consecutiveTimeouts_ = 0;
+    ++timeoutsSinceSuccess_;
+    if (timeoutsSinceSuccess_ < options_.upstreams || !options_.isEnabled(Safeguard::growingTimeout)) return;
+    timeoutsSinceSuccess_ = 0;
     responseTimeout_ = std::min(2 * responseTimeout_, kMaxResponseTimeout);
 }
 
--- a/src/endpoint_distribution/upstream_poller.hpp
+++ b/src/endpoint_distribution/upstream_poller.hpp
@@ -81,7 +81,7 @@
 
     Nanos responseTimeout_ = kResponseTimeout;
     // Polls that have timed out since the last successful one, or since responseTimeout_ last grew.
-    std::size_t consecutiveTimeouts_ = 0;
+    std::size_t timeoutsSinceSuccess_ = 0;
     Nanos lastTimeoutAt_ = 0;
 
     Nanos lastResponseAt_;
--- a/src/endpoint_distributor/program.cpp
+++ b/src/endpoint_distributor/program.cpp
@@ -15,7 +15,7 @@
 // Connections for rejected readers and status requests.
 constexpr std::size_t kSpareConnections = 256;
 // Descriptors of stdio, loop, signals, listener and upstream.
-constexpr std::size_t kOwnDescriptors = 64;
+constexpr std::size_t kReservedDescriptors = 64;
 constexpr std::size_t kSpareBuffers = 256;
 // Enough for one chunk that the kernel has not accepted.
 constexpr std::size_t kBuffersPerReader = 2;
@@ -50,7 +50,7 @@
 
 void DistributorProcess::raiseDescriptorLimit() {
     rlimit limit{};
-    const rlim_t needed = settings_.options.maxReaders + kSpareConnections + kOwnDescriptors;
+    const rlim_t needed = settings_.options.maxReaders + kSpareConnections + kReservedDescriptors;
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= needed) return;
     limit.rlim_cur = std::min(needed, limit.rlim_max);
     setrlimit(RLIMIT_NOFILE, &limit);
--- a/src/transport/buffer_pool.hpp
+++ b/src/transport/buffer_pool.hpp
@@ -19,12 +19,11 @@
     // `capacity` is the number of buffers that may be in use at a time.
     explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
 
-    // Null when `capacity` buffers are in use. `forThisEvent` says that the buffer is returned before the
-    // next event. The capacity may then be exceeded: peers that don't read must not prevent reads from
-    // others.
-    std::unique_ptr<Buffer> take(bool forThisEvent = false) {
+    // Null when `capacity` buffers are in use, unless `mayExceedCapacity` is true. That is for a buffer that
+    // is returned before the next event: peers that don't read must not prevent reads from others.
+    std::unique_ptr<Buffer> take(bool mayExceedCapacity = false) {
         if (free_.empty()) {
-            if (allocated_ >= capacity_ && !forThisEvent) return nullptr;
+            if (allocated_ >= capacity_ && !mayExceedCapacity) return nullptr;
             ++allocated_;
             return std::unique_ptr<Buffer>(new Buffer);
         }
