--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -194,8 +194,8 @@
         (void)!::send(peer.descriptor, text.data(), text.size(), MSG_NOSIGNAL);
     }
 
-    void acceptAll(int within) {
-        if (!becomesReadable(listener_, within)) return;
+    void acceptAll(int timeoutMs) {
+        if (!becomesReadable(listener_, timeoutMs)) return;
         for (int accepted;
              (accepted = accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
             peers_.push_back(std::make_unique<Peer>(accepted));
--- a/tests/endpoint_sources_test.cpp
+++ b/tests/endpoint_sources_test.cpp
@@ -395,19 +395,19 @@
     const auto used = std::find_if(sources.begin(), sources.end(), isConnected);
     REQUIRE(used != sources.end());
     StandInSource& silent = sources[static_cast<std::size_t>(used - sources.begin() + 1) % 3];
-    StandInSource& alive = sources[static_cast<std::size_t>(used - sources.begin() + 2) % 3];
+    StandInSource& working = sources[static_cast<std::size_t>(used - sources.begin() + 2) % 3];
     silent.set(Behaviour::silent);
     const auto killed = Clock::now();
     used->kill();
-    alive.publish(8);
-    CHECK(becomesTrue([&] { return hasRequest(alive, after(8)); }, 2 * kChangeWithin));
+    working.publish(8);
+    CHECK(becomesTrue([&] { return hasRequest(working, after(8)); }, 2 * kChangeWithin));
     const auto elapsed = Clock::now() - killed;
     CHECK(elapsed < kChangeWithin);
     MESSAGE("change received from the third source after ms: ",
             std::chrono::duration_cast<milliseconds>(elapsed).count());
-    REQUIRE(alive.requestCount() > 0);
-    CHECK(alive.requests()[0].line.starts_with(after(7)));
-    CHECK_FALSE(hasRequest(alive, kCompleteRequest));
+    REQUIRE(working.requestCount() > 0);
+    CHECK(working.requests()[0].line.starts_with(after(7)));
+    CHECK_FALSE(hasRequest(working, kCompleteRequest));
 }
 
 // Checks the test's own source: a router left over from another test run would spoil the counts
--- a/tests/large_endpoint_lists_test.cpp
+++ b/tests/large_endpoint_lists_test.cpp
@@ -245,29 +245,29 @@
     const auto answer = ctl::sendRequest(socket, {{"do", "upgrade"}}, kResponseTimeoutMs);
     CAPTURE(answer.dump());
     REQUIRE(answer.contains("taken_over_by"));
-    const pid_t successor = answer.at("taken_over_by");
-    CHECK(becomesTrue([&] { return pidAt(socket) == successor; }));
+    const pid_t newProcess = answer.at("taken_over_by");
+    CHECK(becomesTrue([&] { return pidAt(socket) == newProcess; }));
     CHECK(ctl::sendRequest(socket, {{"do", "figures"}}, kResponseTimeoutMs).at("caches_listed") ==
           kManyServers);
-    kill(successor, SIGKILL);
+    kill(newProcess, SIGKILL);
 }
 
 TEST_CASE("RemovedEndpoints holds ids up to its capacity in bytes, and evicts the oldest first") {
     constexpr std::size_t kCapacity = 16'000'000 / 32;  // the capacity at the lowest memory limit
-    discovery::RemovedEndpoints known(kCapacity);
+    discovery::RemovedEndpoints removed(kCapacity);
     const auto longId = [](int number) { return serverId("gone", number) + std::string(237, 'x'); };
     REQUIRE(longId(0).size() >= 256);
-    for (int i = 0; i < 1'024; ++i) known.add(longId(i));
-    CHECK(known.size() == 1'024);
-    known.add(longId(0));  // removed once more
-    CHECK(known.size() == 1'024);
-    for (int i = 1'024; i < 10'000; ++i) known.add(longId(i));
-    CHECK(known.size() < kCapacity / 256);
-    CHECK(known.contains(longId(9'999)));
-    CHECK(known.contains(longId(9'999 - 1'023)));
-    CHECK(!known.contains(longId(0)));
-    known.remove(longId(9'999));
-    CHECK(!known.contains(longId(9'999)));
+    for (int i = 0; i < 1'024; ++i) removed.add(longId(i));
+    CHECK(removed.size() == 1'024);
+    removed.add(longId(0));  // removed once more
+    CHECK(removed.size() == 1'024);
+    for (int i = 1'024; i < 10'000; ++i) removed.add(longId(i));
+    CHECK(removed.size() < kCapacity / 256);
+    CHECK(removed.contains(longId(9'999)));
+    CHECK(removed.contains(longId(9'999 - 1'023)));
+    CHECK(!removed.contains(longId(0)));
+    removed.remove(longId(9'999));
+    CHECK(!removed.contains(longId(9'999)));
 }
 
 TEST_CASE("the reader of an endpoint list ignores unknown fields and rejects entries that are no objects") {
--- a/tests/long_value_test.cpp
+++ b/tests/long_value_test.cpp
@@ -330,9 +330,10 @@
             std::vector<std::jthread> connections;
             while (!stop.stop_requested())
                 if (!server.isQuiet(20))
-                    connections.emplace_back([&response, made = std::make_shared<Socket>(server.accept())] {
-                        if (made->readCommand().size() == 4) made->send(response);
-                    });
+                    connections.emplace_back(
+                        [&response, connection = std::make_shared<Socket>(server.accept())] {
+                            if (connection->readCommand().size() == 4) connection->send(response);
+                        });
             // Killing the router closes its connections, which ends the threads that still write.
             fixture.program.signal(SIGKILL);
         });
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -130,8 +130,8 @@
     const auto router = deployment.start();
     std::vector<Socket> silent;
     for (int i = 0; i < 12; ++i) silent.emplace_back(router->console).send(i % 2 ? "stat" : "");
-    std::vector<Socket> crowd;  // as many clients as the router accepts
-    for (int i = 0; i < 300; ++i) crowd.push_back(deployment.client());
+    std::vector<Socket> idleClients;  // as many clients as the router accepts
+    for (int i = 0; i < 300; ++i) idleClients.push_back(deployment.client());
     CHECK(consoleReply(router->console, "status").starts_with("ACK serving"));
     CHECK(consoleReply(router->console, "dance").starts_with("NAK unknown command 'dance'"));
     CHECK(consoleReply(router->console, std::string(300, 'x')).starts_with("NAK the line is longer than"));
@@ -147,15 +147,15 @@
     Socket idle = deployment.client(), busy = deployment.client();
     CHECK(idle.send(array({"PING"})).readLine() == "+PONG");
     busy.send(get("k"));
-    Socket at =
+    Socket cacheConnection =
         deployment.caches[0].isQuiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
-    at.readCommand();
+    cacheConnection.readCommand();
     CHECK(consoleReply(router->console, "standby").starts_with("ACK serving, standing by"));
     CHECK(consoleReply(router->console, "standby").starts_with("ACK"));
-    Socket front = deployment.client();
-    CHECK(front.send(array({"PING"})).readLine() == "-ERR the router is in standby");
-    CHECK(front.isClosedByPeer());
-    at.send(hit("V"));
+    Socket rejectedHealthCheck = deployment.client();
+    CHECK(rejectedHealthCheck.send(array({"PING"})).readLine() == "-ERR the router is in standby");
+    CHECK(rejectedHealthCheck.isClosedByPeer());
+    cacheConnection.send(hit("V"));
     CHECK(busy.readResponse() == "V");
     CHECK(busy.isClosedByPeer());
     CHECK(idle.isQuiet(200));  // the connection stays open for now, as a request may be on its way
@@ -180,7 +180,7 @@
     Socket healthCheck = deployment.client();
     CHECK(healthCheck.send(array({"PING"})).readLine() == "+PONG");
     healthCheck.send(get("k"));
-    at.close();
+    cacheConnection.close();
     RespondingCaches caches(deployment);
     CHECK(healthCheck.readResponse() == "9b1f-k");
     CHECK(healthCheck.isQuiet(100));
@@ -222,13 +222,13 @@
     Socket idle = deployment.client(), busy = deployment.client();
     CHECK(idle.send(array({"PING"})).readLine() == "+PONG");
     busy.send(get("k"));
-    Socket at =
+    Socket cacheConnection =
         deployment.caches[0].isQuiet(300) ? deployment.caches[1].accept() : deployment.caches[0].accept();
-    at.readCommand();
+    cacheConnection.readCommand();
     const auto next = deployment.start();
     old->program.signal(SIGTERM);
     for (int i = 0; i < 50; ++i) CHECK(deployment.client().send(array({"PING"})).readLine() == "+PONG");
-    at.send(hit("V"));
+    cacheConnection.send(hit("V"));
     CHECK(busy.readResponse() == "V");
     CHECK(busy.isClosedByPeer());
     CHECK(idle.isClosedByPeer());
@@ -237,14 +237,15 @@
 }
 
 TEST_CASE("Passed socket: an invalid descriptor, or a console port in use, is an error that names it") {
-    for (const char* said : {"four", "-1", "99", "1", ""}) {
-        setenv("ROUTER_PASSED_SOCKET", said, 1);
+    for (const char* descriptorText : {"four", "-1", "99", "1", ""}) {
+        setenv("ROUTER_PASSED_SOCKET", descriptorText, 1);
         Deployment deployment;
         const ReservedPort console;
         deployment.config["console"] = "127.0.0.1:" + std::to_string(console.port);
         Program program(deployment.config.dump());
         CHECK(program.exitCode() == 1);
-        CHECK(program.log().find("ROUTER_PASSED_SOCKET is '" + std::string(said) + "'") != std::string::npos);
+        CHECK(program.log().find("ROUTER_PASSED_SOCKET is '" + std::string(descriptorText) + "'") !=
+              std::string::npos);
     }
     unsetenv("ROUTER_PASSED_SOCKET");
     Deployment deployment;
@@ -312,9 +313,9 @@
     CHECK(consoleReply(old->console, "maint-on c1").starts_with("ACK"));
     CHECK(consoleReply(next->console, "maint-off c0").starts_with("ACK"));
     CHECK(consoleReply(next->console, "standby").starts_with("ACK"));
-    const auto bothShow = [&](const std::string& is) {
+    const auto bothShow = [&](const std::string& expected) {
         for (auto* router : {old.get(), next.get()})
-            for (int tries = 0; consoleReply(router->console, "status").find(is) == std::string::npos;
+            for (int tries = 0; consoleReply(router->console, "status").find(expected) == std::string::npos;
                  ++tries) {
                 if (tries > 100) return false;
                 usleep(20'000);
@@ -358,14 +359,14 @@
     Deployment deployment(true);
     RespondingCaches caches(deployment);
     auto current = deployment.start();
-    std::atomic<bool> over = false;
+    std::atomic<bool> isOver = false;
     std::atomic<int> answered = 0, retried = 0, wrong = 0;
     {
         std::vector<std::jthread> clients;
         for (int c = 0; c < 12; ++c)
             clients.emplace_back([&, c] {
                 Socket client = deployment.client();
-                for (int i = 0; !over; ++i, usleep(3'000)) {
+                for (int i = 0; !isOver; ++i, usleep(3'000)) {
                     const std::string key = std::to_string(c) + "-" + std::to_string(i);
                     if (!client.isQuiet(0)) client = deployment.client();  // closed meanwhile
                     std::string response = client.send(get(key)).readResponse();
@@ -390,7 +391,7 @@
             current = std::move(next);
         }
         usleep(300'000);
-        over = true;
+        isOver = true;
     }
     MESSAGE(answered.load(), " answered, ", retried.load(), " crossed a close");
     CHECK(wrong.load() == 0);
--- a/tests/overload_control_test.cpp
+++ b/tests/overload_control_test.cpp
@@ -40,10 +40,10 @@
     fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::delta, {fixture.endpoints[0]});
     int sent = 0;
     for (int i = 0; i < 100; ++i, fixture.now += 10 * ms) {
-        auto seen = fixture.host.actions.size();
+        auto nextAction = fixture.host.actions.size();
         fixture.sendRequest(++id, std::to_string(i));
-        for (; seen < fixture.host.actions.size(); ++seen)
-            if (const RecordedAction action = fixture.host.actions[seen];
+        for (; nextAction < fixture.host.actions.size(); ++nextAction)
+            if (const RecordedAction action = fixture.host.actions[nextAction];
                 action.kind == ActionKind::startAttempt) {
                 ++sent;
                 fixture.endAttempt(action.id, 0, AttemptOutcome::succeeded);
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -30,12 +30,12 @@
         actions.push_back({ActionKind::reject, id, "", retryAfter});
     }
     void fail(RequestId id) override { actions.push_back({ActionKind::fail, id, "", 0}); }
-    void scheduleWakeup(Nanos at) override { wakes.push_back(at); }
+    void scheduleWakeup(Nanos at) override { wakeups.push_back(at); }
     void pollEndpoints() override { ++polls; }
     void log(std::string_view text) override { logs.emplace_back(text); }
 
     std::vector<RecordedAction> actions;
-    std::vector<Nanos> wakes;
+    std::vector<Nanos> wakeups;
     std::vector<std::string> logs;
     int polls = 0;
 };
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -149,7 +149,7 @@
     };
     PolicySettings settings = smallPolicySettings(false);
     settings.weightsFollowLoad = true;
-    const auto listed = [&](double weight) {
+    const auto countAttempts = [&](double weight) {
         PolicyFixture equal(settings, 6);
         PolicyFixture unequal(settings, 6);
         AttemptCounts counts;
@@ -169,14 +169,14 @@
         }
         return counts;
     };
-    const auto calm = listed(4);
-    const auto busy = listed(4.0 / 90);
+    const auto calm = countAttempts(4);
+    const auto busy = countAttempts(4.0 / 90);
     CHECK(calm.moved == 0);
     CHECK(busy.onFirst < calm.onFirst / 2);
     CHECK(busy.moved <= calm.onFirst);
     // The first weight means two requests per core, which is no reason to avoid the server at
     // latencies of 100 ms and an objective of 500 ms. The other weights are implausible or missing.
-    for (const double weight : {4.0 / 3, 1e12, 0.0, 1e-12}) CHECK(listed(weight) == calm);
+    for (const double weight : {4.0 / 3, 1e12, 0.0, 1e-12}) CHECK(countAttempts(weight) == calm);
 }
 
 TEST_CASE("a read-through cache's failed fetch is not counted as a failure of the server and not retried") {
@@ -224,22 +224,21 @@
     CHECK(onWarmingServer < 200);
 }
 
-// Servers n0, n1 ... in the router's own zone and f0, f1 ... in others. The cross-zone cost is
-// `price`.
+// Servers n0, n1 ... in the router's own zone and f0, f1 ... in others.
 struct ZonesFixture {
-    ZonesFixture(int localCount, int remoteCount, double price = 0.03, const char* own = "here",
-                 int routers = 300)
-        : fixture(settings(price, own, routers), 0) {
+    ZonesFixture(int localCount, int remoteCount, double crossZoneCost = 0.03, const char* ownZone = "here",
+                 int routerCount = 300)
+        : fixture(settings(crossZoneCost, ownZone, routerCount), 0) {
         for (int i = 0; i < localCount; ++i) endpoints.push_back({"n" + std::to_string(i), "here", "m"});
         for (int i = 0; i < remoteCount; ++i)
             endpoints.push_back({"f" + std::to_string(i), i % 2 ? "there" : "beyond", "m"});
         update();
     }
-    static PolicySettings settings(double price, const char* own, int routers) {
+    static PolicySettings settings(double crossZoneCost, const char* ownZone, int routerCount) {
         PolicySettings settings = smallPolicySettings(false);
-        settings.routerCount = routers;
-        settings.zone = own;
-        settings.crossZoneCost = price;
+        settings.routerCount = routerCount;
+        settings.zone = ownZone;
+        settings.crossZoneCost = crossZoneCost;
         return settings;
     }
     void update() { fixture.policy.onEndpointUpdate(fixture.now, EndpointUpdateKind::complete, endpoints); }
@@ -274,16 +273,16 @@
     CHECK(ZonesFixture(2, 10).crossingFraction(400, AttemptOutcome::succeeded) > 0.3);
     // Zones are ignored if crossing is free, and if the own zone is not known, has no servers or
     // has all of them.
-    const auto firsts = [](ZonesFixture&& zones) {
+    const auto firstServers = [](ZonesFixture&& zones) {
         std::vector<std::string> all;
         for (RequestId id = 1'000; id < 1'050; ++id)
             all.push_back(zones.fixture.serveRequest(id, std::to_string(id)));
         return all;
     };
-    CHECK(firsts(ZonesFixture(4, 8, 0)) != firsts(ZonesFixture(4, 8)));
-    CHECK(firsts(ZonesFixture(4, 8, 0)) == firsts(ZonesFixture(4, 8, 0.03, "elsewhere")));
-    CHECK(firsts(ZonesFixture(4, 8, 0)) == firsts(ZonesFixture(4, 8, 0.03, "")));
-    CHECK(firsts(ZonesFixture(12, 0, 0)) == firsts(ZonesFixture(12, 0)));
+    CHECK(firstServers(ZonesFixture(4, 8, 0)) != firstServers(ZonesFixture(4, 8)));
+    CHECK(firstServers(ZonesFixture(4, 8, 0)) == firstServers(ZonesFixture(4, 8, 0.03, "elsewhere")));
+    CHECK(firstServers(ZonesFixture(4, 8, 0)) == firstServers(ZonesFixture(4, 8, 0.03, "")));
+    CHECK(firstServers(ZonesFixture(12, 0, 0)) == firstServers(ZonesFixture(12, 0)));
 }
 
 TEST_CASE("requests cross zones at once when the own zone fails, and its servers return in slow start") {
--- a/tests/source_selector_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -34,19 +34,19 @@
         const std::size_t count = 2 + random() % (kMaxSources - 1);
         SourceSelector selector(count, random(), disabled);
         selector.onResponded();
-        const std::size_t alive = random() % count;
+        const std::size_t workingSource = random() % count;
         Nanos now = kBegin;
         while (true) {
             const Attempt next = selector.onFailed(now);
             now = next.at;
-            const bool isAlive = next.source == alive;
-            const bool failsAtOnce = !isAlive && random() % 2 == 0;
+            const bool isWorking = next.source == workingSource;
+            const bool failsAtOnce = !isWorking && random() % 2 == 0;
             // The working source responds as late as its timeout allows.
             if (!failsAtOnce) now += selector.attemptTimeout();
             if (now - kBegin > kRecoveryBound)
                 return "seed " + std::to_string(seed) +
                        ": no response within kRecoveryBound although a source is alive";
-            if (isAlive) break;
+            if (isWorking) break;
         }
     }
     return {};
