--- a/src/config/config_description.cpp
+++ b/src/config/config_description.cpp
@@ -39,7 +39,7 @@
     line("memory_mb", startup.memoryLimitBytes / 1'000'000);
     line("descriptors", startup.maxDescriptors);
     line("routers", startup.policy.routerCount);
-    line("zone", startup.policy.zone.empty() ? "not told" : startup.policy.zone);
+    line("zone", startup.policy.zone.empty() ? "not set" : startup.policy.zone);
     line("cross_price", startup.policy.crossZoneCost);
     line("open", startup.maxOpenRequests);
     line("relays", startup.policy.maxAttempts);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 #include <cmath>
+#include <iomanip>
+#include <sstream>
 #include <string>
 
 #include "policy/endpoint_registry.hpp"
@@ -27,6 +29,12 @@
     return std::max(byChance, (2 * medianRate + kMinExcessRate) * outcomes);
 }
 
+std::string withOneDecimal(double value) {
+    std::ostringstream text;
+    text << std::fixed << std::setprecision(1) << value;
+    return text.str();
+}
+
 }  // namespace
 
 bool OutcomeHistory::noteEnd(Nanos now) {
@@ -90,8 +98,8 @@
 }
 
 void OutlierDetector::eject(Server& server, double failures, double outcomes, Nanos now) {
-    host_.log("ejected cache server " + server.name() + " as an outlier: " + std::to_string(failures) +
-              " of " + std::to_string(outcomes) + " recent attempts failed");
+    host_.log("ejected cache server " + server.name() + " as an outlier: " + withOneDecimal(failures) +
+              " of " + withOneDecimal(outcomes) + " recent attempts failed (older attempts weigh less)");
     server.outcomes.eject(now + kEjectionDuration + random_.jitter(kEjectionDuration / 4));
     server.limiter.setLimit(1);
 }
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -35,7 +35,8 @@
     if (keyword == "Ready") return EndpointState::ready;
     if (keyword == "Terminating") return EndpointState::draining;
     if (keyword == "Gone") return EndpointState::removed;
-    throw ParseError("the state of a server is not Ready, Terminating or Gone");
+    throw ParseError("the state of a server is '" + quotableStart(keyword) +
+                     "', expected Ready, Terminating or Gone");
 }
 
 ParseError invalidWeight(const std::string& server, const Json& weight, const std::string& expected) {
@@ -71,7 +72,8 @@
     entry.address = json.value("addr", "");
     entry.startedMs = json.value("started_ms", std::int64_t{0});
     if (entry.startedMs < 0 || entry.startedMs > kMaxStartedMs)
-        throw ParseError("started_ms of a server is " + std::to_string(entry.startedMs) + ", not from 0 to " +
+        throw ParseError("started_ms of server '" + quotableStart(endpoint.name) + "' is " +
+                         std::to_string(entry.startedMs) + ", expected 0 to " +
                          std::to_string(kMaxStartedMs));
     return entry;
 }
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -45,7 +45,9 @@
     const Nanos timeLeft = attempt.deadline() - transport::EventLoop::now();
     // Every request is written here, so the invariant is checked again, whatever was checked before.
     if (isStale() || timeLeft <= 0)
-        pool_.guard().reportViolation(Invariant::sending, "request " + message.id + " to " + owner_.host());
+        pool_.guard().reportViolation(
+            Invariant::sending, "request " + message.id + " to " + owner_.host() +
+                                    ", which is unusable or has another address, or after its deadline");
     const std::string head = codec_->encode(message, owner_.host(), timeLeft);
     // The request's last byte was not accepted, so the server can't have executed the request.
     if (!connection_.write(head)) return breakOff(AttemptOutcome::connectFailed);
--- a/tests/operator_console_test.cpp
+++ b/tests/operator_console_test.cpp
@@ -393,7 +393,7 @@
         usleep(300'000);
         isOver = true;
     }
-    MESSAGE(answered.load(), " answered, ", retried.load(), " crossed a close");
+    MESSAGE(answered.load(), " answered, ", retried.load(), " retried after a close");
     CHECK(wrong.load() == 0);
     CHECK(answered.load() > 1'000);
     CHECK(retried.load() <= 6);
--- a/tests/overload_control_test.cpp
+++ b/tests/overload_control_test.cpp
@@ -303,7 +303,8 @@
                 ++attemptsAtOthers;
         }
     }
-    MESSAGE(attemptsAtReadmitted, " attempts at the readmitted server, at the others: ", attemptsAtOthers);
+    MESSAGE("attempts at the readmitted server: ", attemptsAtReadmitted,
+            ", at the other servers: ", attemptsAtOthers);
     CHECK(attemptsAtReadmitted >= 60);
     // In slow start, the server bears a fifth of the load of each of the three other servers, and
     // collapses at three times as much.
--- a/tests/source_selector_test.cpp
+++ b/tests/source_selector_test.cpp
@@ -45,7 +45,7 @@
             if (!failsAtOnce) now += selector.attemptTimeout();
             if (now - kBegin > kRecoveryBound)
                 return "seed " + std::to_string(seed) +
-                       ": no response within kRecoveryBound although a source is alive";
+                       ": no response within kRecoveryBound although a source works";
             if (isWorking) break;
         }
     }
