--- a/src/rollout/fault_excuses.cpp
+++ b/src/rollout/fault_excuses.cpp
@@ -7,7 +7,7 @@
 
 constexpr Nanos kRecentHalfLife = 3'000 * kMillisecond;
 constexpr Nanos kBaselineHalfLife = 60'000 * kMillisecond;
-constexpr Nanos kInterruptionAftermath = 5'000 * kMillisecond;
+constexpr Nanos kInterruptionEffectTime = 5'000 * kMillisecond;
 // Ratios to the baseline above which a condition is an excuse.
 constexpr double kMinBurstFactor = 1.25;
 constexpr double kMinSlowAttemptFactor = 1.3;
@@ -40,7 +40,7 @@
 
 std::string FaultExcuses::find(Nanos now, const std::string& unreachableAgents) const {
     if (!unreachableAgents.empty()) return "no recent report from " + unreachableAgents;
-    if (interruptedAt_ && now - interruptedAt_ < kInterruptionAftermath)
+    if (interruptedAt_ && now - interruptedAt_ < kInterruptionEffectTime)
         return "machines or agents were interrupted recently";
     if (lostAttempts_.recent.value() >
         kMinLostAttemptFactor * lostAttempts_.baseline.value() + kLostAttemptAllowance)
--- a/src/rollout/fleet_window.cpp
+++ b/src/rollout/fleet_window.cpp
@@ -16,7 +16,7 @@
     for (const auto& [name, requestClass] : window.requestClasses)
         sums.referenceBad += static_cast<double>(requestClass.unsuccessful() + requestClass.late);
     sums.referenceRequests += countRequests(window);
-    sums.referenceAttemptsLost += static_cast<double>(window.attemptsLost);
+    sums.referenceAttemptsLost += static_cast<double>(window.unsuccessfulAttempts);
     sums.referenceAttempts += static_cast<double>(window.attempts);
 }
 
--- a/src/rollout/harm_exclusion.cpp
+++ b/src/rollout/harm_exclusion.cpp
@@ -35,7 +35,7 @@
     const std::array<Limit, 4> limits{{{event_kind::kUnanswered, thresholds.harm},
                                        {event_kind::kLate, thresholds.harm},
                                        {event_kind::kSlower, thresholds.slowHarm},
-                                       {event_kind::kNeverAnswered, thresholds.silent}}};
+                                       {event_kind::kNeverAnswered, thresholds.neverAnsweredHarm}}};
     const bool hasUnchangedInstances = schedule.targetCount() < schedule.instanceCount();
     // The harm to rule out for never answered requests is so small that the first stage's traffic
     // is seldom enough.
--- a/src/rollout/instance_metrics.cpp
+++ b/src/rollout/instance_metrics.cpp
@@ -47,19 +47,19 @@
 std::optional<InstanceMetrics> windowOf(const InstanceMetrics& before, const InstanceMetrics& after,
                                         Nanos elapsed) {
     if (before.incarnation != after.incarnation) return std::nullopt;
-    const bool isFromTheFuture = after.up - before.up > elapsed + kMaxClockSlack;
-    if (after.up < before.up || isFromTheFuture) return std::nullopt;
+    const bool isClockAhead = after.up - before.up > elapsed + kMaxClockSlack;
+    if (after.up < before.up || isClockAhead) return std::nullopt;
     CounterDifference difference;
     InstanceMetrics window = after;
     window.up = after.up - before.up;
     window.attempts = difference(after.attempts, before.attempts);
     window.originAttempts = difference(after.originAttempts, before.originAttempts);
-    window.attemptsLost = difference(after.attemptsLost, before.attemptsLost);
+    window.unsuccessfulAttempts = difference(after.unsuccessfulAttempts, before.unsuccessfulAttempts);
     window.connectionsOpened = difference(after.connectionsOpened, before.connectionsOpened);
     // A new process opens connections that it keeps using: these are no lasting pressure on the
     // caches.
     const auto growth = static_cast<std::uint64_t>(std::max(after.connections - before.connections, 0.0));
-    window.churned = window.connectionsOpened - std::min(window.connectionsOpened, growth);
+    window.surplusConnections = window.connectionsOpened - std::min(window.connectionsOpened, growth);
     window.endpointPolls = difference(after.endpointPolls, before.endpointPolls);
     window.attemptMs = after.attemptMs - before.attemptMs;
     for (const auto& [name, earlier] : before.requestClasses) {
--- a/src/rollout/instance_metrics.hpp
+++ b/src/rollout/instance_metrics.hpp
@@ -47,11 +47,12 @@
     // Counters.
     std::uint64_t attempts = 0;
     std::uint64_t originAttempts = 0;
-    std::uint64_t attemptsLost = 0;  // failed, timed out, cut off, not connected, or rejected for overload
+    // Attempts that failed, timed out, were cut off, not connected, or rejected for overload.
+    std::uint64_t unsuccessfulAttempts = 0;
     std::uint64_t connectionsOpened = 0;
     std::uint64_t endpointPolls = 0;
-    std::uint64_t churned = 0;  // connections opened beyond the net growth; only in a window
-    double attemptMs = 0;       // sum of the durations of answered attempts
+    std::uint64_t surplusConnections = 0;  // connections opened beyond the net growth; only in a window
+    double attemptMs = 0;                  // sum of the durations of answered attempts
     // Levels.
     double memoryKb = 0;
     double descriptors = 0;
--- a/src/rollout/messages.hpp
+++ b/src/rollout/messages.hpp
@@ -52,8 +52,8 @@
     InstanceState state = InstanceState::original;
     bool ready = false;
     Nanos timeInState = 0;
-    int exitCount = 0;    // unrequested exits since its agent started or this rollout began
-    std::string problem;  // why it has failed, or could not be changed
+    int unexpectedExits = 0;  // unrequested exits since its agent started or this rollout began
+    std::string problem;      // why it has failed, or could not be changed
     std::optional<InstanceMetrics> metrics;
 };
 
--- a/src/rollout/messages_codec.cpp
+++ b/src/rollout/messages_codec.cpp
@@ -41,7 +41,7 @@
     report.state = readState(input.at("stand").get<std::string>());
     report.ready = input.at("ready").get<bool>();
     report.timeInState = input.at("since_ms").get<std::int64_t>() * kMillisecond;
-    report.exitCount = input.at("ends").get<int>();
+    report.unexpectedExits = input.at("ends").get<int>();
     report.problem = input.value("problem", "");
     if (input.contains("figures")) report.metrics = readInstanceMetrics(input.at("figures"));
     return report;
@@ -71,8 +71,8 @@
     metrics.attempts = readCount(input, "relays");
     metrics.originAttempts = readCount(input, "origin_relays");
     for (const char* key : {"relays_errored", "relays_timed_out", "relays_cut", "relays_turned_away"})
-        metrics.attemptsLost += readCount(input, key);
-    metrics.attemptsLost += readCount(input, "relays_found_dead");
+        metrics.unsuccessfulAttempts += readCount(input, key);
+    metrics.unsuccessfulAttempts += readCount(input, "relays_found_dead");
     metrics.connectionsOpened = readCount(input, "links_opened");
     metrics.endpointPolls = input.value("list_calls", std::uint64_t{0});
     metrics.attemptMs = input.value("relay_ms", 0.0);
@@ -145,7 +145,7 @@
                              {"stand", nameOf(instance.state)},
                              {"ready", instance.ready},
                              {"since_ms", instance.timeInState / kMillisecond},
-                             {"ends", instance.exitCount},
+                             {"ends", instance.unexpectedExits},
                              {"problem", instance.problem},
                              {"figures", i < metrics.size() ? metrics[i] : json()}});
     }
--- a/src/rollout/rollout_agent.cpp
+++ b/src/rollout/rollout_agent.cpp
@@ -92,7 +92,7 @@
         // Counts exits from the beginning of the rollout, so that both sides are counted over the
         // same time.
         for (Instance& instance : instances_) {
-            instance.exitCount = 0;
+            instance.unexpectedExits = 0;
             instance.problem.clear();
         }
     }
@@ -204,7 +204,7 @@
     host_.log(fmt::format("instance {} can't be rolled back, will retry: {}", index, problem));
 }
 
-void RolloutAgent::onExited(Nanos, int instance) { ++at(instance).exitCount; }
+void RolloutAgent::onExited(Nanos, int instance) { ++at(instance).unexpectedExits; }
 
 // ---- actions
 
@@ -281,7 +281,7 @@
         reported.state = instance.state;
         reported.ready = instance.ready;
         reported.timeInState = now - instance.since;
-        reported.exitCount = instance.exitCount;
+        reported.unexpectedExits = instance.unexpectedExits;
         reported.problem = instance.problem;
     }
     return report;
--- a/src/rollout/rollout_agent.hpp
+++ b/src/rollout/rollout_agent.hpp
@@ -85,7 +85,7 @@
         InstanceState state = InstanceState::original;
         Nanos since = 0;
         bool ready = true;
-        int exitCount = 0;
+        int unexpectedExits = 0;
         std::string problem;
         Nanos retryAt = 0;  // when a rollback is retried; valid in InstanceState::failed
     };
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -47,7 +47,7 @@
 void readThresholds(TomlTable& table, Thresholds& thresholds) {
     thresholds.falseAlarms = table.number("false_alarms", thresholds.falseAlarms, 1e-6, 0.2);
     thresholds.harm = table.number("harm", thresholds.harm, 0.0005, 0.5);
-    thresholds.silent = table.number("silent", thresholds.silent, 0.0001, 0.5);
+    thresholds.neverAnsweredHarm = table.number("silent", thresholds.neverAnsweredHarm, 0.0001, 0.5);
     thresholds.allowance = table.number("allowance", thresholds.allowance, 0, 0.1);
     thresholds.ratio = table.number("ratio", thresholds.ratio, 1, 10);
     thresholds.slower = table.number("slower", thresholds.slower, 1, 10);
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -21,11 +21,12 @@
 struct Thresholds {
     double falseAlarms = 0.01;  // probability that a change without any effect is rolled back
     double harm = 0.02;         // share of unanswered or late requests to rule out before a stage completes
-    double silent = 0.003;      // share of never answered requests to rule out, from the second stage on
-    double allowance = 0.002;   // tolerated share of additional bad requests, on top of `ratio`
-    double ratio = 1.2;         // tolerated ratio of bad requests, changed to unchanged side
-    double slower = 1.05;       // tolerated ratio of slow responses: the unchanged side's slowest quarter
-    double slowHarm = 0.05;     // share of additional slow responses to rule out
+    // Share of never answered requests to rule out, from the second stage on.
+    double neverAnsweredHarm = 0.003;
+    double allowance = 0.002;  // tolerated share of additional bad requests, on top of `ratio`
+    double ratio = 1.2;        // tolerated ratio of bad requests, changed to unchanged side
+    double slower = 1.05;      // tolerated ratio of slow responses: the unchanged side's slowest quarter
+    double slowHarm = 0.05;    // share of additional slow responses to rule out
     // Tolerated ratio of attempts per request, connections per attempt, and endpoint polls.
     double pressure = 1.5;
     double growth = 1.3;  // tolerated ratio of memory, descriptors and connections
--- a/src/rollout/stage_monitor.cpp
+++ b/src/rollout/stage_monitor.cpp
@@ -25,10 +25,10 @@
         const InstanceReport* const report = fleet.reportOf(fleet.instance(i));
         if (!report) continue;
         if (schedule.isTarget(i)) {
-            changedExits += report->exitCount;
+            changedExits += report->unexpectedExits;
             ++changedInstances;
         } else {
-            unchangedExits += report->exitCount;
+            unchangedExits += report->unexpectedExits;
             ++unchangedInstances;
         }
     }
@@ -73,7 +73,7 @@
         const InstanceView& instance = fleet.instance(i);
         const InstanceReport* const report = fleet.reportOf(instance);
         if (!report || !schedule.isTarget(i)) continue;
-        exits += report->exitCount;
+        exits += report->unexpectedExits;
         reason = describeProblem(now, fleet, instance, *report);
     }
     if (exits > maxExitCount_) judgedTime_ = 0;
--- a/src/rollout/window_counts.cpp
+++ b/src/rollout/window_counts.cpp
@@ -53,11 +53,12 @@
     double attemptsToDraining = 0;
     for (const auto& [name, cache] : window.caches)
         if (drainingCaches.isKnownToAll(name)) attemptsToDraining += static_cast<double>(cache.attempts);
-    at(counts, event_kind::kAttemptsLost) = {static_cast<double>(window.attemptsLost), attempts};
+    at(counts, event_kind::kAttemptsLost) = {static_cast<double>(window.unsuccessfulAttempts), attempts};
     at(counts, event_kind::kAttemptsPerRequest) = {attempts, requests};
     at(counts, event_kind::kOriginAttemptsPerRequest) = {static_cast<double>(window.originAttempts),
                                                          requests};
-    at(counts, event_kind::kConnectionsPerAttempt) = {static_cast<double>(window.churned), attempts};
+    at(counts, event_kind::kConnectionsPerAttempt) = {static_cast<double>(window.surplusConnections),
+                                                      attempts};
     at(counts, event_kind::kAttemptsToDraining) = {attemptsToDraining, attempts};
     at(counts, event_kind::kEndpointPolls) = {static_cast<double>(window.endpointPolls),
                                               static_cast<double>(window.up) / 1e9};
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -103,7 +103,7 @@
         instance.state = static_cast<rollout::InstanceState>(state);
         instance.ready = state % 2 == 0;
         instance.timeInState = state * 1'500 * kMillisecond;
-        instance.exitCount = state;
+        instance.unexpectedExits = state;
         instance.problem = state == 4 ? "it does not start" : "";
         report.instances.push_back(instance);
     }
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -22,7 +22,7 @@
     struct Instance {
         InstanceState state = InstanceState::original;
         Nanos since = 0;
-        int exitCount = 0;
+        int unexpectedExits = 0;
         std::string problem;
         InstanceMetrics metrics;
         bool reportsMetrics = true;
@@ -64,7 +64,8 @@
         metrics.cachesReady = 4;
         metrics.cachesListed = 4;
         RequestClassMetrics& reads = metrics.requestClasses["read"];
-        std::binomial_distribution<int> bad(50, std::min(baselineHarm + (isChanged ? addedHarm : 0.0), 1.0));
+        std::binomial_distribution<int> bad(
+            50, std::min(baselineRejectedShare + (isChanged ? addedHarm : 0.0), 1.0));
         const int rejected = bad(random);
         reads.accepted += 50;
         reads.rejected += static_cast<std::uint64_t>(rejected);
@@ -83,8 +84,9 @@
             const bool isTarget = order.changed.contains(static_cast<int>(i));
             const bool runsChange = instance.state == InstanceState::changed;
             if (isTarget == runsChange || instance.state == InstanceState::failed) continue;
-            const InstanceState withdrawn = rollbackFails ? InstanceState::failed : InstanceState::original;
-            instance.state = isTarget ? InstanceState::changed : withdrawn;
+            const InstanceState stateAfterRollback =
+                rollbackFails ? InstanceState::failed : InstanceState::original;
+            instance.state = isTarget ? InstanceState::changed : stateAfterRollback;
             instance.since = now;
             ++instance.metrics.incarnation;
             instance.metrics.up = 0;
@@ -103,7 +105,7 @@
             one.state = instance.state;
             one.ready = true;
             one.timeInState = now - instance.since;
-            one.exitCount = instance.exitCount;
+            one.unexpectedExits = instance.unexpectedExits;
             one.problem = instance.problem;
             const bool runsChange = instance.state == InstanceState::changed;
             if (instance.reportsMetrics || (changedReportMetrics && runsChange))
@@ -148,9 +150,9 @@
     Nanos now = 1 * s;
     RolloutPlan plan;
     std::vector<Agent> agents;
-    double baselineHarm = 0.002;  // share of rejected requests
-    double addedHarm = 0;         // share of requests that changed instances reject in addition
-    double pressure = 1;          // ratio of a changed instance's attempts to an unchanged instance's
+    double baselineRejectedShare = 0.002;  // share of rejected requests
+    double addedHarm = 0;                  // share of requests that changed instances reject in addition
+    double pressure = 1;  // ratio of a changed instance's attempts to an unchanged instance's
     bool rollbackFails = false;
     bool changedReportMetrics = false;  // overrides reportsMetrics for changed instances
     std::mt19937 random{7};
@@ -194,30 +196,30 @@
     FakeFleet fleet(4, 5);
     fleet.run(13 * s);
     REQUIRE(fleet.changedCount() == 1);
-    fleet.baselineHarm = 0.3;
+    fleet.baselineRejectedShare = 0.3;
     fleet.forEachInstance([](auto& instance) { instance.metrics.cachesReady = 2; });
     for (int i = 0; i < 40; ++i) {
         // Lost attempts explain the fault.
-        fleet.forEachInstance([](auto& instance) { instance.metrics.attemptsLost += 10; });
+        fleet.forEachInstance([](auto& instance) { instance.metrics.unsuccessfulAttempts += 10; });
         fleet.tick();
     }
     CHECK(fleet.changedCount() == 1);
     CHECK(fleet.controller->outcome() == RolloutOutcome::none);
-    fleet.baselineHarm = 0.002;
+    fleet.baselineRejectedShare = 0.002;
     CHECK(fleet.run() == RolloutOutcome::completed);
     // The same fault without an excuse begins during a stage.
     FakeFleet unexplained(4, 5);
     unexplained.run(14 * s);
-    unexplained.baselineHarm = 0.3;
+    unexplained.baselineRejectedShare = 0.3;
     CHECK(unexplained.run(60 * s) == RolloutOutcome::rolledBack);
     CHECK(unexplained.controller->reason().find("both sides") != std::string::npos);
     // If the unchanged instances run an old program without metrics, nothing can be judged, even if
     // the changed side reports metrics.
-    FakeFleet silent(4, 5);
-    silent.changedReportMetrics = true;
-    silent.forEachInstance([](auto& instance) { instance.reportsMetrics = false; });
-    CHECK(silent.run() == RolloutOutcome::rolledBack);
-    CHECK(silent.controller->reason().find("could not be judged") != std::string::npos);
+    FakeFleet withoutMetrics(4, 5);
+    withoutMetrics.changedReportMetrics = true;
+    withoutMetrics.forEachInstance([](auto& instance) { instance.reportsMetrics = false; });
+    CHECK(withoutMetrics.run() == RolloutOutcome::rolledBack);
+    CHECK(withoutMetrics.controller->reason().find("could not be judged") != std::string::npos);
 }
 
 // Covers the reasons to stop other than the comparison of both sides. A rollback that does not
@@ -225,7 +227,7 @@
 TEST_CASE("Exits and unreachable agents stop a rollout, and instances that fail to roll back are named") {
     FakeFleet exiting(4, 5);
     exiting.run(13 * s);
-    exiting.agents[0].instances[0].exitCount = 2;
+    exiting.agents[0].instances[0].unexpectedExits = 2;
     CHECK(exiting.run() == RolloutOutcome::rolledBack);
     FakeFleet unreachable(4, 5);
     unreachable.run(13 * s);
