--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -23,8 +23,8 @@
 using nlohmann::json;
 using rollout::RolloutOutcome;
 
-constexpr Nanos kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
-constexpr int kAnswerTimeoutMs = 900;    // limit for the answers of all agents together
+constexpr int kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
+constexpr int kAnswerTimeoutMs = 900;  // limit for the answers of all agents together
 constexpr int kPreviewTimeoutMs = 3 * kAnswerTimeoutMs;
 
 std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
--- a/src/supervisor/instance_supervisor.hpp
+++ b/src/supervisor/instance_supervisor.hpp
@@ -99,7 +99,7 @@
     // Why the last rolling operation was stopped; empty if it was not.
     const std::string& rollingProblem() const { return rollingProblem_; }
     // Unexpected exits of this instance so far.
-    int restarts(int instance) const { return at(instance).unexpectedExits; }
+    int unexpectedExits(int instance) const { return at(instance).unexpectedExits; }
 
   private:
     enum class InstanceState : std::uint8_t {
--- a/tests/instance_supervisor_test.cpp
+++ b/tests/instance_supervisor_test.cpp
@@ -111,7 +111,7 @@
     fleet.reconcileAfter(500 * ms);
     CHECK_FALSE(fleet.supervisor.isRolling());
     CHECK(fleet.supervisor.rollingProblem() == "");
-    CHECK(fleet.supervisor.restarts(0) == 0);
+    CHECK(fleet.supervisor.unexpectedExits(0) == 0);
 }
 
 // An instance can fail after its restart by exiting, by not becoming ready, or by a rejected
