--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -151,7 +151,7 @@
     actions_.recallAnswers.push_back({acceptor, std::move(answer)});
 }
 
-void Acceptor::onRequest(Nanos now, int acceptor, const RecallAnswer& answer) {
+void Acceptor::onRecallAnswer(Nanos now, int acceptor, const RecallAnswer& answer) {
     if (state_ == State::voting && settings_.has(Safeguard::quarantine)) return;
     hasStateBy_[acceptor] = answer.hasState;
     for (const auto& [lease, record] : answer.records) {
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -57,7 +57,7 @@
 
     void onRequest(Nanos now, MemberId from, const LeaseRequest& request);
     void onRequest(Nanos now, int acceptor, const RecallRequest& request);
-    void onRequest(Nanos now, int acceptor, const RecallAnswer& answer);
+    void onRecallAnswer(Nanos now, int acceptor, const RecallAnswer& answer);
     // The records with this ticket, and all earlier ones, are durable.
     void onPersisted(Nanos now, std::uint64_t ticket);
     // Returns the actions that are due. To be called once after events were delivered, and at
--- a/src/testbed/drivers/simulated/lease_run.cpp
+++ b/src/testbed/drivers/simulated/lease_run.cpp
@@ -29,6 +29,7 @@
 constexpr Nanos kActInterval = 500 * kMillisecond;
 // Interval between the attempts of a router that holds a lease but may not act yet.
 constexpr Nanos kRetryInterval = 10 * kMillisecond;
+constexpr int kBytesPerMessage = 29;  // assumed size of an encoded lease message, for bytesPerFrame
 
 double cpuSeconds() {
     timespec at{};
@@ -85,8 +86,9 @@
         result.takeoverP99 = quantile(0.99);
         result.maxTakeover = quantile(1);
         result.framesPerSecond = static_cast<double>(frameCount_) / options_.routers / options_.seconds;
-        result.bytesPerFrame =
-            frameCount_ ? static_cast<double>(messageCount_) * 29 / static_cast<double>(frameCount_) : 0;
+        result.bytesPerFrame = frameCount_ ? static_cast<double>(messageCount_) * kBytesPerMessage /
+                                                 static_cast<double>(frameCount_)
+                                           : 0;
         result.cpuMicros = (cpuSeconds() - cpuAtStart) * 1e6 / options_.routers / options_.seconds;
         result.digest = fmt::format("{:016x}", digest_);
         return result;
@@ -289,7 +291,7 @@
         for (auto& [to, recallAnswer] : actions.recallAnswers) {
             const std::size_t count = recallAnswer.records.size() + 1;
             send(now, index, to, count, [this, index, to = to, answer = std::move(recallAnswer)](Nanos t) {
-                routerAt(to).acceptor->onRequest(localTimeOf(to, t), index, answer);
+                routerAt(to).acceptor->onRecallAnswer(localTimeOf(to, t), index, answer);
             });
         }
         if (actions.ticket == 0) return;
--- a/src/testbed/model_checker/lease_model.cpp
+++ b/src/testbed/model_checker/lease_model.cpp
@@ -128,7 +128,7 @@
         if (std::holds_alternative<RecallRequest>(message.body))
             target.onRequest(local, message.from, RecallRequest{});
         if (const auto* recallAnswer = std::get_if<RecallAnswer>(&message.body))
-            target.onRequest(local, message.from, *recallAnswer);
+            target.onRecallAnswer(local, message.from, *recallAnswer);
     } else {
         if (const auto* answer = std::get_if<LeaseAnswer>(&message.body))
             holder(message.to).onAnswer(local, message.from, *answer);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -44,7 +44,8 @@
             if (!cutOff.contains(index)) holder(to).onAnswer(now, index, answer);
         for (const auto& [to, recall] : actions.recalls)
             if (!cutOff.contains(to)) acceptor(to).onRequest(now, index, recall);
-        for (const auto& [to, recalled] : actions.recallAnswers) acceptor(to).onRequest(now, index, recalled);
+        for (const auto& [to, recalled] : actions.recallAnswers)
+            acceptor(to).onRecallAnswer(now, index, recalled);
         if (actions.ticket) acceptor(index).onPersisted(now, actions.ticket);
     }
     void advance(Nanos time) {
@@ -147,8 +148,8 @@
     // state are enough, after the quarantine.
     Acceptor recovering(settings, 0, now, std::nullopt);
     CHECK(recovering.reconcile(now).recalls.size() == 2);
-    recovering.onRequest(now, 1, RecallAnswer{true, {{1, {request.fence, 1, false}}}});
-    recovering.onRequest(now, 2, RecallAnswer{true, {}});
+    recovering.onRecallAnswer(now, 1, RecallAnswer{true, {{1, {request.fence, 1, false}}}});
+    recovering.onRecallAnswer(now, 2, RecallAnswer{true, {}});
     recovering.onRequest(now + settings.duration - 1, 6, otherRequest);
     actions = recovering.reconcile(now + settings.duration - 1);
     CHECK(actions.answers.empty());
