--- a/src/testbed/drivers/live/process_faults.cpp
+++ b/src/testbed/drivers/live/process_faults.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // One event loop iteration in 50 is delayed.
-constexpr std::uint32_t kDelayedTurnShare = fault_injection::kShareUnit / 50;
+constexpr std::uint32_t kDelayedIterationShare = fault_injection::kShareUnit / 50;
 
 std::string libraryPath() {
     return (std::filesystem::read_symlink("/proc/self/exe").parent_path() /
@@ -53,7 +53,7 @@
     if (fault.kind == FaultKind::wallClockOffset) plan_->wallOffset = begins ? delay : 0;
     if (fault.kind == FaultKind::eventLoopDelay) {
         plan_->maxDelay = begins ? delay : 0;
-        plan_->delayShare = begins ? kDelayedTurnShare : 0;
+        plan_->delayShare = begins ? kDelayedIterationShare : 0;
     }
     if (fault.kind != FaultKind::callsFail) return;
     const auto call = static_cast<std::size_t>(*fault_injection::parseSystemCall(fault.call));
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -87,11 +87,11 @@
 
 int runLiveScenario(const Options& options) {
     const Scenario scenario = scenarioFor(options);
-    Verdict judge(kLiveTolerance);
+    Verdict verdict(kLiveTolerance);
     LiveResult result;
     {
         EventLog eventLog(logPath(options));
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
         live.acceptsOperatorFile = options.acceptsOperatorFile;
@@ -102,13 +102,13 @@
         result = runLive(scenario, options.seed, eventLog, live);
     }
     if (options.acceptsOperatorFile) {
-        judge.addFigure("upgrades", result.upgrades);
-        judge.addFigure("upgrades_failed", result.upgradesFailed);
+        verdict.addFigure("upgrades", result.upgrades);
+        verdict.addFigure("upgrades_failed", result.upgradesFailed);
     }
-    judge.addFigure("late_part", result.lateShare);
-    judge.addFigure("cpu_s", result.cpuSeconds);
-    judge.addFigure("memory_mb", result.memoryMb);
-    const bool kept = judge.writeReport(options.out);
+    verdict.addFigure("late_part", result.lateShare);
+    verdict.addFigure("cpu_s", result.cpuSeconds);
+    verdict.addFigure("memory_mb", result.memoryMb);
+    const bool kept = verdict.writeReport(options.out);
     if (result.wasInterrupted) return kBroken;
     if (result.lateShare > kMaxLateShare) {
         fmt::print(stderr, "the testbed was late in {:.0f}% of all tenths of a second: this run is void\n",
@@ -120,16 +120,16 @@
 
 int runSimulation(const Options& options) {
     const Scenario scenario = scenarioFor(options);
-    Verdict judge;
+    Verdict verdict;
     {
         EventLog eventLog(logPath(options));
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         const SimulatedRunResult result =
             runSimulation(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
-        judge.addFigure("sim_pace",
-                        static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
+        verdict.addFigure("sim_pace",
+                          static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
     }
-    return judge.writeReport(options.out) ? kKept : kBroken;
+    return verdict.writeReport(options.out) ? kKept : kBroken;
 }
 
 int runRolloutCommand(const RolloutRunOptions& options) {
--- a/src/testbed/report/experiment.cpp
+++ b/src/testbed/report/experiment.cpp
@@ -56,16 +56,16 @@
 
 RunResult runOnce(const Scenario& scenario, std::uint64_t seed, const std::string& program) {
     for (int tries = 1;; ++tries) {
-        Verdict judge(kLiveTolerance);
+        Verdict verdict(kLiveTolerance);
         EventLog eventLog;
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         LiveRunOptions options;
         options.program = program;
         const LiveResult result = runLive(scenario, seed, eventLog, options);
         if (result.wasInterrupted) throw RunError("interrupted");
         RunResult runResult;
-        runResult.brokenRules = judge.brokenRules();
-        runResult.figures = judge.figures().finish();
+        runResult.brokenRules = verdict.brokenRules();
+        runResult.figures = verdict.figures().finish();
         runResult.figures.emplace_back("cpu_us",
                                        result.cpuSeconds * 1e6 / std::max(runResult.valueOf("asked"), 1.0));
         runResult.isLate = result.lateShare > kMaxLateShare;
--- a/src/testbed/report/verdict.cpp
+++ b/src/testbed/report/verdict.cpp
@@ -73,11 +73,11 @@
 }
 
 bool judgeStoredLog(const std::string& dir) {
-    Verdict judge;
+    Verdict verdict;
     readEventLog(
-        dir + "/log.tsv", [&](const nlohmann::json& head) { judge.onHead(head); },
-        [&](const LogEvent& entry) { judge.onEvent(entry); });
-    return judge.writeReport("");
+        dir + "/log.tsv", [&](const nlohmann::json& head) { verdict.onHead(head); },
+        [&](const LogEvent& entry) { verdict.onEvent(entry); });
+    return verdict.writeReport("");
 }
 
 }  // namespace poppyscale::testbed
--- a/src/testbed/scale/series.hpp
+++ b/src/testbed/scale/series.hpp
@@ -62,19 +62,19 @@
     }
     if (predictionFactor == 0) return true;
     // The predictions are printed before the measurement that tests them.
-    const double largest = predictionFactor * fits.front().largestSize;
+    const double predictedSize = predictionFactor * fits.front().largestSize;
     for (std::size_t q = 0; q < quantities.size(); ++q)
-        fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, variedName, largest,
-                   fits[q].at(largest), quantities[q].unit);
+        fmt::print("predicted {} at {}={:g}: {:.5g} {}\n", quantities[q].name, variedName, predictedSize,
+                   fits[q].at(predictedSize), quantities[q].unit);
     std::fflush(stdout);
     std::vector<Cost> measuredCosts;
-    for (int seed = 1; seed <= seeds; ++seed) measuredCosts.push_back(measure(largest, seed));
-    printSamples(variedName, largest, quantities, measuredCosts);
+    for (int seed = 1; seed <= seeds; ++seed) measuredCosts.push_back(measure(predictedSize, seed));
+    printSamples(variedName, predictedSize, quantities, measuredCosts);
     bool allHeld = true;
     for (std::size_t q = 0; q < quantities.size(); ++q) {
         std::vector<double> values;
         for (const Cost& cost : measuredCosts) values.push_back(cost.*quantities[q].value);
-        const Prediction prediction = checkPrediction(fits[q], largest, values);
+        const Prediction prediction = checkPrediction(fits[q], predictedSize, values);
         fmt::print("{}\n", describe(quantities[q].name, prediction, quantities[q].unit));
         allHeld = allHeld && prediction.isWithinTolerance;
     }
--- a/src/testbed/soak/command.cpp
+++ b/src/testbed/soak/command.cpp
@@ -56,22 +56,22 @@
 
 SoakResult runDay(const SoakOptions& options, const Scenario& day, std::uint64_t seed,
                   const std::string& folder) {
-    Verdict judge(kLiveTolerance);
+    Verdict verdict(kLiveTolerance);
     LiveResult result;
     {
         EventLog eventLog(folder + "/log.tsv");
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
         live.folder = folder;
         result = runLive(day, seed, eventLog, live);
     }
-    judge.addFigure("late_part", result.lateShare);
+    verdict.addFigure("late_part", result.lateShare);
     fmt::print("seed {}: faults{}\nseed {}: happened", seed, faultCounts(day), seed);
     for (const auto& [name, count] : result.processFaults) fmt::print(" {}={}", name, count);
     fmt::print("\n");
     SoakResult dayResult;
-    dayResult.kept = judge.writeReport(folder);
+    dayResult.kept = verdict.writeReport(folder);
     for (const std::string& line : invariantViolationsIn(folder)) {
         dayResult.kept = false;
         fmt::print("{}\n", line);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -307,19 +307,19 @@
     CHECK(scale::optionsAt(series, 2.5, 1).changesPerSecond == 2.5);
 
     series.varied = scale::Varied::routers;
-    std::vector<int> played;
+    std::vector<int> routerCounts;
     const auto grows = [&](double exponent) {
-        return [&played, exponent](const scale::Options& o) {
+        return [&routerCounts, exponent](const scale::Options& o) {
             const double routers = o.stubRouters + o.realRouters;
-            played.push_back(static_cast<int>(routers));
+            routerCounts.push_back(static_cast<int>(routers));
             scale::Result result;
             result.controlProcessorShare = 0.001 * std::pow(routers, exponent);
             return result;
         };
     };
     CHECK(scale::runSlopes(series, grows(1)));
-    CHECK(played.size() == 18);
-    CHECK(std::count(played.begin(), played.end(), 250) == 3);
-    CHECK(std::count(played.end() - 3, played.end(), 1000) == 3);
+    CHECK(routerCounts.size() == 18);
+    CHECK(std::count(routerCounts.begin(), routerCounts.end(), 250) == 3);
+    CHECK(std::count(routerCounts.end() - 3, routerCounts.end(), 1000) == 3);
     CHECK_FALSE(scale::runSlopes(series, grows(2)));
 }
