--- a/src/ctl/agent_endpoint.cpp
+++ b/src/ctl/agent_endpoint.cpp
@@ -93,7 +93,7 @@
         if (!order.templateText.empty())
             prepared.version.templateDigest = versions.storeTemplate(order.templateText);
         if (!order.programDigest.empty() && order.programDigest != prepared.version.program)
-            throw std::runtime_error(order.program + " differs from the coordinator's program of that path");
+            throw std::runtime_error(order.program + " differs from the coordinator's file at that path");
     } catch (const std::exception& problem) {
         prepared.problem = problem.what();
     }
--- a/src/ctl/version_installer.cpp
+++ b/src/ctl/version_installer.cpp
@@ -138,7 +138,7 @@
     if (!install || install->state != Install::State::restarting) return;
     if (processes_.isReady(instance) && supervisor_.isReady(instance)) {
         const bool isRight = runsProgram(instance, install->version.program);
-        finishInstall(instance, isRight ? "" : "the restarted process runs another program than installed");
+        finishInstall(instance, isRight ? "" : "the restarted process does not run the installed program");
     } else if (supervisor_.unexpectedExits(instance) > install->restartsBefore) {
         finishInstall(instance, "the restarted process exited before it was ready");
     } else if (monotonicNow() >= install->deadline) {
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -51,7 +51,8 @@
              fmt::format("is too short for margin, critical section and renewal: held for {} ms, {} needed",
                          settings.holdDuration() / kMillisecond, needed / kMillisecond)});
     if (settings.answerTimeout <= 0 || settings.renewInterval <= 0)
-        problems.push_back({"answer_ms", "is not greater than 0, or the renewal interval is not"});
+        problems.push_back(
+            {"answer_ms", "is not greater than 0, or the renewal interval is not greater than 0"});
     return problems;
 }
 
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -190,11 +190,11 @@
     runCommand->add_option("--program", options.program,
                            "the router's command line; default: build/poppyscale");
     runCommand->add_option("--changed", options.changedProgram,
-                           "the program to which a rollout of change `same` goes");
+                           "the program that a rollout of the change `same` installs");
     runCommand->add_option("--ctl", options.ctlProgram,
                            "path of poppyctl, for scenarios with machines; default: beside the program");
     runCommand->add_flag("--operated", options.acceptsOperatorFile,
-                         "the program takes --operator and can be upgraded");
+                         "the program takes --operator and supports hot restart");
     auto* simCommand = addScenarioOptions(app.add_subcommand(
         "sim", "runs a scenario with the routing policy in virtual time, without sockets"));
     auto* proxyCommand =
--- a/src/testbed/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -133,12 +133,12 @@
 const std::vector<KnownSlope>& knownSlopes() {
     static const std::vector<KnownSlope> all = {
         {"module.request", "us", "caches", "arrival, choice and end of one request"},
-        {"module.change", "us", "caches", "one changed entry, with the survey for the next request"},
+        {"module.change", "us", "caches", "one changed entry, and its extra work in the next request"},
         {"module.whole_list", "ms", "caches", "a whole list taken in, with the first survey"},
         {"module.parse", "ms", "caches", "a whole list read from JSON"},
         {"module.list", "bytes", "caches", "as many entries of discovery's list as JSON"},
-        {"module.list_memory", "KiB", "caches", "what the module holds after a list"},
-        {"module.used_memory", "KiB", "caches", "and after the run's requests"},
+        {"module.list_memory", "KiB", "caches", "heap of the module after a list"},
+        {"module.used_memory", "KiB", "caches", "heap of the module after the run's requests"},
         {"scale.control_processor", "% of a core", "routers", "discovery, at one change a second"},
         {"scale.control_memory", "KiB", "routers", "discovery"},
         {"scale.router_bytes", "bytes/s", "changes/s", "control bytes of one router"},
