--- a/src/testbed/emulator/scenario.hpp
+++ b/src/testbed/emulator/scenario.hpp
@@ -127,7 +127,7 @@
 
 enum class FaultKind : std::uint8_t {
     crash,    // cache servers stop: connections are reset, then refused; they return cold under the same id
-    hang,     // cache servers accept requests and never answer
+    hang,     // cache servers accept requests and do not respond to them
     slow,     // cache servers run slower by the factor `magnitude`
     errors,   // a share `magnitude` of the requests sent to cache servers fails at once
     replace,  // cache servers end for good; cold ones with new ids take over their addresses
