--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -23,8 +23,8 @@
 using nlohmann::json;
 using rollout::RolloutOutcome;
 
-constexpr Nanos kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
-constexpr int kAnswerTimeoutMs = 900;    // limit for the answers of all agents together
+constexpr int kOrderIntervalMs = 400;  // minimum time between the starts of two rounds of orders
+constexpr int kAnswerTimeoutMs = 900;  // limit for the answers of all agents together
 constexpr int kPreviewTimeoutMs = 3 * kAnswerTimeoutMs;
 
 std::vector<std::string> socketsOf(const rollout::RolloutPlan& plan) {
@@ -113,7 +113,7 @@
         }
         if (error.isBusy) return;
         const auto& name = plan_.agents[static_cast<std::size_t>(agent)].name;
-        log_.info("refused", {{"agent", name}, {"why", error.problem}});
+        log_.info("order rejected", {{"agent", name}, {"why", error.problem}});
         controller_.onRejected(now, agent, error.problem);
     }
 
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -87,11 +87,11 @@
 
 int runLiveScenario(const Options& options) {
     const Scenario scenario = scenarioFor(options);
-    Verdict judge(kLiveTolerance);
+    Verdict verdict(kLiveTolerance);
     LiveResult result;
     {
         EventLog eventLog(logPath(options));
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         LiveRunOptions live;
         live.program = options.program;
         live.acceptsOperatorFile = options.acceptsOperatorFile;
@@ -102,13 +102,13 @@
         result = runLive(scenario, options.seed, eventLog, live);
     }
     if (options.acceptsOperatorFile) {
-        judge.addFigure("upgrades", result.upgrades);
-        judge.addFigure("upgrades_failed", result.upgradesFailed);
+        verdict.addFigure("upgrades", result.upgrades);
+        verdict.addFigure("upgrades_failed", result.upgradesFailed);
     }
-    judge.addFigure("late_part", result.lateShare);
-    judge.addFigure("cpu_s", result.cpuSeconds);
-    judge.addFigure("memory_mb", result.memoryMb);
-    const bool kept = judge.writeReport(options.out);
+    verdict.addFigure("late_part", result.lateShare);
+    verdict.addFigure("cpu_s", result.cpuSeconds);
+    verdict.addFigure("memory_mb", result.memoryMb);
+    const bool kept = verdict.writeReport(options.out);
     if (result.wasInterrupted) return kBroken;
     if (result.lateShare > kMaxLateShare) {
         fmt::print(stderr, "the testbed was late in {:.0f}% of all tenths of a second: this run is void\n",
@@ -120,16 +120,16 @@
 
 int runSimulation(const Options& options) {
     const Scenario scenario = scenarioFor(options);
-    Verdict judge;
+    Verdict verdict;
     {
         EventLog eventLog(logPath(options));
-        judge.observe(eventLog);
+        verdict.observe(eventLog);
         const SimulatedRunResult result =
             runSimulation(scenario, options.seed, eventLog, {progressPrinter(scenario), {}, {}, {}});
-        judge.addFigure("sim_pace",
-                        static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
+        verdict.addFigure("sim_pace",
+                          static_cast<double>(result.length) / 1e9 / std::max(result.wallSeconds, 1e-9));
     }
-    return judge.writeReport(options.out) ? kKept : kBroken;
+    return verdict.writeReport(options.out) ? kKept : kBroken;
 }
 
 int runRolloutCommand(const RolloutRunOptions& options) {
@@ -190,11 +190,11 @@
     runCommand->add_option("--program", options.program,
                            "the router's command line; default: build/poppyscale");
     runCommand->add_option("--changed", options.changedProgram,
-                           "the program to which a rollout of change `same` goes");
+                           "the program that a rollout of the change `same` installs");
     runCommand->add_option("--ctl", options.ctlProgram,
                            "path of poppyctl, for scenarios with machines; default: beside the program");
     runCommand->add_flag("--operated", options.acceptsOperatorFile,
-                         "the program takes --operator and can be upgraded");
+                         "the program takes --operator and supports hot restart");
     auto* simCommand = addScenarioOptions(app.add_subcommand(
         "sim", "runs a scenario with the routing policy in virtual time, without sockets"));
     auto* proxyCommand =
