--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -31,12 +31,16 @@
     return std::string(text.substr(0, size)) + "...";
 }
 
+// The start of `text` as a JSON string: errors also reach the text log, where an unescaped line break
+// would split the line. dump() does not throw, because `text` was parsed from JSON and is valid UTF-8.
+std::string quotedStart(std::string_view text) { return Json(quotableStart(text)).dump(); }
+
 EndpointState stateOf(std::string_view keyword) {
     if (keyword == "Ready") return EndpointState::ready;
     if (keyword == "Terminating") return EndpointState::draining;
     if (keyword == "Gone") return EndpointState::removed;
-    throw ParseError("the state of a server is '" + quotableStart(keyword) +
-                     "', expected Ready, Terminating or Gone");
+    throw ParseError("the state of a server is " + quotedStart(keyword) +
+                     ", expected Ready, Terminating or Gone");
 }
 
 ParseError invalidWeight(const std::string& server, const Json& weight, const std::string& expected) {
@@ -72,7 +76,7 @@
     entry.address = json.value("addr", "");
     entry.startedMs = json.value("started_ms", std::int64_t{0});
     if (entry.startedMs < 0 || entry.startedMs > kMaxStartedMs)
-        throw ParseError("started_ms of server '" + quotableStart(endpoint.name) + "' is " +
+        throw ParseError("started_ms of server " + quotedStart(endpoint.name) + " is " +
                          std::to_string(entry.startedMs) + ", expected 0 to " +
                          std::to_string(kMaxStartedMs));
     return entry;
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -207,6 +207,32 @@
         CHECK_THROWS_AS(readEndpointList(bad), ParseError);
 }
 
+// Errors reach the text log, in which a line break from discovery would split the line.
+TEST_CASE("Errors of a list quote a state and a server's name as JSON, cut after 32 bytes") {
+    const auto errorFor = [](const std::string& entry) -> std::string {
+        try {
+            readEndpointList(R"({"version":3,"full":true,"servers":[)" + entry + "]}");
+        } catch (const ParseError& problem) {
+            return problem.what();
+        }
+        return "no error";
+    };
+    const auto invalidState = [](const std::string& quoted) {
+        return "the state of a server is " + quoted + ", expected Ready, Terminating or Gone";
+    };
+    const auto invalidStart = [](const std::string& quoted, const std::string& startedMs) {
+        return "started_ms of server " + quoted + " is " + startedMs + ", expected 0 to 8000000000000";
+    };
+    const std::string a31(31, 'a'), a32(32, 'a');
+    CHECK(errorFor(R"({"id":"s","state":"Asleep"})") == invalidState(R"("Asleep")"));
+    // The line break is one byte of the 32, although its quotation has two.
+    CHECK(errorFor(R"({"id":"s","state":"\n)" + a31 + R"("})") == invalidState(R"("\n)" + a31 + "\""));
+    CHECK(errorFor(R"({"id":"s","state":"\n)" + a32 + R"("})") == invalidState(R"("\n)" + a31 + R"(...")"));
+    CHECK(errorFor(R"({"id":"s","state":"Ready","started_ms":-1})") == invalidStart(R"("s")", "-1"));
+    CHECK(errorFor(R"({"id":"\n)" + a32 + R"(","state":"Ready","started_ms":8000000000001})") ==
+          invalidStart(R"("\n)" + a31 + R"(...")", "8000000000001"));
+}
+
 // Errors are also sent as JSON, in which a character that is cut in two is invalid.
 TEST_CASE("Errors of a configured list quote at most 32 bytes of a name or weight, in whole characters") {
     const auto errorFor = [](const std::string& name, const nlohmann::json& weight) -> std::string {
