--- a/src/ctl/rollout_command.cpp
+++ b/src/ctl/rollout_command.cpp
@@ -113,7 +113,7 @@
         }
         if (error.isBusy) return;
         const auto& name = plan_.agents[static_cast<std::size_t>(agent)].name;
-        log_.info("order rejected", {{"agent", name}, {"why", error.problem}});
+        log_.info("refused", {{"agent", name}, {"why", error.problem}});
         controller_.onRejected(now, agent, error.problem);
     }
 
