--- a/src/ctl/version_installer.cpp
+++ b/src/ctl/version_installer.cpp
@@ -127,7 +127,7 @@
 void VersionInstaller::restart(int instance) {
     Install& install = *at(instance).install;
     install.state = Install::State::restarting;
-    install.restartsBefore = supervisor_.unexpectedExits(instance);
+    install.exitsBefore = supervisor_.unexpectedExits(instance);
     install.deadline =
         monotonicNow() + description_.supervisor.readyTimeout + description_.supervisor.stopTimeout;
     supervisor_.restart(monotonicNow(), instance);
@@ -139,7 +139,7 @@
     if (processes_.isReady(instance) && supervisor_.isReady(instance)) {
         const bool isRight = runsProgram(instance, install->version.program);
         finishInstall(instance, isRight ? "" : "the restarted process does not run the installed program");
-    } else if (supervisor_.unexpectedExits(instance) > install->restartsBefore) {
+    } else if (supervisor_.unexpectedExits(instance) > install->exitsBefore) {
         finishInstall(instance, "the restarted process exited before it was ready");
     } else if (monotonicNow() >= install->deadline) {
         finishInstall(instance, "the restarted process was not ready in time");
--- a/src/ctl/version_installer.hpp
+++ b/src/ctl/version_installer.hpp
@@ -61,7 +61,7 @@
         rollout::Version version;
         State state = State::applying;
         std::future<ApplyResult> result;  // valid while applying
-        int restartsBefore = 0;           // while restarting: unexpected exits before the restart
+        int exitsBefore = 0;              // while restarting: unexpected exits before the restart
         Nanos deadline = 0;               // while restarting: when the restart counts as failed
     };
     struct Instance {
