--- a/src/config/config_description.cpp
+++ b/src/config/config_description.cpp
@@ -4,6 +4,10 @@
 #include "config/operator_config.hpp"
 
 namespace poppyscale::config {
+
+// At a hot restart the new process compares the text of `describeConfig` with that of the old process, which
+// may be of another version, and does not take over if they differ. So these texts must stay the same, letter
+// for letter, from version to version.
 namespace {
 
 std::string describeRequestClass(const RequestClass& requestClass) {
@@ -39,7 +43,7 @@
     line("memory_mb", startup.memoryLimitBytes / 1'000'000);
     line("descriptors", startup.maxDescriptors);
     line("routers", startup.policy.routerCount);
-    line("zone", startup.policy.zone.empty() ? "not set" : startup.policy.zone);
+    line("zone", startup.policy.zone.empty() ? "not told" : startup.policy.zone);
     line("cross_price", startup.policy.crossZoneCost);
     line("open", startup.maxOpenRequests);
     line("relays", startup.policy.maxAttempts);
