--- a/src/testbed/scale/capacity.cpp
+++ b/src/testbed/scale/capacity.cpp
@@ -19,16 +19,16 @@
 // A count within 1% of the largest measured size is treated as that size.
 constexpr double kSameSizeTolerance = 0.01;
 
-constexpr const char* kOrdinarySecond = "ordinary second";
+constexpr const char* kOrdinarySecond = "normal operation";
 constexpr const char* kRestartWave = "restart wave";
 constexpr const char* kRelease = "release";
 constexpr const char* kRackLost = "rack lost";
 constexpr const char* kZoneLost = "zone lost";
-constexpr const char* kZoneBack = "zone back, cold";
+constexpr const char* kZoneBack = "zone returns cold";
 constexpr const char* kPartition = "partition";
-constexpr const char* kPartitionEnd = "partition's end";
+constexpr const char* kPartitionEnd = "end of partition";
 constexpr const char* kControlLost = "control machine lost";
-constexpr const char* kBurst = "burst";
+constexpr const char* kBurst = "burst of changes";
 
 // Builds the rows of the table, situation by situation.
 class TableBuilder {
@@ -77,22 +77,22 @@
                    Mechanism mechanism) {
         Estimate noEstimate;
         noEstimate.missingReason = "no path";
-        add(situation, role, quantity, noEstimate, "s", "no message carries it", budget, mechanism)
+        add(situation, role, quantity, noEstimate, "s", "no message exists for it", budget, mechanism)
             .hasNoPath = true;
     }
 
     Estimate slope(std::string_view name, double count) const { return estimate(slopes_, name, count); }
 
     Budget noBudget() const { return {}; }
-    Budget processorBudget() const { return {target_.maxRouterProcessorPercent, "a router, for control"}; }
-    Budget memoryBudget() const { return {target_.maxRouterMegabytes, "a router, for control"}; }
-    Budget bytesBudget() const { return {target_.maxRouterKilobytesPerSecond, "a router, for control"}; }
-    Budget propagationBudget() const { return {target_.maxPropagationSeconds, "in force everywhere"}; }
+    Budget processorBudget() const { return {target_.maxRouterProcessorPercent, "per router, for control"}; }
+    Budget memoryBudget() const { return {target_.maxRouterMegabytes, "per router, for control"}; }
+    Budget bytesBudget() const { return {target_.maxRouterKilobytesPerSecond, "per router, for control"}; }
+    Budget propagationBudget() const { return {target_.maxPropagationSeconds, "change in force everywhere"}; }
     Budget purgeBudget() const { return {target_.maxPurgeSeconds, "purge done everywhere"}; }
     Budget controlBudget() const {
-        return {target_.maxControlProcessorPercent, "a control process, assumed"};
+        return {target_.maxControlProcessorPercent, "per control process, assumed"};
     }
-    Budget descriptorsBudget() const { return {target_.maxDescriptors, "a process, assumed"}; }
+    Budget descriptorsBudget() const { return {target_.maxDescriptors, "per process, assumed"}; }
 
     // Bytes of one poll whose response has `entries` changed entries: the request, and the JSON.
     Estimate answerBytes(double entries) const {
@@ -149,10 +149,10 @@
             "caches x connection_bytes", memoryBudget(), Mechanism::scopedView);
         add(kOrdinarySecond, "router", "descriptors", withoutSlope(target_.caches + kOtherDescriptors),
             "descriptors", "caches + 16", descriptorsBudget(), Mechanism::scopedView);
-        add(kOrdinarySecond, "router", "purge bytes, each once",
+        add(kOrdinarySecond, "router", "purge bytes, each purge sent once",
             withoutSlope(target_.purgesPerSecond * target_.purgeBytes / kBytesPerKilobyte), "KB/s",
             "purges/s x purge_bytes", bytesBudget(), Mechanism::purgeStream);
-        addNoPath(kOrdinarySecond, "router", "time of a purge everywhere", purgeBudget(),
+        addNoPath(kOrdinarySecond, "router", "time until a purge is done everywhere", purgeBudget(),
                   Mechanism::purgeStream);
     }
 
@@ -160,8 +160,9 @@
         const double routers = target_.routers / target_.sites;
         add(kOrdinarySecond, "site", "list bytes",
             answerBytes(1) * (routers * target_.changesPerSecond() / kBytesPerKilobyte), "KB/s",
-            "routers of a site x one router's",
-            {routers * target_.maxRouterKilobytesPerSecond, "its routers'"}, Mechanism::listWatch);
+            "routers of a site x list bytes of a router",
+            {routers * target_.maxRouterKilobytesPerSecond, "sum of its routers' budgets"},
+            Mechanism::listWatch);
         add(kOrdinarySecond, "site", "connections to caches", withoutSlope(routers * target_.caches),
             "connections", "routers of a site x caches", noBudget(), Mechanism::scopedView);
     }
@@ -174,14 +175,14 @@
             withoutSlope(target_.routers * rate), "1/s", "routers x changes/s", noBudget(),
             Mechanism::listDistributors);
         add(kOrdinarySecond, "discovery, no distributors", "list bytes",
-            answerBytes(1) * (target_.routers * rate / kBytesPerMegabyte), "MB/s", "routers x one router's",
-            noBudget(), Mechanism::listDistributors);
+            answerBytes(1) * (target_.routers * rate / kBytesPerMegabyte), "MB/s",
+            "routers x list bytes of a router", noBudget(), Mechanism::listDistributors);
         add(kOrdinarySecond, "discovery, no distributors", "processor",
             discoveryProcessor(target_.routers, rate), "% of a core",
             "control_processor(routers) x changes/s", controlBudget(), Mechanism::listDistributors);
         // The share of a core used at one change per second equals the processor seconds of one
         // change.
-        add(kOrdinarySecond, "discovery, no distributors", "processor time of one change to all",
+        add(kOrdinarySecond, "discovery, no distributors", "processor time to send one change to all routers",
             discoveryProcessor(target_.routers, 1) * (1.0 / 100), "s", "control_processor(routers)",
             propagationBudget(), Mechanism::listDistributors);
         add(kOrdinarySecond, "discovery, no distributors", "memory",
@@ -196,13 +197,13 @@
             discoveryProcessor(target_.routers / target_.controlMachines, rate), "% of a core",
             "control_processor(routers / control machines) x changes/s", controlBudget(),
             Mechanism::listDistributors);
-        add(kOrdinarySecond, "zone or region helper (distributor)", "watches",
+        add(kOrdinarySecond, "distributor of a zone or region", "watches",
             withoutSlope(target_.routersPerRegion()), "connections", "routers of a region",
             descriptorsBudget(), Mechanism::listDistributors);
-        add(kOrdinarySecond, "zone or region helper (distributor)", "list messages",
+        add(kOrdinarySecond, "distributor of a zone or region", "list messages",
             withoutSlope(target_.routersPerRegion() * rate), "1/s", "routers of a region x changes/s",
             noBudget(), Mechanism::listDistributors);
-        add(kOrdinarySecond, "zone or region helper (distributor)", "processor",
+        add(kOrdinarySecond, "distributor of a zone or region", "processor",
             discoveryProcessor(target_.routersPerRegion(), rate), "% of a core",
             "control_processor(routers of a region) x changes/s", controlBudget(),
             Mechanism::listDistributors);
@@ -226,13 +227,13 @@
             noBudget(), Mechanism::purgeStream);
         add(kOrdinarySecond, "cache", "state: objects", withoutSlope(target_.objects / target_.caches / 1e6),
             "million", "objects / caches, one copy each", noBudget(), Mechanism::copies);
-        add(kOrdinarySecond, "origin", "requests if all missed", withoutSlope(target_.requestsPerSecond),
+        add(kOrdinarySecond, "origin", "requests if all caches miss", withoutSlope(target_.requestsPerSecond),
             "1/s", "requests/s", noBudget(), Mechanism::hotKeys);
     }
 
     void restartWave() {
         const double perSecond = target_.restartsPerDay / kSecondsPerDay;
-        add(kRestartWave, "router", "time until its list is whole", secondsAtByteBudget(listBytes()), "s",
+        add(kRestartWave, "router", "time until its list is complete", secondsAtByteBudget(listBytes()), "s",
             "(list(caches) + call) / router_bytes", propagationBudget(), Mechanism::scopedView);
         add(kRestartWave, "router", "processor in its first 5 s",
             (slope("module.parse", target_.caches) + slope("module.whole_list", target_.caches)) *
@@ -262,10 +263,10 @@
     }
 
     void rackLost() {
-        add(kRackLost, "router", "time of its entries' bytes",
+        add(kRackLost, "router", "time to transfer the changed entries",
             secondsAtByteBudget(answerBytes(target_.rackCaches)), "s",
             "(list(rack_caches) + call) / router_bytes", propagationBudget(), Mechanism::listWatch);
-        add(kRackLost, "discovery", "machines to notice as dead in a day",
+        add(kRackLost, "discovery", "failed machines to detect in a day",
             withoutSlope(target_.failuresPerDay), "machines", "machines/day", noBudget(),
             Mechanism::membership);
     }
@@ -273,18 +274,18 @@
     void zoneLost() {
         const double lostRequestsPerSecond = target_.cachesPerZone() * target_.requestsPerCache();
         const double cachesInRegion = target_.caches / target_.regions;
-        add(kZoneLost, "router", "time of its entries' bytes",
+        add(kZoneLost, "router", "time to transfer the changed entries",
             secondsAtByteBudget(answerBytes(target_.cachesPerZone())), "s",
             "(list(caches of a zone) + call) / router_bytes", propagationBudget(), Mechanism::listWatch);
-        add(kZoneLost, "cache", "requests, if its region takes all",
+        add(kZoneLost, "cache", "requests, if its region takes over the load",
             withoutSlope(target_.requestsPerCache() +
                          lostRequestsPerSecond / (cachesInRegion - target_.cachesPerZone())),
-            "1/s", "a cache's + those of the zone / caches left in the region", noBudget(),
+            "1/s", "requests of a cache + requests of the zone / remaining caches of the region", noBudget(),
             Mechanism::copies);
-        add(kZoneLost, "cache", "requests, if all zones take them",
+        add(kZoneLost, "cache", "requests, if all zones take over the load",
             withoutSlope(target_.requestsPerSecond / (target_.caches - target_.cachesPerZone())), "1/s",
-            "requests/s / caches left", noBudget(), Mechanism::decisionModule);
-        add(kZoneLost, "cache", "objects to fetch anew", withoutSlope(target_.objects / target_.zones / 1e6),
+            "requests/s / remaining caches", noBudget(), Mechanism::decisionModule);
+        add(kZoneLost, "cache", "objects to fetch again", withoutSlope(target_.objects / target_.zones / 1e6),
             "million", "objects / zones, one copy each", noBudget(), Mechanism::copies);
     }
 
@@ -292,7 +293,7 @@
         add(kZoneBack, "origin", "requests while all its caches miss",
             withoutSlope(target_.cachesPerZone() * target_.requestsPerCache()), "1/s",
             "caches of a zone x requests of a cache", noBudget(), Mechanism::copies);
-        add(kZoneBack, "router", "time of its entries' bytes",
+        add(kZoneBack, "router", "time to transfer the changed entries",
             secondsAtByteBudget(answerBytes(target_.cachesPerZone())), "s",
             "(list(caches of a zone) + call) / router_bytes", propagationBudget(), Mechanism::listWatch);
     }
@@ -305,48 +306,50 @@
             "changes/s x hours", noBudget(), Mechanism::listDistributors);
         add(kPartition, "router", "purges missed", withoutSlope(missedPurges), "purges", "purges/s x hours",
             noBudget(), Mechanism::purgeStream);
-        add(kPartitionEnd, "router", "time of the missed changes' bytes",
+        add(kPartitionEnd, "router", "time to transfer the missed changes",
             secondsAtByteBudget(answerBytes(std::min(missedChanges, target_.caches))), "s",
             "(list(changes missed, at most caches) + call) / router_bytes", propagationBudget(),
             Mechanism::scopedView);
-        add(kPartitionEnd, "router", "time of the missed purges' bytes",
+        add(kPartitionEnd, "router", "time to transfer the missed purges",
             secondsAtByteBudget(withoutSlope(missedPurges * target_.purgeBytes)), "s",
             "purges x purge_bytes / router_bytes", purgeBudget(), Mechanism::purgeStream);
         add(kPartitionEnd, "discovery, no distributors", "list bytes, a region's routers at once",
             answerBytes(std::min(missedChanges, target_.caches)) *
                 (target_.routersPerRegion() / kBytesPerMegabyte),
-            "MB", "routers of a region x the missed changes' bytes", noBudget(), Mechanism::listDistributors);
+            "MB", "routers of a region x bytes of the missed changes", noBudget(),
+            Mechanism::listDistributors);
     }
 
     void controlLost() {
         addNoPath(kControlLost, "discovery, no distributors",
-                  "time of a change while its one process is gone", propagationBudget(),
+                  "time until a change is in force while the only process is down", propagationBudget(),
                   Mechanism::listDistributors);
-        add(kControlLost, "discovery, no distributors", "watches that come back within 5 s",
+        add(kControlLost, "discovery, no distributors", "watches that reconnect within 5 s",
             withoutSlope(target_.routers / target_.maxPropagationSeconds), "1/s", "routers / in_force",
             noBudget(), Mechanism::listDistributors);
-        add(kControlLost, "control machine, with distributors", "watches that come to each other one",
+        add(kControlLost, "control machine, with distributors", "watches that move to each remaining machine",
             withoutSlope(target_.routers / target_.controlMachines / (target_.controlMachines - 1)),
-            "connections", "routers / control machines / the others", noBudget(),
+            "connections", "routers / control machines / remaining control machines", noBudget(),
             Mechanism::listDistributors);
     }
 
     void burst() {
         const double entries = target_.cachesPerZone();
-        add(kBurst, "router", "time of its entries' bytes", secondsAtByteBudget(answerBytes(entries)), "s",
-            "(list(caches of a zone) + call) / router_bytes", propagationBudget(), Mechanism::listWatch);
-        add(kBurst, "router", "processor, one entry an answer, over 5 s",
+        add(kBurst, "router", "time to transfer the changed entries",
+            secondsAtByteBudget(answerBytes(entries)), "s", "(list(caches of a zone) + call) / router_bytes",
+            propagationBudget(), Mechanism::listWatch);
+        add(kBurst, "router", "processor, one entry per response, over 5 s",
             slope("scale.router_processor", target_.caches) * (entries / target_.maxPropagationSeconds),
             "% of a core", "router_processor(caches) x caches of a zone / in_force", processorBudget(),
             Mechanism::listWatch);
         add(kBurst, "discovery, no distributors", "list bytes",
             answerBytes(entries) * (target_.routers / kBytesPerMegabyte), "MB",
-            "routers x the entries' bytes", noBudget(), Mechanism::listDistributors);
-        add(kBurst, "discovery, no distributors", "processor, one entry an answer, over 5 s",
+            "routers x bytes of the changed entries", noBudget(), Mechanism::listDistributors);
+        add(kBurst, "discovery, no distributors", "processor, one entry per response, over 5 s",
             discoveryProcessor(target_.routers, entries / target_.maxPropagationSeconds), "% of a core",
             "control_processor(routers) x caches of a zone / in_force", controlBudget(),
             Mechanism::listDistributors);
-        add(kBurst, "zone or region helper (distributor)", "processor, one entry an answer, over 5 s",
+        add(kBurst, "distributor of a zone or region", "processor, one entry per response, over 5 s",
             discoveryProcessor(target_.routersPerRegion(), entries / target_.maxPropagationSeconds),
             "% of a core", "control_processor(routers of a region) x caches of a zone / in_force",
             controlBudget(), Mechanism::listDistributors);
@@ -417,7 +420,8 @@
         case Mechanism::scopedView:
             return "scoped view, bounded connections (missing: \"Connections and retries\")";
         case Mechanism::boundedChoice:
-            return "choice that doesn't grow with the caches (missing: \"Connections and retries\")";
+            return "cache selection whose cost doesn't grow with the caches (missing: \"Connections and "
+                   "retries\")";
         case Mechanism::purgeStream:
             return "purge stream (missing: \"Invalidation\")";
         case Mechanism::membership:
--- a/src/testbed/scale/capacity_input.cpp
+++ b/src/testbed/scale/capacity_input.cpp
@@ -132,18 +132,19 @@
 
 const std::vector<KnownSlope>& knownSlopes() {
     static const std::vector<KnownSlope> all = {
-        {"module.request", "us", "caches", "arrival, choice and end of one request"},
-        {"module.change", "us", "caches", "one changed entry, and its extra work in the next request"},
-        {"module.whole_list", "ms", "caches", "a whole list taken in, with the first survey"},
-        {"module.parse", "ms", "caches", "a whole list read from JSON"},
-        {"module.list", "bytes", "caches", "as many entries of discovery's list as JSON"},
-        {"module.list_memory", "KiB", "caches", "heap of the module after a list"},
+        {"module.request", "us", "caches", "arrival, cache selection and end of one request"},
+        {"module.change", "us", "caches",
+         "one changed entry, and the extra work it causes in the next request"},
+        {"module.whole_list", "ms", "caches", "a complete list and the first request, in an empty module"},
+        {"module.parse", "ms", "caches", "a complete list parsed from JSON"},
+        {"module.list", "bytes", "caches", "JSON of that many entries of discovery's list"},
+        {"module.list_memory", "KiB", "caches", "heap of the module after applying a list"},
         {"module.used_memory", "KiB", "caches", "heap of the module after the run's requests"},
-        {"scale.control_processor", "% of a core", "routers", "discovery, at one change a second"},
-        {"scale.control_memory", "KiB", "routers", "discovery"},
+        {"scale.control_processor", "% of a core", "routers", "discovery process, at one change per second"},
+        {"scale.control_memory", "KiB", "routers", "discovery process"},
         {"scale.router_bytes", "bytes/s", "changes/s", "control bytes of one router"},
         {"scale.router_processor", "% of a core", "caches",
-         "one router without clients, at one change a second"},
+         "one router without clients, at one change per second"},
         {"scale.router_memory", "KiB", "caches", "one router without clients"},
     };
     return all;
--- a/src/testbed/scale/capacity_page.cpp
+++ b/src/testbed/scale/capacity_page.cpp
@@ -18,7 +18,7 @@
 std::string_view verdictLabel(Verdict verdict) {
     switch (verdict) {
         case Verdict::noBudget:
-            return "no budget told";
+            return "no budget stated";
         case Verdict::ok:
             return "ok";
         case Verdict::over:
@@ -48,7 +48,8 @@
 
 std::string rowsMarkdown(const std::vector<Row>& rows) {
     std::string out =
-        "| situation | role | quantity | at the target | rests on | slope x count | budget | | carried by |\n"
+        "| situation | role | quantity | at the target | based on | formula | budget | verdict | mechanism "
+        "|\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for (const Row& row : rows)
         out += fmt::format("| {} | {} | {} | {} | {} | {} | {} | {} | {} |\n", row.situation, row.role,
@@ -59,9 +60,8 @@
 
 std::string missingMechanismsMarkdown(const std::vector<Row>& rows) {
     std::string out =
-        "| missing mechanism | budgets its absence breaks | of these no path at all | worst factor over | "
-        "where "
-        "| with a budget, not known |\n"
+        "| missing mechanism | budgets exceeded without it | of these with no path | "
+        "largest ratio to a budget | where | budgets without an estimate |\n"
         "| --- | --- | --- | --- | --- | --- |\n";
     for (const MissingMechanism& a : missingMechanisms(rows))
         out += fmt::format("| {} | {} | {} | {} | {} | {} |\n", nameOf(a.mechanism), a.exceededBudgets,
@@ -72,7 +72,8 @@
 
 std::string slopesMarkdown(const Slopes& slopes) {
     std::string out =
-        "| slope | base | of one more | unit | of | spread | largest measured | there | past it | run |\n"
+        "| slope | base | per count | unit | count of | spread | largest count | median there | line beyond "
+        "it | run |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for (const auto& [name, s] : slopes)
         out += fmt::format("| {} | {:.4g} | {:.4g} | {} | {} | {:.0f}% | {:g} | {} | {} | {} |\n", name,
@@ -94,7 +95,7 @@
 
 std::string Estimate::basis() const {
     if (!value) return slopeNames.empty() ? "" : slopeNames.front();
-    if (slopeNames.empty()) return "reasoned";
+    if (slopeNames.empty()) return "calculated";
     std::string names;
     for (const std::string& run : slopeNames) names += (names.empty() ? "" : ", ") + run;
     constexpr double kMaxMeasuredRatio = 1.01;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -165,41 +165,43 @@
 TEST_CASE("The rows of the capacity table equal those computed by hand") {
     const auto rows = scale::capacityTable(target(), slopesByHand());
     // List of 50 + 100 x 3,100 bytes and request of 250 bytes, at 23,000 bytes per second.
-    const scale::Row& restart = rowOf(rows, "restart wave", "router", "time until its list is whole");
+    const scale::Row& restart = rowOf(rows, "restart wave", "router", "time until its list is complete");
     CHECK(*restart.estimate.value == Approx(310'300.0 / 23'000));
     CHECK(restart.verdict() == scale::Verdict::over);
     CHECK(restart.budgetRatio() == Approx(310'300.0 / 23'000 / 5));
     // 64,000 changes per day are 0.7407 per second, each with 150 bytes of list and 250 of request.
-    const scale::Row& bytes = rowOf(rows, "ordinary second", "router", "list bytes");
+    const scale::Row& bytes = rowOf(rows, "normal operation", "router", "list bytes");
     CHECK(*bytes.estimate.value == Approx(64'000.0 / 86'400 * 400 / 1000));
     CHECK(bytes.verdict() == scale::Verdict::ok);
     // 2 + 0.01 x 3,100 = 33 us, 1,166.7 times per second: 3.85% of a core.
-    const scale::Row& choice = rowOf(rows, "ordinary second", "router", "processor, choice of a cache");
+    const scale::Row& choice = rowOf(rows, "normal operation", "router", "processor, choice of a cache");
     CHECK(*choice.estimate.value == Approx(33.0 * 14e6 / 12'000 / 1e4));
     CHECK(choice.verdict() == scale::Verdict::over);
     // (1 + 0.02 x 12,000)% at one change per second, times 0.7407; 48 times the largest measured
     // size.
-    const scale::Row& control = rowOf(rows, "ordinary second", "discovery, no distributors", "processor");
+    const scale::Row& control = rowOf(rows, "normal operation", "discovery, no distributors", "processor");
     CHECK(*control.estimate.value == Approx(241 * 64'000.0 / 86'400));
     CHECK(control.estimate.basis() == "extrapolated by 48: scale.control_processor");
     // 170 purges per second of 100 bytes; those of an hour at 23,000 bytes per second.
-    CHECK(*rowOf(rows, "ordinary second", "router", "purge bytes, each once").estimate.value == Approx(17));
-    const scale::Row& purges = rowOf(rows, "partition's end", "router", "time of the missed purges' bytes");
+    CHECK(*rowOf(rows, "normal operation", "router", "purge bytes, each purge sent once").estimate.value ==
+          Approx(17));
+    const scale::Row& purges =
+        rowOf(rows, "end of partition", "router", "time to transfer the missed purges");
     CHECK(*purges.estimate.value == Approx(612'000.0 * 100 / 23'000));
-    CHECK(purges.estimate.basis() == "reasoned");
-    CHECK(*rowOf(rows, "ordinary second", "all", "connections, full mesh").estimate.value == Approx(37.2));
+    CHECK(purges.estimate.basis() == "calculated");
+    CHECK(*rowOf(rows, "normal operation", "all", "connections, full mesh").estimate.value == Approx(37.2));
     // 3,100 connections of 8,192 bytes.
-    CHECK(*rowOf(rows, "ordinary second", "router", "memory, connections to caches").estimate.value ==
+    CHECK(*rowOf(rows, "normal operation", "router", "memory, connections to caches").estimate.value ==
           Approx(25.3952));
     // 4,516 requests/s per cache; those of the zone's 36.05 caches go to the other 87.95 of the
     // region's 124.
-    CHECK(*rowOf(rows, "zone lost", "cache", "requests, if its region takes all").estimate.value ==
+    CHECK(*rowOf(rows, "zone lost", "cache", "requests, if its region takes over the load").estimate.value ==
           Approx(14e6 / 3100 * 124 / (124 - 3100.0 / 86)));
 }
 
 TEST_CASE("A row whose slope was not measured is unknown, not within its budget") {
     const auto rows = scale::capacityTable(target(), {});
-    const scale::Row& row = rowOf(rows, "ordinary second", "router", "memory, list");
+    const scale::Row& row = rowOf(rows, "normal operation", "router", "memory, list");
     CHECK(row.verdict() == scale::Verdict::unknown);
     CHECK(row.estimate.missingReason == "not measured: module.list_memory");
 }
@@ -287,7 +289,7 @@
 TEST_CASE("The number of routers in the target scales the rows that depend on it") {
     const auto text = replaced(contentOf(kTargetFile), "routers = 12000", "routers = 120000");
     const auto rows = scale::capacityTable(scale::readTarget(text, "target.toml"), slopesByHand());
-    const scale::Row& row = rowOf(rows, "ordinary second", "cache", "connections from routers");
+    const scale::Row& row = rowOf(rows, "normal operation", "cache", "connections from routers");
     CHECK(*row.estimate.value == 120'000);
     CHECK(row.verdict() == scale::Verdict::over);
 }
