--- a/src/testbed/scale/capacity.hpp
+++ b/src/testbed/scale/capacity.hpp
@@ -18,7 +18,7 @@
     double sizeRatio = 0;                 // count / largest measured size; 0 if no slope is used
     std::vector<std::string> slopeNames;  // names of the slopes used
     std::string missingReason;            // the reason if there is no value
-    std::string basis() const;            // the table's "rests on" column
+    std::string basis() const;            // the table's "based on" column
 };
 
 // A figure computed from the target alone, without a measured slope.
