--- a/tests/testbed_live_test.cpp
+++ b/tests/testbed_live_test.cpp
@@ -7,6 +7,7 @@
 
 #include <array>
 #include <chrono>
+#include <cstdint>
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -19,19 +20,26 @@
 
 #include "testbed/drivers/live/http_request.hpp"
 #include "testbed/report/experiment.hpp"
+#include "testbed_fixture.hpp"
 
 namespace {
 
+using poppyscale::test::TemporaryFolder;
+
+constexpr const char* kFolderPrefix = "poppyscale_testbed-story-";
+constexpr std::uintmax_t kMinFreeMemoryBytes = 1ULL * 1024 * 1024 * 1024;
+
 struct CommandResult {
     int exitCode = -1;
     std::string output;
     std::string lastLine;
 };
 
-CommandResult runTestbed(const std::string& arguments) {
+// `environment` is empty or a variable of the testbed, such as "TMPDIR=/tmp".
+CommandResult runTestbed(const std::string& arguments, const std::string& environment = "") {
     CommandResult result;
     FILE* const pipe =
-        popen((std::string(POPPYSCALE_TESTBED_PROGRAM " ") + arguments + " 2>&1").c_str(), "r");
+        popen((environment + " " POPPYSCALE_TESTBED_PROGRAM " " + arguments + " 2>&1").c_str(), "r");
     std::array<char, 4096> buffer{};
     while (const std::size_t got = std::fread(buffer.data(), 1, buffer.size(), pipe))
         result.output.append(buffer.data(), got);
@@ -48,17 +56,20 @@
 // a verdict is never repeated.
 class BackgroundRun {
   public:
-    explicit BackgroundRun(std::string arguments)
+    explicit BackgroundRun(std::string arguments, std::string environment = "")
         : arguments_(std::move(arguments)),
-          result_(std::async(std::launch::async, [a = arguments_] { return runTestbed(a); })) {}
+          environment_(std::move(environment)),
+          result_(std::async(std::launch::async,
+                             [a = arguments_, e = environment_] { return runTestbed(a, e); })) {}
     CommandResult result() {
         CommandResult result = result_.get();
-        for (int tries = 0; tries < 2 && result.exitCode == 3; ++tries) result = runTestbed(arguments_);
+        for (int tries = 0; tries < 2 && result.exitCode == 3; ++tries)
+            result = runTestbed(arguments_, environment_);
         return result;
     }
 
   private:
-    std::string arguments_;
+    std::string arguments_, environment_;
     std::future<CommandResult> result_;
 };
 
@@ -101,17 +112,6 @@
     FILE* output = nullptr;
 };
 
-// A temporary folder that is removed at the end of the test.
-struct TemporaryFolder {
-    TemporaryFolder() {
-        std::string name =
-            (std::filesystem::temp_directory_path() / "poppyscale_testbed-story-XXXXXX").string();
-        path = mkdtemp(name.data());
-    }
-    ~TemporaryFolder() { std::filesystem::remove_all(path); }
-    std::string path;
-};
-
 // Writes the scenario `calm` with some texts replaced, a new length, less load and `faults` added,
 // and returns the file's path.
 std::string writeScenario(const TemporaryFolder& folder, const std::string& name, int lengthMs,
@@ -128,7 +128,7 @@
         REQUIRE(at != std::string::npos);
         text.replace(at, from.size(), to);
     }
-    const std::string path = folder.path + "/" + name + ".toml";
+    const std::string path = folder.path() + "/" + name + ".toml";
     std::ofstream(path) << text << faults;
     return path;
 }
@@ -157,7 +157,7 @@
 TEST_CASE(
     "Short runs on sockets keep all rules: calm, mixed routers, crashed caches, stopped routers, late "
     "connections") {
-    const TemporaryFolder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string crashFaults = "[[faults]]\nkind = \"crash\"\nat_ms = 1000\nfor_ms = 1500\ncount = 2\n";
     const std::string routerFaults =
         "[[faults]]\nkind = \"router_kill\"\nat_ms = 500\n[[faults]]\nkind = \"reload\"\nat_ms = 300\n"
@@ -191,7 +191,7 @@
         CHECK_MESSAGE(result.lastLine == "verdict: kept", result.output);
         CHECK(result.exitCode == 0);
     }
-    const std::string out = folder.path + "/crash.toml.out";
+    const std::string out = folder.path() + "/crash.toml.out";
     CHECK(std::filesystem::file_size(out + "/report.html") > 2'000);
     std::ifstream report(out + "/report.json");
     CHECK(nlohmann::json::parse(report).at("figures").at("goal").get<double>() > 0.5);
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("The audit of a run on sockets detects each broken rule and accepts a router that breaks none") {
-    const TemporaryFolder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string drainFaults = "[[faults]]\nkind = \"drain\"\nat_ms = 800\nfor_ms = 3500\ncount = 2\n";
     const std::string crashFaults = "[[faults]]\nkind = \"crash\"\nat_ms = 300\nfor_ms = 300\ncount = 2\n";
     const std::string calmScenario = writeScenario(folder, "calm", 4500, {}, "");
@@ -211,8 +211,11 @@
     std::vector<std::pair<std::string, BackgroundRun>> runs;
     const auto startDefect = [&](const std::string& defect, const std::string& rule,
                                  const std::string& file) {
+        // Without --out, a run keeps the routers' files in a folder of its own in TMPDIR.
         runs.emplace_back(
-            rule, "run " + file + " --program '" POPPYSCALE_TESTBED_PROGRAM " fault-router " + defect + "'");
+            rule, BackgroundRun("run " + file + " --program '" POPPYSCALE_TESTBED_PROGRAM " fault-router " +
+                                    defect + "'",
+                                "TMPDIR=" + folder.path()));
     };
     const auto start = [&](const std::string& rule, const std::string& file) {
         startDefect(rule, rule, file);
@@ -237,7 +240,7 @@
 }
 
 TEST_CASE("The testbed exits with 2 and names the scenario, key or program that is at fault") {
-    const TemporaryFolder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string badScenario = writeScenario(folder, "bad", 3000, {{"zipf = 1.0", "zpif = 1.0"}}, "");
     const CommandResult result = runTestbed("sim " + badScenario);
     CHECK(result.exitCode == 2);
@@ -248,13 +251,13 @@
     const CommandResult missingProgram = runTestbed("run " SCENARIOS "/calm.toml --program /nowhere/router");
     CHECK(missingProgram.exitCode == 2);
     CHECK(missingProgram.lastLine.find("exited before it was ready") != std::string::npos);
-    CHECK(runTestbed("audit " + folder.path).exitCode == 2);
+    CHECK(runTestbed("audit " + folder.path()).exitCode == 2);
 }
 
 TEST_CASE("The testbed exits with 3 when it was itself stopped during the run") {
-    const TemporaryFolder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string file = writeScenario(folder, "calm", 3000, {}, "");
-    TestbedProcess testbed({"run", file, "--program", POPPYSCALE_PROGRAM, "--out", folder.path + "/out"});
+    TestbedProcess testbed({"run", file, "--program", POPPYSCALE_PROGRAM, "--out", folder.path() + "/out"});
     REQUIRE(testbed.waitForOutput("the load begins"));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     kill(testbed.pid, SIGSTOP);
@@ -264,11 +267,11 @@
 }
 
 TEST_CASE("An interrupted testbed ends the routers that it started") {
-    const TemporaryFolder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string file = writeScenario(folder, "calm", 20000, {}, "");
-    const std::string pidFile = folder.path + "/pid";
+    const std::string pidFile = folder.path() + "/pid";
     const std::string program = "sh -c 'echo $$ >> " + pidFile + "; exec " POPPYSCALE_PROGRAM "'";
-    TestbedProcess testbed({"run", file, "--program", program, "--out", folder.path + "/out"});
+    TestbedProcess testbed({"run", file, "--program", program, "--out", folder.path() + "/out"});
     REQUIRE(testbed.waitForOutput("the load begins"));
     std::ifstream pids(pidFile);
     const std::vector<pid_t> routers(std::istream_iterator<pid_t>(pids), {});
--- a/tests/testbed_rollout_test.cpp
+++ b/tests/testbed_rollout_test.cpp
@@ -5,8 +5,8 @@
 #include <sys/wait.h>
 
 #include <array>
+#include <cstdint>
 #include <cstdio>
-#include <filesystem>
 #include <fstream>
 #include <future>
 #include <iterator>
@@ -14,10 +14,14 @@
 #include <string>
 #include <vector>
 
+#include "testbed_fixture.hpp"
+
 namespace {
 
+using poppyscale::test::TemporaryFolder;
+
 constexpr int kInconclusive = 3;  // exit code of a testbed that ran late: the run proves nothing
-constexpr std::uintmax_t kMinFreeMemory =
+constexpr std::uintmax_t kMinFreeMemoryBytes =
     4ULL * 1024 * 1024 * 1024;  // programs, copies and logs of five scenarios
 
 constexpr int kScenarioMs = 45'000;         // length_ms of the scenario roll-same
@@ -57,21 +61,6 @@
 
 class ScenarioRunner {
   public:
-    ScenarioRunner() {
-        // Files are kept in memory where enough is free: each scenario copies programs for its machines, and
-        // a testbed that waits for a disk to write them runs late.
-        const std::filesystem::path memory = "/dev/shm";
-        std::error_code error;
-        const auto space = std::filesystem::space(memory, error);
-        const bool fits = !error && space.available > kMinFreeMemory;
-        std::string name =
-            ((fits ? memory : std::filesystem::temp_directory_path()) / "poppyroll-XXXXXX").string();
-        folder_ = mkdtemp(name.data());
-    }
-    ~ScenarioRunner() { std::filesystem::remove_all(folder_); }
-    ScenarioRunner(const ScenarioRunner&) = delete;
-    ScenarioRunner& operator=(const ScenarioRunner&) = delete;
-
     // Twenty routers that are killed at random while they are upgraded in turn.
     RunResult runTwentyMinute() const {
         const std::string text = scenario(
@@ -129,7 +118,7 @@
         return run(rollout.name, scenario("roll-same", changes) + rollout.faults, " --ctl " POPPYCTL);
     }
     RunResult run(const std::string& name, const std::string& text, const std::string& arguments) const {
-        const std::string path = folder_ + "/" + name + ".toml", out = folder_ + "/" + name;
+        const std::string path = folder_ / (name + ".toml"), out = folder_ / name;
         std::ofstream(path) << text;
         RunResult result{name, -1, "", "", ""};
         FILE* const pipe = popen((std::string(POPPYSCALE_TESTBED_PROGRAM " run ") + path +
@@ -149,7 +138,8 @@
         return result;
     }
 
-    std::string folder_;
+    // Each scenario copies programs for its machines.
+    TemporaryFolder folder_{"poppyroll-", kMinFreeMemoryBytes};
 };
 
 }  // namespace
--- a/tests/testbed_scale_test.cpp
+++ b/tests/testbed_scale_test.cpp
@@ -6,6 +6,7 @@
 
 #include <algorithm>
 #include <array>
+#include <cstdint>
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -20,11 +21,16 @@
 #include "testbed/scale/in_force.hpp"
 #include "testbed/scale/record.hpp"
 #include "testbed/scale/server_list.hpp"
+#include "testbed_fixture.hpp"
 
 namespace {
 
 using namespace poppyscale;
 using namespace poppyscale::testbed::scale;
+using poppyscale::test::TemporaryFolder;
+
+constexpr const char* kFolderPrefix = "scale-";
+constexpr std::uintmax_t kMinFreeMemoryBytes = 1ULL * 1024 * 1024 * 1024;
 
 struct Output {
     int code = -1;
@@ -46,27 +52,6 @@
     return output;
 }
 
-// A temporary folder, removed at the end of the test.
-class Folder {
-  public:
-    Folder() {
-        std::string name = std::filesystem::temp_directory_path().string() + "/scale-XXXXXX";
-        path_ = mkdtemp(name.data());
-    }
-    ~Folder() { std::filesystem::remove_all(path_); }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
-
-    std::string operator/(const std::string& name) const { return path_ + "/" + name; }
-    std::string write(const std::string& name, const std::string& text) const {
-        std::ofstream(*this / name) << text;
-        return *this / name;
-    }
-
-  private:
-    std::string path_;
-};
-
 std::string scaleCommand(const std::string& file, const std::string& folder, const std::string& more) {
     return std::string(POPPYSCALE_TESTBED_PROGRAM) + " scale " + file + " --zones 3 --caches 100 --out " +
            folder + " " + more;
@@ -202,7 +187,7 @@
 }
 
 TEST_CASE("scale: small runs stay within their bounds, and detect the defective variants") {
-    const Folder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string plain = folder.write("plain.toml", "[bounds]\nin_force_ms = 5000\n");
     const std::string tight = folder.write("tight.toml", "[bounds]\nin_force_ms = 0.001\n");
     const std::string events = folder.write("events.toml", R"([bounds]
@@ -275,7 +260,7 @@
 }
 
 TEST_CASE("scale: rejects invalid options and runs beyond the machine's limits before starting anything") {
-    const Folder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string plain = folder.write("plain.toml", "");
     const auto isRefused = [&](const std::string& command, const std::string& why) {
         const Output output = shell(command);
@@ -313,7 +298,7 @@
 }
 
 TEST_CASE("scale: reports all problems of a scenario file at once, with file, line and key") {
-    const Folder folder;
+    const TemporaryFolder folder(kFolderPrefix, kMinFreeMemoryBytes);
     const std::string file = folder.write("bad.toml", R"([bounds]
 in_force_ms = "soon"
 speed = 3
